--- a/benchmarks/capacity_added.py
+++ b/benchmarks/capacity_added.py
@@ -19,8 +19,8 @@
 import numpy as np
 import uvloop
 
-from basaltspindle.drill.fleet import free_port
 from benchmarks.capacity_balancer import HOST, SINCE_MS, Instances, balancer, config, cpu_ms, entry, settled
+from loadbalancer.drill.fleet import free_port
 
 RATE = 770_000 / 18_000  # calls a second of one balancer
 STEP_S = 12.0
--- a/benchmarks/capacity_balancer.py
+++ b/benchmarks/capacity_balancer.py
@@ -1,6 +1,6 @@
 """What a list costs a balancer, by its length: the program as a process, beside a stand-in of list services.
 
-Each play starts `python -m basaltspindle` anew, with two instances of a list service of one's own, both of
+Each play starts `python -m loadbalancer` anew, with two instances of a list service of one's own, both of
 which are this process. Processor time is the kernel's of that process alone (schedstat), memory its
 smaps_rollup, bytes those that the stand-in wrote and read, without the kernel's headers.
 """
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from basaltspindle.drill.fleet import free_port
+from loadbalancer.drill.fleet import free_port
 
 HOST = "127.0.0.1"
 CHANGES = 60  # told one after another, of which the first WARM are not counted
@@ -176,7 +176,7 @@
         path.write_text(json.dumps(told), encoding="utf-8")
         environment = os.environ | {"LB_CONFIG": str(path), "TMPDIR": folder}
         process = subprocess.Popen(
-            [sys.executable, "-m", "basaltspindle"], env=environment, stderr=subprocess.DEVNULL,
+            [sys.executable, "-m", "loadbalancer"], env=environment, stderr=subprocess.DEVNULL,
             stdout=subprocess.DEVNULL,
         )  # fmt: skip
         try:
--- a/benchmarks/capacity_figures.py
+++ b/benchmarks/capacity_figures.py
@@ -99,7 +99,7 @@
 def about(name: str) -> dict[str, Any]:
     """Which code, machine and command gave figures."""
     commit = subprocess.run(
-        ["git", "log", "-1", "--format=%h", "--", "basaltspindle"],
+        ["git", "log", "-1", "--format=%h", "--", "loadbalancer"],
         cwd=ROOT.parent, capture_output=True, text=True, check=True,
     ).stdout.strip()  # fmt: skip
     return {
--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -12,17 +12,17 @@
 
 import msgspec
 
-from basaltspindle.directory import Catalog, Registration, Rules, first_index
-from basaltspindle.directory.service import LAPSE_S
-from basaltspindle.interface import Effect, RequestClass, SetTimer, Settings
-from basaltspindle.peers import Membership, Tell, Wake
-from basaltspindle.peers.notes import Kind, Note, write
-from basaltspindle.peers.swim import PERIOD_MS
-from basaltspindle.policy.roster import Roster
-from basaltspindle.watching import Watch
-from basaltspindle.world.gossip import FLEET, Tier
-from basaltspindle.world.watches import Watched
 from benchmarks.capacity_balancer import ZONES, cpu_ms
+from loadbalancer.endpoint_watch import Watch
+from loadbalancer.interface import Effect, RequestClass, SetTimer, Settings
+from loadbalancer.membership import Membership, Tell, Wake
+from loadbalancer.membership.notes import Kind, Note, write
+from loadbalancer.membership.swim import PERIOD_MS
+from loadbalancer.policy.roster import Roster
+from loadbalancer.registry import Catalog, Registration, Rules, first_index
+from loadbalancer.registry.service import LAPSE_S
+from loadbalancer.simulation.gossip import FLEET, Tier
+from loadbalancer.simulation.watches import Watched
 
 SETTLE_MS, LOOK_MS = 4_000.0, 4_000.0
 MEMBER_PERIODS = 200
--- a/benchmarks/capacity_reckoned.py
+++ b/benchmarks/capacity_reckoned.py
@@ -4,9 +4,9 @@
 
 import math
 
-from basaltspindle.watching.budget import call_s
 from benchmarks.capacity_roles import Fleet, Spent
 from benchmarks.capacity_text import number, table
+from loadbalancer.endpoint_watch.budget import call_s
 
 
 def _core(ms_s: float) -> str:
@@ -84,7 +84,7 @@
     return [
         f"list service, each of {fleet.instances:g}", f"{fleet.size:,} servers, {watches:,.0f} watches",
         messages, *_cells(spent), f"{_over(spent.core_ms_s, cores * 1e3)} of {cores:g} core",
-        "`directory/`; renewals that stay where they are made: none yet",
+        "`registry/`; renewals that stay where they are made: none yet",
     ]  # fmt: skip
 
 
@@ -102,7 +102,7 @@
     tiers = {f"one tier of {fleet.size:,}": fleet.size, f"a tier for each service, {number(small)}": small}
     rows: list[list[str]] = []
     for name, size in tiers.items() if fleet.has("notes") else ():
-        spent, carried = fleet.members(size), "`peers/`, off; nothing rests on it"
+        spent, carried = fleet.members(size), "`membership/`, off; nothing rests on it"
         state = f"{number(size)} beliefs"
         rows.append(
             [f"membership, {name}", state, "8 to 13 out", *_cells(spent), _verdict(spent, fleet), carried]
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from basaltspindle.directory.entries import Rules
-from basaltspindle.directory.lease import RENEW_PART
-from basaltspindle.directory.pace import ANSWER_S, LEAST_S, WAKES_PART
-from basaltspindle.policy.roster import SUBSET_COVER
-from basaltspindle.watching.sources import SILENT_S
-from basaltspindle.watching.watch import COMPARE_MS, COMPARE_S, SAID_S, SPREAD, WAIT_MS
 from benchmarks.capacity_slopes import QUANTITIES, Assumed
+from loadbalancer.endpoint_watch.sources import SILENT_S
+from loadbalancer.endpoint_watch.watch import COMPARE_MS, COMPARE_S, SAID_S, SPREAD, WAIT_MS
+from loadbalancer.policy.roster import SUBSET_COVER
+from loadbalancer.registry.entries import Rules
+from loadbalancer.registry.lease import RENEW_PART
+from loadbalancer.registry.pace import ANSWER_S, LEAST_S, WAKES_PART
 
 DAY_S = 86_400.0
 ENTRY_ROOM = 2  # changes that a failed machine makes: it lapses, and another one starts
--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from basaltspindle.directory.service import LAPSE_S
-from basaltspindle.peers import NOTE_MOST
 from benchmarks.capacity_figures import Row
 from benchmarks.capacity_fit import Slope, leave_out
+from loadbalancer.membership import NOTE_MOST
+from loadbalancer.registry.service import LAPSE_S
 
 NOTES_S = 12.6  # of a member at 5% loss, the most of all plays: they don't grow with the tier
 LOOKS = "looks back off since f1bd8e4"
@@ -204,11 +204,11 @@
     Limit(
         "list instance while a zone is away: a look for lapses, four a second", "lapse_again",
         lambda told: LAPSE_S * told["assumed"]["instance_cores"] * 1e3,
-        lambda told: f"{told['assumed']['instance_cores']:g} core", "`directory/floors.py`",
+        lambda told: f"{told['assumed']['instance_cores']:g} core", "`registry/floors.py`",
     ),
     Limit(
         "longest pause after failed calls", "pause", lambda told: told["allowance"]["in_force_s"],
-        lambda told: f"{told['allowance']['in_force_s']:g} s", "`watching/budget.py`",
+        lambda told: f"{told['allowance']['in_force_s']:g} s", "`endpoint_watch/budget.py`",
     ),
     Limit(
         "all back after an outage: the whole list to each, by a core of each instance", "list_shared",
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -22,9 +22,9 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from basaltspindle import interface as face
-from basaltspindle.interface import Effect, ListKind, Member, Outcome, RequestClass, Settings
-from basaltspindle.policy import Balancer
+from loadbalancer import interface as face
+from loadbalancer.interface import Effect, ListKind, Member, Outcome, RequestClass, Settings
+from loadbalancer.policy import Balancer
 
 CALLERS = (3, 10, 30, 100, 300)
 TRAFFIC = ("even", "uneven", "one")
--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -21,7 +21,7 @@
     The script is started as a module; of this tree it finds nothing but itself. Raises
     `subprocess.CalledProcessError` where git does not know the commit, or the script fails.
     """
-    archive = ["git", "archive", commit, "basaltspindle"]
+    archive = ["git", "archive", commit, "loadbalancer"]
     packed = subprocess.run(archive, cwd=ROOT, check=True, capture_output=True).stdout
     with tempfile.TemporaryDirectory() as folder:
         with tarfile.open(fileobj=BytesIO(packed)) as tar:
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -17,7 +17,7 @@
 import sys
 import time
 
-from basaltspindle.interface import (
+from loadbalancer.interface import (
     AttemptEnded,
     Effect,
     ListKind,
@@ -29,7 +29,7 @@
     Send,
     Settings,
 )
-from basaltspindle.policy import Balancer
+from loadbalancer.policy import Balancer
 
 SIZES = (10, 100, 1_000, 10_000)
 ROUNDS, OUT = 7, 8
--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -25,11 +25,11 @@
 import aiohttp
 import typer
 
-from basaltspindle.drill.fleet import free_port
+from loadbalancer.drill.fleet import free_port
 
 SERVERS, ROUNDS, WRITERS = 1_000, 5, 128
 EACH = """
-from basaltspindle.directory import reads
+from loadbalancer.registry import reads
 def news_since(self, asked, held, view):
     self._answers.clear()
     return real(self, asked, held, view)
@@ -38,7 +38,7 @@
 SERVE = """
 import sys
 from pathlib import Path
-from basaltspindle.directory import host
+from loadbalancer.registry import host
 told = host.read_file(Path(sys.argv[1]))
 host.serve(told, host.open_service(told))
 """
--- a/benchmarks/interest.py
+++ b/benchmarks/interest.py
@@ -26,9 +26,9 @@
 import aiohttp
 import typer
 
-from basaltspindle.directory import Catalog, Registration, Rules
-from basaltspindle.directory.interests import Parts, Shape, View, place_of
 from benchmarks.directory import allow_files, served
+from loadbalancer.registry import Catalog, Registration, Rules
+from loadbalancer.registry.interests import Parts, Shape, View, place_of
 
 KINDS = ("whole", "service", "part")
 SIZES = (500, 2_000, 6_000, 18_000)  # of the list in a balancer
--- a/benchmarks/interest_balancer.py
+++ b/benchmarks/interest_balancer.py
@@ -12,8 +12,8 @@
 import time
 from pathlib import Path
 
-from basaltspindle.net.config import read_config, read_list
-from basaltspindle.net.driver import Driver
+from loadbalancer.net.config import read_config, read_list
+from loadbalancer.net.driver import Driver
 
 
 def rss_mb() -> float:
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -15,7 +15,7 @@
 import typer
 from matplotlib.figure import Figure
 
-from basaltspindle.world.gossip import Tier
+from loadbalancer.simulation.gossip import Tier
 
 SIZES = {10: 40, 50: 30, 200: 12, 1_000: 2}  # members: deaths that are looked at
 SETTLE_MS, LOOK_MS, PATIENCE_MS = 5_000.0, 20.0, 30_000.0
--- a/benchmarks/watches.py
+++ b/benchmarks/watches.py
@@ -15,7 +15,7 @@
 import typer
 from matplotlib.figure import Figure
 
-from basaltspindle.world.watches import Watched
+from loadbalancer.simulation.watches import Watched
 
 SETTLE_MS = 10_000.0
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -20,11 +20,11 @@
 import typer
 from matplotlib.figure import Figure
 
-from basaltspindle.interface import ZoneHeld
-from basaltspindle.lab import policies
-from basaltspindle.world.fleet import START_MS, World
-from basaltspindle.world.scenario import draw, load
-from basaltspindle.world.turns import turns
+from loadbalancer.interface import ZoneHeld
+from loadbalancer.lab import policies
+from loadbalancer.simulation.fleet import START_MS, World
+from loadbalancer.simulation.scenario import draw, load
+from loadbalancer.simulation.turns import turns
 
 SCENARIOS = (
     "zone-errors", "zone-slow", "zone-half", "zone-returns-cold", "zone-flaps", "own-link-down",
--- a/basaltspindle/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,4 +1,4 @@
-"""The balancer as a program: `python -m basaltspindle`, told all it needs by the file in `LB_CONFIG`."""
+"""The balancer as a program: `python -m loadbalancer`, told all it needs by the file in `LB_CONFIG`."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 import uvloop
 
-from basaltspindle.net.config import Config, ConfigError, read_config
-from basaltspindle.net.driver import Driver
-from basaltspindle.net.handover import Legacy, ask_predecessor
-from basaltspindle.net.log import SINKS, Sink, write_text
+from loadbalancer.net.config import Config, ConfigError, read_config
+from loadbalancer.net.driver import Driver
+from loadbalancer.net.handover import Legacy, ask_predecessor
+from loadbalancer.net.log import SINKS, Sink, write_text
 
 Reading = Callable[[Callable[[str], None]], Config]
 """Reads the configuration again, telling what it passes over."""
@@ -74,10 +74,10 @@
             raise ConfigError("LB_CONFIG is not set")
         config = load(path, notes.append)
     except (OSError, ValueError) as error:
-        print(f"basaltspindle: configuration: {' '.join(str(error).split())}", file=sys.stderr)
+        print(f"loadbalancer: configuration: {' '.join(str(error).split())}", file=sys.stderr)
         return 2
     for note in notes:
-        print(f"basaltspindle: {note}", file=sys.stderr)
+        print(f"loadbalancer: {note}", file=sys.stderr)
     sink = SINKS.get(os.environ.get("LB_LOG", ""), write_text)
     return run(config, lambda note: load(path, note), sink)
 
@@ -91,7 +91,7 @@
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config, read, folder, legacy, sink))
     except OSError as error:
-        print(f"basaltspindle: can't serve on {config.listen}: {error}", file=sys.stderr)
+        print(f"loadbalancer: can't serve on {config.listen}: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/basaltspindle/cli/__init__.py
+++ b/loadbalancer/cli/__init__.py
@@ -1,5 +1,5 @@
-"""The command `irondrum`: for people. What the platform starts is `python -m basaltspindle`."""
+"""The command `irondrum`: for people. What the platform starts is `python -m loadbalancer`."""
 
-from basaltspindle.cli.main import main
+from loadbalancer.cli.main import main
 
 __all__ = ["main"]
--- a/basaltspindle/cli/demo.py
+++ b/loadbalancer/cli/demo.py
@@ -16,11 +16,11 @@
 from rich.table import Table
 from rich.text import Text
 
-from basaltspindle.cli.operate import reports, table_of
-from basaltspindle.cli.screen import screen
-from basaltspindle.drill import checks, history, load, script
-from basaltspindle.drill.drive import Drive
-from basaltspindle.drill.fleet import FIRST, Fleet
+from loadbalancer.cli.operate import reports, table_of
+from loadbalancer.cli.screen import screen
+from loadbalancer.drill import checks, history, load, script
+from loadbalancer.drill.drive import Drive
+from loadbalancer.drill.fleet import FIRST, Fleet
 
 LOOK_S = 0.5
 NOT_HELD = 1
--- a/basaltspindle/cli/directory.py
+++ b/loadbalancer/cli/directory.py
@@ -14,14 +14,14 @@
 import typer
 from rich.table import Table
 
-from basaltspindle.cli.misuse import Misuse
-from basaltspindle.cli.screen import screen
-from basaltspindle.directory import host
-from basaltspindle.directory.agent import Agent, check
-from basaltspindle.directory.agent import run as run_agent
-from basaltspindle.directory.caller import Caller
-from basaltspindle.directory.entries import Registration
-from basaltspindle.directory.store import Store, StoreError
+from loadbalancer.cli.misuse import Misuse
+from loadbalancer.cli.screen import screen
+from loadbalancer.registry import host
+from loadbalancer.registry.agent import Agent, check
+from loadbalancer.registry.agent import run as run_agent
+from loadbalancer.registry.caller import Caller
+from loadbalancer.registry.entries import Registration
+from loadbalancer.registry.store import Store, StoreError
 
 app = typer.Typer(no_args_is_help=True, help="A list service of your own: who serves, by leases.")
 At = Annotated[str, typer.Option("--at", help="HOST:PORT of the service.", envvar="IRONDRUM_DIRECTORY")]
--- a/basaltspindle/cli/drill.py
+++ b/loadbalancer/cli/drill.py
@@ -13,11 +13,11 @@
 import uvloop
 from rich.table import Table
 
-from basaltspindle.cli.misuse import Misuse, find_file
-from basaltspindle.cli.screen import screen
-from basaltspindle.drill import checks, history, plants, script
-from basaltspindle.drill.drive import Drive
-from basaltspindle.drill.story import Check
+from loadbalancer.cli.misuse import Misuse, find_file
+from loadbalancer.cli.screen import screen
+from loadbalancer.drill import checks, history, plants, script
+from loadbalancer.drill.drive import Drive
+from loadbalancer.drill.story import Check
 
 app = typer.Typer(no_args_is_help=True, help="A fleet of real processes on this machine, with faults.")
 FOLDER = Path("drills")
@@ -84,7 +84,7 @@
 
     Example: irondrum drill report found/drills
     """
-    from basaltspindle.drill import report as pages  # matplotlib takes a second to load
+    from loadbalancer.drill import report as pages  # matplotlib takes a second to load
 
     try:
         typer.echo(pages.write(folder))
--- a/basaltspindle/cli/lab.py
+++ b/loadbalancer/cli/lab.py
@@ -15,10 +15,10 @@
 from rich.console import Console
 from rich.table import Table
 
-from basaltspindle.cli.misuse import Misuse, find_file
-from basaltspindle.lab import plays, policies
-from basaltspindle.lab.compare import compare as paired
-from basaltspindle.world import scenario as scenarios
+from loadbalancer.cli.misuse import Misuse, find_file
+from loadbalancer.lab import plays, policies
+from loadbalancer.lab.compare import compare as paired
+from loadbalancer.simulation import scenario as scenarios
 
 app = typer.Typer(no_args_is_help=True, help="Experiments on the decisions in virtual time.")
 FOLDER = Path("scenarios")
--- a/basaltspindle/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -8,18 +8,18 @@
 
 import typer
 
-from basaltspindle.cli import demo, directory, drill, lab, operate, scale, serve, zone
-from basaltspindle.cli.misuse import Misuse
-from basaltspindle.conf import Unusable
-from basaltspindle.directory.caller import CallError
-from basaltspindle.directory.host import HostError
-from basaltspindle.directory.store import StoreError
-from basaltspindle.drill.crew import DriveError
-from basaltspindle.drill.load import LoadError
-from basaltspindle.drill.script import ScriptError
-from basaltspindle.lab.policies import PolicyError
-from basaltspindle.scale.plan import PlanError
-from basaltspindle.world.scenario import ScenarioError
+from loadbalancer.cli import demo, directory, drill, lab, operate, scale, serve, zone
+from loadbalancer.cli.misuse import Misuse
+from loadbalancer.configuration import Unusable
+from loadbalancer.drill.crew import DriveError
+from loadbalancer.drill.load import LoadError
+from loadbalancer.drill.script import ScriptError
+from loadbalancer.lab.policies import PolicyError
+from loadbalancer.registry.caller import CallError
+from loadbalancer.registry.host import HostError
+from loadbalancer.registry.store import StoreError
+from loadbalancer.scale.plan import PlanError
+from loadbalancer.simulation.scenario import ScenarioError
 
 app = typer.Typer(no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False)
 app.add_typer(lab.app, name="lab")
@@ -41,12 +41,12 @@
 
 def _show_version(wanted: bool) -> None:
     if wanted:
-        typer.echo(f"irondrum {version('basaltspindle')}")
+        typer.echo(f"irondrum {version('loadbalancer')}")
         raise typer.Exit
 
 
 @app.callback()
-def irondrum(
+def loadbalancer(
     show: Annotated[
         bool, typer.Option("--version", callback=_show_version, is_eager=True, help="Tell the version.")
     ] = False,
--- a/basaltspindle/cli/operate.py
+++ b/loadbalancer/cli/operate.py
@@ -14,8 +14,8 @@
 from rich.live import Live
 from rich.table import Table
 
-from basaltspindle.cli.misuse import Misuse
-from basaltspindle.cli.screen import screen
+from loadbalancer.cli.misuse import Misuse
+from loadbalancer.cli.screen import screen
 
 PATIENCE_S = 2.0
 NOT_TAKEN = 1
--- a/basaltspindle/cli/scale.py
+++ b/loadbalancer/cli/scale.py
@@ -10,10 +10,10 @@
 import typer
 import uvloop
 
-from basaltspindle.cli.screen import screen
-from basaltspindle.scale.figures import kept
-from basaltspindle.scale.plan import SHORT, Plan
-from basaltspindle.scale.play import Play
+from loadbalancer.cli.screen import screen
+from loadbalancer.scale.figures import kept
+from loadbalancer.scale.plan import SHORT, Plan
+from loadbalancer.scale.play import Play
 
 app = typer.Typer(no_args_is_help=True, help="Thousands of hollow balancers beside real ones, measured.")
 
@@ -47,7 +47,7 @@
 
     Example: irondrum scale report found/scale --sizes benchmarks/figures
     """
-    from basaltspindle.scale import report as pages  # matplotlib takes a second to load
+    from loadbalancer.scale import report as pages  # matplotlib takes a second to load
 
     typer.echo(pages.write(folder, sizes))
 
--- a/basaltspindle/cli/serve.py
+++ b/loadbalancer/cli/serve.py
@@ -10,10 +10,10 @@
 import structlog
 import typer
 
-from basaltspindle import __main__ as program
-from basaltspindle import conf
-from basaltspindle.cli.misuse import Misuse
-from basaltspindle.net.log import Fields, Sink
+from loadbalancer import __main__ as program
+from loadbalancer import configuration
+from loadbalancer.cli.misuse import Misuse
+from loadbalancer.net.log import Fields, Sink
 
 FORMS = ("text", "json")
 
@@ -47,8 +47,8 @@
     """
     if log not in FORMS:
         raise Misuse(f"--log {log!r}; allowed: {', '.join(FORMS)}")
-    config = conf.read(file, lambda note: typer.echo(f"irondrum: {note}", err=True))
-    raise typer.Exit(program.run(config, lambda note: conf.read(file, note), _sink(log)))
+    config = configuration.read(file, lambda note: typer.echo(f"irondrum: {note}", err=True))
+    raise typer.Exit(program.run(config, lambda note: configuration.read(file, note), _sink(log)))
 
 
 def check(
@@ -60,10 +60,10 @@
     Example: irondrum check docs/irondrum.toml
     """
     if schema:
-        typer.echo(json.dumps(conf.schema(), indent=1))
+        typer.echo(json.dumps(configuration.schema(), indent=1))
         return
     if file is None:
         raise Misuse("check: name a file, or give --schema")
-    config = conf.read(file, lambda note: None)
+    config = configuration.read(file, lambda note: None)
     known = len(config.known.endpoints)
     typer.echo(f"{file}: can be used; {len(config.settings.classes)} classes, {known} servers known")
--- a/basaltspindle/conf/__init__.py
+++ b/loadbalancer/configuration/__init__.py
@@ -3,10 +3,10 @@
     config = read(Path("irondrum.toml"), note=print)      # what `run` reads, as `net` takes it
     for fault in faults(tables): print(fault)             # every one, with its path and what is allowed
 
-`python -m basaltspindle` reads the platform's JSON by itself, leniently, and loads none of this.
+`python -m loadbalancer` reads the platform's JSON by itself, leniently, and loads none of this.
 """
 
-from basaltspindle.conf.model import Configuration, schema
-from basaltspindle.conf.reading import Unusable, faults, parse, read, tables_of
+from loadbalancer.configuration.model import Configuration, schema
+from loadbalancer.configuration.reading import Unusable, faults, parse, read, tables_of
 
 __all__ = ["Configuration", "Unusable", "faults", "parse", "read", "schema", "tables_of"]
--- a/basaltspindle/conf/model.py
+++ b/loadbalancer/configuration/model.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta
 
-from basaltspindle.net.config import LIST_DOUBT, PART_MOST, SERVICE
+from loadbalancer.net.config import LIST_DOUBT, PART_MOST, SERVICE
 
 DURATION = r"^[0-9]+(\.[0-9]+)?(ms|s|m)$"
 Duration = Annotated[float, Meta(ge=0)] | Annotated[str, Meta(pattern=DURATION)]
--- a/basaltspindle/conf/reading.py
+++ b/loadbalancer/configuration/reading.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from basaltspindle.conf import model
-from basaltspindle.conf.model import Configuration
-from basaltspindle.net.config import Config, ConfigError, read_config
+from loadbalancer.configuration import model
+from loadbalancer.configuration.model import Configuration
+from loadbalancer.net.config import Config, ConfigError, read_config
 
 UNITS_MS = {"ms": 1.0, "s": 1_000.0, "m": 60_000.0}
 Tables = dict[str, Any]
--- a/basaltspindle/drill/clients.py
+++ b/loadbalancer/drill/clients.py
@@ -1,6 +1,6 @@
 """The clients and their front as a process: an open load on balancers, and what each request came to.
 
-    python -m basaltspindle.drill.clients SPEC.json
+    python -m loadbalancer.drill.clients SPEC.json
 
 First tries come at random at a rate, whether or not earlier ones were answered. The front deals them out in
 turn among the balancers that answer `GET /healthz`, and notices only after some checks that one has died.
@@ -17,10 +17,10 @@
 import aiohttp
 import msgspec
 
-from basaltspindle.drill.clock import RealClock
-from basaltspindle.drill.script import Class, Load
-from basaltspindle.drill.standin import Place, follow, read_spec, request_of, say
-from basaltspindle.net.figures import REFUSALS
+from loadbalancer.drill.clock import RealClock
+from loadbalancer.drill.script import Class, Load
+from loadbalancer.drill.standin import Place, follow, read_spec, request_of, say
+from loadbalancer.net.figures import REFUSALS
 
 CHECK_S, CHECK_PATIENCE_S, FAILS_TO_LEAVE = 0.3, 1.0, 2
 PATIENCE_MS = 1_500.0  # past its time, in which a late answer is still seen
--- a/basaltspindle/drill/clock.py
+++ b/loadbalancer/drill/clock.py
@@ -14,7 +14,7 @@
 
 
 class RealClock:
-    """Hosts parts of the model on real time (`basaltspindle.world.clock.Timekeeper`)."""
+    """Hosts parts of the model on real time (`loadbalancer.simulation.clock.Timekeeper`)."""
 
     def __init__(self, offset: float) -> None:
         """`offset` is the driver's `offset_ms()`."""
--- a/basaltspindle/drill/crew.py
+++ b/loadbalancer/drill/crew.py
@@ -10,11 +10,11 @@
 
 import aiohttp
 
-from basaltspindle.drill.fleet import FIRST, Fleet, Spot
-from basaltspindle.drill.history import Writer
-from basaltspindle.drill.listing import Listing
-from basaltspindle.drill.papers import Papers, directory_argv, environment, run_argv
-from basaltspindle.drill.processes import Process
+from loadbalancer.drill.fleet import FIRST, Fleet, Spot
+from loadbalancer.drill.history import Writer
+from loadbalancer.drill.listing import Listing
+from loadbalancer.drill.papers import Papers, directory_argv, environment, run_argv
+from loadbalancer.drill.processes import Process
 
 READY_S = 60.0  # for a process to be ready, on a machine that is busy
 NEW = " (new)"
@@ -73,7 +73,7 @@
 
     async def _start_stand_in(self, spot: Spot) -> None:
         module = {"server": "server", "list": "lists", "clients": "clients"}[spot.kind]
-        argv = [sys.executable, "-m", f"basaltspindle.drill.{module}", str(self._papers.spec(spot))]
+        argv = [sys.executable, "-m", f"loadbalancer.drill.{module}", str(self._papers.spec(spot))]
         ready = asyncio.Event()
 
         def heard(line: dict[str, Any]) -> None:
--- a/basaltspindle/drill/deeds.py
+++ b/loadbalancer/drill/deeds.py
@@ -11,13 +11,13 @@
 from pathlib import Path
 from typing import Any
 
-from basaltspindle.drill import script as steps
-from basaltspindle.drill.clock import RealClock
-from basaltspindle.drill.crew import NEW, READY_S, Crew, DriveError
-from basaltspindle.drill.fleet import FIRST, Fleet
-from basaltspindle.drill.history import Writer
-from basaltspindle.drill.links import DatagramLink, Fault, Link
-from basaltspindle.drill.papers import Papers
+from loadbalancer.drill import script as steps
+from loadbalancer.drill.clock import RealClock
+from loadbalancer.drill.crew import NEW, READY_S, Crew, DriveError
+from loadbalancer.drill.fleet import FIRST, Fleet
+from loadbalancer.drill.history import Writer
+from loadbalancer.drill.links import DatagramLink, Fault, Link
+from loadbalancer.drill.papers import Papers
 
 DOWN = "list down"
 
--- a/basaltspindle/drill/drive.py
+++ b/loadbalancer/drill/drive.py
@@ -9,14 +9,14 @@
 
 import aiohttp
 
-from basaltspindle.directory.caller import CallError
-from basaltspindle.drill import script as steps
-from basaltspindle.drill.clock import RealClock, offset_ms
-from basaltspindle.drill.crew import READY_S, Crew, DriveError
-from basaltspindle.drill.deeds import Deeds
-from basaltspindle.drill.fleet import FIRST, Fleet
-from basaltspindle.drill.history import Writer
-from basaltspindle.drill.papers import Papers
+from loadbalancer.drill import script as steps
+from loadbalancer.drill.clock import RealClock, offset_ms
+from loadbalancer.drill.crew import READY_S, Crew, DriveError
+from loadbalancer.drill.deeds import Deeds
+from loadbalancer.drill.fleet import FIRST, Fleet
+from loadbalancer.drill.history import Writer
+from loadbalancer.drill.papers import Papers
+from loadbalancer.registry.caller import CallError
 
 PATIENCE_S = 120.0  # past the load's own length, after which a drill is given up
 
--- a/basaltspindle/drill/history.py
+++ b/loadbalancer/drill/history.py
@@ -32,7 +32,7 @@
 from pathlib import Path
 from typing import Any
 
-from basaltspindle.drill.clock import RealClock
+from loadbalancer.drill.clock import RealClock
 
 Event = dict[str, Any]
 MOST_BYTES = 64 * 1024 * 1024  # of one process's file
--- a/basaltspindle/drill/listing.py
+++ b/loadbalancer/drill/listing.py
@@ -9,9 +9,9 @@
 
 import aiohttp
 
-from basaltspindle.directory.caller import Caller, CallError
-from basaltspindle.drill.fleet import Fleet, Spot
-from basaltspindle.drill.papers import Papers
+from loadbalancer.drill.fleet import Fleet, Spot
+from loadbalancer.drill.papers import Papers
+from loadbalancer.registry.caller import Caller, CallError
 
 LOOK_S = 0.02
 
--- a/basaltspindle/drill/load.py
+++ b/loadbalancer/drill/load.py
@@ -16,8 +16,8 @@
 import aiohttp
 from hdrh.histogram import HdrHistogram
 
-from basaltspindle.drill.standin import request_of
-from basaltspindle.net.figures import REFUSALS
+from loadbalancer.drill.standin import request_of
+from loadbalancer.net.figures import REFUSALS
 
 MOST_RATE, MOST_SECONDS = 5_000.0, 600.0
 LONGEST_MS = 600_000
--- a/basaltspindle/drill/papers.py
+++ b/loadbalancer/drill/papers.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from basaltspindle.drill import clients, lists, server
-from basaltspindle.drill.fleet import FIRST, INNER, Fleet, Spot
-from basaltspindle.drill.links import Address
-from basaltspindle.drill.script import Version
+from loadbalancer.drill import clients, lists, server
+from loadbalancer.drill.fleet import FIRST, INNER, Fleet, Spot
+from loadbalancer.drill.links import Address
+from loadbalancer.drill.script import Version
 
 SNAPSHOT_MS = 500.0
 SERVICE_DEFECTS = (  # those of the list service: see `plants`
@@ -172,21 +172,21 @@
     Where it was not, the same module is run by this interpreter, as in a checkout without `.venv`.
     """
     if plant and plant not in SERVICE_DEFECTS:
-        return [sys.executable, "-m", "basaltspindle.drill.plants", plant]
+        return [sys.executable, "-m", "loadbalancer.drill.plants", plant]
     root = folder or ROOT
     deploy = root / "deploy" / "balancer.toml"
     if deploy.exists():
         argv = shlex.split(tomllib.loads(deploy.read_text(encoding="utf-8"))["run"])
         if argv[0] == "exec" and (root / argv[1]).exists():
             return argv[1:]
-    return [sys.executable, "-m", "basaltspindle"]
+    return [sys.executable, "-m", "loadbalancer"]
 
 
 def directory_argv(plant: str) -> list[str]:
     """How the real list service's command is started."""
     if plant in SERVICE_DEFECTS:
-        return [sys.executable, "-m", "basaltspindle.drill.plants", plant]
-    return [sys.executable, "-c", "from basaltspindle.cli import main; main()", "directory"]
+        return [sys.executable, "-m", "loadbalancer.drill.plants", plant]
+    return [sys.executable, "-c", "from loadbalancer.cli import main; main()", "directory"]
 
 
 def environment(folder: Path | None, **more: str) -> dict[str, str]:
--- a/basaltspindle/drill/plants.py
+++ b/loadbalancer/drill/plants.py
@@ -1,6 +1,6 @@
 """Balancers with a known defect, for drills that must find it: the real program, made worse in one place.
 
-LB_CONFIG=config.json python -m basaltspindle.drill.plants sends-twice
+LB_CONFIG=config.json python -m loadbalancer.drill.plants sends-twice
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from pathlib import Path
 from typing import Any
 
-from basaltspindle import interface as face
-from basaltspindle.drill.papers import SERVICE_DEFECTS
-from basaltspindle.interface import Outcome, Readiness
-from basaltspindle.net import discovery, driver
-from basaltspindle.net.callers import Taken
-from basaltspindle.net.config import ServerList
-from basaltspindle.net.driver import Driver
-from basaltspindle.net.upstreams import Answer, Attempt
+from loadbalancer import interface as face
+from loadbalancer.drill.papers import SERVICE_DEFECTS
+from loadbalancer.interface import Outcome, Readiness
+from loadbalancer.net import discovery, driver
+from loadbalancer.net.callers import Taken
+from loadbalancer.net.config import ServerList
+from loadbalancer.net.driver import Driver
+from loadbalancer.net.upstreams import Answer, Attempt
 
 NOWHERE_EVERY = 25  # requests, one of which is answered from nowhere
 
@@ -107,7 +107,7 @@
 
 def deaf_to_peers() -> None:
     """What other balancers say of who is there is not heard, and they hear nothing of us."""
-    from basaltspindle.peers import Membership
+    from loadbalancer.membership import Membership
 
     def heard(self: Membership, sender: int, data: bytes, now: float) -> list[Any]:
         return []
@@ -117,7 +117,7 @@
 
 def never_gives_up() -> None:
     """A balancer that is silent is suspected for ever."""
-    from basaltspindle.peers import Table
+    from loadbalancer.membership import Table
 
     def give_up(self: Table, number: int, now: float) -> None:
         return None
@@ -127,7 +127,7 @@
 
 def forgets_returns() -> None:
     """Who was gone once stays gone: what it says of itself is not taken."""
-    from basaltspindle.peers import State, Table
+    from loadbalancer.membership import State, Table
 
     real = Table.learn
 
@@ -141,7 +141,7 @@
 
 def forgets_snapshot() -> None:
     """What was kept over a restart is not read."""
-    from basaltspindle.state import Found, Store
+    from loadbalancer.snapshots import Found, Store
 
     def load(self: Store) -> Found:
         return Found(None, ())
@@ -151,8 +151,8 @@
 
 def believes_lapses() -> None:
     """The list service takes every lease that runs out for a server that is gone."""
-    from basaltspindle.directory import Catalog
-    from basaltspindle.directory.floors import Floors
+    from loadbalancer.registry import Catalog
+    from loadbalancer.registry.floors import Floors
 
     Catalog._see_whether_to_doubt = lambda self, tier, now: None  # type: ignore[method-assign]
     Floors.spare = lambda self, entry: False  # type: ignore[method-assign]
@@ -160,7 +160,7 @@
 
 def reuses_versions() -> None:
     """A list service without its memory begins at 1, and leaves those who have seen more to themselves."""
-    from basaltspindle.directory import Catalog, service
+    from loadbalancer.registry import Catalog, service
 
     real = Catalog.goes_on
     vars(service)["first_index"] = lambda stored, now_ms, number, stride: (
@@ -175,7 +175,7 @@
 
 def lapses_unheard() -> None:
     """An instance lapses a lease though another one, out of reach, may have heard it renewed."""
-    from basaltspindle.directory import Catalog
+    from loadbalancer.registry import Catalog
 
     real = Catalog.lapse
     Catalog.lapse = lambda self, now, heard=0.0: real(self, now)  # type: ignore[method-assign]
@@ -183,8 +183,8 @@
 
 def takes_drains_back() -> None:
     """Of two accounts of a server the one that was changed more often stands, whatever the other said."""
-    from basaltspindle.directory import catalog
-    from basaltspindle.directory.merge import Shared
+    from loadbalancer.registry import catalog
+    from loadbalancer.registry.merge import Shared
 
     def join(one: Shared, other: Shared) -> Shared:
         return max(one, other, key=lambda account: (account.start, account.rev, account.beats))
@@ -194,8 +194,8 @@
 
 def keeps_old_starts() -> None:
     """Of two starts of a server the earlier one stands."""
-    from basaltspindle.directory import catalog
-    from basaltspindle.directory.merge import Shared
+    from loadbalancer.registry import catalog
+    from loadbalancer.registry.merge import Shared
 
     real = vars(catalog)["join"]
 
@@ -208,14 +208,14 @@
 
 def obeys_lists() -> None:
     """Whatever a whole list leaves out is gone at once."""
-    from basaltspindle.policy import Balancer
+    from loadbalancer.policy import Balancer
 
     Balancer.believe = lambda self, event: event  # type: ignore[method-assign]
 
 
 def stays_with_one() -> None:
     """The instance that is asked first is asked for ever."""
-    from basaltspindle.watching.sources import Sources
+    from loadbalancer.endpoint_watch.sources import Sources
 
     Sources.failed = lambda self: False  # type: ignore[method-assign]
 
@@ -231,7 +231,7 @@
 
 def asks_without_pause() -> None:
     """A list that is out of reach is asked for again at once, by all balancers together."""
-    from basaltspindle.policy.roster import Roster
+    from loadbalancer.policy.roster import Roster
 
     def failed(self: Roster, now: float, again_ms: float) -> list[face.Action]:
         return [face.SetTimer(now + 1.0, "list")]
@@ -253,7 +253,7 @@
 
 def moves_at_once() -> None:
     """A zone is left, and come back to, at once, whatever time operators gave."""
-    from basaltspindle.policy.zones import Zones
+    from loadbalancer.policy.zones import Zones
 
     real = Zones.hold
     Zones.hold = lambda self, event: real(self, replace(event, over_ms=0.0))  # type: ignore[method-assign]
@@ -261,7 +261,7 @@
 
 def never_returns() -> None:
     """A zone that was left stays so."""
-    from basaltspindle.policy.zones import Zones
+    from loadbalancer.policy.zones import Zones
 
     real = Zones.hold
     Zones.hold = lambda self, event: real(self, replace(event, out=True))  # type: ignore[method-assign]
@@ -269,7 +269,7 @@
 
 def forgets_zones() -> None:
     """What operators said of zones is lost when the process is replaced."""
-    from basaltspindle.net.handover import CordonFile
+    from loadbalancer.net.handover import CordonFile
 
     vars(sys.modules[CordonFile.__module__])["_read_zones"] = lambda raw: {}
 
@@ -305,12 +305,12 @@
     defect = sys.argv[1]
     DEFECTS[defect]()
     if defect in SERVICE_DEFECTS:
-        from basaltspindle.directory import host
+        from loadbalancer.registry import host
 
         told = host.read_file(Path(sys.argv[-1]))
         host.serve(told, host.open_service(told))
         return 0
-    from basaltspindle.__main__ import main as run
+    from loadbalancer.__main__ import main as run
 
     return run()
 
--- a/basaltspindle/drill/report.py
+++ b/loadbalancer/drill/report.py
@@ -12,8 +12,8 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from basaltspindle.drill import history
-from basaltspindle.drill.story import SECOND, Story
+from loadbalancer.drill import history
+from loadbalancer.drill.story import SECOND, Story
 
 ENDINGS = {
     "served": "#2a7f62",
--- a/basaltspindle/drill/script.py
+++ b/loadbalancer/drill/script.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from basaltspindle.drill.links import Fault
+from loadbalancer.drill.links import Fault
 
 EFFECTS = ("safe", "unsafe")
 STATES = ("alive", "gone", "left")
@@ -60,7 +60,7 @@
 
 
 class Model(Part, frozen=True, forbid_unknown_fields=True):
-    """What every server is; see `basaltspindle.world.servers`."""
+    """What every server is; see `loadbalancer.simulation.servers`."""
 
     cores: int = 4
     speed: float = 1.0
@@ -296,7 +296,7 @@
     kind: Any = Script
     for name in [s for s in re.split(r"[.\[\]]+", where.removeprefix("$")) if s and s != "..."]:
         if kind is Script and name == "step":
-            return "do, after and the keys of that step: see basaltspindle/drill/script.py"
+            return "do, after and the keys of that step: see loadbalancer/drill/script.py"
         if not hasattr(kind, "__struct_fields__"):
             break
         kind = next((f.type for f in msgspec.structs.fields(kind) if f.name == name), kind)
--- a/basaltspindle/drill/server.py
+++ b/loadbalancer/drill/server.py
@@ -1,6 +1,6 @@
-"""A stand-in server as a process: the model of `basaltspindle.world.servers` on real sockets.
+"""A stand-in server as a process: the model of `loadbalancer.simulation.servers` on real sockets.
 
-python -m basaltspindle.drill.server SPEC.json
+python -m loadbalancer.drill.server SPEC.json
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 import aiohttp
 from aiohttp import web
 
-from basaltspindle.directory.caller import Caller, CallError
-from basaltspindle.directory.entries import Registration
-from basaltspindle.directory.lease import Lease
-from basaltspindle.drill.clock import RealClock
-from basaltspindle.drill.script import Model, Version
-from basaltspindle.drill.standin import Place, follow, read_spec, request_of, say
-from basaltspindle.net.callers import read_span_ms
-from basaltspindle.world.servers import Build, Job, Server
+from loadbalancer.drill.clock import RealClock
+from loadbalancer.drill.script import Model, Version
+from loadbalancer.drill.standin import Place, follow, read_spec, request_of, say
+from loadbalancer.net.callers import read_span_ms
+from loadbalancer.registry.caller import Caller, CallError
+from loadbalancer.registry.entries import Registration
+from loadbalancer.registry.lease import Lease
+from loadbalancer.simulation.servers import Build, Job, Server
 
 BEFORE_CALLS = 0.5  # the part of its work that comes before its calls to the next tier
 WORK_SPREAD = 0.6  # of the logarithm of a request's work
--- a/basaltspindle/drill/standin.py
+++ b/loadbalancer/drill/standin.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from basaltspindle.drill.clock import RealClock
-from basaltspindle.drill.history import Writer
+from loadbalancer.drill.clock import RealClock
+from loadbalancer.drill.history import Writer
 
 Spec = TypeVar("Spec", bound="Place")
 
--- a/basaltspindle/drill/story.py
+++ b/loadbalancer/drill/story.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from basaltspindle.drill.history import Event
+from loadbalancer.drill.history import Event
 
 SECOND = 1_000.0
 
--- a/basaltspindle/drill/zonechecks.py
+++ b/loadbalancer/drill/zonechecks.py
@@ -5,10 +5,10 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from basaltspindle.drill.history import Event
-from basaltspindle.drill.script import Script
-from basaltspindle.drill.story import SECOND, Check, Story, most
-from basaltspindle.world.turns import turns
+from loadbalancer.drill.history import Event
+from loadbalancer.drill.script import Script
+from loadbalancer.drill.story import SECOND, Check, Story, most
+from loadbalancer.simulation.turns import turns
 
 LEAST = 15  # calls in a span, below which a zone's part says nothing
 SETTLE_S = 0.5  # between an operators' call and the first calls that follow it
--- a/basaltspindle/watching/__init__.py
+++ b/loadbalancer/endpoint_watch/__init__.py
@@ -5,12 +5,12 @@
     rewound = watch.answered(index, now)         # ValueError: that answer is no news; it has failed
     pause_s = watch.failed(took_s, False)        # until the next ask; None: the whole list has failed
 
-A sans-I/O core: `net/discovery.py` hosts it on sockets, `world/watches.py` in virtual time. Times are seconds
-of a clock that never goes back.
+A sans-I/O core: `net/discovery.py` hosts it on sockets, `simulation/watches.py` in virtual time. Times are
+seconds of a clock that never goes back.
 """
 
-from basaltspindle.watching.sources import Address, Look, Sources, Witnesses
-from basaltspindle.watching.subscription import Paced, Subscription
-from basaltspindle.watching.watch import Ask, Watch
+from loadbalancer.endpoint_watch.sources import Address, Look, Sources, Witnesses
+from loadbalancer.endpoint_watch.subscription import Paced, Subscription
+from loadbalancer.endpoint_watch.watch import Ask, Watch
 
 __all__ = ["Address", "Ask", "Look", "Paced", "Sources", "Subscription", "Watch", "Witnesses"]
--- a/basaltspindle/watching/sources.py
+++ b/loadbalancer/endpoint_watch/sources.py
@@ -14,7 +14,7 @@
 import random
 from dataclasses import dataclass
 
-from basaltspindle.interface import Outcome
+from loadbalancer.interface import Outcome
 
 Address = tuple[str, int]
 HOME_S = 60.0  # after so long, spread by half, the first choice is tried again
--- a/basaltspindle/watching/watch.py
+++ b/loadbalancer/endpoint_watch/watch.py
@@ -6,9 +6,9 @@
 import random
 from dataclasses import dataclass
 
-from basaltspindle.interface import LIST_CALL_MS, LIST_SPREAD
-from basaltspindle.watching.budget import CROWDED_ROUND_S, answer_s, call_s, round_s
-from basaltspindle.watching.sources import Address, Look, Sources
+from loadbalancer.endpoint_watch.budget import CROWDED_ROUND_S, answer_s, call_s, round_s
+from loadbalancer.endpoint_watch.sources import Address, Look, Sources
+from loadbalancer.interface import LIST_CALL_MS, LIST_SPREAD
 
 WAIT_MS = 30_000  # of one watch call at the most: each costs discovery work, and news ends it at once
 CALL_MS = 50  # of wait for each balancer of the tier: all together call about once in so long
--- a/basaltspindle/interface.py
+++ b/loadbalancer/interface.py
@@ -1,7 +1,7 @@
 """What a balancer is told and what it may do: settings, members, events and actions.
 
 All times and spans are milliseconds on one clock that never goes backwards.
-Every type is a frozen value; the decisions are in `basaltspindle.policy`.
+Every type is a frozen value; the decisions are in `loadbalancer.policy`.
 """
 
 from __future__ import annotations
--- a/basaltspindle/lab/compare.py
+++ b/loadbalancer/lab/compare.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from basaltspindle.lab.plays import Record
+from loadbalancer.lab.plays import Record
 
 RESAMPLES = 4_000
 EVEN = 0.005  # a change of the figure under this is neither won nor lost
--- a/basaltspindle/lab/plays.py
+++ b/loadbalancer/lab/plays.py
@@ -10,8 +10,8 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from basaltspindle.lab import policies
-from basaltspindle.world.scenario import Scenario, draw
+from loadbalancer.lab import policies
+from loadbalancer.simulation.scenario import Scenario, draw
 
 FILE = "results.jsonl"
 LONGEST_MS = 60_000
--- a/basaltspindle/lab/policies.py
+++ b/loadbalancer/lab/policies.py
@@ -9,9 +9,9 @@
 from io import BytesIO
 from pathlib import Path
 
-from basaltspindle.world.baselines import BASELINES, Oracle
-from basaltspindle.world.fleet import World
-from basaltspindle.world.scenario import Day
+from loadbalancer.simulation.baselines import BASELINES, Oracle
+from loadbalancer.simulation.fleet import World
+from loadbalancer.simulation.scenario import Day
 
 OURS = "ours"
 NAMES = (OURS, *BASELINES)
@@ -24,7 +24,7 @@
 def world(day: Day, name: str) -> World:
     """The world of a day with a policy in all its balancers; PolicyError if there is none of that name."""
     if name == OURS:
-        from basaltspindle.policy import Balancer  # late: `use` may have put another in its place
+        from loadbalancer.policy import Balancer  # late: `use` may have put another in its place
 
         return World(day, Balancer)
     if name not in BASELINES:
@@ -40,7 +40,7 @@
 
 def unpack(commit: str, repository: Path, folder: Path) -> None:
     """Lay the decisions of a commit into a folder; PolicyError if git has none there."""
-    for part in ("basaltspindle/policy", "basaltspindle/policy.py"):
+    for part in ("loadbalancer/policy", "loadbalancer/policy.py"):
         done = subprocess.run(
             ["git", "archive", commit, part], cwd=repository, capture_output=True, check=False
         )
@@ -53,15 +53,15 @@
 
 def use(folder: Path) -> None:
     """Put unpacked decisions in the place of this tree's, in this process, for good."""
-    for name in [n for n in sys.modules if n.split(".")[:2] == ["basaltspindle", "policy"]]:
+    for name in [n for n in sys.modules if n.split(".")[:2] == ["loadbalancer", "policy"]]:
         del sys.modules[name]
-    home = folder / "basaltspindle"
+    home = folder / "loadbalancer"
     is_package = (home / "policy").is_dir()
     path = home / "policy" / "__init__.py" if is_package else home / "policy.py"
     spec = importlib.util.spec_from_file_location(
-        "basaltspindle.policy", path, submodule_search_locations=[str(path.parent)] if is_package else None
+        "loadbalancer.policy", path, submodule_search_locations=[str(path.parent)] if is_package else None
     )
     assert spec is not None and spec.loader is not None, "a file of Python has a loader"
     module = importlib.util.module_from_spec(spec)
-    sys.modules["basaltspindle.policy"] = module
+    sys.modules["loadbalancer.policy"] = module
     spec.loader.exec_module(module)
--- a/basaltspindle/peers/swim.py
+++ b/loadbalancer/membership/swim.py
@@ -16,9 +16,9 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from basaltspindle.peers import notes
-from basaltspindle.peers.notes import Kind, Note
-from basaltspindle.peers.table import State, Table
+from loadbalancer.membership import notes
+from loadbalancer.membership.notes import Kind, Note
+from loadbalancer.membership.table import State, Table
 
 PERIOD_MS = 250.0  # one probe of each member; 99 in 100 are probed by somebody within 4.6 of them
 ANSWER_MS = 100.0  # two ways of 35 ms at most, and a loop that is busy
--- a/basaltspindle/net/callers.py
+++ b/loadbalancer/net/callers.py
@@ -17,9 +17,9 @@
 
 import httptools
 
-from basaltspindle.net.config import Config
-from basaltspindle.net.descriptors import FRESH_S, IdleEviction, side_cap
-from basaltspindle.net.framing import (
+from loadbalancer.net.config import Config
+from loadbalancer.net.descriptors import FRESH_S, IdleEviction, side_cap
+from loadbalancer.net.framing import (
     BODY_MAX,
     HEAD_MAX,
     LAST_CHUNK,
@@ -40,7 +40,7 @@
     response_head,
     set_no_delay,
 )
-from basaltspindle.net.upstreams import STALL_S
+from loadbalancer.net.upstreams import STALL_S
 
 BACKLOG = 2_048  # callers queue in the kernel while we are busy, instead of being turned away
 PIPELINED_MAX = 16  # requests read ahead on one connection; past that, reading waits
--- a/basaltspindle/net/config.py
+++ b/loadbalancer/net/config.py
@@ -1,7 +1,7 @@
 """What the platform tells a balancer at its start: the file that `LB_CONFIG` names, as typed values.
 
 The settings bear the names of the simulator's wire, nested. They are flattened to the wire's own form and
-read by `basaltspindle.wire`, so that the simulator and the real balancer cannot come to differ.
+read by `loadbalancer.wire`, so that the simulator and the real balancer cannot come to differ.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
-from basaltspindle import wire
-from basaltspindle.interface import Member, Readiness, Settings
+from loadbalancer import wire
+from loadbalancer.interface import Member, Readiness, Settings
 
 Address = tuple[str, int]
 LIST_DOUBT = 0.3  # of the ready servers: more do not go at once unsaid, but for a fault of the list itself
--- a/basaltspindle/net/console.py
+++ b/loadbalancer/net/console.py
@@ -13,9 +13,9 @@
 
 import httptools
 
-from basaltspindle.net.config import Address
-from basaltspindle.net.framing import Headers, response, set_no_delay
-from basaltspindle.net.metrics import CONTENT_TYPE
+from loadbalancer.net.config import Address
+from loadbalancer.net.framing import Headers, response, set_no_delay
+from loadbalancer.net.metrics import CONTENT_TYPE
 
 CALLERS_MAX = 16  # held at once; the spare sockets have room for them, and the longest there makes way
 CALL_S = 3.0  # a call that is not whole by then is turned away
--- a/basaltspindle/net/discovery.py
+++ b/loadbalancer/net/discovery.py
@@ -9,12 +9,12 @@
 from dataclasses import replace
 from typing import cast
 
-from basaltspindle.interface import ListKind, ListUpdate, Readiness
-from basaltspindle.net.config import Address, Config, Endpoint, Lists, ServerList, read_list
-from basaltspindle.net.upstreams import UNREADABLE, Answer, ResponseReader
-from basaltspindle.net.wants import Held, Wants
-from basaltspindle.watching import Ask, Look, Paced, Watch, Witnesses
-from basaltspindle.watching.watch import WHOLE
+from loadbalancer.endpoint_watch import Ask, Look, Paced, Watch, Witnesses
+from loadbalancer.endpoint_watch.watch import WHOLE
+from loadbalancer.interface import ListKind, ListUpdate, Readiness
+from loadbalancer.net.config import Address, Config, Endpoint, Lists, ServerList, read_list
+from loadbalancer.net.upstreams import UNREADABLE, Answer, ResponseReader
+from loadbalancer.net.wants import Held, Wants
 
 PUSH_PAUSE_S = 0.5  # before the agent on this machine is called again, where lists are pushed
 WHOLE_S = 2.0  # for a look at another instance
@@ -129,7 +129,7 @@
 
 
 class Discovery:
-    """Watches the list from `subscribe` on until a call fails: the host of `basaltspindle.watching`."""
+    """Watches the list from `subscribe` on until a call fails: the host of `loadbalancer.endpoint_watch`."""
 
     def __init__(
         self,
--- a/basaltspindle/net/driver.py
+++ b/loadbalancer/net/driver.py
@@ -11,24 +11,24 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any, assert_never
 
-from basaltspindle import interface as face
-from basaltspindle.interface import NEVER_RAN, ListKind, Outcome, Readiness
-from basaltspindle.net import metrics
-from basaltspindle.net.callers import Callers, Taken
-from basaltspindle.net.config import Config, Endpoint, ServerList, read_list, write_list
-from basaltspindle.net.console import Console
-from basaltspindle.net.discovery import Discovery
-from basaltspindle.net.figures import Figures
-from basaltspindle.net.framing import Buffers, end_to_end
-from basaltspindle.net.handover import CordonFile, Handover, Legacy
-from basaltspindle.net.learned import from_plain, to_plain
-from basaltspindle.net.log import Log, Sink, write_text
-from basaltspindle.net.upstreams import Answer, Attempt, Exchange, Upstreams
-from basaltspindle.policy import Balancer
+from loadbalancer import interface as face
+from loadbalancer.interface import NEVER_RAN, ListKind, Outcome, Readiness
+from loadbalancer.net import metrics
+from loadbalancer.net.callers import Callers, Taken
+from loadbalancer.net.config import Config, Endpoint, ServerList, read_list, write_list
+from loadbalancer.net.console import Console
+from loadbalancer.net.discovery import Discovery
+from loadbalancer.net.figures import Figures
+from loadbalancer.net.framing import Buffers, end_to_end
+from loadbalancer.net.handover import CordonFile, Handover, Legacy
+from loadbalancer.net.learned import from_plain, to_plain
+from loadbalancer.net.log import Log, Sink, write_text
+from loadbalancer.net.upstreams import Answer, Attempt, Exchange, Upstreams
+from loadbalancer.policy import Balancer
 
 if TYPE_CHECKING:
-    from basaltspindle.net.keeping import Keeper
-    from basaltspindle.net.peers import Peers
+    from loadbalancer.net.keeping import Keeper
+    from loadbalancer.net.peers import Peers
 
 ANSWER_MS = 10.0  # the module is told so much less than the caller waits: its answer must still travel
 NET_MS = 5.0  # so long before the deadline the safety net answers what is still open
@@ -189,7 +189,7 @@
         """Snapshots, where a folder is named; what they need is loaded there alone."""
         if config.snapshots is None:
             return None
-        from basaltspindle.net.keeping import Keeper
+        from loadbalancer.net.keeping import Keeper
 
         return Keeper(config.snapshots, config.name, config.snapshot_every_ms, self.log)
 
@@ -197,7 +197,7 @@
         """Membership, where it is on; what it needs is loaded there alone."""
         if config.peer_listen is None:
             return None
-        from basaltspindle.net.peers import Peers
+        from loadbalancer.net.peers import Peers
 
         return Peers(config, config.peer_listen, self._loop, self.clock.now)
 
--- a/basaltspindle/net/handover.py
+++ b/loadbalancer/net/handover.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from basaltspindle.interface import ZoneHeld
+from loadbalancer.interface import ZoneHeld
 
 BACK_MS = 600_000.0  # so long a return is remembered: longer than any server stays cold
 LOCK_TRIES, LOCK_PAUSE_S = 20, 0.005  # the lock is held for one small write; we do not wait for a stuck one
--- a/basaltspindle/net/keeping.py
+++ b/loadbalancer/net/keeping.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from basaltspindle.net.log import Log
-from basaltspindle.state import Snapshot, Store, encode
+from loadbalancer.net.log import Log
+from loadbalancer.snapshots import Snapshot, Store, encode
 
 
 class Keeper:
--- a/basaltspindle/net/learned.py
+++ b/loadbalancer/net/learned.py
@@ -12,7 +12,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from typing import Any
 
-from basaltspindle.interface import Learned
+from loadbalancer.interface import Learned
 
 
 def to_plain(known: Learned) -> dict[str, Any]:
--- a/basaltspindle/net/peers.py
+++ b/loadbalancer/net/peers.py
@@ -1,4 +1,4 @@
-"""Membership on UDP: hosts the core of `basaltspindle.peers`, and decides nothing.
+"""Membership on UDP: hosts the core of `loadbalancer.membership`, and decides nothing.
 
 Off unless the configuration says `membership` and the settings allow notes; nothing is then bound or sent.
 """
@@ -11,8 +11,8 @@
 import zlib
 from collections.abc import Callable, Iterable
 
-from basaltspindle.net.config import Address, Config
-from basaltspindle.peers import NOTE_MOST, Action, Membership, State, Tell, Wake
+from loadbalancer.membership import NOTE_MOST, Action, Membership, State, Tell, Wake
+from loadbalancer.net.config import Address, Config
 
 READ_MOST = 64  # notes that are read before others on the loop have their turn
 
--- a/basaltspindle/net/upstreams.py
+++ b/loadbalancer/net/upstreams.py
@@ -15,10 +15,10 @@
 
 import httptools
 
-from basaltspindle.interface import Outcome, Readiness
-from basaltspindle.net.config import Address, Config, ServerList
-from basaltspindle.net.descriptors import side_cap
-from basaltspindle.net.framing import (
+from loadbalancer.interface import Outcome, Readiness
+from loadbalancer.net.config import Address, Config, ServerList
+from loadbalancer.net.descriptors import side_cap
+from loadbalancer.net.framing import (
     BODY_MAX,
     HEAD_MAX,
     KEPT_MAX,
--- a/basaltspindle/net/wants.py
+++ b/loadbalancer/net/wants.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from basaltspindle.net.config import Address, Config, Lists
-from basaltspindle.watching import Ask, Paced, Subscription
+from loadbalancer.endpoint_watch import Ask, Paced, Subscription
+from loadbalancer.net.config import Address, Config, Lists
 
 NO_INTERESTS = "the list service knows no interests: the whole of the service is taken"
 Held = tuple[str, bool]
--- a/basaltspindle/policy/__init__.py
+++ b/loadbalancer/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Every decision of the balancer; its types, events and actions are in basaltspindle/interface.py.
+"""Every decision of the balancer; its types, events and actions are in loadbalancer/interface.py.
 
 `balancer.Balancer` takes one event at a time and returns what to do. Each concern is a part of its own, which
 does no I/O and has no clock and no randomness but what it is given:
@@ -14,6 +14,6 @@
 - `requests`: what is open
 """
 
-from basaltspindle.policy.balancer import Balancer
+from loadbalancer.policy.balancer import Balancer
 
 __all__ = ["Balancer"]
--- a/basaltspindle/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -6,9 +6,9 @@
 import random
 from collections.abc import Iterable
 
-from basaltspindle import interface as face
-from basaltspindle.policy.requests import Request
-from basaltspindle.policy.servers import STEP_MS
+from loadbalancer import interface as face
+from loadbalancer.policy.requests import Request
+from loadbalancer.policy.servers import STEP_MS
 
 QUOTA_BURST_MS = 2_000.0  # a tenant may use this much of its share at once
 OFFER_CALLS = 50.0  # what is offered and usual is smoothed over so many calls: shares hold steady
--- a/basaltspindle/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -11,18 +11,18 @@
 import random
 from collections import deque
 
-from basaltspindle import interface as face
-from basaltspindle.interface import Effect, ListKind, Outcome
-from basaltspindle.policy import repeats
-from basaltspindle.policy.admission import OFFER_CALLS, Admission, Pressure, Times
-from basaltspindle.policy.cold import ColdStarts
-from basaltspindle.policy.draw import draws, least_loaded
-from basaltspindle.policy.limits import ConcurrencyLimits, WaitQueue
-from basaltspindle.policy.requests import Attempt, Request
-from basaltspindle.policy.roster import Roster
-from basaltspindle.policy.sampler import Field
-from basaltspindle.policy.servers import MEMORY_MS, Capacities, Server
-from basaltspindle.policy.zones import Zones
+from loadbalancer import interface as face
+from loadbalancer.interface import Effect, ListKind, Outcome
+from loadbalancer.policy import repeats
+from loadbalancer.policy.admission import OFFER_CALLS, Admission, Pressure, Times
+from loadbalancer.policy.cold import ColdStarts
+from loadbalancer.policy.draw import draws, least_loaded
+from loadbalancer.policy.limits import ConcurrencyLimits, WaitQueue
+from loadbalancer.policy.requests import Attempt, Request
+from loadbalancer.policy.roster import Roster
+from loadbalancer.policy.sampler import Field
+from loadbalancer.policy.servers import MEMORY_MS, Capacities, Server
+from loadbalancer.policy.zones import Zones
 
 SCAN = 64  # servers that are looked at one by one, for each choice, at the most
 TRIES = 24  # draws from a larger fleet until one meets a server that may be sent to
--- a/basaltspindle/policy/cold.py
+++ b/loadbalancer/policy/cold.py
@@ -5,8 +5,8 @@
 import math
 import random
 
-from basaltspindle.interface import Settings
-from basaltspindle.policy.servers import Server
+from loadbalancer.interface import Settings
+from loadbalancer.policy.servers import Server
 
 COLD_SAFETY = 0.5  # the part of a cold server's budget that we use: other balancers and heavy calls count too
 
--- a/basaltspindle/policy/draw.py
+++ b/loadbalancer/policy/draw.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterable, Iterator
 from itertools import accumulate
 
-from basaltspindle.policy.servers import Server
-from basaltspindle.policy.zones import totals_of, zone_parts
+from loadbalancer.policy.servers import Server
+from loadbalancer.policy.zones import totals_of, zone_parts
 
 DRAWS = 4  # the most for d of the design, while each server drawn holds a call of ours
 
--- a/basaltspindle/policy/limits.py
+++ b/loadbalancer/policy/limits.py
@@ -5,9 +5,9 @@
 import math
 from bisect import insort
 
-from basaltspindle.interface import Settings
-from basaltspindle.policy.requests import Request
-from basaltspindle.policy.servers import Server
+from loadbalancer.interface import Settings
+from loadbalancer.policy.requests import Request
+from loadbalancer.policy.servers import Server
 
 ROOM = 5.0  # calls that all balancers together have out at a server for each unit of its registered size
 CHEAP_PART = 0.6  # the part of that room which requests of less than the highest worth may fill
--- a/basaltspindle/policy/repeats.py
+++ b/loadbalancer/policy/repeats.py
@@ -6,9 +6,9 @@
 from collections import deque
 from collections.abc import Mapping
 
-from basaltspindle.interface import Effect, RepeatGroup, Settings
-from basaltspindle.policy.requests import Attempt, Request
-from basaltspindle.policy.servers import Server
+from loadbalancer.interface import Effect, RepeatGroup, Settings
+from loadbalancer.policy.requests import Attempt, Request
+from loadbalancer.policy.servers import Server
 
 HEDGE_TIMES, HEDGE_LEAST = 4.0, 2.5  # a second copy: after so many usual answers at the most, at the least
 RETRY_BUDGET, RETRY_BURST = 0.2, 10.0  # further attempts for each first one, and how many may be saved up
--- a/basaltspindle/policy/requests.py
+++ b/loadbalancer/policy/requests.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from basaltspindle import interface as face
-from basaltspindle.policy.servers import Server
+from loadbalancer import interface as face
+from loadbalancer.policy.servers import Server
 
 WAIT_AIM, WAIT_TIME = 0.1, 0.45  # the most that a request waits here: of its aim, and of its caller's time
 
--- a/basaltspindle/policy/roster.py
+++ b/loadbalancer/policy/roster.py
@@ -7,9 +7,9 @@
 from bisect import bisect_left, insort
 from dataclasses import replace
 
-from basaltspindle import interface as face
-from basaltspindle.interface import LIST_CALL_MS, LIST_SPREAD, ListKind, Outcome, Readiness, Settings
-from basaltspindle.policy.servers import Server
+from loadbalancer import interface as face
+from loadbalancer.interface import LIST_CALL_MS, LIST_SPREAD, ListKind, Outcome, Readiness, Settings
+from loadbalancer.policy.servers import Server
 
 SUBSET_MIN = 12  # servers that a balancer keeps to at the least: losing a few must leave a choice
 SUBSET_COVER = 30  # balancers that keep to each server: their chance parts then even out to a fifth
--- a/basaltspindle/policy/sampler.py
+++ b/loadbalancer/policy/sampler.py
@@ -5,8 +5,8 @@
 import random
 from collections.abc import Iterator
 
-from basaltspindle.policy.servers import Server
-from basaltspindle.policy.zones import zone_parts
+from loadbalancer.policy.servers import Server
+from loadbalancer.policy.zones import zone_parts
 
 REBUILD_PER_SLOT = 8  # sums are added up anew after so many changes for each slot: rounding errors stay small
 
--- a/basaltspindle/policy/servers.py
+++ b/loadbalancer/policy/servers.py
@@ -6,7 +6,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from basaltspindle import interface as face
+from loadbalancer import interface as face
 
 MEMORY_MS = 6_000.0  # evidence fades by 1/e over this; long enough for a few calls, short enough to recover
 PRIOR_CALLS = 2.0  # calls' worth of belief in the median, so that one slow answer does not ruin an estimate
--- a/basaltspindle/policy/zones.py
+++ b/loadbalancer/policy/zones.py
@@ -5,8 +5,8 @@
 import math
 from collections.abc import Iterable
 
-from basaltspindle import interface as face
-from basaltspindle.policy.servers import Server
+from loadbalancer import interface as face
+from loadbalancer.policy.servers import Server
 
 
 class Zones:
--- a/basaltspindle/directory/__init__.py
+++ b/loadbalancer/registry/__init__.py
@@ -8,7 +8,7 @@
 `service` hosts both on HTTP by aiohttp. docs/directory.md is for users.
 """
 
-from basaltspindle.directory.catalog import Catalog, Change, Refused, first_index
-from basaltspindle.directory.entries import Entry, Registration, Rules, Status
+from loadbalancer.registry.catalog import Catalog, Change, Refused, first_index
+from loadbalancer.registry.entries import Entry, Registration, Rules, Status
 
 __all__ = ["Catalog", "Change", "Entry", "Refused", "Registration", "Rules", "Status", "first_index"]
--- a/basaltspindle/directory/agent.py
+++ b/loadbalancer/registry/agent.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from basaltspindle.directory.caller import Caller, CallError
-from basaltspindle.directory.entries import Registration
-from basaltspindle.directory.lease import Lease
+from loadbalancer.registry.caller import Caller, CallError
+from loadbalancer.registry.entries import Registration
+from loadbalancer.registry.lease import Lease
 
 CHECK_S = 1.0
 CHECK_PATIENCE_S = 1.0
--- a/basaltspindle/directory/asking.py
+++ b/loadbalancer/registry/asking.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from basaltspindle.directory.catalog import Refused
-from basaltspindle.directory.entries import Name
-from basaltspindle.directory.interests import Interest, Levels, Shape, decode, place_of
+from loadbalancer.registry.catalog import Refused
+from loadbalancer.registry.entries import Name
+from loadbalancer.registry.interests import Interest, Levels, Shape, decode, place_of
 
 WAIT_MOST_MS = 60_000.0
 SERVICES_MOST = 32  # of one watch
--- a/basaltspindle/directory/catalog.py
+++ b/loadbalancer/registry/catalog.py
@@ -19,10 +19,10 @@
 import msgspec
 import xxhash
 
-from basaltspindle.directory.entries import Entry, Registration, Rules, Status
-from basaltspindle.directory.floors import Floors
-from basaltspindle.directory.merge import Shared, disagree, join, share
-from basaltspindle.directory.places import Places, left_by
+from loadbalancer.registry.entries import Entry, Registration, Rules, Status
+from loadbalancer.registry.floors import Floors
+from loadbalancer.registry.merge import Shared, disagree, join, share
+from loadbalancer.registry.places import Places, left_by
 
 CLOCKS_DIFFER_MS = 86_400_000.0  # by so much a clock may have gone back between two lives
 
--- a/basaltspindle/directory/exchange.py
+++ b/loadbalancer/registry/exchange.py
@@ -17,8 +17,8 @@
 
 import msgspec
 
-from basaltspindle.directory.catalog import Catalog, Change
-from basaltspindle.directory.merge import Shared, share
+from loadbalancer.registry.catalog import Catalog, Change
+from loadbalancer.registry.merge import Shared, share
 
 MOST_INSTANCES = 8
 MOST_TOLD = 2_000  # entries in one message; the rest follows in the next
--- a/basaltspindle/directory/floors.py
+++ b/loadbalancer/registry/floors.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Iterable, Iterator
 
-from basaltspindle.directory.entries import Entry, Rules, Status
+from loadbalancer.registry.entries import Entry, Rules, Status
 
 Place = tuple[str, str | int]
 
--- a/basaltspindle/directory/host.py
+++ b/loadbalancer/registry/host.py
@@ -9,10 +9,10 @@
 import msgspec
 from aiohttp import web
 
-from basaltspindle.directory.entries import Address, Rules
-from basaltspindle.directory.exchange import MOST_INSTANCES
-from basaltspindle.directory.service import Service
-from basaltspindle.directory.store import Store
+from loadbalancer.registry.entries import Address, Rules
+from loadbalancer.registry.exchange import MOST_INSTANCES
+from loadbalancer.registry.service import Service
+from loadbalancer.registry.store import Store
 
 SHUTDOWN_S = 1.0
 
--- a/basaltspindle/directory/interests.py
+++ b/loadbalancer/registry/interests.py
@@ -23,8 +23,8 @@
 import msgspec
 import xxhash
 
-from basaltspindle.directory.catalog import Catalog, ended
-from basaltspindle.directory.entries import Entry
+from loadbalancer.registry.catalog import Catalog, ended
+from loadbalancer.registry.entries import Entry
 
 COPIES = 4  # slices that each server is in: 64 bits of its hash, 16 for each
 LEVEL_MOST = 12
--- a/basaltspindle/directory/lease.py
+++ b/loadbalancer/registry/lease.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from basaltspindle.directory.caller import Caller, CallError
-from basaltspindle.directory.entries import Registration
+from loadbalancer.registry.caller import Caller, CallError
+from loadbalancer.registry.entries import Registration
 
 RENEW_PART = 0.3  # of the lease, after which it is renewed: two renewals may be lost
 
--- a/basaltspindle/directory/merge.py
+++ b/loadbalancer/registry/merge.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from basaltspindle.directory.entries import Entry, Registration, Status
+from loadbalancer.registry.entries import Entry, Registration, Status
 
 SAID = (Status.IN_SERVICE, Status.TERMINATING, Status.TERMINATED)  # in the order in which they replace
 
--- a/basaltspindle/directory/places.py
+++ b/loadbalancer/registry/places.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Iterator
 
-from basaltspindle.directory.entries import Entry
+from loadbalancer.registry.entries import Entry
 
 LEFT_MOST = 8  # services that a server is remembered to have left; who has seen it in others gets the whole
 
--- a/basaltspindle/directory/reads.py
+++ b/loadbalancer/registry/reads.py
@@ -14,15 +14,15 @@
 
 import msgspec
 
-from basaltspindle.directory import interests
-from basaltspindle.directory.asking import WHOLE, Asked
-from basaltspindle.directory.catalog import Catalog
-from basaltspindle.directory.entries import Entry
-from basaltspindle.directory.gate import CALL_S, ENTRY_S, Gate, Turn
-from basaltspindle.directory.interests import Parts, View
-from basaltspindle.directory.pace import Pace
-from basaltspindle.directory.store import Store
-from basaltspindle.directory.waits import Found, Waits
+from loadbalancer.registry import interests
+from loadbalancer.registry.asking import WHOLE, Asked
+from loadbalancer.registry.catalog import Catalog
+from loadbalancer.registry.entries import Entry
+from loadbalancer.registry.gate import CALL_S, ENTRY_S, Gate, Turn
+from loadbalancer.registry.interests import Parts, View
+from loadbalancer.registry.pace import Pace
+from loadbalancer.registry.store import Store
+from loadbalancer.registry.waits import Found, Waits
 
 ANSWERS_KEPT = 64  # that watchers share
 
--- a/basaltspindle/directory/service.py
+++ b/loadbalancer/registry/service.py
@@ -19,12 +19,12 @@
 import msgspec
 from aiohttp import web
 
-from basaltspindle.directory.asking import number, read
-from basaltspindle.directory.catalog import Catalog, Change, Refused, first_index
-from basaltspindle.directory.entries import Name, Registration, Rules
-from basaltspindle.directory.exchange import MOST_INSTANCES, Exchange, Message, Mismatch
-from basaltspindle.directory.reads import Reads
-from basaltspindle.directory.store import Store, StoreError
+from loadbalancer.registry.asking import number, read
+from loadbalancer.registry.catalog import Catalog, Change, Refused, first_index
+from loadbalancer.registry.entries import Name, Registration, Rules
+from loadbalancer.registry.exchange import MOST_INSTANCES, Exchange, Message, Mismatch
+from loadbalancer.registry.reads import Reads
+from loadbalancer.registry.store import Store, StoreError
 
 BATCH_S = 0.005  # writes that come within it share a transaction, and watches are told of them at once
 LAPSE_S = 0.25
--- a/basaltspindle/directory/store.py
+++ b/loadbalancer/registry/store.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from basaltspindle.directory.catalog import Change
-from basaltspindle.directory.entries import Entry
+from loadbalancer.registry.catalog import Change
+from loadbalancer.registry.entries import Entry
 
 FORM = 2
 HISTORY_MOST = 100_000  # changes that are remembered
--- a/basaltspindle/directory/waits.py
+++ b/loadbalancer/registry/waits.py
@@ -14,8 +14,8 @@
 from contextlib import contextmanager
 from typing import NamedTuple
 
-from basaltspindle.directory.entries import Entry
-from basaltspindle.directory.interests import LEVEL_MOST, Parts, Shape, View, places_left, slices_of
+from loadbalancer.registry.entries import Entry
+from loadbalancer.registry.interests import LEVEL_MOST, Parts, Shape, View, places_left, slices_of
 
 Woken = asyncio.Future[None]
 
--- a/basaltspindle/scale/counting.py
+++ b/loadbalancer/scale/counting.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from basaltspindle.drill.standin import say
+from loadbalancer.drill.standin import say
 
 
 class Tally:
--- a/basaltspindle/scale/crew.py
+++ b/loadbalancer/scale/crew.py
@@ -14,14 +14,14 @@
 import aiohttp
 import msgspec
 
-from basaltspindle.drill.clock import offset_ms
-from basaltspindle.drill.crew import DriveError
-from basaltspindle.drill.fleet import free_port
-from basaltspindle.drill.papers import directory_argv, environment, run_argv
-from basaltspindle.drill.processes import Line, Process
-from basaltspindle.scale import edge, hollow, looking, registrar
-from basaltspindle.scale.plan import Plan, balancer_config
-from basaltspindle.scale.ways import Ways
+from loadbalancer.drill.clock import offset_ms
+from loadbalancer.drill.crew import DriveError
+from loadbalancer.drill.fleet import free_port
+from loadbalancer.drill.papers import directory_argv, environment, run_argv
+from loadbalancer.drill.processes import Line, Process
+from loadbalancer.scale import edge, hollow, looking, registrar
+from loadbalancer.scale.plan import Plan, balancer_config
+from loadbalancer.scale.ways import Ways
 
 HOST = "127.0.0.1"
 READY_S = 60.0
@@ -78,7 +78,7 @@
         path = self._out / f"{name}.spec.json"
         path.write_bytes(msgspec.json.encode(spec))
         defect = self._plan.plant
-        module = ["basaltspindle.scale.plants", defect, kind] if defect else [f"basaltspindle.scale.{kind}"]
+        module = ["loadbalancer.scale.plants", defect, kind] if defect else [f"loadbalancer.scale.{kind}"]
         return self.launch(name, kind, [sys.executable, "-m", *module, str(path)])
 
     async def start_instances(self) -> None:
@@ -98,7 +98,7 @@
         file.write_text("\n".join(lines) + "\n", encoding="utf-8")
         argv = [*directory_argv(""), "serve"]
         if self._plan.plant:
-            argv = [sys.executable, "-m", "basaltspindle.scale.plants", self._plan.plant, "instance"]
+            argv = [sys.executable, "-m", "loadbalancer.scale.plants", self._plan.plant, "instance"]
         self.launch(f"list{number}", "instance", [*argv, str(file)], hears=False)
 
     async def wait_reached(self, numbers: Any) -> float:
--- a/basaltspindle/scale/hollow.py
+++ b/loadbalancer/scale/hollow.py
@@ -1,6 +1,6 @@
 """Hollow balancers, many in a process: the watch on real sockets and the decision module, without calls.
 
-python -m basaltspindle.scale.hollow SPEC.json
+python -m loadbalancer.scale.hollow SPEC.json
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 import msgspec
 
-from basaltspindle import interface as face
-from basaltspindle.drill.clock import RealClock
-from basaltspindle.drill.standin import Place, follow, read_spec, say
-from basaltspindle.interface import ListKind, Readiness
-from basaltspindle.net import discovery
-from basaltspindle.net.config import Config, Endpoint, ServerList, read_config, read_list
-from basaltspindle.net.upstreams import Answer
-from basaltspindle.policy import Balancer
-from basaltspindle.scale.counting import Tally, in_background, run, tell_each_second
-from basaltspindle.scale.plan import Plan, balancer_config
+from loadbalancer import interface as face
+from loadbalancer.drill.clock import RealClock
+from loadbalancer.drill.standin import Place, follow, read_spec, say
+from loadbalancer.interface import ListKind, Readiness
+from loadbalancer.net import discovery
+from loadbalancer.net.config import Config, Endpoint, ServerList, read_config, read_list
+from loadbalancer.net.upstreams import Answer
+from loadbalancer.policy import Balancer
+from loadbalancer.scale.counting import Tally, in_background, run, tell_each_second
+from loadbalancer.scale.plan import Plan, balancer_config
 
 GONE = "gone"
 Key = tuple[str, str]
--- a/basaltspindle/scale/plants.py
+++ b/loadbalancer/scale/plants.py
@@ -1,6 +1,6 @@
 """Defects that a scale run must flag by a figure over its allowance: the real parts, made worse in one place.
 
-python -m basaltspindle.scale.plants polls hollow SPEC.json
+python -m loadbalancer.scale.plants polls hollow SPEC.json
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 def polls() -> None:
     """Watches ask again and again, instead of waiting for news."""
-    from basaltspindle.watching import Ask, Watch
+    from loadbalancer.endpoint_watch import Ask, Watch
 
     real = Watch.ask
 
@@ -29,16 +29,16 @@
 
 def quadratic_fan_out() -> None:
     """Each change tells each watch the whole list."""
-    from basaltspindle.directory.reads import Reads
+    from loadbalancer.registry.reads import Reads
 
     Reads._goes_on = lambda self, asked: False  # type: ignore[method-assign]
 
 
 def never_backs_off() -> None:
     """A call that has failed is made again at once, whoever else does the same."""
-    from basaltspindle import interface as face
-    from basaltspindle.policy.roster import Roster
-    from basaltspindle.watching import Watch
+    from loadbalancer import interface as face
+    from loadbalancer.endpoint_watch import Watch
+    from loadbalancer.policy.roster import Roster
 
     real_failed, real_watch = Roster.failed, Watch.failed
 
@@ -65,13 +65,13 @@
     defect, kind, path = sys.argv[1:]
     DEFECTS[defect]()
     if kind == "instance":
-        from basaltspindle.directory import host
+        from loadbalancer.registry import host
 
         told = host.read_file(Path(path))
         host.serve(told, host.open_service(told))
         return
-    from basaltspindle.scale import edge, hollow, registrar
-    from basaltspindle.scale.counting import run
+    from loadbalancer.scale import edge, hollow, registrar
+    from loadbalancer.scale.counting import run
 
     sys.argv = [kind, path]  # the specification is the first argument there
     run({"hollow": hollow, "registrar": registrar, "edge": edge}[kind].serve())
--- a/basaltspindle/scale/play.py
+++ b/loadbalancer/scale/play.py
@@ -12,11 +12,11 @@
 
 import aiohttp
 
-from basaltspindle.drill.crew import DriveError
-from basaltspindle.scale import figures, looking
-from basaltspindle.scale.crew import Crew
-from basaltspindle.scale.plan import MEMORY_PART, Plan, PlanError
-from basaltspindle.scale.steps import START_S, Changes, Steps
+from loadbalancer.drill.crew import DriveError
+from loadbalancer.scale import figures, looking
+from loadbalancer.scale.crew import Crew
+from loadbalancer.scale.plan import MEMORY_PART, Plan, PlanError
+from loadbalancer.scale.steps import START_S, Changes, Steps
 
 PAIR_KB, HOST_MB, REAL_MB = 1.15, 60.0, 60.0  # of a listed server in a hollow balancer; of processes
 SPARE_FILES = 500
--- a/basaltspindle/scale/registrar.py
+++ b/loadbalancer/scale/registrar.py
@@ -1,6 +1,6 @@
 """Speaks for all upstreams, as their agents would, over a few connections: registers, renews, changes.
 
-python -m basaltspindle.scale.registrar SPEC.json
+python -m loadbalancer.scale.registrar SPEC.json
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from basaltspindle.directory.lease import RENEW_PART
-from basaltspindle.drill.clock import RealClock
-from basaltspindle.drill.standin import Place, follow, read_spec, say
-from basaltspindle.net import discovery
-from basaltspindle.net.config import read_address
-from basaltspindle.scale.counting import Tally, in_background, run, tell_each_second
-from basaltspindle.scale.plan import Plan, name_of, registration
+from loadbalancer.drill.clock import RealClock
+from loadbalancer.drill.standin import Place, follow, read_spec, say
+from loadbalancer.net import discovery
+from loadbalancer.net.config import read_address
+from loadbalancer.registry.lease import RENEW_PART
+from loadbalancer.scale.counting import Tally, in_background, run, tell_each_second
+from loadbalancer.scale.plan import Plan, name_of, registration
 
 WORKERS = 12  # connections to each instance at the most, for leases; one more for changes
 PATIENCE_S, AGAIN_S = 5.0, 1.0  # for an answer; and until a call that failed is made anew, as an agent's step
--- a/basaltspindle/scale/relay.py
+++ b/loadbalancer/scale/relay.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import cast
 
-from basaltspindle.net.config import read_address
+from loadbalancer.net.config import read_address
 
 HELD_MOST = 1 << 20  # bytes that wait for a slow end before the other is read no more
 METHODS = (b"GET /", b"POST /", b"PUT /", b"DELETE /")
--- a/basaltspindle/scale/report.py
+++ b/loadbalancer/scale/report.py
@@ -12,8 +12,8 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from basaltspindle.scale.allowances import Allowances, over
-from basaltspindle.scale.plan import PlanError
+from loadbalancer.scale.allowances import Allowances, over
+from loadbalancer.scale.plan import PlanError
 
 WIDTH, HEIGHT, DOTS = 9.0, 8.0, 110
 ROLES = {"instance": "list service instance", "hollow": "hollow balancer", "real_idle": "real balancer"}
--- a/basaltspindle/scale/ways.py
+++ b/loadbalancer/scale/ways.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from basaltspindle.scale.relay import Relay
+from loadbalancer.scale.relay import Relay
 
 
 class Ways:
--- a/basaltspindle/simhost.py
+++ b/loadbalancer/simhost.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterator
 from typing import TextIO
 
-from basaltspindle import wire
-from basaltspindle.interface import Member
-from basaltspindle.policy import Balancer
+from loadbalancer import wire
+from loadbalancer.interface import Member
+from loadbalancer.policy import Balancer
 
 
 class Host:
@@ -43,12 +43,12 @@
         return 0
 
     def _complain(self, reason: str) -> None:
-        print(f"basaltspindle: batch {self._batch}, line {self._line[:200]!r}: {reason}", file=self._errors)
+        print(f"loadbalancer: batch {self._batch}, line {self._line[:200]!r}: {reason}", file=self._errors)
 
     def _note(self, text: str) -> None:
         if text not in self._noted:
             self._noted.add(text)
-            print(f"basaltspindle: {text}", file=self._errors)
+            print(f"loadbalancer: {text}", file=self._errors)
 
     def _next(self, lines: Iterator[str]) -> list[str]:
         for self._line in lines:
--- a/basaltspindle/world/__init__.py
+++ b/loadbalancer/simulation/__init__.py
@@ -2,14 +2,14 @@
 
 It does no I/O and reads no clock: all times are milliseconds of its own, and all chance comes from one seed,
 each part from a stream of its own, so that a new part does not shift another's draws. The balancers run the
-decisions of `basaltspindle.policy` through `basaltspindle.interface`, as the real program does.
+decisions of `loadbalancer.policy` through `loadbalancer.interface`, as the real program does.
 
     day = draw(scenario, seed=3)
     result = World(day, Balancer).run()
     print(result.worth.figure)
 """
 
-from basaltspindle.world.fleet import World
-from basaltspindle.world.scenario import Scenario, ScenarioError, draw, load
+from loadbalancer.simulation.fleet import World
+from loadbalancer.simulation.scenario import Scenario, ScenarioError, draw, load
 
 __all__ = ["Scenario", "ScenarioError", "World", "draw", "load"]
--- a/basaltspindle/world/balancers.py
+++ b/loadbalancer/simulation/balancers.py
@@ -6,18 +6,18 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from basaltspindle import interface as face
-from basaltspindle.interface import Outcome
-from basaltspindle.world.clock import Clock, Due
-from basaltspindle.world.discovery import Discovery
-from basaltspindle.world.network import Network
-from basaltspindle.world.rules import Rules
-from basaltspindle.world.servers import Server
-from basaltspindle.world.worth import Ledger
+from loadbalancer import interface as face
+from loadbalancer.interface import Outcome
+from loadbalancer.simulation.clock import Clock, Due
+from loadbalancer.simulation.discovery import Discovery
+from loadbalancer.simulation.network import Network
+from loadbalancer.simulation.rules import Rules
+from loadbalancer.simulation.servers import Server
+from loadbalancer.simulation.worth import Ledger
 
 
 class Decisions(Protocol):
-    """What the model asks of a policy: the interface of `basaltspindle.policy.Balancer`."""
+    """What the model asks of a policy: the interface of `loadbalancer.policy.Balancer`."""
 
     def handle(self, event: face.Event, now: float) -> list[face.Action]:
         """Take an event and tell what to do."""
--- a/basaltspindle/world/baselines.py
+++ b/loadbalancer/simulation/baselines.py
@@ -6,11 +6,11 @@
 import random
 from typing import TYPE_CHECKING
 
-from basaltspindle import interface as face
-from basaltspindle.interface import Effect, Readiness
+from loadbalancer import interface as face
+from loadbalancer.interface import Effect, Readiness
 
 if TYPE_CHECKING:
-    from basaltspindle.world.fleet import World
+    from loadbalancer.simulation.fleet import World
 
 ORACLE_ROOM = 2.5  # calls that want a core, for each core, up to which the oracle lets cheap requests in
 
--- a/basaltspindle/world/clients.py
+++ b/loadbalancer/simulation/clients.py
@@ -7,12 +7,12 @@
 
 import numpy as np
 
-from basaltspindle.world.balancers import Ask, Host
-from basaltspindle.world.clock import Clock, Due
-from basaltspindle.world.network import Network
-from basaltspindle.world.rules import GRACE_MS
-from basaltspindle.world.scenario import Day, number
-from basaltspindle.world.worth import Wish
+from loadbalancer.simulation.balancers import Ask, Host
+from loadbalancer.simulation.clock import Clock, Due
+from loadbalancer.simulation.network import Network
+from loadbalancer.simulation.rules import GRACE_MS
+from loadbalancer.simulation.scenario import Day, number
+from loadbalancer.simulation.worth import Wish
 
 GRID_MS = 10.0
 IMPATIENT_PART = 0.1  # of its time, after which an impatient client leaves
--- a/basaltspindle/world/discovery.py
+++ b/loadbalancer/simulation/discovery.py
@@ -4,9 +4,9 @@
 
 from typing import Protocol
 
-from basaltspindle import interface as face
-from basaltspindle.world.clock import Clock
-from basaltspindle.world.scenario import Day, number
+from loadbalancer import interface as face
+from loadbalancer.simulation.clock import Clock
+from loadbalancer.simulation.scenario import Day, number
 
 
 class Follower(Protocol):
--- a/basaltspindle/world/fleet.py
+++ b/loadbalancer/simulation/fleet.py
@@ -6,18 +6,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from basaltspindle import interface as face
-from basaltspindle.interface import Effect, Member, Outcome, RequestClass, Settings, Tenant
-from basaltspindle.world.balancers import Ask, Decisions, Host
-from basaltspindle.world.clients import Arrival, Client, arrivals
-from basaltspindle.world.clock import Clock
-from basaltspindle.world.discovery import Discovery
-from basaltspindle.world.network import Network
-from basaltspindle.world.rules import FALL_MS, FALL_MULTIPLE, GRACE_MS, Breach, Rules
-from basaltspindle.world.scenario import Day, Tier, number
-from basaltspindle.world.servers import Build, Job, Server
-from basaltspindle.world.troubles import Troubles
-from basaltspindle.world.worth import Ledger, Worth
+from loadbalancer import interface as face
+from loadbalancer.interface import Effect, Member, Outcome, RequestClass, Settings, Tenant
+from loadbalancer.simulation.balancers import Ask, Decisions, Host
+from loadbalancer.simulation.clients import Arrival, Client, arrivals
+from loadbalancer.simulation.clock import Clock
+from loadbalancer.simulation.discovery import Discovery
+from loadbalancer.simulation.network import Network
+from loadbalancer.simulation.rules import FALL_MS, FALL_MULTIPLE, GRACE_MS, Breach, Rules
+from loadbalancer.simulation.scenario import Day, Tier, number
+from loadbalancer.simulation.servers import Build, Job, Server
+from loadbalancer.simulation.troubles import Troubles
+from loadbalancer.simulation.worth import Ledger, Worth
 
 START_MS = 1_000_000.0  # the day begins here: 0 stands for long ago in lists
 ERROR_MS = 2.0  # a failing server answers so soon
--- a/basaltspindle/world/gossip.py
+++ b/loadbalancer/simulation/gossip.py
@@ -1,4 +1,4 @@
-"""A tier's balancers that tell one another who is there, in virtual time: the core of `basaltspindle.peers`.
+"""A tier's balancers that tell one another who is there, by `loadbalancer.membership` in virtual time.
 
 tier = Tier(count=50, seed=1, loss=0.05)
 tier.run(10_000)
@@ -13,8 +13,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from basaltspindle.peers import Action, Membership, State, Tell, Wake
-from basaltspindle.world.clock import Clock, Due
+from loadbalancer.membership import Action, Membership, State, Tell, Wake
+from loadbalancer.simulation.clock import Clock, Due
 
 FLEET = b"lab0"
 
--- a/basaltspindle/world/network.py
+++ b/loadbalancer/simulation/network.py
@@ -4,7 +4,7 @@
 
 import numpy as np
 
-from basaltspindle.world.scenario import Day, number
+from loadbalancer.simulation.scenario import Day, number
 
 BATCH = 4_096  # draws made at once: one at a time they cost most of the time
 
--- a/basaltspindle/world/rules.py
+++ b/loadbalancer/simulation/rules.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from basaltspindle.interface import Readiness
-from basaltspindle.world.clock import Clock
-from basaltspindle.world.servers import Server
+from loadbalancer.interface import Readiness
+from loadbalancer.simulation.clock import Clock
+from loadbalancer.simulation.servers import Server
 
 GRACE_MS = 50.0  # past the caller's time, in which an answer still counts
 DRAIN_MS = 3_000.0  # after it was told, a balancer sends a draining server nothing new
--- a/basaltspindle/world/servers.py
+++ b/loadbalancer/simulation/servers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from basaltspindle.world.clock import Pending, Timekeeper
+from loadbalancer.simulation.clock import Pending, Timekeeper
 
 WARM_STEP_MS = 100.0  # the pace of a cold server is brought up to date in steps of this
 
--- a/basaltspindle/world/troubles.py
+++ b/loadbalancer/simulation/troubles.py
@@ -5,12 +5,12 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from basaltspindle.interface import Member, Readiness
-from basaltspindle.world.clock import Clock
-from basaltspindle.world.discovery import Discovery
-from basaltspindle.world.network import Network
-from basaltspindle.world.scenario import Day, Trouble, number
-from basaltspindle.world.servers import Server
+from loadbalancer.interface import Member, Readiness
+from loadbalancer.simulation.clock import Clock
+from loadbalancer.simulation.discovery import Discovery
+from loadbalancer.simulation.network import Network
+from loadbalancer.simulation.scenario import Day, Trouble, number
+from loadbalancer.simulation.servers import Server
 
 DRAIN_MS = 4_000.0  # a server that is replaced may end what it has for so long
 PAUSE_EVERY_MS = 2_000.0
--- a/basaltspindle/world/watches.py
+++ b/loadbalancer/simulation/watches.py
@@ -20,13 +20,13 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from basaltspindle.directory import Catalog, Entry, Registration, Rules, first_index
-from basaltspindle.directory.exchange import MOST_INSTANCES, Exchange
-from basaltspindle.directory.pace import Pace
-from basaltspindle.interface import Effect, ListKind, ListUpdate, RequestClass, SetTimer, Settings
-from basaltspindle.policy.roster import Roster
-from basaltspindle.watching import Address, Ask, Watch
-from basaltspindle.world.clock import Clock
+from loadbalancer.endpoint_watch import Address, Ask, Watch
+from loadbalancer.interface import Effect, ListKind, ListUpdate, RequestClass, SetTimer, Settings
+from loadbalancer.policy.roster import Roster
+from loadbalancer.registry import Catalog, Entry, Registration, Rules, first_index
+from loadbalancer.registry.exchange import MOST_INSTANCES, Exchange
+from loadbalancer.registry.pace import Pace
+from loadbalancer.simulation.clock import Clock
 
 START_MS = 1.8e12  # Unix ms at which a play begins
 ANSWER_MS, ENTRY_MS = 0.03, 0.0002  # of the service's core for an answer, and for each entry in it
--- a/basaltspindle/world/worth.py
+++ b/loadbalancer/simulation/worth.py
@@ -5,7 +5,7 @@
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 
-from basaltspindle.world.scenario import Day
+from loadbalancer.simulation.scenario import Day
 
 WINDOW_MS = 10_000.0
 QUOTA_BURST_MS = 2_000.0
--- a/basaltspindle/wire.py
+++ b/loadbalancer/wire.py
@@ -1,4 +1,4 @@
-"""The codec between the simulator's lines and the types of `basaltspindle.interface`; it decides nothing."""
+"""The codec between the simulator's lines and the types of `loadbalancer.interface`; it decides nothing."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from basaltspindle.interface import (
+from loadbalancer.interface import (
     Action,
     AnswerStarted,
     AttemptEnded,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from basaltspindle.interface import (
+from loadbalancer.interface import (
     Action,
     AttemptEnded,
     Effect,
@@ -18,7 +18,7 @@
     Send,
     Settings,
 )
-from basaltspindle.policy import Balancer
+from loadbalancer.policy import Balancer
 
 READ = RequestClass("read", 1_000, 3_000, Effect.SAFE)
 ORDER = RequestClass("order", 1_000, 3_000, Effect.KEYED, RepeatGroup.CELL, 2_000)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,9 +15,9 @@
 import pytest
 import uvloop
 
-from basaltspindle.net.config import read_config
-from basaltspindle.net.driver import Driver
-from basaltspindle.net.upstreams import Pool, UpstreamConnection
+from loadbalancer.net.config import read_config
+from loadbalancer.net.driver import Driver
+from loadbalancer.net.upstreams import Pool, UpstreamConnection
 
 T = TypeVar("T")
 PATIENCE_S = 10.0  # for what must happen; reached only when a test fails
@@ -288,7 +288,7 @@
 async def program(config: Path) -> AsyncIterator[asyncio.subprocess.Process]:
     """The program itself, as the platform starts it; it is killed if it has not ended by then."""
     started = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "basaltspindle", env=os.environ | {"LB_CONFIG": str(config)}
+        sys.executable, "-m", "loadbalancer", env=os.environ | {"LB_CONFIG": str(config)}
     )
     try:
         yield started
--- a/tests/streams.py
+++ b/tests/streams.py
@@ -21,9 +21,9 @@
 from pathlib import Path
 from typing import get_args
 
-from basaltspindle import interface as face
-from basaltspindle.interface import Effect, ListKind, Outcome, RepeatGroup
-from basaltspindle.policy import Balancer
+from loadbalancer import interface as face
+from loadbalancer.interface import Effect, ListKind, Outcome, RepeatGroup
+from loadbalancer.policy import Balancer
 
 RECORD = Path(__file__).parent / "streams.json"
 SEEDS = range(24)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from basaltspindle.interface import Member, Succession
-from basaltspindle.net.learned import from_plain, to_plain
-from basaltspindle.policy.cold import ColdStarts
 from benchmarks.cold import play
+from loadbalancer.interface import Member, Succession
+from loadbalancer.net.learned import from_plain, to_plain
+from loadbalancer.policy.cold import ColdStarts
 from tests.helpers import Desk
 
 NAMES = {"read", "order", "anywhere", "zonal", "pay"}
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -10,16 +10,16 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from basaltspindle import conf
-from basaltspindle.conf.reading import duration_ms
-from basaltspindle.net.config import read_config
+from loadbalancer import configuration
+from loadbalancer.configuration.reading import duration_ms
+from loadbalancer.net.config import read_config
 from tests.loopback import config_text, entry
 
 ROOT = Path(__file__).parent.parent
 
 
 def test_the_annotated_example_can_be_used_and_means_what_it_says() -> None:
-    config = conf.read(ROOT / "docs" / "irondrum.toml", pytest.fail)
+    config = configuration.read(ROOT / "docs" / "irondrum.toml", pytest.fail)
     unlock = config.settings.classes[1]
     assert (unlock.aim_ms, unlock.deadline_ms, unlock.worth) == (1_200.0, 4_000.0, 10.0)
     assert config.console == ("127.0.0.1", 9901)
@@ -29,13 +29,13 @@
 
 def test_the_schema_in_the_documents_is_the_one_that_is_generated() -> None:
     written = json.loads((ROOT / "docs" / "irondrum.schema.json").read_text(encoding="utf-8"))
-    assert written == json.loads(json.dumps(conf.schema()))
+    assert written == json.loads(json.dumps(configuration.schema()))
 
 
 def test_the_platforms_json_means_the_same_here_as_to_run() -> None:
     text = config_text("127.0.0.1:9", [entry("s0", "127.0.0.1:5000")])
-    assert conf.faults(json.loads(text)) == []
-    ours = conf.parse(json.loads(text), pytest.fail)
+    assert configuration.faults(json.loads(text)) == []
+    ours = configuration.parse(json.loads(text), pytest.fail)
     assert ours == replace(read_config(text, pytest.fail))
 
 
@@ -49,7 +49,7 @@
         },
         "known": {"endpoints": [{"name": "s", "address": "127.0.0.1:1", "weight": 0}]},
     }
-    found = conf.faults(tables)
+    found = configuration.faults(tables)
     for told in (
         'listen: "localhost"; allowed: an address such as',
         "nme: no such key; allowed: listen, discovery, settings",
@@ -67,7 +67,7 @@
 def test_what_only_the_whole_can_tell_is_told_too() -> None:
     tables = json.loads(config_text("127.0.0.1:9", []))
     tables["settings"]["classes"] *= 2
-    assert conf.faults(tables) == [
+    assert configuration.faults(tables) == [
         "classes is ['read', 'pay', 'read', 'pay']: it must not name a class twice"
     ]
 
@@ -76,8 +76,8 @@
 def test_a_file_that_cannot_be_read_is_one_line(tmp_path: Path, content: str) -> None:
     path = tmp_path / "x.json"
     path.write_text(content)
-    with pytest.raises(conf.Unusable) as caught:
-        conf.read(path, pytest.fail)
+    with pytest.raises(configuration.Unusable) as caught:
+        configuration.read(path, pytest.fail)
     assert len(caught.value.lines) == 1 and str(path) in caught.value.lines[0]
 
 
@@ -94,5 +94,5 @@
 @example({"\n": None})
 def test_whatever_a_file_holds_its_faults_are_lines(value: object) -> None:
     tables = value if isinstance(value, dict) else {"settings": value}
-    found = conf.faults(tables)
+    found = configuration.faults(tables)
     assert found and not [line for line in found if "\n" in line]
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from basaltspindle.net import console
+from loadbalancer.net import console
 from tests.loopback import Asked, Rig, Upstream, read_message, reset, response, run, silent, status
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,9 +18,9 @@
 
 import pytest
 
-from basaltspindle.drill.fleet import free_port
-from basaltspindle.net import callers, descriptors
-from basaltspindle.net.descriptors import EVICT_MOST, EVICT_S, FRESH_S, IDLE_S, IdleEviction, side_cap
+from loadbalancer.drill.fleet import free_port
+from loadbalancer.net import callers, descriptors
+from loadbalancer.net.descriptors import EVICT_MOST, EVICT_S, FRESH_S, IDLE_S, IdleEviction, side_cap
 from tests.loopback import (
     Asked,
     ListServer,
@@ -242,7 +242,7 @@
     path = folder / "config.json"
     path.write_text(json.dumps(raw), encoding="utf-8")
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "basaltspindle", env=os.environ | {"LB_CONFIG": str(path)},
+        sys.executable, "-m", "loadbalancer", env=os.environ | {"LB_CONFIG": str(path)},
         preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (LEAST, LEAST)),
     )  # fmt: skip
     balancer = Balancer(process.pid, port, console)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -21,14 +21,14 @@
 import pytest
 from aiohttp import web
 
-from basaltspindle.directory import Catalog, Change, Refused, Registration, Rules, Status, first_index
-from basaltspindle.directory.agent import Agent
-from basaltspindle.directory.caller import Caller, CallError
-from basaltspindle.directory.pace import ANSWER_S, WAKES_PART, Pace
-from basaltspindle.directory.service import Service
-from basaltspindle.directory.store import Store, StoreError
-from basaltspindle.drill.fleet import free_port
-from basaltspindle.net.config import read_list
+from loadbalancer.drill.fleet import free_port
+from loadbalancer.net.config import read_list
+from loadbalancer.registry import Catalog, Change, Refused, Registration, Rules, Status, first_index
+from loadbalancer.registry.agent import Agent
+from loadbalancer.registry.caller import Caller, CallError
+from loadbalancer.registry.pace import ANSWER_S, WAKES_PART, Pace
+from loadbalancer.registry.service import Service
+from loadbalancer.registry.store import Store, StoreError
 from tests.loopback import Rig, Upstream, run, status
 
 ROOT = Path(__file__).parent.parent
@@ -281,7 +281,7 @@
 def test_a_stream_of_changes_wakes_watches_no_more_often_than_they_can_be_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("basaltspindle.directory.pace.ANSWER_S", 0.1)
+    monkeypatch.setattr("loadbalancer.registry.pace.ANSWER_S", 0.1)
 
     async def scenario() -> None:
         async with serving() as (service, at), aiohttp.ClientSession() as http:
@@ -501,7 +501,7 @@
 
 
 def irondrum(*args: str) -> list[str]:
-    return [sys.executable, "-c", "from basaltspindle.cli import main; main()", "directory", *args]
+    return [sys.executable, "-c", "from loadbalancer.cli import main; main()", "directory", *args]
 
 
 def served(path: Path, port: int) -> subprocess.Popen[bytes]:
--- a/tests/test_directory_floors.py
+++ b/tests/test_directory_floors.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from basaltspindle.directory import Catalog, Entry, Registration, Rules, Status
-from basaltspindle.directory.merge import share
+from loadbalancer.registry import Catalog, Entry, Registration, Rules, Status
+from loadbalancer.registry.merge import share
 
 RULES = Rules(doubt_part=1.0, doubt_ms=0.001, settle_ms=0.0, floor_ms=50_000.0, flaps=100)
 
--- a/tests/test_directory_instances.py
+++ b/tests/test_directory_instances.py
@@ -14,11 +14,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from basaltspindle.directory import Catalog, Refused, Registration, Rules, Status, first_index
-from basaltspindle.directory.exchange import MOST_INSTANCES, ODD_LOOKS, Exchange, Mismatch
-from basaltspindle.directory.host import HostError, read_file
-from basaltspindle.directory.merge import SAID, Shared, disagree, join
-from basaltspindle.directory.store import Store
+from loadbalancer.registry import Catalog, Refused, Registration, Rules, Status, first_index
+from loadbalancer.registry.exchange import MOST_INSTANCES, ODD_LOOKS, Exchange, Mismatch
+from loadbalancer.registry.host import HostError, read_file
+from loadbalancer.registry.merge import SAID, Shared, disagree, join
+from loadbalancer.registry.store import Store
 
 LEASE_MS = 1_000.0
 RULES = Rules(doubt_part=1.0, floor_part=0.0, flaps=1_000, settle_ms=0.0)
@@ -223,7 +223,7 @@
 
 
 def test_a_large_list_goes_over_in_parts(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("basaltspindle.directory.exchange.MOST_TOLD", 3)
+    monkeypatch.setattr("loadbalancer.registry.exchange.MOST_TOLD", 3)
     made = Instances()
     for number in range(10):
         made.catalogs[0].register(f"s{number}", told(), 0.0)
--- a/tests/test_doubt.py
+++ b/tests/test_doubt.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from basaltspindle.interface import (
+from loadbalancer.interface import (
     Action,
     AttemptEnded,
     ListKind,
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -17,9 +17,9 @@
 
 import pytest
 
-from basaltspindle.drill.deeds import Deeds
-from basaltspindle.drill.links import Fault
-from basaltspindle.drill.script import Break, Lift, ScriptError, load, parse
+from loadbalancer.drill.deeds import Deeds
+from loadbalancer.drill.links import Fault
+from loadbalancer.drill.script import Break, Lift, ScriptError, load, parse
 
 ROOT = Path(__file__).parent.parent
 PATIENCE_S = 300
@@ -43,7 +43,7 @@
 
 
 def command(*args: str) -> list[str]:
-    return [sys.executable, "-c", "from basaltspindle.cli import main; main()", "drill", *args]
+    return [sys.executable, "-c", "from loadbalancer.cli import main; main()", "drill", *args]
 
 
 def drill(*args: str) -> tuple[int, list[dict[str, Any]], str]:
@@ -85,9 +85,9 @@
 
 def test_another_version_from_another_folder_takes_over(tmp_path: Path) -> None:
     other = tmp_path / "other"
-    for part in ("basaltspindle", "deploy"):
+    for part in ("loadbalancer", "deploy"):
         shutil.copytree(ROOT / part, other / part, ignore=shutil.ignore_patterns("__pycache__"))
-    with (other / "basaltspindle" / "__init__.py").open("a", encoding="utf-8") as file:
+    with (other / "loadbalancer" / "__init__.py").open("a", encoding="utf-8") as file:
         file.write("\nimport sys\n\nprint('the other version', file=sys.stderr)\n")
     script = tmp_path / "versions.toml"
     script.write_text(
--- a/tests/test_drill_checks.py
+++ b/tests/test_drill_checks.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from basaltspindle.drill import checks, history
-from basaltspindle.drill.clock import RealClock
-from basaltspindle.drill.history import Event
-from basaltspindle.drill.script import Bounds, Load, Script
+from loadbalancer.drill import checks, history
+from loadbalancer.drill.clock import RealClock
+from loadbalancer.drill.history import Event
+from loadbalancer.drill.script import Bounds, Load, Script
 
 SCRIPT = Script(load=Load(requests=20), bounds=Bounds(served=0.95, back_s=1.0, asked=5, heard_s=1.0, turns=2))
 START = 1_000_000.0
--- a/tests/test_endings_callers.py
+++ b/tests/test_endings_callers.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from basaltspindle.interface import ListKind
-from basaltspindle.net import callers
-from basaltspindle.net.framing import has_hung_up
+from loadbalancer.interface import ListKind
+from loadbalancer.net import callers
+from loadbalancer.net.framing import has_hung_up
 from tests.loopback import (
     Asked,
     Caller,
--- a/tests/test_endings_core.py
+++ b/tests/test_endings_core.py
@@ -8,9 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from basaltspindle import interface as face
-from basaltspindle.interface import NEVER_RAN, Effect, ListKind, Outcome, Readiness, RepeatGroup
-from basaltspindle.policy import Balancer
+from loadbalancer import interface as face
+from loadbalancer.interface import NEVER_RAN, Effect, ListKind, Outcome, Readiness, RepeatGroup
+from loadbalancer.policy import Balancer
 from tests.helpers import CLASSES, members
 from tests.helpers import settings as settings_of
 
--- a/tests/test_endings_list.py
+++ b/tests/test_endings_list.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from basaltspindle import interface as face
-from basaltspindle.interface import ListKind
-from basaltspindle.net import discovery
-from basaltspindle.net.config import read_config
-from basaltspindle.policy import roster
-from basaltspindle.watching import watch
+from loadbalancer import interface as face
+from loadbalancer.endpoint_watch import watch
+from loadbalancer.interface import ListKind
+from loadbalancer.net import discovery
+from loadbalancer.net.config import read_config
+from loadbalancer.policy import roster
 from tests.loopback import ListServer, Rig, Upstream, at_least, config_text, entry, run, status, until
 from tests.test_net import listen_to
 from tests.test_upstreams import full_backlog
--- a/tests/test_endings_upstreams.py
+++ b/tests/test_endings_upstreams.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from basaltspindle import interface as face
-from basaltspindle.interface import NEVER_RAN, ListKind, Outcome
-from basaltspindle.net import upstreams as upstreams_module
-from basaltspindle.net.upstreams import Upstreams
+from loadbalancer import interface as face
+from loadbalancer.interface import NEVER_RAN, ListKind, Outcome
+from loadbalancer.net import upstreams as upstreams_module
+from loadbalancer.net.upstreams import Upstreams
 from tests.loopback import (
     Asked,
     Dials,
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from basaltspindle import interface as face
-from basaltspindle.interface import ListKind
-from basaltspindle.net import callers
-from basaltspindle.net.callers import DownstreamConnection
-from basaltspindle.net.framing import has_hung_up
-from basaltspindle.net.upstreams import UpstreamConnection
+from loadbalancer import interface as face
+from loadbalancer.interface import ListKind
+from loadbalancer.net import callers
+from loadbalancer.net.callers import DownstreamConnection
+from loadbalancer.net.framing import has_hung_up
+from loadbalancer.net.upstreams import UpstreamConnection
 from tests.loopback import (
     Caller,
     Dials,
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -10,22 +10,32 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-PACKAGE = ROOT / "basaltspindle"
+PACKAGE = ROOT / "loadbalancer"
 FLOORS = {  # each may import only what stands here for it, beside itself
     "interface": set(),
     "policy": {"interface"},
     "wire": {"interface"},
-    "peers": set(),
-    "state": set(),
-    "directory": set(),
-    "world": {"directory", "interface", "peers", "policy", "watching"},
-    "lab": {"interface", "policy", "world"},
-    "watching": {"interface"},
-    "net": {"interface", "peers", "policy", "state", "watching", "wire"},
-    "conf": {"net"},
+    "membership": set(),
+    "snapshots": set(),
+    "registry": set(),
+    "simulation": {"registry", "interface", "membership", "policy", "endpoint_watch"},
+    "lab": {"interface", "policy", "simulation"},
+    "endpoint_watch": {"interface"},
+    "net": {"interface", "membership", "policy", "snapshots", "endpoint_watch", "wire"},
+    "configuration": {"net"},
     # The plants of a drill are the program itself, made worse.
-    "drill": {"interface", "world", "net", "policy", "watching", "peers", "state", "directory", "__main__"},
-    "scale": {"interface", "drill", "net", "policy", "watching", "directory"},
+    "drill": {
+        "interface",
+        "simulation",
+        "net",
+        "policy",
+        "endpoint_watch",
+        "membership",
+        "snapshots",
+        "registry",
+        "__main__",
+    },
+    "scale": {"interface", "drill", "net", "policy", "endpoint_watch", "registry"},
 }
 
 
@@ -62,12 +72,12 @@
 
 
 def test_run_loads_no_tool() -> None:
-    code = "import sys, basaltspindle.__main__; print(*sys.modules)"
+    code = "import sys, loadbalancer.__main__; print(*sys.modules)"
     asked = [sys.executable, "-c", code]
     loaded = subprocess.run(asked, cwd=ROOT, capture_output=True, text=True, check=True).stdout.split()
     tools = {"typer", "msgspec", "rich", "numpy", "aiohttp", "structlog", "prometheus_client", "jinja2"}
     assert not tools & {name.split(".")[0] for name in loaded}
-    assert not [n for n in loaded if n.startswith(("basaltspindle.world", "basaltspindle.drill"))]
+    assert not [n for n in loaded if n.startswith(("loadbalancer.simulation", "loadbalancer.drill"))]
 
 
 def test_the_deploy_file_names_all_that_decides_within_its_lines() -> None:
--- a/tests/test_interest.py
+++ b/tests/test_interest.py
@@ -18,16 +18,16 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from basaltspindle import conf
-from basaltspindle.directory import Catalog, Change, Refused, Registration, Rules, first_index
-from basaltspindle.directory.asking import Asked, read
-from basaltspindle.directory.exchange import MOST_INSTANCES, Exchange
-from basaltspindle.directory.gate import ALL_IN_S, BURST_S, EARLY_S, PART, Gate
-from basaltspindle.directory.interests import COPIES, COVER, Parts, Shape, View, decode, is_in, place_of
-from basaltspindle.directory.reads import Reads
-from basaltspindle.directory.store import Store
-from basaltspindle.net.config import read_config
-from basaltspindle.watching import Paced, Subscription
+from loadbalancer import configuration
+from loadbalancer.endpoint_watch import Paced, Subscription
+from loadbalancer.net.config import read_config
+from loadbalancer.registry import Catalog, Change, Refused, Registration, Rules, first_index
+from loadbalancer.registry.asking import Asked, read
+from loadbalancer.registry.exchange import MOST_INSTANCES, Exchange
+from loadbalancer.registry.gate import ALL_IN_S, BURST_S, EARLY_S, PART, Gate
+from loadbalancer.registry.interests import COPIES, COVER, Parts, Shape, View, decode, is_in, place_of
+from loadbalancer.registry.reads import Reads
+from loadbalancer.registry.store import Store
 from tests.loopback import Rig, Upstream, config_text, entry, run
 from tests.test_directory import serving
 
@@ -597,7 +597,7 @@
 
 def test_the_table_lists_takes_services_and_a_part_and_its_faults_are_told() -> None:
     def faults(**lists: Any) -> list[str]:
-        return conf.faults(json.loads(config_text("127.0.0.1:9", [], lists=lists)))
+        return configuration.faults(json.loads(config_text("127.0.0.1:9", [], lists=lists)))
 
     config = read_config(
         config_text("127.0.0.1:9", [], lists={"services": ["b", "a"], "part": 8}), pytest.fail
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,12 +10,12 @@
 import pytest
 from typer.testing import CliRunner
 
-from basaltspindle.cli.lab import find, seeds_of
-from basaltspindle.cli.main import app
-from basaltspindle.cli.misuse import Misuse
-from basaltspindle.lab import plays
-from basaltspindle.lab.compare import compare
-from basaltspindle.world.scenario import ScenarioError
+from loadbalancer.cli.lab import find, seeds_of
+from loadbalancer.cli.main import app
+from loadbalancer.cli.misuse import Misuse
+from loadbalancer.lab import plays
+from loadbalancer.lab.compare import compare
+from loadbalancer.simulation.scenario import ScenarioError
 
 ROOT = Path(__file__).parent.parent
 TINY = ["--set", "load.seconds=3", "--set", "fleet.servers=3"]
@@ -72,14 +72,14 @@
 
 def test_decisions_of_an_earlier_commit_can_be_played(tmp_path: Path) -> None:
     """They are put in the place of this tree's in a process of their own."""
-    old = tmp_path / "basaltspindle"
+    old = tmp_path / "loadbalancer"
     old.mkdir()
     (old / "policy.py").write_text(
-        "from basaltspindle.world.baselines import LeastRequest as Balancer\n", encoding="utf-8"
+        "from loadbalancer.simulation.baselines import LeastRequest as Balancer\n", encoding="utf-8"
     )
     script = (
-        "import sys; from pathlib import Path; from basaltspindle.lab import policies, plays\n"
-        "from basaltspindle.cli.lab import find\n"
+        "import sys; from pathlib import Path; from loadbalancer.lab import policies, plays\n"
+        "from loadbalancer.cli.lab import find\n"
         "policies.use(Path(sys.argv[1]))\n"
         "plan = find('calm', ['load.seconds=3'])\n"
         "print(*(plays.play(plays.Job('calm', 1, name, name, plan)).figure for name in ('ours', 'least')))\n"
@@ -139,7 +139,7 @@
              ["lab", "compare", "nosuch", "neither"]],
 )  # fmt: skip
 def test_what_is_used_wrongly_ends_with_status_2_and_one_line(args: list[str]) -> None:
-    command = [sys.executable, "-c", "from basaltspindle.cli import main; main()", *args]
+    command = [sys.executable, "-c", "from loadbalancer.cli import main; main()", *args]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     assert done.returncode == 2 and done.stderr.startswith("irondrum: ")
     assert len(done.stderr.splitlines()) == 1 and not done.stdout
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from basaltspindle.interface import (
+from loadbalancer.interface import (
     AttemptEnded,
     CloseIdle,
     ListKind,
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,11 +11,11 @@
 
 import pytest
 
-from basaltspindle import interface as face
-from basaltspindle.interface import ListKind, Outcome
-from basaltspindle.net import callers, upstreams
-from basaltspindle.policy import roster
-from basaltspindle.watching import watch
+from loadbalancer import interface as face
+from loadbalancer.endpoint_watch import watch
+from loadbalancer.interface import ListKind, Outcome
+from loadbalancer.net import callers, upstreams
+from loadbalancer.policy import roster
 from tests.loopback import (
     PATIENCE_S,
     Asked,
@@ -406,7 +406,7 @@
 def test_the_clock_compares_with_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
     import time
 
-    from basaltspindle.net.driver import Clock
+    from loadbalancer.net.driver import Clock
 
     clock = Clock()
     first = clock.now()
@@ -425,7 +425,7 @@
             path.write_text(text)
             environment["LB_CONFIG"] = str(path)
         done = subprocess.run(
-            [sys.executable, "-m", "basaltspindle"], env=environment, capture_output=True, text=True
+            [sys.executable, "-m", "loadbalancer"], env=environment, capture_output=True, text=True
         )
         assert done.returncode != 0
         assert len(done.stderr.splitlines()) == 1, done.stderr
@@ -435,7 +435,7 @@
     """It was taken with its last byte, though nobody had accepted its connection yet."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
         async with Rig(Upstream()) as rig:
             callers, clients = rig.driver.callers, list[socket.socket]()
             accept = callers._accept
@@ -464,8 +464,8 @@
     """What is still open when the time is up gets its answer, before the platform kills us."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_ACCEPT_S", 0.0)
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_LONGEST_S", 0.2)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_LONGEST_S", 0.2)
         upstream = Upstream(silent)
         async with Rig(upstream) as rig:
             caller = await rig.caller()
@@ -510,7 +510,7 @@
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []).replace("127.0.0.1:0", f"127.0.0.1:{port}"))
     node = subprocess.Popen(
-        [sys.executable, "-m", "basaltspindle"],
+        [sys.executable, "-m", "loadbalancer"],
         env=os.environ | {"LB_CONFIG": str(path)},
         preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40)),
     )
@@ -548,7 +548,7 @@
     """It lay in the kernel, unread, when the connection was ended as an idle one."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
         async with Rig(Upstream()) as rig:
             caller = await rig.caller()
             caller.send()
--- a/tests/test_observed.py
+++ b/tests/test_observed.py
@@ -10,9 +10,9 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
-from basaltspindle.net import log, metrics
-from basaltspindle.net.config import read_config
-from basaltspindle.net.figures import Figures
+from loadbalancer.net import log, metrics
+from loadbalancer.net.config import read_config
+from loadbalancer.net.figures import Figures
 from tests.loopback import Rig, Upstream, config_text, run, status
 from tests.test_console import call, figures
 
@@ -64,7 +64,7 @@
 
 def test_a_log_is_bounded_and_tells_what_it_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 1_000.0
-    monkeypatch.setattr("basaltspindle.net.log.time.monotonic", lambda: now)
+    monkeypatch.setattr("loadbalancer.net.log.time.monotonic", lambda: now)
     seen: list[str] = []
     told = log.Log("n1", lambda name, event, text, fields: seen.append(event))
     for _ in range(log.LINES + 7):
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -13,16 +13,16 @@
 
 import pytest
 
-from basaltspindle.cli import operate
-from basaltspindle.drill.fleet import free_port
-from basaltspindle.drill.load import LoadError, check, read_kind
+from loadbalancer.cli import operate
+from loadbalancer.drill.fleet import free_port
+from loadbalancer.drill.load import LoadError, check, read_kind
 
 ROOT = Path(__file__).parent.parent
 HOST = "127.0.0.1"
 
 
 def irondrum(*args: str) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-c", "from basaltspindle.cli import main; main()", *args]
+    command = [sys.executable, "-c", "from loadbalancer.cli import main; main()", *args]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
 
 
@@ -48,7 +48,7 @@
     address, console = (f"{HOST}:{free_port(HOST)}" for _ in range(2))
     path = tmp_path / "b.toml"
     path.write_text(file_text(address, console, f"{HOST}:{free_port(HOST)}"))
-    command = [sys.executable, "-c", "from basaltspindle.cli import main; main()", "serve", str(path)]
+    command = [sys.executable, "-c", "from loadbalancer.cli import main; main()", "serve", str(path)]
     with subprocess.Popen(
         [*command, "--log", "json"], cwd=ROOT, stderr=subprocess.PIPE, text=True,
         env=os.environ | {"TMPDIR": str(tmp_path)},
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from basaltspindle.peers import NOTE_MOST, Membership, State, Tell
-from basaltspindle.peers.notes import Kind, Note, write
-from basaltspindle.world.gossip import FLEET, Tier
+from loadbalancer.membership import NOTE_MOST, Membership, State, Tell
+from loadbalancer.membership.notes import Kind, Note, write
+from loadbalancer.simulation.gossip import FLEET, Tier
 
 HEAL_MS = 20_000.0  # within which all views are one when nothing fails any more
 
--- a/tests/test_peers_net.py
+++ b/tests/test_peers_net.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from basaltspindle.cli.operate import views_of
-from basaltspindle.net.config import Config, ConfigError, read_config
-from basaltspindle.net.peers import Peers
-from basaltspindle.peers import State
+from loadbalancer.cli.operate import views_of
+from loadbalancer.membership import State
+from loadbalancer.net.config import Config, ConfigError, read_config
+from loadbalancer.net.peers import Peers
 from tests.loopback import Rig, Upstream, config_text, run, status
 from tests.test_console import call
 
@@ -149,7 +149,7 @@
 
 
 def test_a_fleet_of_another_kind_is_foreign() -> None:
-    from basaltspindle.net.peers import fleet_tag
+    from loadbalancer.net.peers import fleet_tag
 
     (config,) = some(1)
     other = replace(config, settings=replace(config.settings, calling_tier=1))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from basaltspindle.interface import (
+from loadbalancer.interface import (
     Action,
     AnswerStarted,
     AttemptEnded,
@@ -33,7 +33,7 @@
     Tenant,
     TimerDue,
 )
-from basaltspindle.policy import Balancer
+from loadbalancer.policy import Balancer
 from tests.helpers import ANYWHERE, ORDER, PAY, READ, Desk, members, of_kind, sent, settings
 
 
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -14,9 +14,9 @@
 import pytest
 import uvloop
 
-from basaltspindle.drill.fleet import free_port
-from basaltspindle.net.config import read_config
-from basaltspindle.net.driver import Driver
+from loadbalancer.drill.fleet import free_port
+from loadbalancer.net.config import read_config
+from loadbalancer.net.driver import Driver
 from tests.loopback import config_text, entry, program, response, run
 
 HOST = "127.0.0.1"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from basaltspindle.interface import (
+from loadbalancer.interface import (
     Action,
     AttemptEnded,
     Cancel,
@@ -34,7 +34,7 @@
     Subscribe,
     TimerDue,
 )
-from basaltspindle.policy import Balancer
+from loadbalancer.policy import Balancer
 from tests.helpers import CLASSES, settings
 
 GRACE_MS = 20.0
--- a/tests/test_sampler.py
+++ b/tests/test_sampler.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from basaltspindle.interface import Cordoned, ListKind, Member, Outcome, Readiness, Refuse
-from basaltspindle.policy.sampler import Field, Tree
-from basaltspindle.policy.servers import Capacities, Server
+from loadbalancer.interface import Cordoned, ListKind, Member, Outcome, Readiness, Refuse
+from loadbalancer.policy.sampler import Field, Tree
+from loadbalancer.policy.servers import Capacities, Server
 from tests.helpers import PAY, READ, Desk, members, of_kind, sent
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,14 +17,14 @@
 
 import pytest
 
-from basaltspindle.net.config import read_address
-from basaltspindle.scale import plants
-from basaltspindle.scale.allowances import Allowances, over
-from basaltspindle.scale.figures import kept
-from basaltspindle.scale.plan import DEFECTS, Plan, PlanError
-from basaltspindle.scale.play import guard
-from basaltspindle.scale.relay import Relay
-from basaltspindle.scale.report import write
+from loadbalancer.net.config import read_address
+from loadbalancer.scale import plants
+from loadbalancer.scale.allowances import Allowances, over
+from loadbalancer.scale.figures import kept
+from loadbalancer.scale.plan import DEFECTS, Plan, PlanError
+from loadbalancer.scale.play import guard
+from loadbalancer.scale.relay import Relay
+from loadbalancer.scale.report import write
 
 ROOT = Path(__file__).parent.parent
 SIZE, REAL = 60, 2
@@ -35,7 +35,7 @@
 
 
 def command(*args: str) -> list[str]:
-    return [sys.executable, "-c", "from basaltspindle.cli import main; main()", "scale", "run", *args]
+    return [sys.executable, "-c", "from loadbalancer.cli import main; main()", "scale", "run", *args]
 
 
 def small(out: Path, *args: str) -> list[str]:
--- a/tests/test_scale_registrar.py
+++ b/tests/test_scale_registrar.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from basaltspindle.scale import registrar
-from basaltspindle.scale.plan import Plan
-from basaltspindle.scale.registrar import Registrar, Spec
+from loadbalancer.scale import registrar
+from loadbalancer.scale.plan import Plan
+from loadbalancer.scale.registrar import Registrar, Spec
 
 
 class Taken:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from basaltspindle.net.config import ConfigError, read_config
+from loadbalancer.net.config import ConfigError, read_config
 from tests.loopback import config_text
 from tests.test_rules import Day
 
@@ -133,7 +133,7 @@
 
 
 def test_no_name_of_a_deployment_stands_in_what_the_platform_runs() -> None:
-    package = ROOT / "basaltspindle"
+    package = ROOT / "loadbalancer"
     files = [package / "interface.py", package / "wire.py", ROOT / "deploy" / "balancer.toml"]
     files += [path for part in ("policy", "net", "watching") for path in (package / part).glob("*.py")]
     assert len(files) > 25
@@ -192,8 +192,8 @@
     file = tmp_path / "config.json"
     file.write_text(bad(path, value))
     done = subprocess.run(
-        [sys.executable, "-m", "basaltspindle"],
+        [sys.executable, "-m", "loadbalancer"],
         env=os.environ | {"LB_CONFIG": str(file)}, capture_output=True, text=True,
     )  # fmt: skip
     assert done.returncode == 2
-    assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("basaltspindle: configuration: ")
+    assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("loadbalancer: configuration: ")
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -9,14 +9,14 @@
 
 import pytest
 
-from basaltspindle import conf
-from basaltspindle import interface as face
-from basaltspindle.interface import ListKind, Outcome
-from basaltspindle.net import discovery
-from basaltspindle.net.config import read_config
-from basaltspindle.policy import roster
-from basaltspindle.watching import watch
-from basaltspindle.watching.sources import HOME_S, SILENT_S, Look, Sources, Witnesses
+from loadbalancer import configuration
+from loadbalancer import interface as face
+from loadbalancer.endpoint_watch import watch
+from loadbalancer.endpoint_watch.sources import HOME_S, SILENT_S, Look, Sources, Witnesses
+from loadbalancer.interface import ListKind, Outcome
+from loadbalancer.net import discovery
+from loadbalancer.net.config import read_config
+from loadbalancer.policy import roster
 from tests.loopback import ListServer, Rig, Upstream, config_text, entry, response, run, status
 from tests.test_net import listen_to
 
@@ -102,13 +102,15 @@
     entries = [entry("s0", "127.0.0.1:5000")]
     assert read_config(config_text("127.0.0.1:9", entries), pytest.fail).lists is None
     good: dict[str, Any] = {"others": ["127.0.0.1:10"], "tier": "second"}
-    config = conf.parse(json.loads(config_text("127.0.0.1:9", entries, lists=good)), pytest.fail)
+    config = configuration.parse(json.loads(config_text("127.0.0.1:9", entries, lists=good)), pytest.fail)
     assert config.lists is not None
     assert (config.lists.tier, config.settings.list_doubt) == ("second", 0.3)
     bad = json.loads(config_text("127.0.0.1:9", entries, lists={"others": ["here"], "doubt": 2, "x": 1}))
-    assert len(conf.faults(bad)) == 3
+    assert len(configuration.faults(bad)) == 3
     twice = json.loads(config_text("127.0.0.1:9", entries, lists={"others": ["127.0.0.1:9"]}))
-    assert conf.faults(twice) == ["lists.others: an instance stands twice, or is the one in `discovery`"]
+    assert configuration.faults(twice) == [
+        "lists.others: an instance stands twice, or is the one in `discovery`"
+    ]
 
 
 def test_a_server_that_is_silent_for_long_costs_ever_fewer_looks_at_another_list() -> None:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -13,11 +13,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from basaltspindle.interface import Member
-from basaltspindle.net.keeping import Keeper
-from basaltspindle.net.log import Log
-from basaltspindle.state import Store, Unreadable, decode, encode
-from basaltspindle.state.snapshot import FORM
+from loadbalancer.interface import Member
+from loadbalancer.net.keeping import Keeper
+from loadbalancer.net.log import Log
+from loadbalancer.snapshots import Store, Unreadable, decode, encode
+from loadbalancer.snapshots.snapshot import FORM
 from tests.helpers import Desk
 from tests.loopback import run
 
@@ -26,7 +26,7 @@
 DIES = """
 import os, sys
 from pathlib import Path
-from basaltspindle.state import Store, encode
+from loadbalancer.snapshots import Store, encode
 store, dies_at, calls = Store(Path(sys.argv[1]), "b"), int(sys.argv[2]), 0
 store.save(encode({"save": 0}, 0.0))
 store.save(encode({"save": 1}, 1.0))
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from basaltspindle import interface as face
-from basaltspindle.interface import Outcome
-from basaltspindle.net import callers, framing, upstreams
+from loadbalancer import interface as face
+from loadbalancer.interface import Outcome
+from loadbalancer.net import callers, framing, upstreams
 from tests.loopback import Asked, Caller, Rig, Upstream, read_message, response, run, status
 
 LONG = bytes(range(256)) * 4_096  # 1 MiB
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from basaltspindle import interface as face
+from loadbalancer import interface as face
 from tests.streams import RECORD, SEEDS, World, digest
 
 RECORDED = json.loads(RECORD.read_text(encoding="utf-8"))
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -20,16 +20,9 @@
 from hypothesis import HealthCheck, example, given, settings
 from hypothesis import strategies as st
 
-from basaltspindle import interface as face
-from basaltspindle.interface import ListKind
-from basaltspindle.net import discovery
-from basaltspindle.net.config import ServerList, read_config
-from basaltspindle.net.driver import Driver
-from basaltspindle.net.upstreams import Answer
-from basaltspindle.policy import Balancer
-from basaltspindle.policy.roster import Roster
-from basaltspindle.watching import Ask, Watch
-from basaltspindle.watching.budget import (
+from loadbalancer import interface as face
+from loadbalancer.endpoint_watch import Ask, Watch
+from loadbalancer.endpoint_watch.budget import (
     CROWDED_ROUND_S,
     OWN_ANSWER_S,
     SLACK_S,
@@ -38,6 +31,13 @@
     call_s,
     round_s,
 )
+from loadbalancer.interface import ListKind
+from loadbalancer.net import discovery
+from loadbalancer.net.config import ServerList, read_config
+from loadbalancer.net.driver import Driver
+from loadbalancer.net.upstreams import Answer
+from loadbalancer.policy import Balancer
+from loadbalancer.policy.roster import Roster
 from tests.loopback import config_text, entry, response
 from tests.test_upstreams import full_backlog
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,10 +15,10 @@
 
 import pytest
 
-from basaltspindle.drill.fleet import free_port
-from basaltspindle.interface import Member, Succession
-from basaltspindle.net import handover
-from basaltspindle.net.learned import from_plain, to_plain
+from loadbalancer.drill.fleet import free_port
+from loadbalancer.interface import Member, Succession
+from loadbalancer.net import handover
+from loadbalancer.net.learned import from_plain, to_plain
 from tests.helpers import Desk, settings
 from tests.loopback import (
     Asked,
@@ -63,7 +63,7 @@
         path.write_text(json.dumps(raw))
         environment = os.environ | {"LB_CONFIG": str(path), "TMPDIR": str(self.folder / "shared")}
         child = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "basaltspindle", env=environment, stderr=asyncio.subprocess.PIPE
+            sys.executable, "-m", "loadbalancer", env=environment, stderr=asyncio.subprocess.PIPE
         )
         process = Process(child, console)
         try:
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -9,11 +9,11 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
-from basaltspindle import interface as face
-from basaltspindle.interface import Outcome
-from basaltspindle.net.config import read_config, read_list
-from basaltspindle.net.framing import Buffers
-from basaltspindle.net.upstreams import Answer, Attempt, Exchange, Upstreams
+from loadbalancer import interface as face
+from loadbalancer.interface import Outcome
+from loadbalancer.net.config import read_config, read_list
+from loadbalancer.net.framing import Buffers
+from loadbalancer.net.upstreams import Answer, Attempt, Exchange, Upstreams
 from tests.loopback import Rig, Upstream, config_text, entry, response, run, silent, status
 
 REQUEST = b"GET /read HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n"
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from basaltspindle.world.watches import GRACE_MS, Watched
+from loadbalancer.simulation.watches import GRACE_MS, Watched
 
 
 def test_all_balancers_hear_of_a_release_long_before_its_servers_end() -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from basaltspindle.interface import Cancel, CloseIdle, Fail, Log, Probe, Refuse, Send, SetTimer, Subscribe
-from basaltspindle.simhost import Host
-from basaltspindle.wire import write_action
+from loadbalancer.interface import Cancel, CloseIdle, Fail, Log, Probe, Refuse, Send, SetTimer, Subscribe
+from loadbalancer.simhost import Host
+from loadbalancer.wire import write_action
 
 FACTS = (
     "azs=a balancers=2 classes.count=1 classes.0.name=read classes.0.target=900.0 "
@@ -148,7 +148,7 @@
         text += "".join(f"knock who={i} corr={n} remaining=900.0 grade=read\n" for i in instances) + "eob\n"
     env = os.environ | {"PYTHONHASHSEED": hash_seed}
     done = subprocess.run(
-        [sys.executable, "-m", "basaltspindle.simhost"],
+        [sys.executable, "-m", "loadbalancer.simhost"],
         input=text,
         text=True,
         capture_output=True,
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from basaltspindle import interface as face
-from basaltspindle.policy import Balancer
-from basaltspindle.world import Scenario, ScenarioError, World, draw
-from basaltspindle.world.baselines import BASELINES, Plain
-from basaltspindle.world.clock import Clock
-from basaltspindle.world.scenario import TROUBLES, Day, parse
-from basaltspindle.world.servers import Build, Job, Server
+from loadbalancer import interface as face
+from loadbalancer.policy import Balancer
+from loadbalancer.simulation import Scenario, ScenarioError, World, draw
+from loadbalancer.simulation.baselines import BASELINES, Plain
+from loadbalancer.simulation.clock import Clock
+from loadbalancer.simulation.scenario import TROUBLES, Day, parse
+from loadbalancer.simulation.servers import Build, Job, Server
 
 ODD_CLASS = "name = 'a'\nshare = 1\nwork_ms = 1\naim_ms = 1\ndeadline_ms = 1\neffect = 'x'"
 SHORT = "[load]\nseconds = 6\n[fleet]\nservers = 4\n"
@@ -295,7 +295,7 @@
 
 @pytest.mark.parametrize("name", BASELINES)
 def test_baselines_play_a_day_and_the_oracle_is_the_best(name: str) -> None:
-    from basaltspindle.lab.policies import world
+    from loadbalancer.lab.policies import world
 
     crowded = "[choke]\nshare = 1\n[[trouble]]\nkind = 'burst'\nat_s = 1\nfor_s = 3\nsize = 2.5\n"
     plays = {which: world(day(crowded), which).run() for which in (name, "oracle")}
--- a/tests/test_zone_plays.py
+++ b/tests/test_zone_plays.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from basaltspindle.world.turns import turns
 from benchmarks.zones import SWING, Play, judge
+from loadbalancer.simulation.turns import turns
 
 
 def test_small_moves_of_a_part_are_no_turns_and_large_ones_are() -> None:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from basaltspindle.interface import AttemptEnded, Cordoned, Member, Outcome, Readiness, ZoneHeld
-from basaltspindle.net import handover
-from basaltspindle.net.handover import CordonFile
-from basaltspindle.policy.zones import Zones, zone_parts
+from loadbalancer.interface import AttemptEnded, Cordoned, Member, Outcome, Readiness, ZoneHeld
+from loadbalancer.net import handover
+from loadbalancer.net.handover import CordonFile
+from loadbalancer.policy.zones import Zones, zone_parts
 from tests.helpers import Desk, sent
 from tests.loopback import Rig, Upstream, read_message, run
 
