--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -16,9 +16,9 @@
 from loadbalancer.endpoint_watch import Watch
 from loadbalancer.interface import Idempotency, RequestClass, SetTimer, Settings
 from loadbalancer.membership import Membership, Tell, Wake
-from loadbalancer.membership.notes import Kind, Note, write
+from loadbalancer.membership.messages import Kind, Note, write
 from loadbalancer.membership.swim import PERIOD_MS
-from loadbalancer.policy.roster import Roster
+from loadbalancer.policy.endpoints import Roster
 from loadbalancer.registry import Catalog, Registration, Rules, first_index
 from loadbalancer.registry.service import LAPSE_S
 from loadbalancer.simulation.gossip import FLEET, Tier
--- a/benchmarks/capacity_reckoned.py
+++ b/benchmarks/capacity_reckoned.py
@@ -6,7 +6,7 @@
 
 from benchmarks.capacity_roles import Fleet, Spent
 from benchmarks.capacity_text import number, table
-from loadbalancer.endpoint_watch.budget import call_s
+from loadbalancer.endpoint_watch.time_budget import call_s
 
 
 def _core(ms_s: float) -> str:
@@ -44,7 +44,7 @@
         [
             "cold budgets", "own calls at each cold server within its window",
             "none: each keeps to its part by the number of balancers in its settings", "0", "not measured",
-            "not measured", "not measured", "`policy/cold.py`",
+            "not measured", "not measured", "`policy/slow_start.py`",
         ]
     )  # fmt: skip
     head = [
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -11,12 +11,12 @@
 from typing import Any
 
 from benchmarks.capacity_slopes import QUANTITIES, Assumed
-from loadbalancer.endpoint_watch.sources import SILENT_S
+from loadbalancer.endpoint_watch.instance_selection import SILENT_S
 from loadbalancer.endpoint_watch.watch import COMPARE_MS, COMPARE_S, SAID_S, SPREAD, WAIT_MS
-from loadbalancer.policy.roster import SUBSET_COVER
+from loadbalancer.policy.endpoints import SUBSET_COVER
 from loadbalancer.registry.entries import Rules
 from loadbalancer.registry.lease import RENEW_PART
-from loadbalancer.registry.pace import ANSWER_S, LEAST_S, WAKES_PART
+from loadbalancer.registry.rate_limiter import ANSWER_S, LEAST_S, WAKES_PART
 
 DAY_S = 86_400.0
 ENTRY_ROOM = 2  # changes that a failed machine makes: it lapses, and another one starts
--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -204,11 +204,11 @@
     Limit(
         "list instance while a zone is away: a look for lapses, four a second", "lapse_again",
         lambda told: LAPSE_S * told["assumed"]["instance_cores"] * 1e3,
-        lambda told: f"{told['assumed']['instance_cores']:g} core", "`registry/floors.py`",
+        lambda told: f"{told['assumed']['instance_cores']:g} core", "`registry/self_preservation.py`",
     ),
     Limit(
         "longest pause after failed calls", "pause", lambda told: told["allowance"]["in_force_s"],
-        lambda told: f"{told['allowance']['in_force_s']:g} s", "`endpoint_watch/budget.py`",
+        lambda told: f"{told['allowance']['in_force_s']:g} s", "`endpoint_watch/time_budget.py`",
     ),
     Limit(
         "all back after an outage: the whole list to each, by a core of each instance", "list_shared",
--- a/benchmarks/interest_balancer.py
+++ b/benchmarks/interest_balancer.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from loadbalancer.net.config import read_config, read_list
-from loadbalancer.net.driver import Driver
+from loadbalancer.net.proxy import Driver
 
 
 def rss_mb() -> float:
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -22,9 +22,9 @@
 
 from loadbalancer.interface import ZoneEvacuation
 from loadbalancer.lab import policies
+from loadbalancer.simulation.direction_changes import turns
 from loadbalancer.simulation.fleet import START_MS, World
 from loadbalancer.simulation.scenario import draw, load
-from loadbalancer.simulation.turns import turns
 
 SCENARIOS = (
     "zone-errors", "zone-slow", "zone-half", "zone-returns-cold", "zone-flaps", "own-link-down",
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -13,9 +13,9 @@
 import uvloop
 
 from loadbalancer.net.config import Config, ConfigError, read_config
-from loadbalancer.net.driver import Driver
-from loadbalancer.net.handover import Legacy, ask_predecessor
+from loadbalancer.net.hot_restart import Legacy, ask_predecessor
 from loadbalancer.net.log import SINKS, Sink, write_text
+from loadbalancer.net.proxy import Driver
 
 Reading = Callable[[Callable[[str], None]], Config]
 """Reads the configuration again, telling what it passes over."""
--- a/loadbalancer/cli/directory.py
+++ b/loadbalancer/cli/directory.py
@@ -16,10 +16,10 @@
 
 from loadbalancer.cli.misuse import Misuse
 from loadbalancer.cli.screen import screen
-from loadbalancer.registry import host
+from loadbalancer.registry import server
 from loadbalancer.registry.agent import Agent, check
 from loadbalancer.registry.agent import run as run_agent
-from loadbalancer.registry.caller import Caller
+from loadbalancer.registry.client import Caller
 from loadbalancer.registry.entries import Registration
 from loadbalancer.registry.store import Store, StoreError
 
@@ -41,10 +41,10 @@
 
     Example: irondrum directory serve docs/directory.toml
     """
-    told = host.read_file(file)
-    service = host.open_service(told)
+    told = server.read_file(file)
+    service = server.open_service(told)
     typer.echo(f"the list is at {told.listen}, version {service.catalog.index}", err=True)
-    host.serve(told, service)
+    server.serve(told, service)
 
 
 @app.command()
--- a/loadbalancer/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -15,8 +15,8 @@
 from loadbalancer.drill.load import LoadError
 from loadbalancer.drill.script import ScriptError
 from loadbalancer.lab.policies import PolicyError
-from loadbalancer.registry.caller import CallError
-from loadbalancer.registry.host import HostError
+from loadbalancer.registry.client import CallError
+from loadbalancer.registry.server import HostError
 from loadbalancer.registry.store import StoreError
 from loadbalancer.scale.plan import PlanError
 from loadbalancer.simulation.scenario import ScenarioError
--- a/loadbalancer/drill/clients.py
+++ b/loadbalancer/drill/clients.py
@@ -20,7 +20,7 @@
 from loadbalancer.drill.clock import RealClock
 from loadbalancer.drill.script import Class, Load
 from loadbalancer.drill.standin import Place, follow, read_spec, request_of, say
-from loadbalancer.net.figures import REFUSALS
+from loadbalancer.net.request_counters import REFUSALS
 
 CHECK_S, CHECK_PATIENCE_S, FAILS_TO_LEAVE = 0.3, 1.0, 2
 PATIENCE_MS = 1_500.0  # past its time, in which a late answer is still seen
--- a/loadbalancer/drill/drive.py
+++ b/loadbalancer/drill/drive.py
@@ -16,7 +16,7 @@
 from loadbalancer.drill.fleet import FIRST, Fleet
 from loadbalancer.drill.history import Writer
 from loadbalancer.drill.papers import Papers
-from loadbalancer.registry.caller import CallError
+from loadbalancer.registry.client import CallError
 
 PATIENCE_S = 120.0  # past the load's own length, after which a drill is given up
 
--- a/loadbalancer/drill/listing.py
+++ b/loadbalancer/drill/listing.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.drill.fleet import Fleet, Spot
 from loadbalancer.drill.papers import Papers
-from loadbalancer.registry.caller import Caller, CallError
+from loadbalancer.registry.client import Caller, CallError
 
 LOOK_S = 0.02
 
--- a/loadbalancer/drill/load.py
+++ b/loadbalancer/drill/load.py
@@ -17,7 +17,7 @@
 from hdrh.histogram import HdrHistogram
 
 from loadbalancer.drill.standin import request_of
-from loadbalancer.net.figures import REFUSALS
+from loadbalancer.net.request_counters import REFUSALS
 
 MOST_RATE, MOST_SECONDS = 5_000.0, 600.0
 LONGEST_MS = 600_000
--- a/loadbalancer/drill/plants.py
+++ b/loadbalancer/drill/plants.py
@@ -14,16 +14,16 @@
 from loadbalancer import interface
 from loadbalancer.drill.papers import SERVICE_DEFECTS
 from loadbalancer.interface import Outcome, Readiness
-from loadbalancer.net import discovery, driver
-from loadbalancer.net.callers import Taken
+from loadbalancer.net import discovery, proxy
 from loadbalancer.net.config import ServerList
-from loadbalancer.net.driver import Driver
-from loadbalancer.net.upstreams import Answer, Attempt
+from loadbalancer.net.downstream import Taken
+from loadbalancer.net.proxy import Driver
+from loadbalancer.net.upstream import Answer, Attempt
 
 NOWHERE_EVERY = 25  # requests, one of which is answered from nowhere
 
 
-class _Second(driver._Call):
+class _Second(proxy._Call):
     """A second attempt that nobody asked for, and whose answer nobody hears."""
 
     def written(self) -> None:
@@ -152,7 +152,7 @@
 def believes_lapses() -> None:
     """The list service takes every lease that runs out for a server that is gone."""
     from loadbalancer.registry import Catalog
-    from loadbalancer.registry.floors import Floors
+    from loadbalancer.registry.self_preservation import Floors
 
     Catalog._see_whether_to_doubt = lambda self, tier, now: None  # type: ignore[method-assign]
     Floors.spare = lambda self, entry: False  # type: ignore[method-assign]
@@ -215,7 +215,7 @@
 
 def stays_with_one() -> None:
     """The instance that is asked first is asked for ever."""
-    from loadbalancer.endpoint_watch.sources import Sources
+    from loadbalancer.endpoint_watch.instance_selection import Sources
 
     Sources.failed = lambda self: False  # type: ignore[method-assign]
 
@@ -231,7 +231,7 @@
 
 def asks_without_pause() -> None:
     """A list that is out of reach is asked for again at once, by all balancers together."""
-    from loadbalancer.policy.roster import Roster
+    from loadbalancer.policy.endpoints import Roster
 
     def failed(self: Roster, now: float, again_ms: float) -> list[interface.Action]:
         return [interface.SetTimer(now + 1.0, "list")]
@@ -269,7 +269,7 @@
 
 def forgets_zones() -> None:
     """What operators said of zones is lost when the process is replaced."""
-    from loadbalancer.net.handover import CordonFile
+    from loadbalancer.net.hot_restart import CordonFile
 
     vars(sys.modules[CordonFile.__module__])["_read_zones"] = lambda raw: {}
 
@@ -305,10 +305,10 @@
     defect = sys.argv[1]
     DEFECTS[defect]()
     if defect in SERVICE_DEFECTS:
-        from loadbalancer.registry import host
+        from loadbalancer.registry import server
 
-        told = host.read_file(Path(sys.argv[-1]))
-        host.serve(told, host.open_service(told))
+        told = server.read_file(Path(sys.argv[-1]))
+        server.serve(told, server.open_service(told))
         return 0
     from loadbalancer.__main__ import main as run
 
--- a/loadbalancer/drill/server.py
+++ b/loadbalancer/drill/server.py
@@ -21,8 +21,8 @@
 from loadbalancer.drill.clock import RealClock
 from loadbalancer.drill.script import Model, Version
 from loadbalancer.drill.standin import Place, follow, read_spec, request_of, say
-from loadbalancer.net.callers import read_span_ms
-from loadbalancer.registry.caller import Caller, CallError
+from loadbalancer.net.downstream import read_span_ms
+from loadbalancer.registry.client import Caller, CallError
 from loadbalancer.registry.entries import Registration
 from loadbalancer.registry.lease import Lease
 from loadbalancer.simulation.servers import Build, Job, Server
--- a/loadbalancer/drill/zonechecks.py
+++ b/loadbalancer/drill/zonechecks.py
@@ -8,7 +8,7 @@
 from loadbalancer.drill.history import Event
 from loadbalancer.drill.script import Script
 from loadbalancer.drill.story import SECOND, Check, Story, most
-from loadbalancer.simulation.turns import turns
+from loadbalancer.simulation.direction_changes import turns
 
 LEAST = 15  # calls in a span, below which a zone's part says nothing
 SETTLE_S = 0.5  # between an operators' call and the first calls that follow it
--- a/loadbalancer/endpoint_watch/__init__.py
+++ b/loadbalancer/endpoint_watch/__init__.py
@@ -9,7 +9,7 @@
 seconds of a clock that never goes back.
 """
 
-from loadbalancer.endpoint_watch.sources import Address, Look, Sources, Witnesses
+from loadbalancer.endpoint_watch.instance_selection import Address, Look, Sources, Witnesses
 from loadbalancer.endpoint_watch.subscription import Paced, Subscription
 from loadbalancer.endpoint_watch.watch import Ask, Watch
 
--- a/loadbalancer/endpoint_watch/subscription.py
+++ b/loadbalancer/endpoint_watch/subscription.py
@@ -16,7 +16,7 @@
 from typing import Any
 from urllib.parse import quote
 
-from loadbalancer.endpoint_watch.sources import Address
+from loadbalancer.endpoint_watch.instance_selection import Address
 
 PACED_MOST_S = 5.0  # that a service may have us wait before we are let in; longer, and it has failed
 
--- a/loadbalancer/endpoint_watch/watch.py
+++ b/loadbalancer/endpoint_watch/watch.py
@@ -6,8 +6,8 @@
 import random
 from dataclasses import dataclass
 
-from loadbalancer.endpoint_watch.budget import CROWDED_ROUND_S, answer_s, call_s, round_s
-from loadbalancer.endpoint_watch.sources import Address, Look, Sources
+from loadbalancer.endpoint_watch.instance_selection import Address, Look, Sources
+from loadbalancer.endpoint_watch.time_budget import CROWDED_ROUND_S, answer_s, call_s, round_s
 from loadbalancer.interface import LIST_RETRY_JITTER, LIST_RETRY_MEAN_BACKOFF_MS
 
 WAIT_MS = 30_000  # of one watch call at the most: each costs discovery work, and news ends it at once
--- a/loadbalancer/membership/table.py
+++ b/loadbalancer/membership/member_table.py
@@ -6,7 +6,7 @@
 import math
 from dataclasses import dataclass
 
-from loadbalancer.membership.notes import NEWS_MOST
+from loadbalancer.membership.messages import NEWS_MOST
 
 SPREAD = 3.0  # an item of news goes out this many times log2 of the fleet's size
 News = tuple[int, int, int]
--- a/loadbalancer/membership/swim.py
+++ b/loadbalancer/membership/swim.py
@@ -16,9 +16,9 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from loadbalancer.membership import notes
-from loadbalancer.membership.notes import Kind, Note
-from loadbalancer.membership.table import State, Table
+from loadbalancer.membership import messages
+from loadbalancer.membership.member_table import State, Table
+from loadbalancer.membership.messages import Kind, Note
 
 PERIOD_MS = 250.0  # one probe of each member; 99 in 100 are probed by somebody within 4.6 of them
 ANSWER_MS = 100.0  # two ways of 35 ms at most, and a loop that is busy
@@ -77,7 +77,7 @@
 
     def __init__(self, number: int, count: int, fleet: bytes, seed: int, now: float = 0.0) -> None:
         """`number` of `count` members; `fleet` are four bytes that all of them share."""
-        if not 0 <= number < count or len(fleet) != notes.TAG_BYTES:
+        if not 0 <= number < count or len(fleet) != messages.TAG_BYTES:
             raise ValueError(f"member {number} of {count}, with a tag of {len(fleet)} bytes")
         self.table = Table(number, count, now)
         self.counts, self.health = Counts(), 0
@@ -115,10 +115,10 @@
     def heard(self, sender: int, data: bytes, now: float) -> list[Action]:
         """A note from the address of a member; one that can't be used is counted and passed over."""
         try:
-            note = notes.read(data, self._fleet, self.table.count)
+            note = messages.read(data, self._fleet, self.table.count)
             if note.sender != sender or sender == self._number:
-                raise notes.Unreadable("forged")
-        except notes.Unreadable as reason:
+                raise messages.Unreadable("forged")
+        except messages.Unreadable as reason:
             self.counts.dropped[str(reason)] += 1
             return []
         if self._left:
@@ -253,9 +253,9 @@
         if about_us:
             own = self.table.beliefs[self._number]
             said = (self._number, int(own.state), own.incarnation)
-            news = (said, *[item for item in news if item[0] != self._number])[: notes.NEWS_MOST]
+            news = (said, *[item for item in news if item[0] != self._number])[: messages.NEWS_MOST]
         note = Note(self._fleet, kind, sequence, self._number, self.table.incarnation, target, news)
-        data = notes.write(note)
+        data = messages.write(note)
         self.counts.sent += 1
         self.counts.sent_bytes += len(data)
         self._out.append(Tell(to, data))
--- a/loadbalancer/net/console.py
+++ b/loadbalancer/net/console.py
@@ -14,7 +14,7 @@
 import httptools
 
 from loadbalancer.net.config import Address
-from loadbalancer.net.framing import Headers, response, set_no_delay
+from loadbalancer.net.http_framing import Headers, response, set_no_delay
 from loadbalancer.net.metrics import CONTENT_TYPE
 
 CALLERS_MAX = 16  # held at once; the spare sockets have room for them, and the longest there makes way
--- a/loadbalancer/net/discovery.py
+++ b/loadbalancer/net/discovery.py
@@ -13,8 +13,8 @@
 from loadbalancer.endpoint_watch.watch import WHOLE
 from loadbalancer.interface import EndpointListUpdate, Readiness, UpdateKind
 from loadbalancer.net.config import Address, AddressedEndpoint, Config, Lists, ServerList, read_list
-from loadbalancer.net.upstreams import UNREADABLE, Answer, ResponseReader
-from loadbalancer.net.wants import Held, Wants
+from loadbalancer.net.interest_subscription import Held, Wants
+from loadbalancer.net.upstream import UNREADABLE, Answer, ResponseReader
 
 PUSH_PAUSE_S = 0.5  # before the agent on this machine is called again, where lists are pushed
 WHOLE_S = 2.0  # for a look at another instance
--- a/loadbalancer/net/callers.py
+++ b/loadbalancer/net/downstream.py
@@ -19,7 +19,7 @@
 
 from loadbalancer.net.config import Config
 from loadbalancer.net.descriptors import FRESH_S, IdleEviction, side_cap
-from loadbalancer.net.framing import (
+from loadbalancer.net.http_framing import (
     BODY_MAX,
     HEAD_MAX,
     LAST_CHUNK,
@@ -40,7 +40,7 @@
     response_head,
     set_no_delay,
 )
-from loadbalancer.net.upstreams import STALL_S
+from loadbalancer.net.upstream import STALL_S
 
 BACKLOG = 2_048  # callers queue in the kernel while we are busy, instead of being turned away
 PIPELINED_MAX = 16  # requests read ahead on one connection; past that, reading waits
--- a/loadbalancer/net/metrics.py
+++ b/loadbalancer/net/metrics.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Mapping
 
-from loadbalancer.net.figures import Figures
+from loadbalancer.net.request_counters import Figures
 
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 HELP = {
--- a/loadbalancer/net/driver.py
+++ b/loadbalancer/net/proxy.py
@@ -14,21 +14,21 @@
 from loadbalancer import interface
 from loadbalancer.interface import OUTCOMES_WITHOUT_EFFECT, Outcome, Readiness, UpdateKind
 from loadbalancer.net import metrics
-from loadbalancer.net.callers import Callers, Taken
 from loadbalancer.net.config import AddressedEndpoint, Config, ServerList, read_list, write_list
 from loadbalancer.net.console import Console
 from loadbalancer.net.discovery import Discovery
-from loadbalancer.net.figures import Figures
-from loadbalancer.net.framing import Buffers, end_to_end
-from loadbalancer.net.handover import CordonFile, Handover, Legacy
+from loadbalancer.net.downstream import Callers, Taken
+from loadbalancer.net.hot_restart import CordonFile, Handover, Legacy
+from loadbalancer.net.http_framing import Buffers, end_to_end
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
 from loadbalancer.net.log import Log, Sink, write_text
-from loadbalancer.net.upstreams import Answer, Attempt, Exchange, Upstreams
+from loadbalancer.net.request_counters import Figures
+from loadbalancer.net.upstream import Answer, Attempt, Exchange, Upstreams
 from loadbalancer.policy import Balancer
 
 if TYPE_CHECKING:
-    from loadbalancer.net.keeping import Keeper
-    from loadbalancer.net.peers import Peers
+    from loadbalancer.net.membership import Peers
+    from loadbalancer.net.snapshot_writer import Keeper
 
 ANSWER_MS = 10.0  # the module is told so much less than the caller waits: its answer must still travel
 NET_MS = 5.0  # so long before the deadline the safety net answers what is still open
@@ -189,7 +189,7 @@
         """Snapshots, where a folder is named; what they need is loaded there alone."""
         if config.snapshots is None:
             return None
-        from loadbalancer.net.keeping import Keeper
+        from loadbalancer.net.snapshot_writer import Keeper
 
         return Keeper(config.snapshots, config.name, config.snapshot_every_ms, self.log)
 
@@ -197,7 +197,7 @@
         """Membership, where it is on; what it needs is loaded there alone."""
         if config.peer_listen is None:
             return None
-        from loadbalancer.net.peers import Peers
+        from loadbalancer.net.membership import Peers
 
         return Peers(config, config.peer_listen, self._loop, self.clock.now)
 
--- a/loadbalancer/net/upstreams.py
+++ b/loadbalancer/net/upstream.py
@@ -18,7 +18,7 @@
 from loadbalancer.interface import Outcome, Readiness
 from loadbalancer.net.config import Address, Config, ServerList
 from loadbalancer.net.descriptors import side_cap
-from loadbalancer.net.framing import (
+from loadbalancer.net.http_framing import (
     BODY_MAX,
     HEAD_MAX,
     KEPT_MAX,
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -13,15 +13,15 @@
 
 from loadbalancer import interface
 from loadbalancer.interface import Idempotency, Outcome, UpdateKind
-from loadbalancer.policy import repeats
+from loadbalancer.policy import retries
 from loadbalancer.policy.admission import OFFER_CALLS, Admission, Pressure, Times
-from loadbalancer.policy.cold import ColdStarts
-from loadbalancer.policy.draw import draws, least_loaded
+from loadbalancer.policy.endpoints import Roster
 from loadbalancer.policy.limits import ConcurrencyLimits, WaitQueue
 from loadbalancer.policy.requests import Attempt, Request
-from loadbalancer.policy.roster import Roster
-from loadbalancer.policy.sampler import Field
+from loadbalancer.policy.selection import draws, least_loaded
 from loadbalancer.policy.servers import MEMORY_MS, Capacities, Server
+from loadbalancer.policy.slow_start import ColdStarts
+from loadbalancer.policy.weighted_sampling import Field
 from loadbalancer.policy.zones import Zones
 
 SCAN = 64  # servers that are looked at one by one, for each choice, at the most
@@ -50,7 +50,7 @@
         self._times = Times(settings)
         self._pressure = Pressure(self._times)
         self._admission = Admission(settings, self._times, self._random)
-        self._budget, self._idle = repeats.RetryBudget(), repeats.IdleConnections()
+        self._budget, self._idle = retries.RetryBudget(), retries.IdleConnections()
         self._requests: dict[int, Request] = {}
         self._leaving = False  # another process has taken over
         self._shedding_until, self._hint = -math.inf, 0.0
@@ -254,7 +254,7 @@
             )  # what is unused so long may be dead
             idle = 0.0
         if self._settings.max_attempts > 1:
-            copy_after = repeats.patience(request, self._times.work[request.cls.name], timeout)
+            copy_after = retries.patience(request, self._times.work[request.cls.name], timeout)
             if copy_after and self._settings.may_hedge:
                 self._actions.append(interface.SetTimer(now + copy_after, f"hedge:{request.id}"))
             elif copy_after:
@@ -262,7 +262,7 @@
         server.catch_up(now)
         self._roster.unused.pop(server.member.server, None)
         server.in_flight += 1
-        within = repeats.harmless_until(request, self._settings) - now
+        within = retries.harmless_until(request, self._settings) - now
         is_last = server.doubted or len(request.attempts) + 1 >= self._settings.max_attempts
         connect = math.inf if is_last else self._times.connect_limit(request, server.member.zone)
         request.attempts.append(Attempt(server, idle, now, timeout))
@@ -277,8 +277,8 @@
         roster = self._roster
         if self._capacities.is_due(now):
             self._learn(now)
-        if not repeats.may_go_anywhere(request):
-            return self._choose(request, repeats.harmless(request, roster.ready, self._settings, now), now)
+        if not retries.may_go_anywhere(request):
+            return self._choose(request, retries.harmless(request, roster.ready, self._settings, now), now)
         for server in roster.unused.values():
             # Operators watch for its first call, and as a cold one it would seldom be drawn.
             stays = self._zones.share(server.member.zone, now) >= 1
@@ -311,7 +311,7 @@
             # Two processes have one budget for cold servers between them: the one that leaves uses it last.
             warm = [s for s in able if cold.warmth(s, now) >= 1] if self._leaving else []
             able = warm or [s for s in able if self._has_cold_room(s, now)]
-        if repeats.may_go_anywhere(request) and (left := self._zones.left_in_full(self._roster.rings, now)):
+        if retries.may_go_anywhere(request) and (left := self._zones.left_in_full(self._roster.rings, now)):
             able = [s for s in able if s.member.zone not in left]
         if request.attempts:
             able = [s for s in able if all(a.server is not s for a in request.attempts)] or able
--- a/loadbalancer/registry/agent.py
+++ b/loadbalancer/registry/agent.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from loadbalancer.registry.caller import Caller, CallError
+from loadbalancer.registry.client import Caller, CallError
 from loadbalancer.registry.entries import Registration
 from loadbalancer.registry.lease import Lease
 
--- a/loadbalancer/registry/catalog.py
+++ b/loadbalancer/registry/catalog.py
@@ -19,10 +19,10 @@
 import msgspec
 import xxhash
 
+from loadbalancer.registry.change_index import Places, left_by
 from loadbalancer.registry.entries import Entry, Registration, Rules, Status
-from loadbalancer.registry.floors import Floors
 from loadbalancer.registry.merge import Shared, disagree, join, share
-from loadbalancer.registry.places import Places, left_by
+from loadbalancer.registry.self_preservation import Floors
 
 CLOCKS_DIFFER_MS = 86_400_000.0  # by so much a clock may have gone back between two lives
 
--- a/loadbalancer/registry/lease.py
+++ b/loadbalancer/registry/lease.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from loadbalancer.registry.caller import Caller, CallError
+from loadbalancer.registry.client import Caller, CallError
 from loadbalancer.registry.entries import Registration
 
 RENEW_PART = 0.3  # of the lease, after which it is renewed: two renewals may be lost
--- a/loadbalancer/registry/reads.py
+++ b/loadbalancer/registry/query_evaluation.py
@@ -15,14 +15,14 @@
 import msgspec
 
 from loadbalancer.registry import interests
-from loadbalancer.registry.asking import WHOLE, Asked
+from loadbalancer.registry.admission_queue import CALL_S, ENTRY_S, Gate, Turn
 from loadbalancer.registry.catalog import Catalog
 from loadbalancer.registry.entries import Entry
-from loadbalancer.registry.gate import CALL_S, ENTRY_S, Gate, Turn
 from loadbalancer.registry.interests import Parts, View
-from loadbalancer.registry.pace import Pace
+from loadbalancer.registry.list_query import WHOLE, Asked
+from loadbalancer.registry.rate_limiter import Pace
 from loadbalancer.registry.store import Store
-from loadbalancer.registry.waits import Found, Waits
+from loadbalancer.registry.watcher_index import Found, Waits
 
 ANSWERS_KEPT = 64  # that watchers share
 
--- a/loadbalancer/registry/host.py
+++ b/loadbalancer/registry/server.py
@@ -9,8 +9,8 @@
 import msgspec
 from aiohttp import web
 
+from loadbalancer.registry.anti_entropy import MOST_INSTANCES
 from loadbalancer.registry.entries import Address, Rules
-from loadbalancer.registry.exchange import MOST_INSTANCES
 from loadbalancer.registry.service import Service
 from loadbalancer.registry.store import Store
 
--- a/loadbalancer/registry/service.py
+++ b/loadbalancer/registry/service.py
@@ -19,11 +19,11 @@
 import msgspec
 from aiohttp import web
 
-from loadbalancer.registry.asking import number, read
+from loadbalancer.registry.anti_entropy import MOST_INSTANCES, Exchange, Message, Mismatch
 from loadbalancer.registry.catalog import Catalog, Change, Refused, first_index
 from loadbalancer.registry.entries import Name, Registration, Rules
-from loadbalancer.registry.exchange import MOST_INSTANCES, Exchange, Message, Mismatch
-from loadbalancer.registry.reads import Reads
+from loadbalancer.registry.list_query import number, read
+from loadbalancer.registry.query_evaluation import Reads
 from loadbalancer.registry.store import Store, StoreError
 
 BATCH_S = 0.005  # writes that come within it share a transaction, and watches are told of them at once
--- a/loadbalancer/scale/hollow.py
+++ b/loadbalancer/scale/hollow.py
@@ -24,7 +24,7 @@
 from loadbalancer.interface import Readiness, UpdateKind
 from loadbalancer.net import discovery
 from loadbalancer.net.config import AddressedEndpoint, Config, ServerList, read_config, read_list
-from loadbalancer.net.upstreams import Answer
+from loadbalancer.net.upstream import Answer
 from loadbalancer.policy import Balancer
 from loadbalancer.scale.counting import Tally, in_background, run, tell_each_second
 from loadbalancer.scale.plan import Plan, balancer_config
@@ -52,7 +52,7 @@
 
 
 class Hollow:
-    """One balancer: what `net/driver.py` does with its list, and nothing else."""
+    """One balancer: what `net/proxy.py` does with its list, and nothing else."""
 
     def __init__(self, config: Config, host: Host) -> None:
         self._host = host
--- a/loadbalancer/scale/plants.py
+++ b/loadbalancer/scale/plants.py
@@ -29,7 +29,7 @@
 
 def quadratic_fan_out() -> None:
     """Each change tells each watch the whole list."""
-    from loadbalancer.registry.reads import Reads
+    from loadbalancer.registry.query_evaluation import Reads
 
     Reads._goes_on = lambda self, asked: False  # type: ignore[method-assign]
 
@@ -38,7 +38,7 @@
     """A call that has failed is made again at once, whoever else does the same."""
     from loadbalancer import interface
     from loadbalancer.endpoint_watch import Watch
-    from loadbalancer.policy.roster import Roster
+    from loadbalancer.policy.endpoints import Roster
 
     real_failed, real_watch = Roster.failed, Watch.failed
 
@@ -67,10 +67,10 @@
     defect, kind, path = sys.argv[1:]
     DEFECTS[defect]()
     if kind == "instance":
-        from loadbalancer.registry import host
+        from loadbalancer.registry import server
 
-        told = host.read_file(Path(path))
-        host.serve(told, host.open_service(told))
+        told = server.read_file(Path(path))
+        server.serve(told, server.open_service(told))
         return
     from loadbalancer.scale import edge, hollow, registrar
     from loadbalancer.scale.counting import run
--- a/loadbalancer/simulation/balancers.py
+++ b/loadbalancer/simulation/balancers.py
@@ -13,7 +13,7 @@
 from loadbalancer.simulation.network import Network
 from loadbalancer.simulation.rules import Rules
 from loadbalancer.simulation.servers import Server
-from loadbalancer.simulation.worth import Ledger
+from loadbalancer.simulation.utility import Ledger
 
 
 class Decisions(Protocol):
--- a/loadbalancer/simulation/clients.py
+++ b/loadbalancer/simulation/clients.py
@@ -12,7 +12,7 @@
 from loadbalancer.simulation.network import Network
 from loadbalancer.simulation.rules import GRACE_MS
 from loadbalancer.simulation.scenario import Day, number
-from loadbalancer.simulation.worth import Wish
+from loadbalancer.simulation.utility import Wish
 
 GRID_MS = 10.0
 IMPATIENT_PART = 0.1  # of its time, after which an impatient client leaves
--- a/loadbalancer/simulation/fleet.py
+++ b/loadbalancer/simulation/fleet.py
@@ -12,12 +12,12 @@
 from loadbalancer.simulation.clients import Arrival, Client, arrivals
 from loadbalancer.simulation.clock import Clock
 from loadbalancer.simulation.discovery import Discovery
+from loadbalancer.simulation.faults import Troubles
 from loadbalancer.simulation.network import Network
 from loadbalancer.simulation.rules import FALL_MS, FALL_MULTIPLE, GRACE_MS, Breach, Rules
 from loadbalancer.simulation.scenario import Day, Tier, number
 from loadbalancer.simulation.servers import Build, Job, Server
-from loadbalancer.simulation.troubles import Troubles
-from loadbalancer.simulation.worth import Ledger, Worth
+from loadbalancer.simulation.utility import Ledger, Worth
 
 START_MS = 1_000_000.0  # the day begins here: 0 stands for long ago in lists
 ERROR_MS = 2.0  # a failing server answers so soon
--- a/loadbalancer/simulation/watches.py
+++ b/loadbalancer/simulation/watches.py
@@ -29,10 +29,10 @@
     Settings,
     UpdateKind,
 )
-from loadbalancer.policy.roster import Roster
+from loadbalancer.policy.endpoints import Roster
 from loadbalancer.registry import Catalog, Entry, Registration, Rules, first_index
-from loadbalancer.registry.exchange import MOST_INSTANCES, Exchange
-from loadbalancer.registry.pace import Pace
+from loadbalancer.registry.anti_entropy import MOST_INSTANCES, Exchange
+from loadbalancer.registry.rate_limiter import Pace
 from loadbalancer.simulation.clock import Clock
 
 START_MS = 1.8e12  # Unix ms at which a play begins
--- a/loadbalancer/snapshots/__init__.py
+++ b/loadbalancer/snapshots/__init__.py
@@ -8,7 +8,7 @@
 By the standard library alone, since every balancer may use it: JSON, and a digest by hashlib's BLAKE2.
 """
 
-from loadbalancer.snapshots.snapshot import Snapshot, Unreadable, decode, encode
+from loadbalancer.snapshots.codec import Snapshot, Unreadable, decode, encode
 from loadbalancer.snapshots.store import Found, Store
 
 __all__ = ["Found", "Snapshot", "Store", "Unreadable", "decode", "encode"]
--- a/loadbalancer/snapshots/store.py
+++ b/loadbalancer/snapshots/store.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from loadbalancer.snapshots.snapshot import MOST_BYTES, Snapshot, Unreadable, decode
+from loadbalancer.snapshots.codec import MOST_BYTES, Snapshot, Unreadable, decode
 
 
 @dataclass(frozen=True)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,8 +16,8 @@
 import uvloop
 
 from loadbalancer.net.config import read_config
-from loadbalancer.net.driver import Driver
-from loadbalancer.net.upstreams import Pool, UpstreamConnection
+from loadbalancer.net.proxy import Driver
+from loadbalancer.net.upstream import Pool, UpstreamConnection
 
 T = TypeVar("T")
 PATIENCE_S = 10.0  # for what must happen; reached only when a test fails
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -9,7 +9,7 @@
 from benchmarks.cold import play
 from loadbalancer.interface import Endpoint, TakeoverChanged
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
-from loadbalancer.policy.cold import ColdStarts
+from loadbalancer.policy.slow_start import ColdStarts
 from tests.helpers import Desk
 
 NAMES = {"read", "order", "anywhere", "zonal", "pay"}
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from loadbalancer import configuration
-from loadbalancer.configuration.reading import duration_ms
+from loadbalancer.configuration.reader import duration_ms
 from loadbalancer.net.config import read_config
 from tests.loopback import config_text, entry
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -19,7 +19,7 @@
 import pytest
 
 from loadbalancer.drill.fleet import free_port
-from loadbalancer.net import callers, descriptors
+from loadbalancer.net import descriptors, downstream
 from loadbalancer.net.descriptors import EVICT_MOST, EVICT_S, FRESH_S, IDLE_S, IdleEviction, side_cap
 from tests.loopback import (
     Asked,
@@ -144,8 +144,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What it had not taken of its answer was waited for without an end."""
-    monkeypatch.setattr(callers, "STALL_S", 0.05)
-    monkeypatch.setattr(callers, "LINGER_S", 0.01)
+    monkeypatch.setattr(downstream, "STALL_S", 0.05)
+    monkeypatch.setattr(downstream, "LINGER_S", 0.01)
     monkeypatch.setattr(descriptors, "IDLE_S", 0.0)
 
     async def scenario() -> None:
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -25,8 +25,8 @@
 from loadbalancer.net.config import read_list
 from loadbalancer.registry import Catalog, Change, Refused, Registration, Rules, Status, first_index
 from loadbalancer.registry.agent import Agent
-from loadbalancer.registry.caller import Caller, CallError
-from loadbalancer.registry.pace import ANSWER_S, WAKES_PART, Pace
+from loadbalancer.registry.client import Caller, CallError
+from loadbalancer.registry.rate_limiter import ANSWER_S, WAKES_PART, Pace
 from loadbalancer.registry.service import Service
 from loadbalancer.registry.store import Store, StoreError
 from tests.loopback import Rig, Upstream, run, status
@@ -281,7 +281,7 @@
 def test_a_stream_of_changes_wakes_watches_no_more_often_than_they_can_be_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("loadbalancer.registry.pace.ANSWER_S", 0.1)
+    monkeypatch.setattr("loadbalancer.registry.rate_limiter.ANSWER_S", 0.1)
 
     async def scenario() -> None:
         async with serving() as (service, at), aiohttp.ClientSession() as http:
--- a/tests/test_directory_instances.py
+++ b/tests/test_directory_instances.py
@@ -15,9 +15,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from loadbalancer.registry import Catalog, Refused, Registration, Rules, Status, first_index
-from loadbalancer.registry.exchange import MOST_INSTANCES, ODD_LOOKS, Exchange, Mismatch
-from loadbalancer.registry.host import HostError, read_file
+from loadbalancer.registry.anti_entropy import MOST_INSTANCES, ODD_LOOKS, Exchange, Mismatch
 from loadbalancer.registry.merge import SAID, Shared, disagree, join
+from loadbalancer.registry.server import HostError, read_file
 from loadbalancer.registry.store import Store
 
 LEASE_MS = 1_000.0
@@ -223,7 +223,7 @@
 
 
 def test_a_large_list_goes_over_in_parts(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("loadbalancer.registry.exchange.MOST_TOLD", 3)
+    monkeypatch.setattr("loadbalancer.registry.anti_entropy.MOST_TOLD", 3)
     made = Instances()
     for number in range(10):
         made.catalogs[0].register(f"s{number}", told(), 0.0)
--- a/tests/test_endings_callers.py
+++ b/tests/test_endings_callers.py
@@ -14,8 +14,8 @@
 import pytest
 
 from loadbalancer.interface import UpdateKind
-from loadbalancer.net import callers
-from loadbalancer.net.framing import has_hung_up
+from loadbalancer.net import downstream
+from loadbalancer.net.http_framing import has_hung_up
 from tests.loopback import (
     Asked,
     Caller,
@@ -74,7 +74,7 @@
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each was sent on as the one before it was answered, to a caller that had gone long ago."""
-    monkeypatch.setattr(callers, "LOOK_S", 0.005)
+    monkeypatch.setattr(downstream, "LOOK_S", 0.005)
 
     async def scenario() -> None:
         upstream = Upstream(silent)
@@ -240,21 +240,21 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It lay in the kernel, unread, when its connection was ended as one that asks for nothing."""
-    monkeypatch.setattr(callers, "REQUEST_S", 0.0)
+    monkeypatch.setattr(downstream, "REQUEST_S", 0.0)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            look, crossed = callers.DownstreamConnection._look_for_more, list[int]()
+            look, crossed = downstream.DownstreamConnection._look_for_more, list[int]()
             caller = Caller()
 
-            def crossing(connection: callers.DownstreamConnection) -> None:
+            def crossing(connection: downstream.DownstreamConnection) -> None:
                 if not crossed and caller.writer is not None:
                     crossed.append(1)
                     at_once(caller, HEAD)
                 look(connection)
 
             caller.writer = None  # type: ignore[assignment]
-            monkeypatch.setattr(callers.DownstreamConnection, "_look_for_more", crossing)
+            monkeypatch.setattr(downstream.DownstreamConnection, "_look_for_more", crossing)
             pending = socket.create_connection(rig.driver.callers.address)
             caller.reader, caller.writer = await asyncio.open_connection(sock=pending)
             answer = await caller.answer()
@@ -339,7 +339,7 @@
 def end_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """The time to stay is over as soon as it begins."""
     for name in ("TERM_ACCEPT_S", "TERM_LONGEST_S", "TERM_LAST_S"):
-        monkeypatch.setattr(callers, name, 0.0)
+        monkeypatch.setattr(downstream, name, 0.0)
 
 
 def test_requests_behind_one_that_hangs_get_their_answers_at_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -389,7 +389,7 @@
 
 def test_an_answer_that_is_cut_off_by_the_end_is_not_taken_for_whole(monkeypatch: pytest.MonkeyPatch) -> None:
     end_at_once(monkeypatch)
-    monkeypatch.setattr(callers, "TERM_UNREAD_S", 0.0)
+    monkeypatch.setattr(downstream, "TERM_UNREAD_S", 0.0)
 
     async def scenario() -> None:
         async def part(asked: Asked, writer: asyncio.StreamWriter) -> None:
@@ -413,11 +413,11 @@
 ) -> None:
     """A close over unread bytes resets the connection, and takes the answer before them with it."""
     end_at_once(monkeypatch)
-    monkeypatch.setattr(callers, "TERM_LAST_S", 5.0)
+    monkeypatch.setattr(downstream, "TERM_LAST_S", 5.0)
     if at == "while there is time":
-        monkeypatch.setattr(callers, "TERM_LONGEST_S", 5.0)
-        monkeypatch.setattr(callers, "TERM_STAY_PART", 0.0)
-    monkeypatch.setattr(callers, "FRESH_S", 0.0)
+        monkeypatch.setattr(downstream, "TERM_LONGEST_S", 5.0)
+        monkeypatch.setattr(downstream, "TERM_STAY_PART", 0.0)
+    monkeypatch.setattr(downstream, "FRESH_S", 0.0)
 
     async def scenario() -> None:
         upstream = Upstream()
@@ -450,7 +450,7 @@
 ) -> None:
     """It lay in the kernel when its connection was ended, and had no answer."""
     end_at_once(monkeypatch)
-    monkeypatch.setattr(callers, "TERM_LAST_S", 5.0)
+    monkeypatch.setattr(downstream, "TERM_LAST_S", 5.0)
 
     async def scenario() -> None:
         upstream = Upstream()
@@ -479,7 +479,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """All places were taken: it was reset with the listener, though the machine had accepted it."""
-    monkeypatch.setattr(callers, "TERM_ACCEPT_S", 0.0)
+    monkeypatch.setattr(downstream, "TERM_ACCEPT_S", 0.0)
 
     async def scenario() -> None:
         upstream = Upstream(silent, response())
@@ -507,7 +507,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     end_at_once(monkeypatch)
-    monkeypatch.setattr(callers, "TERM_LAST_S", 5.0)
+    monkeypatch.setattr(downstream, "TERM_LAST_S", 5.0)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
--- a/tests/test_endings_upstreams.py
+++ b/tests/test_endings_upstreams.py
@@ -13,8 +13,8 @@
 
 from loadbalancer import interface
 from loadbalancer.interface import OUTCOMES_WITHOUT_EFFECT, Outcome, UpdateKind
-from loadbalancer.net import upstreams as upstreams_module
-from loadbalancer.net.upstreams import Upstreams
+from loadbalancer.net import upstream as upstreams_module
+from loadbalancer.net.upstream import Upstreams
 from tests.loopback import (
     Asked,
     Dials,
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -15,10 +15,10 @@
 
 from loadbalancer import interface
 from loadbalancer.interface import UpdateKind
-from loadbalancer.net import callers
-from loadbalancer.net.callers import DownstreamConnection
-from loadbalancer.net.framing import has_hung_up
-from loadbalancer.net.upstreams import UpstreamConnection
+from loadbalancer.net import downstream
+from loadbalancer.net.downstream import DownstreamConnection
+from loadbalancer.net.http_framing import has_hung_up
+from loadbalancer.net.upstream import UpstreamConnection
 from tests.loopback import (
     Caller,
     Dials,
@@ -36,7 +36,7 @@
 from tests.test_upstreams import told_list
 
 ALLOWED_S = 0.1  # after the close, for what is on its way
-LOOKS_EVERY_S = callers.LOOK_S
+LOOKS_EVERY_S = downstream.LOOK_S
 LIMITS = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 5_000.0, "mayDuplicate": True}
 HEAD = b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 4000m\r\n\r\n"
 may_cancel = pytest.mark.parametrize("cancel", [True, False])
@@ -75,7 +75,7 @@
 
 @pytest.fixture(autouse=True)
 def _nobody_looks(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(callers, "LOOK_S", 3_600.0)
+    monkeypatch.setattr(downstream, "LOOK_S", 3_600.0)
 
 
 async def all_let_go(rig: Rig) -> None:
--- a/tests/test_interest.py
+++ b/tests/test_interest.py
@@ -22,11 +22,11 @@
 from loadbalancer.endpoint_watch import Paced, Subscription
 from loadbalancer.net.config import read_config
 from loadbalancer.registry import Catalog, Change, Refused, Registration, Rules, first_index
-from loadbalancer.registry.asking import Asked, read
-from loadbalancer.registry.exchange import MOST_INSTANCES, Exchange
-from loadbalancer.registry.gate import ALL_IN_S, BURST_S, EARLY_S, PART, Gate
+from loadbalancer.registry.admission_queue import ALL_IN_S, BURST_S, EARLY_S, PART, Gate
+from loadbalancer.registry.anti_entropy import MOST_INSTANCES, Exchange
 from loadbalancer.registry.interests import COPIES, COVER, Parts, Shape, View, decode, is_in, place_of
-from loadbalancer.registry.reads import Reads
+from loadbalancer.registry.list_query import Asked, read
+from loadbalancer.registry.query_evaluation import Reads
 from loadbalancer.registry.store import Store
 from tests.loopback import Rig, Upstream, config_text, entry, run
 from tests.test_directory import serving
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -14,8 +14,8 @@
 from loadbalancer import interface
 from loadbalancer.endpoint_watch import watch
 from loadbalancer.interface import Outcome, UpdateKind
-from loadbalancer.net import callers, upstreams
-from loadbalancer.policy import roster
+from loadbalancer.net import downstream, upstream
+from loadbalancer.policy import endpoints
 from tests.loopback import (
     PATIENCE_S,
     Asked,
@@ -251,7 +251,7 @@
     raw: bytes, wanted: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each held its place for ever, and callers with requests waited in the queue for one."""
-    monkeypatch.setattr(callers, "REQUEST_S", 0.01)
+    monkeypatch.setattr(downstream, "REQUEST_S", 0.01)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
@@ -300,7 +300,7 @@
 
 
 def test_connections_are_used_again_but_never_a_dead_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstreams, "REST_S", 0.0)  # else the next request is too soon for it
+    monkeypatch.setattr(upstream, "REST_S", 0.0)  # else the next request is too soon for it
 
     async def scenario() -> None:
         upstream = Upstream()
@@ -371,8 +371,8 @@
 
 def test_the_end_answers_what_was_taken_and_takes_what_still_comes(monkeypatch: pytest.MonkeyPatch) -> None:
     """Callers were sent away at once, and found the other balancer restarting as well."""
-    monkeypatch.setattr(callers, "TERM_STAY_PART", 0.0)
-    monkeypatch.setattr(callers, "TERM_ACCEPT_S", 1.0)
+    monkeypatch.setattr(downstream, "TERM_STAY_PART", 0.0)
+    monkeypatch.setattr(downstream, "TERM_ACCEPT_S", 1.0)
 
     async def scenario() -> None:
         upstream = Upstream(response(), silent, response())
@@ -406,7 +406,7 @@
 def test_the_clock_compares_with_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
     import time
 
-    from loadbalancer.net.driver import Clock
+    from loadbalancer.net.proxy import Clock
 
     clock = Clock()
     first = clock.now()
@@ -435,20 +435,21 @@
     """It was taken with its last byte, though nobody had accepted its connection yet."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.downstream.TERM_ACCEPT_S", 0.0)
         async with Rig(Upstream()) as rig:
-            callers, clients = rig.driver.callers, list[socket.socket]()
-            accept = callers._accept
+            listener = rig.driver.callers
+            clients: list[socket.socket] = []
+            accept = listener._accept
 
             def at_the_last_moment() -> bool:
-                clients.append(socket.create_connection(callers.address))
+                clients.append(socket.create_connection(listener.address))
                 clients[0].sendall(
                     b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 900m\r\n\r\n"
                 )
                 return accept()
 
-            monkeypatch.setattr(callers, "_accept", at_the_last_moment)
-            ending = asyncio.ensure_future(callers.end())
+            monkeypatch.setattr(listener, "_accept", at_the_last_moment)
+            ending = asyncio.ensure_future(listener.end())
             while not clients:
                 await asyncio.sleep(0)
             clients[0].setblocking(False)
@@ -464,8 +465,8 @@
     """What is still open when the time is up gets its answer, before the platform kills us."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_LONGEST_S", 0.2)
+        monkeypatch.setattr("loadbalancer.net.downstream.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.downstream.TERM_LONGEST_S", 0.2)
         upstream = Upstream(silent)
         async with Rig(upstream) as rig:
             caller = await rig.caller()
@@ -548,7 +549,7 @@
     """It lay in the kernel, unread, when the connection was ended as an idle one."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.downstream.TERM_ACCEPT_S", 0.0)
         async with Rig(Upstream()) as rig:
             caller = await rig.caller()
             caller.send()
@@ -627,7 +628,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Any name and address was taken, a name twice as well, and an older list in place of a newer one."""
-    monkeypatch.setattr(roster, "LIST_RETRY_MS", 1.0)
+    monkeypatch.setattr(endpoints, "LIST_RETRY_MS", 1.0)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
--- a/tests/test_observed.py
+++ b/tests/test_observed.py
@@ -12,7 +12,7 @@
 
 from loadbalancer.net import log, metrics
 from loadbalancer.net.config import read_config
-from loadbalancer.net.figures import Figures
+from loadbalancer.net.request_counters import Figures
 from tests.loopback import Rig, Upstream, config_text, run, status
 from tests.test_console import call, figures
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from loadbalancer.membership import NOTE_MOST, Membership, State, Tell
-from loadbalancer.membership.notes import Kind, Note, write
+from loadbalancer.membership.messages import Kind, Note, write
 from loadbalancer.simulation.gossip import FLEET, Tier
 
 HEAL_MS = 20_000.0  # within which all views are one when nothing fails any more
--- a/tests/test_peers_net.py
+++ b/tests/test_peers_net.py
@@ -13,7 +13,7 @@
 from loadbalancer.cli.operate import views_of
 from loadbalancer.membership import State
 from loadbalancer.net.config import Config, ConfigError, read_config
-from loadbalancer.net.peers import Peers
+from loadbalancer.net.membership import Peers
 from tests.loopback import Rig, Upstream, config_text, run, status
 from tests.test_console import call
 
@@ -149,7 +149,7 @@
 
 
 def test_a_fleet_of_another_kind_is_foreign() -> None:
-    from loadbalancer.net.peers import fleet_tag
+    from loadbalancer.net.membership import fleet_tag
 
     (config,) = some(1)
     other = replace(config, settings=replace(config.settings, tier=1))
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -16,7 +16,7 @@
 
 from loadbalancer.drill.fleet import free_port
 from loadbalancer.net.config import read_config
-from loadbalancer.net.driver import Driver
+from loadbalancer.net.proxy import Driver
 from tests.loopback import config_text, entry, program, response, run
 
 HOST = "127.0.0.1"
--- a/tests/test_sampler.py
+++ b/tests/test_sampler.py
@@ -9,8 +9,8 @@
 import pytest
 
 from loadbalancer.interface import CordonChanged, Endpoint, Outcome, Readiness, Reject, UpdateKind
-from loadbalancer.policy.sampler import Field, Tree
 from loadbalancer.policy.servers import Capacities, Server
+from loadbalancer.policy.weighted_sampling import Field, Tree
 from tests.helpers import PAY, READ, Desk, members, of_kind, sent
 
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -11,11 +11,11 @@
 
 from loadbalancer import configuration, interface
 from loadbalancer.endpoint_watch import watch
-from loadbalancer.endpoint_watch.sources import HOME_S, SILENT_S, Look, Sources, Witnesses
+from loadbalancer.endpoint_watch.instance_selection import HOME_S, SILENT_S, Look, Sources, Witnesses
 from loadbalancer.interface import Outcome, UpdateKind
 from loadbalancer.net import discovery
 from loadbalancer.net.config import read_config
-from loadbalancer.policy import roster
+from loadbalancer.policy import endpoints
 from tests.loopback import ListServer, Rig, Upstream, config_text, entry, response, run, status
 from tests.test_net import listen_to
 
@@ -145,7 +145,7 @@
 def test_the_next_instance_is_asked_when_one_fails_and_the_list_has_not_failed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(roster, "LIST_RETRY_MS", 1.0)
+    monkeypatch.setattr(endpoints, "LIST_RETRY_MS", 1.0)
 
     async def scenario() -> None:
         two = Two()
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -14,10 +14,10 @@
 from hypothesis import strategies as st
 
 from loadbalancer.interface import Endpoint
-from loadbalancer.net.keeping import Keeper
 from loadbalancer.net.log import Log
+from loadbalancer.net.snapshot_writer import Keeper
 from loadbalancer.snapshots import Store, Unreadable, decode, encode
-from loadbalancer.snapshots.snapshot import FORM
+from loadbalancer.snapshots.codec import FORM
 from tests.helpers import Desk
 from tests.loopback import run
 
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -11,7 +11,7 @@
 
 from loadbalancer import interface
 from loadbalancer.interface import Outcome
-from loadbalancer.net import callers, framing, upstreams
+from loadbalancer.net import downstream, http_framing, upstream
 from tests.loopback import Asked, Caller, Rig, Upstream, read_message, response, run, status
 
 LONG = bytes(range(256)) * 4_096  # 1 MiB
@@ -92,7 +92,7 @@
             (asked,) = upstream.asked
             assert asked.body == data
             assert asked.headers["x-class"] == "pay"  # a trailer is no header
-            assert watch.most <= rig.driver.buffers.bound + framing.PIECE_MAX
+            assert watch.most <= rig.driver.buffers.bound + http_framing.PIECE_MAX
             caller.send()  # the connection goes on
             assert status(await caller.answer()) == 200
 
@@ -116,7 +116,10 @@
             for caller in crowd:
                 assert status(await caller.answer()) == 200
             assert all(asked.body == data for asked in upstream.asked)
-            assert watch.most <= rig.driver.buffers.bound + len(crowd) * framing.PIECE_MIN + framing.PIECE_MAX
+            assert (
+                watch.most
+                <= rig.driver.buffers.bound + len(crowd) * http_framing.PIECE_MIN + http_framing.PIECE_MAX
+            )
             assert rig.driver.buffers.held == 0
 
     run(scenario())
@@ -239,7 +242,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What waited in our buffer for half a second after the last byte had come was cut off."""
-    monkeypatch.setattr(callers, "LINGER_S", 0.01)
+    monkeypatch.setattr(downstream, "LINGER_S", 0.01)
     data = LONG * 2
 
     async def scenario() -> None:
@@ -284,7 +287,7 @@
             await asyncio.sleep(0.5)  # past its deadline
             gate.set()
             assert first + await caller.reader.readexactly(len(LONG) - 100_000) == LONG
-            monkeypatch.setattr(upstreams, "STALL_S", 0.05)
+            monkeypatch.setattr(upstream, "STALL_S", 0.05)
             gate.clear()
             stalled = await rig.caller()
             stalled.send()
@@ -473,8 +476,8 @@
 def test_a_body_may_take_as_long_as_its_part_that_has_come_buys(
     pace: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(callers, "REQUEST_S", 0.05)
-    monkeypatch.setattr(callers, "PACE", pace)
+    monkeypatch.setattr(downstream, "REQUEST_S", 0.05)
+    monkeypatch.setattr(downstream, "PACE", pace)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -22,7 +22,7 @@
 
 from loadbalancer import interface
 from loadbalancer.endpoint_watch import Ask, Watch
-from loadbalancer.endpoint_watch.budget import (
+from loadbalancer.endpoint_watch.time_budget import (
     CROWDED_ROUND_S,
     OWN_ANSWER_S,
     SLACK_S,
@@ -34,10 +34,10 @@
 from loadbalancer.interface import UpdateKind
 from loadbalancer.net import discovery
 from loadbalancer.net.config import ServerList, read_config
-from loadbalancer.net.driver import Driver
-from loadbalancer.net.upstreams import Answer
+from loadbalancer.net.proxy import Driver
+from loadbalancer.net.upstream import Answer
 from loadbalancer.policy import Balancer
-from loadbalancer.policy.roster import Roster
+from loadbalancer.policy.endpoints import Roster
 from tests.loopback import config_text, entry, response
 from tests.test_upstreams import full_backlog
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,7 +17,7 @@
 
 from loadbalancer.drill.fleet import free_port
 from loadbalancer.interface import Endpoint, TakeoverChanged
-from loadbalancer.net import handover
+from loadbalancer.net import hot_restart
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
 from tests.helpers import Desk, settings
 from tests.loopback import (
@@ -249,7 +249,7 @@
 
 
 def test_cordons_that_cannot_be_read_leave_those_of_the_file(tmp_path: Path) -> None:
-    file = handover.CordonFile(tmp_path)
+    file = hot_restart.CordonFile(tmp_path)
     assert file.change("s0", True) == ""
     unusable: tuple[object, ...] = (None, [], {"out": "s1", "back": {}}, {"out": ["s1"], "back": {"s": "x"}})
     for raw in unusable:
@@ -257,7 +257,7 @@
             file.inherit(raw)
     assert file.cordons.out == {"s0"}
     file.inherit({"out": ["s1"], "back": {"s0": 1.0}})
-    assert file.cordons == handover.Cordons(frozenset({"s1"}), {"s0": 1.0})
+    assert file.cordons == hot_restart.Cordons(frozenset({"s1"}), {"s0": 1.0})
 
 
 @pytest.mark.parametrize("left", ["nothing", "a file", "a dead socket"])
@@ -266,12 +266,12 @@
     if left == "a file":
         path.write_bytes(b"half")
     elif left == "a dead socket":
-        with socket.socket(socket.AF_UNIX) as dead, handover._path_in(tmp_path) as short:
+        with socket.socket(socket.AF_UNIX) as dead, hot_restart._path_in(tmp_path) as short:
             dead.bind(short)
-    assert handover.ask_predecessor(tmp_path) is None
+    assert hot_restart.ask_predecessor(tmp_path) is None
 
     async def scenario() -> None:
-        waiting = handover.Handover(tmp_path, asyncio.get_running_loop(), estate=object())  # type: ignore[arg-type]
+        waiting = hot_restart.Handover(tmp_path, asyncio.get_running_loop(), estate=object())  # type: ignore[arg-type]
         assert waiting.start() == ""
 
     run(scenario())
@@ -280,11 +280,11 @@
 def test_a_process_that_hands_over_in_part_is_passed_over(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(handover, "ANSWER_S", 0.05)
-    with socket.socket(socket.AF_UNIX) as listener, handover._path_in(tmp_path) as path:
+    monkeypatch.setattr(hot_restart, "ANSWER_S", 0.05)
+    with socket.socket(socket.AF_UNIX) as listener, hot_restart._path_in(tmp_path) as path:
         listener.bind(path)
         listener.listen()
-        assert handover.ask_predecessor(tmp_path) is None
+        assert hot_restart.ask_predecessor(tmp_path) is None
 
 
 def test_what_was_learned_passes_to_the_next_process() -> None:
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -12,8 +12,8 @@
 from loadbalancer import interface
 from loadbalancer.interface import Outcome
 from loadbalancer.net.config import read_config, read_list
-from loadbalancer.net.framing import Buffers
-from loadbalancer.net.upstreams import Answer, Attempt, Exchange, Upstreams
+from loadbalancer.net.http_framing import Buffers
+from loadbalancer.net.upstream import Answer, Attempt, Exchange, Upstreams
 from tests.loopback import Rig, Upstream, config_text, entry, response, run, silent, status
 
 REQUEST = b"GET /read HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n"
--- a/tests/test_zone_plays.py
+++ b/tests/test_zone_plays.py
@@ -5,7 +5,7 @@
 import pytest
 
 from benchmarks.zones import SWING, Play, judge
-from loadbalancer.simulation.turns import turns
+from loadbalancer.simulation.direction_changes import turns
 
 
 def test_small_moves_of_a_part_are_no_turns_and_large_ones_are() -> None:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -11,8 +11,8 @@
 import pytest
 
 from loadbalancer.interface import AttemptEnded, CordonChanged, Endpoint, Outcome, Readiness, ZoneEvacuation
-from loadbalancer.net import handover
-from loadbalancer.net.handover import CordonFile
+from loadbalancer.net import hot_restart
+from loadbalancer.net.hot_restart import CordonFile
 from loadbalancer.policy.zones import Zones, zone_parts
 from tests.helpers import Desk, sent
 from tests.loopback import Rig, Upstream, read_message, run
@@ -175,7 +175,7 @@
     assert again.refresh() and again.cordons.zones == {"east": held}
     assert again.change("s0", out=True) == ""
     assert again.cordons.zones == {"east": held}
-    later = held.started_at_ms + handover.BACK_MS + 1
+    later = held.started_at_ms + hot_restart.BACK_MS + 1
     back = ZoneEvacuation("east", False, 2_000.0, 0.0, 0.5)
     assert again.cordons.moved(back).moved(ZoneEvacuation("west", True, later + 2_000.0)).zones.keys() == {
         "west"
