--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -13,13 +13,14 @@
 import msgspec
 
 from benchmarks.capacity_balancer import ZONES, cpu_ms
+from loadbalancer import membership
 from loadbalancer.endpoint_watch import Watch
 from loadbalancer.interface import Idempotency, RequestClass, SetTimer, Settings
-from loadbalancer.membership import Membership, Tell, Wake
-from loadbalancer.membership.messages import Kind, Note, write
+from loadbalancer.membership import Membership, SendMessage
+from loadbalancer.membership.messages import GossipMessage, MessageKind, encode_message
 from loadbalancer.membership.swim import PERIOD_MS
-from loadbalancer.policy.endpoints import Roster
-from loadbalancer.registry import Catalog, Registration, Rules, first_index
+from loadbalancer.policy.endpoints import EndpointSet
+from loadbalancer.registry import Catalog, Registration, Rules, first_revision
 from loadbalancer.registry.service import LAPSE_S
 from loadbalancer.simulation.gossip import FLEET, Tier
 from loadbalancer.simulation.watches import Watched
@@ -29,7 +30,7 @@
 LOSS = 0.05
 START_MS, LEASE_MS = 1.8e12, 10_000.0
 OUTAGE_MS, AFTER_MS = 4_000.0, 20_000.0
-_decoder = msgspec.msgpack.Decoder(Note)
+_decoder = msgspec.msgpack.Decoder(GossipMessage)
 HOME = ("127.0.0.1", 1)
 CLASSES = (RequestClass("read", 250.0, 1_000.0, Idempotency.IDEMPOTENT),)
 
@@ -44,14 +45,14 @@
     now, cpu = 0.0, cpu_ms(pid)
     todo = one.start(now)
     for _ in range(MEMBER_PERIODS):
-        now = max(now, max(action.at for action in todo if isinstance(action, Wake)))
+        now = max(now, max(action.at for action in todo if isinstance(action, membership.SetTimer)))
         sender = chance.randrange(1, size)
-        one.heard(sender, write(Note(FLEET, Kind.PING, 1, sender, 0, -1, ())), now)
+        one.heard(sender, encode_message(GossipMessage(FLEET, MessageKind.PING, 1, sender, 0, -1, ())), now)
         for action in one.due(now):
-            if isinstance(action, Tell):
+            if isinstance(action, SendMessage):
                 asked = _decoder.decode(action.note)
-                answer = Note(FLEET, Kind.ACK, asked.sequence, action.to, 0, -1, ())
-                todo = one.heard(action.to, write(answer), now + 1.0)
+                answer = GossipMessage(FLEET, MessageKind.ACK, asked.sequence, action.to, 0, -1, ())
+                todo = one.heard(action.to, encode_message(answer), now + 1.0)
     spent = (cpu_ms(pid) - cpu) / (MEMBER_PERIODS * PERIOD_MS / 1_000)
     return {"size": size, "play": number, "table_mb": memory, "member_ms_s": spent}
 
@@ -87,7 +88,7 @@
 def lapse(size: int, number: int) -> dict[str, float]:
     """An instance's catalog while one of twelve zones renews nothing: processor time of a look for lapses."""
     now = START_MS + number
-    catalog = Catalog(Rules(), first_index(0, now))
+    catalog = Catalog(Rules(), first_revision(0, now))
     for one in range(size):
         told = Registration(address="127.0.0.1:1", zone=f"zone-{one % ZONES:02}", lease_ms=LEASE_MS)
         catalog.register(f"s{one}", told, now)
@@ -113,7 +114,7 @@
         classes=CLASSES, balancer_count=size, polls_endpoint_list=True, poll_interval_ms=30_000.0
     )
     watch = Watch((HOME,), number=0, balancers=size, grace_ms=5_000.0, own=False, seed=number)
-    roster, now, most = Roster(settings, random.Random(number)), 0.0, 0.0
+    roster, now, most = EndpointSet(settings, random.Random(number)), 0.0, 0.0
     while now < 30_000.0:
         at = next(a.at_ms for a in roster.failed(now, watch.again_s * 1e3) if isinstance(a, SetTimer))
         most, now = max(most, at - now), at
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -11,8 +11,14 @@
 from typing import Any
 
 from benchmarks.capacity_slopes import QUANTITIES, Assumed
-from loadbalancer.endpoint_watch.instance_selection import SILENT_S
-from loadbalancer.endpoint_watch.watch import COMPARE_MS, COMPARE_S, SAID_S, SPREAD, WAIT_MS
+from loadbalancer.endpoint_watch.instance_selection import SILENCE_THRESHOLD_S
+from loadbalancer.endpoint_watch.watch import (
+    CONTRADICTION_BACKOFF_S,
+    CROSS_CHECK_INTERVAL_PER_BALANCER_MS,
+    CROSS_CHECK_INTERVAL_S,
+    MAX_WAIT_MS,
+    WAIT_JITTER,
+)
 from loadbalancer.policy.endpoints import SUBSET_COVER
 from loadbalancer.registry.entries import Rules
 from loadbalancer.registry.lease import RENEW_PART
@@ -87,12 +93,12 @@
     @property
     def look_s(self) -> float:
         """Between a balancer's looks at another instance."""
-        return max(COMPARE_S, COMPARE_MS * self.size / 1e3)
+        return max(CROSS_CHECK_INTERVAL_S, CROSS_CHECK_INTERVAL_PER_BALANCER_MS * self.size / 1e3)
 
     @property
     def wait_s(self) -> float:
         """Of a watch without news, on average."""
-        return WAIT_MS / 1e3 * (1 - SPREAD / 2)
+        return MAX_WAIT_MS / 1e3 * (1 - WAIT_JITTER / 2)
 
     @property
     def renewals_s(self) -> float:
@@ -148,12 +154,12 @@
 
     def looks(self, span_s: float) -> float:
         """Whole lists that a balancer reads while a server is silent for so long, each twice as late."""
-        return math.floor(math.log2(span_s / SAID_S + 1)) + 1
+        return math.floor(math.log2(span_s / CONTRADICTION_BACKOFF_S + 1)) + 1
 
     def peaks(self) -> list[Peak]:
         """The events of the letter."""
         worst, rules = self.assumed["worst_s"], Rules()
-        until_gone = self.assumed["lease_s"] + rules.settle_ms / 1e3 - SILENT_S
+        until_gone = self.assumed["lease_s"] + rules.settle_ms / 1e3 - SILENCE_THRESHOLD_S
         of_one = self.assumed["changes_of_a_replacement"]
         rolling = self.size * of_one / self.assumed["restart_of_all_s"]
         service = self.assumed["service_replaced"] * of_one / self.assumed["service_replaced_s"]
--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -9,7 +9,7 @@
 
 from benchmarks.capacity_figures import Row
 from benchmarks.capacity_fit import Slope, leave_out
-from loadbalancer.membership import NOTE_MOST
+from loadbalancer.membership import MAX_MESSAGE_BYTES
 from loadbalancer.registry.service import LAPSE_S
 
 NOTES_S = 12.6  # of a member at 5% loss, the most of all plays: they don't grow with the tier
@@ -109,7 +109,7 @@
     "table": Quantity("member", "size", "membership's table", "MB", _of("table_mb")),
     "member": Quantity("member", "size", "membership, nothing lost", "ms a s", _of("member_ms_s")),
     "notes": Quantity("notes", "size", "membership's notes out, 5% lost", "bytes a s", _of("bytes_s"),
-        most=NOTES_S * NOTE_MOST,
+        most=NOTES_S * MAX_MESSAGE_BYTES,
     ),
     "tier": Quantity(
         "notes", "size", "membership, 5% lost (with the model's own share)", "ms a s", _of("tier_ms_s")
--- a/benchmarks/interest.py
+++ b/benchmarks/interest.py
@@ -28,7 +28,7 @@
 
 from benchmarks.directory import allow_files, served
 from loadbalancer.registry import Catalog, Registration, Rules
-from loadbalancer.registry.interests import Parts, Shape, View, place_of
+from loadbalancer.registry.interests import SubsetCache, SubsetSpec, SubsetView, place_of
 
 KINDS = ("whole", "service", "part")
 SIZES = (500, 2_000, 6_000, 18_000)  # of the list in a balancer
@@ -65,8 +65,8 @@
     for number in range(size):
         told = Registration(address="10.0.0.1:1", zone=f"zone-{number % ZONES}", tier="all")
         catalog.register(server(number, "all")["name"], told, 0.0)
-    shape = Shape(PART, f"zone-{watcher % ZONES}", size)
-    view = View({"all": Parts(catalog).best("all", shape)}, place_of(f"b-{watcher}"))
+    shape = SubsetSpec(PART, f"zone-{watcher % ZONES}", size)
+    view = SubsetView({"all": SubsetCache(catalog).best("all", shape)}, place_of(f"b-{watcher}"))
     names = {entry.name for entry in catalog.whole("all") if view.holds_entry(entry)}
     return [number for number in range(size) if server(number, "all")["name"] in names]
 
--- a/benchmarks/interest_balancer.py
+++ b/benchmarks/interest_balancer.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from loadbalancer.net.config import read_config, read_list
-from loadbalancer.net.proxy import Driver
+from loadbalancer.net.proxy import Proxy
 
 
 def rss_mb() -> float:
@@ -30,7 +30,7 @@
     config = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": settings, "lists": {}}
 
     async def take() -> None:
-        driver = Driver(read_config(json.dumps(config), print), asyncio.get_running_loop(), None)
+        driver = Proxy(read_config(json.dumps(config), print), asyncio.get_running_loop(), None)
         gc.collect()
         idle, size = rss_mb(), len(body := Path(told["body"]).read_bytes())
         began = time.process_time()
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -23,7 +23,7 @@
 from loadbalancer.interface import ZoneEvacuation
 from loadbalancer.lab import policies
 from loadbalancer.simulation.direction_changes import turns
-from loadbalancer.simulation.fleet import START_MS, World
+from loadbalancer.simulation.fleet import START_MS, SimulatedFleet
 from loadbalancer.simulation.scenario import draw, load
 
 SCENARIOS = (
@@ -88,7 +88,7 @@
     return done
 
 
-def tell_all(world: World, out: bool) -> None:
+def tell_all(world: SimulatedFleet, out: bool) -> None:
     """All balancers leave the last zone at once, or come back to it over some seconds."""
     now = world.clock.now
     held = ZoneEvacuation(
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -13,9 +13,9 @@
 import uvloop
 
 from loadbalancer.net.config import Config, ConfigError, read_config
-from loadbalancer.net.hot_restart import Legacy, ask_predecessor
+from loadbalancer.net.hot_restart import Predecessor, connect_to_predecessor
 from loadbalancer.net.log import SINKS, Sink, write_text
-from loadbalancer.net.proxy import Driver
+from loadbalancer.net.proxy import Proxy
 
 Reading = Callable[[Callable[[str], None]], Config]
 """Reads the configuration again, telling what it passes over."""
@@ -27,7 +27,7 @@
         return read_config(file.read(), note, os.environ.get("LB_CONSOLE", ""))
 
 
-def reload(read: Reading, driver: Driver) -> None:
+def reload(read: Reading, driver: Proxy) -> None:
     """Follow the file after SIGHUP; one that can't be used changes nothing."""
     try:
         config = read(lambda note: driver.log.event("setting_unknown", note))
@@ -45,14 +45,14 @@
 
 
 async def serve(
-    config: Config, read: Reading, folder: Path | None, legacy: Legacy | None, sink: Sink = write_text
+    config: Config, read: Reading, folder: Path | None, legacy: Predecessor | None, sink: Sink = write_text
 ) -> None:
     """Balance until SIGTERM, then until all that was taken is answered; `read` is for SIGHUP."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    driver = Driver(config, loop, folder, legacy, sink)
+    driver = Proxy(config, loop, folder, legacy, sink)
     loop.add_signal_handler(signal.SIGHUP, reload, read, driver)
     loop.set_exception_handler(
         lambda _, context: driver.log.event("loop_error", f"in the event loop: {context!r}"[:2000])
@@ -86,7 +86,7 @@
     """Serve a configuration to the end; the result is the exit status."""
     folder = Path(os.environ["TMPDIR"]) if os.environ.get("TMPDIR") else None
     # Processes are replaced by operators: where none can call, nothing of it is tried.
-    legacy = ask_predecessor(folder) if config.console else None
+    legacy = connect_to_predecessor(folder) if config.console else None
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config, read, folder, legacy, sink))
--- a/loadbalancer/cli/directory.py
+++ b/loadbalancer/cli/directory.py
@@ -19,9 +19,9 @@
 from loadbalancer.registry import server
 from loadbalancer.registry.agent import Agent, check
 from loadbalancer.registry.agent import run as run_agent
-from loadbalancer.registry.client import Caller
+from loadbalancer.registry.client import RegistryClient
 from loadbalancer.registry.entries import Registration
-from loadbalancer.registry.store import Store, StoreError
+from loadbalancer.registry.store import CatalogStore, CatalogStoreError
 
 app = typer.Typer(no_args_is_help=True, help="A list service of your own: who serves, by leases.")
 At = Annotated[str, typer.Option("--at", help="HOST:PORT of the service.", envvar="IRONDRUM_DIRECTORY")]
@@ -31,8 +31,8 @@
 Server = Annotated[str, typer.Argument(help="The server's name.")]
 
 
-def _caller(at: str) -> Caller:
-    return Caller(at, who=getpass.getuser())
+def _caller(at: str) -> RegistryClient:
+    return RegistryClient(at, who=getpass.getuser())
 
 
 @app.command()
@@ -133,7 +133,7 @@
 
     Example: irondrum directory watch --at 127.0.0.1:8500
     """
-    caller, after, number = Caller(at, patience_s=70.0), -1, 0
+    caller, after, number = RegistryClient(at, patience_s=70.0), -1, 0
     while not looks or number < looks:
         news = caller.list(tier, after, 30_000.0)
         typer.echo(json.dumps(news))
@@ -197,8 +197,8 @@
     if not database.exists():
         raise Misuse(f"{database}: there is no such file")
     try:
-        faults = list(Store(database).verify())
-    except StoreError as error:
+        faults = list(CatalogStore(database).verify())
+    except CatalogStoreError as error:
         faults = [str(error)]
     for fault in faults:
         typer.echo(fault, err=True)
@@ -227,7 +227,7 @@
         address=address, zone=zone, tier=tier, weight=weight, lease_ms=lease_s * 1_000, owner=f"agent {name}"
     )
     speaker = Agent(
-        name, told, Caller(at, who="agent", patience_s=2.0), lambda: check(address, health),
+        name, told, RegistryClient(at, who="agent", patience_s=2.0), lambda: check(address, health),
         lambda text: print(text, file=sys.stderr, flush=True),
     )  # fmt: skip
 
--- a/loadbalancer/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -10,14 +10,14 @@
 
 from loadbalancer.cli import demo, directory, drill, lab, operate, scale, serve, zone
 from loadbalancer.cli.misuse import Misuse
-from loadbalancer.configuration import Unusable
+from loadbalancer.configuration import ConfigurationError
 from loadbalancer.drill.crew import DriveError
 from loadbalancer.drill.load import LoadError
 from loadbalancer.drill.script import ScriptError
 from loadbalancer.lab.policies import PolicyError
-from loadbalancer.registry.client import CallError
-from loadbalancer.registry.server import HostError
-from loadbalancer.registry.store import StoreError
+from loadbalancer.registry.client import RegistryCallError
+from loadbalancer.registry.server import RegistryServerError
+from loadbalancer.registry.store import CatalogStoreError
 from loadbalancer.scale.plan import PlanError
 from loadbalancer.simulation.scenario import ScenarioError
 
@@ -34,9 +34,17 @@
     app.command()(command)
 app.command("load")(demo.load_)
 MISUSES = (
-    Misuse, ScenarioError, PolicyError, ScriptError, DriveError, LoadError, HostError, CallError, StoreError,
+    Misuse,
+    ScenarioError,
+    PolicyError,
+    ScriptError,
+    DriveError,
+    LoadError,
+    RegistryServerError,
+    RegistryCallError,
+    CatalogStoreError,
     PlanError,
-)  # fmt: skip
+)
 
 
 def _show_version(wanted: bool) -> None:
@@ -58,7 +66,7 @@
     """Run a command; what is used wrongly is told in one line on standard error."""
     try:
         app()
-    except Unusable as error:
+    except ConfigurationError as error:
         for line in error.lines:
             print(f"irondrum: {line}", file=sys.stderr)
         sys.exit(2)
--- a/loadbalancer/configuration/__init__.py
+++ b/loadbalancer/configuration/__init__.py
@@ -7,6 +7,6 @@
 """
 
 from loadbalancer.configuration.model import Configuration, schema
-from loadbalancer.configuration.reader import Unusable, faults, parse, read, tables_of
+from loadbalancer.configuration.reader import ConfigurationError, parse, read, tables_of, validation_errors
 
-__all__ = ["Configuration", "Unusable", "faults", "parse", "read", "schema", "tables_of"]
+__all__ = ["Configuration", "ConfigurationError", "parse", "read", "schema", "tables_of", "validation_errors"]
--- a/loadbalancer/configuration/model.py
+++ b/loadbalancer/configuration/model.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta
 
-from loadbalancer.net.config import LIST_DOUBT, PART_MOST, SERVICE
+from loadbalancer.net.config import DEFAULT_SUSPECT_STALE_FRACTION, MAX_SUBSET_SIZE, SERVICE
 
 DURATION = r"^[0-9]+(\.[0-9]+)?(ms|s|m)$"
 Duration = Annotated[float, Meta(ge=0)] | Annotated[str, Meta(pattern=DURATION)]
@@ -140,11 +140,11 @@
     """Further instances that hold the same list."""
     tier: str = ""
     """The tier that is asked for; empty for the service's first."""
-    doubt: Annotated[float, Meta(gt=0, le=1)] = LIST_DOUBT
+    doubt: Annotated[float, Meta(gt=0, le=1)] = DEFAULT_SUSPECT_STALE_FRACTION
     """A whole list that leaves out more than this part of the ready servers is doubted."""
     services: tuple[ServiceName, ...] = ()
     """What is asked for in place of a tier, where the service knows interests; several are one pool."""
-    part: Annotated[int, Meta(ge=0, le=PART_MOST)] = 0
+    part: Annotated[int, Meta(ge=0, le=MAX_SUBSET_SIZE)] = 0
     """Servers of each service that are held in each zone at the least; 0 for all."""
 
 
--- a/loadbalancer/configuration/reader.py
+++ b/loadbalancer/configuration/reader.py
@@ -19,7 +19,7 @@
 Tables = dict[str, Any]
 
 
-class Unusable(ValueError):
+class ConfigurationError(ValueError):
     """A configuration that can't be used: all its faults, a line each."""
 
     def __init__(self, lines: list[str]) -> None:
@@ -33,13 +33,13 @@
         text = path.read_text(encoding="utf-8")
         tables = json.loads(text) if path.suffix == ".json" else tomllib.loads(text)
     except (OSError, ValueError) as error:  # of TOML and JSON, too
-        raise Unusable([f"{path}: can't be read: {' '.join(str(error).split())}"]) from None
+        raise ConfigurationError([f"{path}: can't be read: {' '.join(str(error).split())}"]) from None
     if not isinstance(tables, dict):
-        raise Unusable([f"{path}: must be a table, not {type(tables).__name__}"])
+        raise ConfigurationError([f"{path}: must be a table, not {type(tables).__name__}"])
     return tables
 
 
-def faults(tables: Tables) -> list[str]:
+def validation_errors(tables: Tables) -> list[str]:
     """Every fault, as `path: what is wrong; allowed: ...`; none if the configuration can be used."""
     found = list(_faults(tables, Configuration, ""))
     if not found:
@@ -60,8 +60,8 @@
 def read(path: Path, note: Callable[[str], None]) -> Config:
     """The configuration in a file; Unusable tells all its faults."""
     tables = tables_of(path)
-    if found := faults(tables):
-        raise Unusable([f"{path}: {fault}" for fault in found])
+    if found := validation_errors(tables):
+        raise ConfigurationError([f"{path}: {fault}" for fault in found])
     return parse(tables, note)
 
 
--- a/loadbalancer/drill/drive.py
+++ b/loadbalancer/drill/drive.py
@@ -16,7 +16,7 @@
 from loadbalancer.drill.fleet import FIRST, Fleet
 from loadbalancer.drill.history import Writer
 from loadbalancer.drill.papers import Papers
-from loadbalancer.registry.client import CallError
+from loadbalancer.registry.client import RegistryCallError
 
 PATIENCE_S = 120.0  # past the load's own length, after which a drill is given up
 
@@ -71,7 +71,7 @@
                 await self._play()
         except TimeoutError:
             raise DriveError("the drill did not come to its end in time") from None
-        except CallError as error:
+        except RegistryCallError as error:
             raise DriveError(f"the list service: {error}") from None
         if self._on_over is not None:
             await self._on_over(self.fleet)
--- a/loadbalancer/drill/listing.py
+++ b/loadbalancer/drill/listing.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.drill.fleet import Fleet, Spot
 from loadbalancer.drill.papers import Papers
-from loadbalancer.registry.client import Caller, CallError
+from loadbalancer.registry.client import RegistryCallError, RegistryClient
 
 LOOK_S = 0.02
 
@@ -62,17 +62,17 @@
     async def tell(self, server: str, status: str) -> None:
         """Drain or remove a server; CallError if that can't be, but for one that is not listed any more."""
         at = ",".join(f"{spot.host}:{spot.port}" for spot in self._fleet.instances())
-        caller = Caller(at, who="driver")
+        caller = RegistryClient(at, who="driver")
         method, what = ("POST", "/drain") if status == "terminating" else ("DELETE", "")
         try:
             await asyncio.to_thread(caller.on, method, server, what, why="the drill")
-        except CallError as error:
+        except RegistryCallError as error:
             if error.status != 404:
                 raise
 
     async def pin(self, spot: Spot, server: str) -> None:
         """Pin a server at one instance."""
-        caller = Caller(f"{spot.host}:{spot.port}", who="driver")
+        caller = RegistryClient(f"{spot.host}:{spot.port}", who="driver")
         await asyncio.to_thread(caller.on, "POST", server, "/pin", why="the drill")
 
 
--- a/loadbalancer/drill/plants.py
+++ b/loadbalancer/drill/plants.py
@@ -16,9 +16,9 @@
 from loadbalancer.interface import Outcome, Readiness
 from loadbalancer.net import discovery, proxy
 from loadbalancer.net.config import ServerList
-from loadbalancer.net.downstream import Taken
-from loadbalancer.net.proxy import Driver
-from loadbalancer.net.upstream import Answer, Attempt
+from loadbalancer.net.downstream import DownstreamRequest
+from loadbalancer.net.proxy import Proxy
+from loadbalancer.net.upstream import Attempt, UpstreamResponse
 
 NOWHERE_EVERY = 25  # requests, one of which is answered from nowhere
 
@@ -29,19 +29,19 @@
     def written(self) -> None:
         """Count it not."""
 
-    def started(self, attempt: Attempt, answer: Answer) -> Taken | None:
+    def started(self, attempt: Attempt, answer: UpstreamResponse) -> DownstreamRequest | None:
         """Pass nothing on."""
         return None
 
-    def ended(self, outcome: Outcome, answer: Answer | None) -> None:
+    def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
         """Tell nobody."""
 
 
 def sends_twice() -> None:
     """What is unsafe to repeat goes to two servers."""
-    real = Driver._send
+    real = Proxy._send
 
-    def send(self: Driver, action: interface.SendAttempt) -> None:
+    def send(self: Proxy, action: interface.SendAttempt) -> None:
         real(self, action)
         request = self._requests.get(action.request_id)
         others = [name for name in self._list if name != action.server]
@@ -49,14 +49,14 @@
             call = _Second(self, request, action, 0)
             self.upstreams.attempt(others[0], call.timeout_ms / 1_000, call)
 
-    Driver._send = send  # type: ignore[method-assign]
+    Proxy._send = send  # type: ignore[method-assign]
 
 
 def _takes_for_ready(state: Readiness) -> None:
     """Whatever the list says is in that state passes for ready, in the module and at the sockets."""
-    real = Driver._listed
+    real = Proxy._listed
 
-    def listed(self: Driver, kind: interface.UpdateKind, news: ServerList) -> bool:
+    def listed(self: Proxy, kind: interface.UpdateKind, news: ServerList) -> bool:
         kept = tuple(
             replace(e, endpoint=replace(e.endpoint, readiness=Readiness.READY))
             if e.endpoint.readiness is state
@@ -65,7 +65,7 @@
         )
         return real(self, kind, replace(news, endpoints=kept))
 
-    Driver._listed = listed  # type: ignore[method-assign]
+    Proxy._listed = listed  # type: ignore[method-assign]
 
 
 def forgets_drain() -> None:
@@ -80,16 +80,16 @@
 
 def answers_from_nowhere() -> None:
     """Some requests are answered with 200 though no server ever saw them."""
-    real, seen = Driver.arrived, [0]
+    real, seen = Proxy.arrived, [0]
 
-    def arrived(self: Driver, taken: Taken) -> None:
+    def arrived(self: Proxy, taken: DownstreamRequest) -> None:
         seen[0] += 1
         if seen[0] % NOWHERE_EVERY == 0 and taken.body.whole:
             taken.answer(200, [], b'{"served": true}')
         else:
             real(self, taken)
 
-    Driver.arrived = arrived  # type: ignore[method-assign]
+    Proxy.arrived = arrived  # type: ignore[method-assign]
 
 
 def trusts_any_list() -> None:
@@ -117,45 +117,45 @@
 
 def never_gives_up() -> None:
     """A balancer that is silent is suspected for ever."""
-    from loadbalancer.membership import Table
+    from loadbalancer.membership import MemberTable
 
-    def give_up(self: Table, number: int, now: float) -> None:
+    def give_up(self: MemberTable, number: int, now: float) -> None:
         return None
 
-    Table.give_up = give_up  # type: ignore[method-assign]
+    MemberTable.give_up = give_up  # type: ignore[method-assign]
 
 
 def forgets_returns() -> None:
     """Who was gone once stays gone: what it says of itself is not taken."""
-    from loadbalancer.membership import State, Table
+    from loadbalancer.membership import MemberState, MemberTable
 
-    real = Table.learn
+    real = MemberTable.learn
 
-    def learn(self: Table, number: int, state: State, incarnation: int, now: float) -> bool:
-        if self.state(number) is State.GONE:
+    def learn(self: MemberTable, number: int, state: MemberState, incarnation: int, now: float) -> bool:
+        if self.state(number) is MemberState.GONE:
             return False
         return real(self, number, state, incarnation, now)
 
-    Table.learn = learn  # type: ignore[method-assign]
+    MemberTable.learn = learn  # type: ignore[method-assign]
 
 
 def forgets_snapshot() -> None:
     """What was kept over a restart is not read."""
-    from loadbalancer.snapshots import Found, Store
+    from loadbalancer.snapshots import LoadResult, SnapshotStore
 
-    def load(self: Store) -> Found:
-        return Found(None, ())
+    def load(self: SnapshotStore) -> LoadResult:
+        return LoadResult(None, ())
 
-    Store.load = load  # type: ignore[method-assign]
+    SnapshotStore.load = load  # type: ignore[method-assign]
 
 
 def believes_lapses() -> None:
     """The list service takes every lease that runs out for a server that is gone."""
     from loadbalancer.registry import Catalog
-    from loadbalancer.registry.self_preservation import Floors
+    from loadbalancer.registry.self_preservation import SelfPreservation
 
     Catalog._see_whether_to_doubt = lambda self, tier, now: None  # type: ignore[method-assign]
-    Floors.spare = lambda self, entry: False  # type: ignore[method-assign]
+    SelfPreservation.spare = lambda self, entry: False  # type: ignore[method-assign]
 
 
 def reuses_versions() -> None:
@@ -163,7 +163,7 @@
     from loadbalancer.registry import Catalog, service
 
     real = Catalog.goes_on
-    vars(service)["first_index"] = lambda stored, now_ms, number, stride: (
+    vars(service)["first_revision"] = lambda stored, now_ms, number, stride: (
         (stored // stride + 1) * stride + number
     )
 
@@ -184,9 +184,9 @@
 def takes_drains_back() -> None:
     """Of two accounts of a server the one that was changed more often stands, whatever the other said."""
     from loadbalancer.registry import catalog
-    from loadbalancer.registry.merge import Shared
+    from loadbalancer.registry.merge import SharedEntry
 
-    def join(one: Shared, other: Shared) -> Shared:
+    def join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
         return max(one, other, key=lambda account: (account.start, account.rev, account.beats))
 
     vars(catalog)["join"] = join
@@ -195,12 +195,12 @@
 def keeps_old_starts() -> None:
     """Of two starts of a server the earlier one stands."""
     from loadbalancer.registry import catalog
-    from loadbalancer.registry.merge import Shared
+    from loadbalancer.registry.merge import SharedEntry
 
     real = vars(catalog)["join"]
 
-    def join(one: Shared, other: Shared) -> Shared:
-        joined: Shared = real(one, other)
+    def join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
+        joined: SharedEntry = real(one, other)
         return joined if one.start == other.start else min(one, other, key=lambda a: a.start)
 
     vars(catalog)["join"] = join
@@ -215,9 +215,9 @@
 
 def stays_with_one() -> None:
     """The instance that is asked first is asked for ever."""
-    from loadbalancer.endpoint_watch.instance_selection import Sources
+    from loadbalancer.endpoint_watch.instance_selection import InstanceSelector
 
-    Sources.failed = lambda self: False  # type: ignore[method-assign]
+    InstanceSelector.failed = lambda self: False  # type: ignore[method-assign]
 
 
 def never_compares() -> None:
@@ -231,40 +231,40 @@
 
 def asks_without_pause() -> None:
     """A list that is out of reach is asked for again at once, by all balancers together."""
-    from loadbalancer.policy.endpoints import Roster
+    from loadbalancer.policy.endpoints import EndpointSet
 
-    def failed(self: Roster, now: float, again_ms: float) -> list[interface.Action]:
+    def failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
         return [interface.SetTimer(now + 1.0, "list")]
 
-    Roster.failed = failed  # type: ignore[method-assign]
+    EndpointSet.failed = failed  # type: ignore[method-assign]
 
 
 def forgets_list() -> None:
     """Servers are forgotten when the list does not answer."""
-    real = Driver._list_failed
+    real = Proxy._list_failed
 
-    def failed(self: Driver) -> None:
+    def failed(self: Proxy) -> None:
         real(self)
         self._listed(interface.UpdateKind.FULL_SNAPSHOT, ServerList(self._index, True, ()))
 
-    Driver._list_failed = failed  # type: ignore[method-assign]
+    Proxy._list_failed = failed  # type: ignore[method-assign]
     obeys_lists()
 
 
 def moves_at_once() -> None:
     """A zone is left, and come back to, at once, whatever time operators gave."""
-    from loadbalancer.policy.zones import Zones
+    from loadbalancer.policy.zones import ZoneEvacuations
 
-    real = Zones.hold
-    Zones.hold = lambda self, event: real(self, replace(event, duration_ms=0.0))  # type: ignore[method-assign]
+    real = ZoneEvacuations.hold
+    ZoneEvacuations.hold = lambda self, event: real(self, replace(event, duration_ms=0.0))  # type: ignore[method-assign]
 
 
 def never_returns() -> None:
     """A zone that was left stays so."""
-    from loadbalancer.policy.zones import Zones
+    from loadbalancer.policy.zones import ZoneEvacuations
 
-    real = Zones.hold
-    Zones.hold = lambda self, event: real(self, replace(event, is_evacuating=True))  # type: ignore[method-assign]
+    real = ZoneEvacuations.hold
+    ZoneEvacuations.hold = lambda self, event: real(self, replace(event, is_evacuating=True))  # type: ignore[method-assign]
 
 
 def forgets_zones() -> None:
--- a/loadbalancer/drill/server.py
+++ b/loadbalancer/drill/server.py
@@ -21,8 +21,8 @@
 from loadbalancer.drill.clock import RealClock
 from loadbalancer.drill.script import Model, Version
 from loadbalancer.drill.standin import Place, follow, read_spec, request_of, say
-from loadbalancer.net.downstream import read_span_ms
-from loadbalancer.registry.client import Caller, CallError
+from loadbalancer.net.downstream import parse_duration_ms
+from loadbalancer.registry.client import RegistryCallError, RegistryClient
 from loadbalancer.registry.entries import Registration
 from loadbalancer.registry.lease import Lease
 from loadbalancer.simulation.servers import Build, Job, Server
@@ -155,7 +155,7 @@
     async def _call(self, request: web.Request, number: str, cls: str) -> bool:
         """Make our own call to the next tier, with what is left of the time; whether it was served."""
         assert self.session is not None
-        left_ms = (read_span_ms(request.headers.get("X-Deadline", "").encode()) or NO_DEADLINE_MS) * 0.8
+        left_ms = (parse_duration_ms(request.headers.get("X-Deadline", "").encode()) or NO_DEADLINE_MS) * 0.8
         inner = f"{number}.{self.spec.name}.{self.chance.randrange(1 << 32):08x}"
         asked = request_of(inner, cls, left_ms, request.method == "POST")
         timeout = aiohttp.ClientTimeout(total=left_ms / 1_000)
@@ -174,7 +174,7 @@
         address=address, zone=spec.zone, type="m", weight=float(spec.model.cores), tier=spec.tier,
         since_ms=spec.since_ms, lease_ms=spec.lease_ms,
     )  # fmt: skip
-    return Lease(Caller(spec.directory, who=spec.name, patience_s=LIST_PATIENCE_S), spec.name, told)
+    return Lease(RegistryClient(spec.directory, who=spec.name, patience_s=LIST_PATIENCE_S), spec.name, told)
 
 
 async def _hold(lease: Lease) -> None:
@@ -183,7 +183,7 @@
         try:
             await asyncio.to_thread(lease.keep)
             wait_s = lease.step_s
-        except CallError:
+        except RegistryCallError:
             wait_s = LIST_RETRY_S
         await asyncio.sleep(wait_s)
 
@@ -211,7 +211,7 @@
         for task in tasks:
             task.cancel()
         if lease is not None:
-            with contextlib.suppress(CallError):
+            with contextlib.suppress(RegistryCallError):
                 await asyncio.to_thread(lease.leave, "it ends")
         await runner.cleanup()
     stand_in.history.close()
--- a/loadbalancer/endpoint_watch/__init__.py
+++ b/loadbalancer/endpoint_watch/__init__.py
@@ -9,8 +9,22 @@
 seconds of a clock that never goes back.
 """
 
-from loadbalancer.endpoint_watch.instance_selection import Address, Look, Sources, Witnesses
-from loadbalancer.endpoint_watch.subscription import Paced, Subscription
-from loadbalancer.endpoint_watch.watch import Ask, Watch
+from loadbalancer.endpoint_watch.instance_selection import (
+    Address,
+    ContradictionDetector,
+    InstanceSelector,
+    ListVersion,
+)
+from loadbalancer.endpoint_watch.subscription import RateLimitedError, Subscription
+from loadbalancer.endpoint_watch.watch import ListRequest, Watch
 
-__all__ = ["Address", "Ask", "Look", "Paced", "Sources", "Subscription", "Watch", "Witnesses"]
+__all__ = [
+    "Address",
+    "ContradictionDetector",
+    "InstanceSelector",
+    "ListRequest",
+    "ListVersion",
+    "RateLimitedError",
+    "Subscription",
+    "Watch",
+]
--- a/loadbalancer/endpoint_watch/instance_selection.py
+++ b/loadbalancer/endpoint_watch/instance_selection.py
@@ -17,14 +17,14 @@
 from loadbalancer.interface import Outcome
 
 Address = tuple[str, int]
-HOME_S = 60.0  # after so long, spread by half, the first choice is tried again
+PREFERRED_INSTANCE_RETRY_S = 60.0  # after so long, spread by half, the first choice is tried again
 ANSWERS = frozenset({Outcome.SERVED, Outcome.ERROR, Outcome.REJECTED})
 SILENCE = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMED_OUT})
-SILENT_S = 5.0  # a listed server that has answered nothing for so long speaks against the list
+SILENCE_THRESHOLD_S = 5.0  # a listed server that has answered nothing for so long speaks against the list
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class ListVersion:
     """A list as one instance tells it: its version, and who is on it in which state."""
 
     address: Address
@@ -32,7 +32,7 @@
     content: frozenset[tuple[object, ...]]
 
 
-class Sources:
+class InstanceSelector:
     """The instances in our own order, and the one that is asked."""
 
     def __init__(self, addresses: tuple[Address, ...], number: int, chance: random.Random) -> None:
@@ -41,7 +41,7 @@
         self._ring, self._random = (*addresses[first:], *addresses[:first]), chance
         self._at, self._failed, self._home_from = 0, 0, math.inf
         self._newest: dict[Address, int] = {}
-        self._last: tuple[Look, Look] | None = None
+        self._last: tuple[ListVersion, ListVersion] | None = None
         self.moves = 0
 
     @property
@@ -74,7 +74,7 @@
         rewound = index < self._newest.get(self.address, -1)
         self._newest[self.address] = index
         if self._at and self._home_from == math.inf:
-            self._home_from = now + HOME_S * (1 + self._random.random()) / 1.5
+            self._home_from = now + PREFERRED_INSTANCE_RETRY_S * (1 + self._random.random()) / 1.5
         return rewound
 
     def newest(self, address: Address) -> int:
@@ -96,7 +96,7 @@
         """One of those that are not asked now."""
         return self._ring[(self._at + 1 + self._random.randrange(self.others)) % len(self._ring)]
 
-    def stands_still(self, ours: Look, other: Look, contradicted: bool) -> bool:
+    def stands_still(self, ours: ListVersion, other: ListVersion, contradicted: bool) -> bool:
         """Whether our instance's list has stood still while another's moved on; if so, ask the other.
 
         Two looks tell: the other's version has grown between them, ours has not, and they differ. One is
@@ -116,7 +116,7 @@
         return True
 
 
-class Witnesses:
+class ContradictionDetector:
     """Servers that the list calls ready and that answer nothing: what they say goes before what it says."""
 
     def __init__(self) -> None:
@@ -135,4 +135,4 @@
 
     def against(self, now: float) -> list[str]:
         """Those that have been silent for so long that the list may be wrong about them."""
-        return sorted(name for name, since in self._since.items() if now - since >= SILENT_S)
+        return sorted(name for name, since in self._since.items() if now - since >= SILENCE_THRESHOLD_S)
--- a/loadbalancer/endpoint_watch/subscription.py
+++ b/loadbalancer/endpoint_watch/subscription.py
@@ -21,7 +21,7 @@
 PACED_MOST_S = 5.0  # that a service may have us wait before we are let in; longer, and it has failed
 
 
-class Paced(Exception):
+class RateLimitedError(Exception):
     """The service is well, and has us come again later: with the ticket, after so many seconds."""
 
     def __init__(self, after_s: float, ticket: int) -> None:
@@ -101,9 +101,9 @@
         except (ValueError, KeyError, TypeError):
             return
         if 0 <= after_s <= PACED_MOST_S - self._paced_s:
-            raise Paced(after_s, ticket)
+            raise RateLimitedError(after_s, ticket)
 
-    def paced(self, paced: Paced) -> None:
+    def paced(self, paced: RateLimitedError) -> None:
         """We come again as the service says."""
         self._ticket = paced.ticket
         self._paced_s += paced.after_s
--- a/loadbalancer/endpoint_watch/time_budget.py
+++ b/loadbalancer/endpoint_watch/time_budget.py
@@ -1,7 +1,7 @@
 """How soon a change has to be known, and what that leaves for a call and for the pause after it.
 
-A change counts as told `TOLD_S` after its service had it and could be reached, whatever calls before had come
-to. In the worst case each of n instances is asked in turn, and the one that can be reached was just missed:
+A change counts as told `CHANGE_DEADLINE_S` after its service had it and could be reached, whatever calls
+before had come to. In the worst case each of n instances is asked in turn, and the one that can be reached was just missed:
 
     a call that fails and the pause after it, n times      n x round
     the call that tells                                    answer
@@ -26,7 +26,7 @@
 
 from __future__ import annotations
 
-TOLD_S = 6.0
+CHANGE_DEADLINE_S = 6.0
 SLACK_S = 1.0
 CALL_PART = 0.9  # of a round, at the most: the rest is for the pause after a call that took all its time
 OWN_CALL_S, PLATFORM_CALL_S = 2.0, 2.25  # the platform works through calls in turn and ends those of over 2 s
@@ -35,7 +35,7 @@
 
 def round_s(instances: int, own: bool) -> float:
     """Seconds from the beginning of a call that fails to the beginning of the next one, at the most."""
-    return (TOLD_S - SLACK_S - answer_s(own)) / instances
+    return (CHANGE_DEADLINE_S - SLACK_S - answer_s(own)) / instances
 
 
 def call_s(instances: int, own: bool) -> float:
@@ -48,4 +48,4 @@
     return OWN_ANSWER_S if own else PLATFORM_ANSWER_S
 
 
-CROWDED_ROUND_S = round_s(1, own=True)  # while the platform's is crowded, for large tiers
+CONGESTED_ROUND_S = round_s(1, own=True)  # while the platform's is crowded, for large tiers
--- a/loadbalancer/endpoint_watch/watch.py
+++ b/loadbalancer/endpoint_watch/watch.py
@@ -6,27 +6,32 @@
 import random
 from dataclasses import dataclass
 
-from loadbalancer.endpoint_watch.instance_selection import Address, Look, Sources
-from loadbalancer.endpoint_watch.time_budget import CROWDED_ROUND_S, answer_s, call_s, round_s
+from loadbalancer.endpoint_watch.instance_selection import Address, InstanceSelector, ListVersion
+from loadbalancer.endpoint_watch.time_budget import CONGESTED_ROUND_S, answer_s, call_s, round_s
 from loadbalancer.interface import LIST_RETRY_JITTER, LIST_RETRY_MEAN_BACKOFF_MS
 
-WAIT_MS = 30_000  # of one watch call at the most: each costs discovery work, and news ends it at once
+MAX_WAIT_MS = 30_000  # of one watch call at the most: each costs discovery work, and news ends it at once
 CALL_MS = 50  # of wait for each balancer of the tier: all together call about once in so long
-SPREAD = 0.2  # part by which waits differ, so that balancers that started together do not call together
+WAIT_JITTER = 0.2  # part by which waits differ, so that balancers that started together do not call together
 OVERDUE_S = 1.5  # so long past its wait a watch has failed: 2 s past it, all changes count as told
 PROMPT_MS = 1.0  # wait of the first call after a failed one: news is told, and silence shows, at once
 FAILOVER_MS = 5.0  # for each balancer of the tier: the watches of an instance that dies go on within so long
 DOUBT_S = 1.0  # before a list that is not believed is asked for whole again, or CALL_MS for each balancer
-SAID_S = 1.0  # the first pause between looks while servers contradict the list, doubled at each
-COMPARE_S, COMPARE_MS = 30.0, 100.0  # between looks at another instance, and for each balancer of the tier
+CONTRADICTION_BACKOFF_S = (
+    1.0  # the first pause between looks while servers contradict the list, doubled at each
+)
+CROSS_CHECK_INTERVAL_S, CROSS_CHECK_INTERVAL_PER_BALANCER_MS = (
+    30.0,
+    100.0,
+)  # between looks at another instance, and for each balancer of the tier
 PACE_MS = LIST_RETRY_MEAN_BACKOFF_MS * (
     1 + LIST_RETRY_JITTER
 )  # from failed call to call, for each balancer that may crowd it
-WHOLE = -1  # in place of a version: the whole list
+FULL_SNAPSHOT = -1  # in place of a version: the whole list
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class ListRequest:
     """One call for the list."""
 
     address: Address
@@ -53,18 +58,20 @@
 
     def __init__(
         self, addresses: tuple[Address, ...], *, number: int, balancers: int, grace_ms: float, own: bool,
-        seed: int, index: int = WHOLE,
+        seed: int, index: int = FULL_SNAPSHOT,
     ) -> None:  # fmt: skip
         """`grace_ms` is what servers that drain are left; `index` the version of the list at hand."""
         self._number, self._own, self.index = number, own, index
         self._random = random.Random(seed)
         # A watch can fall silent, and only its overdue answer tells: news is then as late as its wait
         # is long.
-        self._wait_ms = min(max(grace_ms or WAIT_MS, CALL_MS * balancers), WAIT_MS)
+        self._wait_ms = min(max(grace_ms or MAX_WAIT_MS, CALL_MS * balancers), MAX_WAIT_MS)
         self._spread_s = FAILOVER_MS * balancers / 1_000
         self._pace_s = 0.0 if own else PACE_MS * balancers / 1_000
         self._doubt_s = max(DOUBT_S, CALL_MS * balancers / 1_000)
-        self._compare_s = max(COMPARE_S, COMPARE_MS * balancers / 1_000)
+        self._compare_s = max(
+            CROSS_CHECK_INTERVAL_S, CROSS_CHECK_INTERVAL_PER_BALANCER_MS * balancers / 1_000
+        )
         self._crowded = 0  # calls that met a crowd since the last answer
         self._went_back = self._has_failed = self._waits = False
         self._whole_at = math.inf  # when a list that is not believed is asked for again
@@ -74,7 +81,7 @@
         self._begin(addresses)
 
     def _begin(self, addresses: tuple[Address, ...]) -> None:
-        self.sources = Sources(addresses, self._number, self._random)
+        self.sources = InstanceSelector(addresses, self._number, self._random)
         self._call_s = call_s(len(addresses), self._own)
         self._round_s = round_s(len(addresses), self._own)
         self.again_s = self._round_s  # after a failed call, the next one has to begin within so long
@@ -82,25 +89,25 @@
     def move(self, addresses: tuple[Address, ...]) -> None:
         """The service is elsewhere from now on."""
         self._begin(addresses)
-        self.index = WHOLE
+        self.index = FULL_SNAPSHOT
 
-    def ask(self, now: float = 0.0) -> Ask:
+    def ask(self, now: float = 0.0) -> ListRequest:
         """The next call; `now` counts while a list is not believed.
 
         After a failed call it does not wait: a service that takes calls and tells nothing shows at once, and
         what came meanwhile is not left to the end of a wait.
         """
         if now >= self._whole_at:
-            self.index = WHOLE
+            self.index = FULL_SNAPSHOT
             self.sources.failed()
         if self.index < 0:
             self._whole_at = math.inf
         self._waits = self.index >= 0 and not self._has_failed
         if not self._waits:
-            return Ask(self.sources.address, self.index, PROMPT_MS * (self.index >= 0), self._call_s)
-        wait_s = min(self._wait_ms / 1000 * (1 - SPREAD * self._random.random()), self._whole_at - now)
+            return ListRequest(self.sources.address, self.index, PROMPT_MS * (self.index >= 0), self._call_s)
+        wait_s = min(self._wait_ms / 1000 * (1 - WAIT_JITTER * self._random.random()), self._whole_at - now)
         wait_s = max(wait_s, 2 * PROMPT_MS / 1000)
-        return Ask(self.sources.address, self.index, wait_s * 1_000, wait_s + OVERDUE_S)
+        return ListRequest(self.sources.address, self.index, wait_s * 1_000, wait_s + OVERDUE_S)
 
     def answered(self, index: int, now: float) -> bool:
         """A list of some version has come; whether its service has gone back to an older state.
@@ -116,7 +123,7 @@
         self.index, self._went_back, self._has_failed, self._crowded = index, False, False, 0
         return is_rewound
 
-    def is_news(self, ask: Ask, index: int) -> bool:
+    def is_news(self, ask: ListRequest, index: int) -> bool:
         """Whether an answer that came late is no older than what its instance has told."""
         return index >= max(ask.after, self.sources.newest(ask.address))
 
@@ -135,7 +142,7 @@
             return None
         at, goes_on = self.sources.address, self.sources.failed()
         if self.sources.address != at or self._went_back:
-            self.index = WHOLE
+            self.index = FULL_SNAPSHOT
         return min(self._spread_s, self.again_s) * self._random.random() if goes_on else None
 
     def _turn_s(self) -> float:
@@ -148,7 +155,7 @@
         """
         if not self._crowded:
             return self._round_s
-        return max(self._round_s, min(self._pace_s, CROWDED_ROUND_S * 2.0 ** min(self._crowded - 1, 30)))
+        return max(self._round_s, min(self._pace_s, CONGESTED_ROUND_S * 2.0 ** min(self._crowded - 1, 30)))
 
     def disbelieved(self, now: float) -> None:
         """The list that came is not believed: it is asked for again later, elsewhere if there is one.
@@ -162,7 +169,7 @@
         """Whether the first choice is asked again from now on."""
         if not self._own or not self.sources.may_go_home(now):
             return False
-        self.index = WHOLE
+        self.index = FULL_SNAPSHOT
         return True
 
     # ---- a service that answers and never changes ------------------------------------------------
@@ -173,7 +180,7 @@
             return None
         first, is_said = not self._look_at, contradicted and now >= self._said_at
         if is_said:  # a server may be silent for long: it says the same, and each look costs a list
-            self._said_s = min(2 * self._said_s or SAID_S, self._compare_s)
+            self._said_s = min(2 * self._said_s or CONTRADICTION_BACKOFF_S, self._compare_s)
             self._said_at = now + self._said_s
         elif not contradicted:
             self._said_s = self._said_at = 0.0
@@ -183,10 +190,10 @@
             return None
         return None if first and not contradicted else self.sources.any_other()
 
-    def looked(self, ours: Look, other: Look, contradicted: bool) -> bool:
+    def looked(self, ours: ListVersion, other: ListVersion, contradicted: bool) -> bool:
         """Whether ours has stood still; if so, the other one is asked from now on."""
         if other.address == ours.address or not self.sources.stands_still(ours, other, contradicted):
             return False
         self.stood_still += 1
-        self.index = WHOLE
+        self.index = FULL_SNAPSHOT
         return True
--- a/loadbalancer/lab/policies.py
+++ b/loadbalancer/lab/policies.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from loadbalancer.simulation.baselines import BASELINES, Oracle
-from loadbalancer.simulation.fleet import World
+from loadbalancer.simulation.fleet import SimulatedFleet
 from loadbalancer.simulation.scenario import Day
 
 OURS = "ours"
@@ -21,19 +21,19 @@
     """A policy or a commit that is not there: one line that names it."""
 
 
-def world(day: Day, name: str) -> World:
+def world(day: Day, name: str) -> SimulatedFleet:
     """The world of a day with a policy in all its balancers; PolicyError if there is none of that name."""
     if name == OURS:
         from loadbalancer.policy import Balancer  # late: `use` may have put another in its place
 
-        return World(day, Balancer)
+        return SimulatedFleet(day, Balancer)
     if name not in BASELINES:
         raise PolicyError(f"no policy {name!r}; there are {', '.join(NAMES)}")
     kind = BASELINES[name]
     if kind is not Oracle:
-        return World(day, kind)
+        return SimulatedFleet(day, kind)
     seeing = type("Seeing", (Oracle,), {})
-    made = World(day, seeing)
+    made = SimulatedFleet(day, seeing)
     seeing.world = made  # type: ignore[attr-defined]
     return made
 
--- a/loadbalancer/membership/__init__.py
+++ b/loadbalancer/membership/__init__.py
@@ -8,8 +8,16 @@
 time. What it is for and what it is not for stands in docs/membership.md: no rule rests on it.
 """
 
-from loadbalancer.membership.member_table import State, Table
-from loadbalancer.membership.messages import NOTE_MOST
-from loadbalancer.membership.swim import Action, Membership, Tell, Wake
+from loadbalancer.membership.member_table import MemberState, MemberTable
+from loadbalancer.membership.messages import MAX_MESSAGE_BYTES
+from loadbalancer.membership.swim import Action, Membership, SendMessage, SetTimer
 
-__all__ = ["NOTE_MOST", "Action", "Membership", "State", "Table", "Tell", "Wake"]
+__all__ = [
+    "MAX_MESSAGE_BYTES",
+    "Action",
+    "MemberState",
+    "MemberTable",
+    "Membership",
+    "SendMessage",
+    "SetTimer",
+]
--- a/loadbalancer/membership/member_table.py
+++ b/loadbalancer/membership/member_table.py
@@ -6,13 +6,13 @@
 import math
 from dataclasses import dataclass
 
-from loadbalancer.membership.messages import NEWS_MOST
+from loadbalancer.membership.messages import MAX_UPDATES
 
 SPREAD = 3.0  # an item of news goes out this many times log2 of the fleet's size
-News = tuple[int, int, int]
+MemberUpdate = tuple[int, int, int]
 
 
-class State(enum.IntEnum):
+class MemberState(enum.IntEnum):
     """What is believed of a member; of one incarnation, the higher one wins."""
 
     ALIVE = 0
@@ -22,16 +22,16 @@
 
 
 @dataclass(slots=True)
-class Belief:
+class MemberRecord:
     """One member, as it is seen here."""
 
-    state: State = State.ALIVE
+    state: MemberState = MemberState.ALIVE
     incarnation: int = 0
     since: float = 0.0
     heard: float = -math.inf  # when a note of its own last came
 
 
-class Table:
+class MemberTable:
     """The beliefs on all members of a fleet, ourselves included.
 
     At the start all that the settings name pass for alive at incarnation 0: that is what is known.
@@ -39,7 +39,7 @@
 
     def __init__(self, number: int, count: int, now: float) -> None:
         self.number, self.count = number, count
-        self.beliefs = [Belief(since=now) for _ in range(count)]
+        self.beliefs = [MemberRecord(since=now) for _ in range(count)]
         self._sent: dict[int, int] = {}  # how often news of a member has gone out
         self.gone_by_us, self.last_gone = 0, -1  # how many we gave up ourselves, and whom last
         self._sends_most = math.ceil(SPREAD * math.log2(count + 1))
@@ -52,13 +52,13 @@
     @property
     def present(self) -> list[int]:
         """Members that are not known to be gone, ourselves included."""
-        return [n for n, b in enumerate(self.beliefs) if b.state <= State.SUSPECTED]
+        return [n for n, b in enumerate(self.beliefs) if b.state <= MemberState.SUSPECTED]
 
-    def state(self, number: int) -> State:
+    def state(self, number: int) -> MemberState:
         """What is believed of a member."""
         return self.beliefs[number].state
 
-    def learn(self, number: int, state: State, incarnation: int, now: float) -> bool:
+    def learn(self, number: int, state: MemberState, incarnation: int, now: float) -> bool:
         """Take news of another member; whether it was any.
 
         A higher incarnation wins, and at the same one the worse state: only the member itself can overrule
@@ -75,30 +75,30 @@
 
     def give_up(self, number: int, now: float) -> None:
         """We have failed to reach a member, whatever we tried."""
-        if self.learn(number, State.GONE, self.beliefs[number].incarnation, now):
+        if self.learn(number, MemberState.GONE, self.beliefs[number].incarnation, now):
             self.gone_by_us, self.last_gone = self.gone_by_us + 1, number
 
     def refute(self, incarnation: int, now: float) -> None:
         """Say that we are alive, above an incarnation at which another thing is said of us."""
         own = self.beliefs[self.number]
         own.incarnation = max(own.incarnation, incarnation) + 1
-        own.state, own.since = State.ALIVE, now
+        own.state, own.since = MemberState.ALIVE, now
         self._sent[self.number] = 0
 
     def leave(self, now: float) -> None:
         """Say that we go, on purpose."""
         own = self.beliefs[self.number]
         own.incarnation += 1
-        own.state, own.since = State.LEFT, now
+        own.state, own.since = MemberState.LEFT, now
         self._sent[self.number] = 0
 
-    def news(self, to: int) -> tuple[News, ...]:
+    def news(self, to: int) -> tuple[MemberUpdate, ...]:
         """What goes with a note: what we hold against its receiver first, then what has gone out least."""
         chosen = []
-        if self.beliefs[to].state is not State.ALIVE:
+        if self.beliefs[to].state is not MemberState.ALIVE:
             chosen.append(to)  # so that it can overrule it
         for number in sorted(self._sent, key=lambda n: (self._sent[n], n)):
-            if len(chosen) >= NEWS_MOST:
+            if len(chosen) >= MAX_UPDATES:
                 break
             if number != to:
                 chosen.append(number)
--- a/loadbalancer/membership/messages.py
+++ b/loadbalancer/membership/messages.py
@@ -10,16 +10,16 @@
 
 import msgspec
 
-NOTE_MOST = 256
-NEWS_BYTES = 12  # the most that one item of news takes
-HEAD_BYTES = 40  # the most that all the rest takes
-NEWS_MOST = (NOTE_MOST - HEAD_BYTES) // NEWS_BYTES
+MAX_MESSAGE_BYTES = 256
+MAX_UPDATE_BYTES = 12  # the most that one item of news takes
+MAX_HEADER_BYTES = 40  # the most that all the rest takes
+MAX_UPDATES = (MAX_MESSAGE_BYTES - MAX_HEADER_BYTES) // MAX_UPDATE_BYTES
 TAG_BYTES = 4
 _MOST_NUMBER = 1 << 20
 _MOST_COUNT = 1 << 32
 
 
-class Kind(enum.IntEnum):
+class MessageKind(enum.IntEnum):
     """What a note asks or answers."""
 
     PING = 0
@@ -27,7 +27,7 @@
     RELAY = 2  # ask somebody else for me
 
 
-class Note(msgspec.Struct, array_like=True, frozen=True):
+class GossipMessage(msgspec.Struct, array_like=True, frozen=True):
     """A note as it goes out."""
 
     fleet: bytes
@@ -39,38 +39,38 @@
     news: tuple[tuple[int, int, int], ...]
 
 
-class Unreadable(ValueError):
+class MessageDecodeError(ValueError):
     """A note that is passed over, and the one word under which it is counted."""
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Note)
+_decoder = msgspec.msgpack.Decoder(GossipMessage)
 
 
-def write(note: Note) -> bytes:
+def encode_message(note: GossipMessage) -> bytes:
     """The bytes of a note; ValueError if they are too many, which no note of ours is."""
     data = _encoder.encode(note)
-    if len(data) > NOTE_MOST:
-        raise ValueError(f"a note of {len(data)} bytes; {NOTE_MOST} are allowed")
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise ValueError(f"a note of {len(data)} bytes; {MAX_MESSAGE_BYTES} are allowed")
     return data
 
 
-def read(data: bytes, fleet: bytes, count: int) -> Note:
+def decode_message(data: bytes, fleet: bytes, count: int) -> GossipMessage:
     """A note of a fleet of so many members; Unreadable says why it is none."""
-    if len(data) > NOTE_MOST:
-        raise Unreadable("long")
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise MessageDecodeError("long")
     try:
         note = _decoder.decode(data)
     except (msgspec.DecodeError, RecursionError):
-        raise Unreadable("garbled") from None
+        raise MessageDecodeError("garbled") from None
     if note.fleet != fleet:
-        raise Unreadable("foreign")
+        raise MessageDecodeError("foreign")
     numbers = (note.sender, note.target + 1, *(number for number, _, _ in note.news))
     figures = (note.sequence, note.incarnation, *(incarnation for _, _, incarnation in note.news))
-    if note.kind not in tuple(Kind) or not 0 <= note.sender < count or note.target >= count:
-        raise Unreadable("garbled")
+    if note.kind not in tuple(MessageKind) or not 0 <= note.sender < count or note.target >= count:
+        raise MessageDecodeError("garbled")
     if not all(0 <= n < _MOST_NUMBER for n in numbers) or not all(0 <= f < _MOST_COUNT for f in figures):
-        raise Unreadable("garbled")
+        raise MessageDecodeError("garbled")
     if any(number >= count or not 0 <= state <= 3 for number, state, _ in note.news):
-        raise Unreadable("garbled")
+        raise MessageDecodeError("garbled")
     return note
--- a/loadbalancer/membership/swim.py
+++ b/loadbalancer/membership/swim.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass, field
 
 from loadbalancer.membership import messages
-from loadbalancer.membership.member_table import State, Table
-from loadbalancer.membership.messages import Kind, Note
+from loadbalancer.membership.member_table import MemberState, MemberTable
+from loadbalancer.membership.messages import GossipMessage, MessageKind
 
 PERIOD_MS = 250.0  # one probe of each member; 99 in 100 are probed by somebody within 4.6 of them
 ANSWER_MS = 100.0  # two ways of 35 ms at most, and a loop that is busy
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendMessage:
     """Send a note to a member."""
 
     to: int
@@ -42,13 +42,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
+class SetTimer:
     """Call `due` at a moment; an earlier wish gives way."""
 
     at: float
 
 
-Action = Tell | Wake
+Action = SendMessage | SetTimer
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class MessageCounts:
     """What has gone in and out."""
 
     sent: int = 0
@@ -79,8 +79,8 @@
         """`number` of `count` members; `fleet` are four bytes that all of them share."""
         if not 0 <= number < count or len(fleet) != messages.TAG_BYTES:
             raise ValueError(f"member {number} of {count}, with a tag of {len(fleet)} bytes")
-        self.table = Table(number, count, now)
-        self.counts, self.health = Counts(), 0
+        self.table = MemberTable(number, count, now)
+        self.counts, self.health = MessageCounts(), 0
         self._number, self._fleet = number, fleet
         self._random = random.Random(seed)
         self._sequence = self._random.randrange(1 << 16)
@@ -115,24 +115,24 @@
     def heard(self, sender: int, data: bytes, now: float) -> list[Action]:
         """A note from the address of a member; one that can't be used is counted and passed over."""
         try:
-            note = messages.read(data, self._fleet, self.table.count)
+            note = messages.decode_message(data, self._fleet, self.table.count)
             if note.sender != sender or sender == self._number:
-                raise messages.Unreadable("forged")
-        except messages.Unreadable as reason:
+                raise messages.MessageDecodeError("forged")
+        except messages.MessageDecodeError as reason:
             self.counts.dropped[str(reason)] += 1
             return []
         if self._left:
             return []
         self.counts.taken += 1
         self._take_news(note, now)
-        if note.kind == Kind.ACK:
+        if note.kind == MessageKind.ACK:
             self._acked(note, now)
-        elif note.kind == Kind.PING:
-            self._tell(sender, Kind.ACK, note.sequence)
+        elif note.kind == MessageKind.PING:
+            self._tell(sender, MessageKind.ACK, note.sequence)
         elif 0 <= note.target != self._number and len(self._carried) < RELAYED_MOST:
             sequence = self._new_sequence()
             self._carried[sequence] = (sender, note.sequence)
-            self._tell(note.target, Kind.PING, sequence)
+            self._tell(note.target, MessageKind.PING, sequence)
         return self._done(now)
 
     def leave(self, now: float) -> list[Action]:
@@ -140,7 +140,7 @@
         self.table.leave(now)
         others = [n for n in self.table.present if n != self._number]
         for to in self._random.sample(others, min(LEAVING_NOTES, len(others))):
-            self._tell(to, Kind.PING, self._new_sequence(), about_us=True)
+            self._tell(to, MessageKind.PING, self._new_sequence(), about_us=True)
         self._left = True
         out, self._out = self._out, []
         return out
@@ -157,23 +157,23 @@
             self._random.shuffle(self._order)
         while self._order:
             target = self._order.pop()
-            if self.table.state(target) <= State.SUSPECTED and target not in self._probes:
+            if self.table.state(target) <= MemberState.SUSPECTED and target not in self._probes:
                 self._probe(target, now)
                 break
         if self._periods % TRIAL_EVERY == 0:
-            gone = [n for n, b in enumerate(self.table.beliefs) if b.state is State.GONE]
+            gone = [n for n, b in enumerate(self.table.beliefs) if b.state is MemberState.GONE]
             if gone:
-                self._tell(self._random.choice(gone), Kind.PING, self._new_sequence())
+                self._tell(self._random.choice(gone), MessageKind.PING, self._new_sequence())
 
     def _probe(self, target: int, now: float) -> None:
         sequence = self._new_sequence()
         self._probes[target] = Probe(target, sequence, now + ANSWER_MS * self._stretch())
-        self._tell(target, Kind.PING, sequence)
+        self._tell(target, MessageKind.PING, sequence)
 
     def _step(self, probe: Probe, now: float) -> None:
         """A probe was not answered in time: ask others, then suspect, then give up."""
         target = probe.target
-        if self.table.state(target) > State.SUSPECTED:
+        if self.table.state(target) > MemberState.SUSPECTED:
             del self._probes[target]
             return
         if not probe.relayed:
@@ -188,21 +188,21 @@
             return
         if probe.rounds == 1:
             self.health = min(self.health + 1, HEALTH_MOST - 1)
-            self.table.learn(target, State.SUSPECTED, self.table.beliefs[target].incarnation, now)
-        self._tell(target, Kind.PING, probe.sequence)
+            self.table.learn(target, MemberState.SUSPECTED, self.table.beliefs[target].incarnation, now)
+        self._tell(target, MessageKind.PING, probe.sequence)
         self._ask_others(probe)
         probe.next_step = now + ROUND_MS * self._stretch()
 
     def _ask_others(self, probe: Probe) -> None:
         others = [n for n in self.table.present if n not in (self._number, probe.target)]
         for other in self._random.sample(others, min(RELAYS, len(others))):
-            self._tell(other, Kind.RELAY, probe.sequence, probe.target)
+            self._tell(other, MessageKind.RELAY, probe.sequence, probe.target)
 
-    def _acked(self, note: Note, now: float) -> None:
+    def _acked(self, note: GossipMessage, now: float) -> None:
         """Somebody was heard, by us or for another."""
         if carried := self._carried.pop(note.sequence, None):
             asker, sequence = carried
-            self._tell(asker, Kind.ACK, sequence, note.sender)
+            self._tell(asker, MessageKind.ACK, sequence, note.sender)
             return
         target = note.target if note.target >= 0 else note.sender
         probe = self._probes.get(target)
@@ -218,21 +218,21 @@
 
     # ---- news -----------------------------------------------------------------------------------
 
-    def _take_news(self, note: Note, now: float) -> None:
+    def _take_news(self, note: GossipMessage, now: float) -> None:
         sender = self.table.beliefs[note.sender]
         sender.heard = now
-        self.table.learn(note.sender, State.ALIVE, note.incarnation, now)
+        self.table.learn(note.sender, MemberState.ALIVE, note.incarnation, now)
         for number, state, incarnation in note.news:
             if number != self._number:
-                self.table.learn(number, State(state), incarnation, now)
-            elif (incarnation, state) > (self.table.incarnation, State.ALIVE):
+                self.table.learn(number, MemberState(state), incarnation, now)
+            elif (incarnation, state) > (self.table.incarnation, MemberState.ALIVE):
                 self.table.refute(incarnation, now)
 
     def _look_again(self, now: float) -> None:
         """Look again at those whose suspicion nobody confirms or overrules: who raised it may be gone."""
         for number, belief in enumerate(self.table.beliefs):
             if (
-                belief.state is State.SUSPECTED
+                belief.state is MemberState.SUSPECTED
                 and now - belief.since > TRUST_MS
                 and number not in self._probes
             ):
@@ -248,20 +248,22 @@
         self._sequence = (self._sequence + 1) % (1 << 32)
         return self._sequence
 
-    def _tell(self, to: int, kind: Kind, sequence: int, target: int = -1, about_us: bool = False) -> None:
+    def _tell(
+        self, to: int, kind: MessageKind, sequence: int, target: int = -1, about_us: bool = False
+    ) -> None:
         news = self.table.news(to)
         if about_us:
             own = self.table.beliefs[self._number]
             said = (self._number, int(own.state), own.incarnation)
-            news = (said, *[item for item in news if item[0] != self._number])[: messages.NEWS_MOST]
-        note = Note(self._fleet, kind, sequence, self._number, self.table.incarnation, target, news)
-        data = messages.write(note)
+            news = (said, *[item for item in news if item[0] != self._number])[: messages.MAX_UPDATES]
+        note = GossipMessage(self._fleet, kind, sequence, self._number, self.table.incarnation, target, news)
+        data = messages.encode_message(note)
         self.counts.sent += 1
         self.counts.sent_bytes += len(data)
-        self._out.append(Tell(to, data))
+        self._out.append(SendMessage(to, data))
 
     def _done(self, now: float) -> list[Action]:
         """What is to be done, and when we want to be woken."""
         self._wake_at = min([self._next_period, *[p.next_step for p in self._probes.values()]])
         out, self._out = self._out, []
-        return [*out, Wake(max(self._wake_at, now))]
+        return [*out, SetTimer(max(self._wake_at, now))]
--- a/loadbalancer/net/config.py
+++ b/loadbalancer/net/config.py
@@ -19,8 +19,10 @@
 from loadbalancer.interface import Endpoint, Readiness, Settings
 
 Address = tuple[str, int]
-LIST_DOUBT = 0.3  # of the ready servers: more do not go at once unsaid, but for a fault of the list itself
-SERVICES_MOST, PART_MOST = 32, 100_000  # as a list service takes them
+DEFAULT_SUSPECT_STALE_FRACTION = (
+    0.3  # of the ready servers: more do not go at once unsaid, but for a fault of the list itself
+)
+SERVICES_MOST, MAX_SUBSET_SIZE = 32, 100_000  # as a list service takes them
 SERVICE = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$")
 SNAPSHOT_MS, SNAPSHOT_LEAST_MS = 10_000.0, 100.0  # evidence fades within 6 s: more often gains nothing
 
@@ -62,7 +64,7 @@
     """Further instances that hold the same list."""
     tier: str = ""
     """The tier that is asked for; empty for the service's first."""
-    doubt: float = LIST_DOUBT
+    doubt: float = DEFAULT_SUSPECT_STALE_FRACTION
     """A whole list that leaves out more than this part of the ready servers is doubted: `list_doubt`."""
     services: tuple[str, ...] = ()
     """What is asked for in place of a tier, where the service knows interests; several are one pool."""
@@ -212,9 +214,11 @@
     tier, services, part = str(told.get("tier") or ""), _read_services(told), int(told.get("part") or 0)
     if services and tier:
         raise ValueError("lists.tier: is the one service of `lists.services`; give one of the two")
-    if not 0 <= part <= PART_MOST or (part and not services):
-        raise ValueError(f"lists.part: {part}; allowed: 0 to {PART_MOST}, and only with `lists.services`")
-    return Lists(others, tier, float(told.get("doubt", LIST_DOUBT)), services, part)
+    if not 0 <= part <= MAX_SUBSET_SIZE or (part and not services):
+        raise ValueError(
+            f"lists.part: {part}; allowed: 0 to {MAX_SUBSET_SIZE}, and only with `lists.services`"
+        )
+    return Lists(others, tier, float(told.get("doubt", DEFAULT_SUSPECT_STALE_FRACTION)), services, part)
 
 
 def _read_services(told: Mapping[str, Any]) -> tuple[str, ...]:
--- a/loadbalancer/net/console.py
+++ b/loadbalancer/net/console.py
@@ -39,7 +39,7 @@
 _JSON: Headers = [(b"Content-Type", b"application/json")]
 
 
-class Office(Protocol):
+class ConsoleBackend(Protocol):
     """What the console asks, and tells, the balancer."""
 
     def is_serving(self) -> bool:
@@ -140,7 +140,7 @@
 class Console:
     """Listens for operators and answers their calls."""
 
-    def __init__(self, address: Address, loop: asyncio.AbstractEventLoop, office: Office) -> None:
+    def __init__(self, address: Address, loop: asyncio.AbstractEventLoop, office: ConsoleBackend) -> None:
         self.loop, self._office = loop, office
         self._calls: dict[_Call, None] = {}  # the longest there first
         self._tasks: set[asyncio.Task[None]] = set()
--- a/loadbalancer/net/discovery.py
+++ b/loadbalancer/net/discovery.py
@@ -9,12 +9,18 @@
 from dataclasses import replace
 from typing import cast
 
-from loadbalancer.endpoint_watch import Ask, Look, Paced, Watch, Witnesses
-from loadbalancer.endpoint_watch.watch import WHOLE
+from loadbalancer.endpoint_watch import (
+    ContradictionDetector,
+    ListRequest,
+    ListVersion,
+    RateLimitedError,
+    Watch,
+)
+from loadbalancer.endpoint_watch.watch import FULL_SNAPSHOT
 from loadbalancer.interface import EndpointListUpdate, Readiness, UpdateKind
 from loadbalancer.net.config import Address, AddressedEndpoint, Config, Lists, ServerList, read_list
 from loadbalancer.net.interest_subscription import Held, Wants
-from loadbalancer.net.upstream import UNREADABLE, Answer, ResponseReader
+from loadbalancer.net.upstream import UNREADABLE, ResponseReader, UpstreamResponse
 
 PUSH_PAUSE_S = 0.5  # before the agent on this machine is called again, where lists are pushed
 WHOLE_S = 2.0  # for a look at another instance
@@ -38,7 +44,7 @@
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
         self._reader = ResponseReader()
-        self._answer: asyncio.Future[Answer] | None = None
+        self._answer: asyncio.Future[UpstreamResponse] | None = None
         self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -77,7 +83,7 @@
         if self._answer is not None and not self._answer.done():
             self._answer.set_exception(error)
 
-    async def call(self, request: bytes) -> Answer:
+    async def call(self, request: bytes) -> UpstreamResponse:
         """Send a call and wait for its answer."""
         assert self._transport is not None
         self._answer = asyncio.get_running_loop().create_future()
@@ -85,7 +91,7 @@
         self._transport.write(request)
         return await self._answer
 
-    async def late(self) -> Answer:
+    async def late(self) -> UpstreamResponse:
         """Wait on for the answer to a call that was given up."""
         self._answer = asyncio.get_running_loop().create_future()
         return await self._answer
@@ -100,13 +106,13 @@
 class _Late:
     """The last call that was given up: links may be slow, and its answer may be the next one to come."""
 
-    def __init__(self, take: Callable[[Ask, Answer], None]) -> None:
+    def __init__(self, take: Callable[[ListRequest, UpstreamResponse], None]) -> None:
         """`take` may raise ValueError for an answer that can't be read."""
         self._take = take
         self._link: _Link | None = None
         self._task: asyncio.Task[None] | None = None
 
-    def listen(self, link: _Link, ask: Ask) -> None:
+    def listen(self, link: _Link, ask: ListRequest) -> None:
         """Wait for this one's answer, and for no earlier one's."""
         self.drop()
         self._link, self._task = link, asyncio.get_running_loop().create_task(self._hear(link, ask))
@@ -118,7 +124,7 @@
             self._link.close()
         self._link = self._task = None
 
-    async def _hear(self, link: _Link, ask: Ask) -> None:
+    async def _hear(self, link: _Link, ask: ListRequest) -> None:
         try:
             async with asyncio.timeout(LATE_S):
                 self._take(ask, await link.late())
@@ -156,7 +162,7 @@
             grace_ms=config.drain_grace_ms,
             own=self._own is not None,
             seed=config.seed,
-            index=config.known.index if is_known else WHOLE,
+            index=config.known.index if is_known else FULL_SNAPSHOT,
         )
         self._task: asyncio.Task[None] | None = None
         self._comparing: asyncio.Task[None] | None = None
@@ -166,7 +172,7 @@
         self._reopened = False  # and no answer since
         self._content: dict[str, tuple[object, ...]] = {}
         self._heard = self._changed = -math.inf
-        self.witnesses = Witnesses()
+        self.witnesses = ContradictionDetector()
 
     def start(self) -> None:
         """Where lists are pushed, listen from the start: nobody subscribes there."""
@@ -229,7 +235,7 @@
             ask = watch.ask(began)
             try:
                 news = await self._call(ask)
-            except Paced as paced:
+            except RateLimitedError as paced:
                 self._wants.paced(paced)
                 await asyncio.sleep(paced.after_s)
                 continue
@@ -256,7 +262,7 @@
             elif watch.went_home(loop.time()):
                 self._close_link()
 
-    def _pause(self, ask: Ask, error: Exception) -> float | None:
+    def _pause(self, ask: ListRequest, error: Exception) -> float | None:
         """Seconds until a platform's list is asked again after a call has failed; None if others say when.
 
         A watch that breaks is opened anew at once, for what it misses counts as told; but not twice with no
@@ -271,7 +277,7 @@
             self._on_failed()  # when to ask again is the module's to say, unless we do at once
         return 0.0 if at_once else None if self._asked else min(PUSH_PAUSE_S, self._watch.again_s)
 
-    async def _call(self, ask: Ask) -> ServerList:
+    async def _call(self, ask: ListRequest) -> ServerList:
         loop = asyncio.get_running_loop()
         until = loop.time() + ask.limit_s
         if self._link is None or self._link.closed or self._linked_to != ask.address:
@@ -294,7 +300,7 @@
             self._note(news, now)
         return news
 
-    def _late_answer(self, ask: Ask, answer: Answer) -> None:
+    def _late_answer(self, ask: ListRequest, answer: UpstreamResponse) -> None:
         """Take it as it is, and leave the watch where it is: the next answer tells the same, and more."""
         news, _ = _read(answer, self._wants)
         if self._watch.is_news(ask, news.index):
@@ -331,7 +337,7 @@
             if (address := watch.look_at(loop.time(), contradicted)) is None:
                 continue
             other = await _look(address, self._wants)
-            ours = Look(watch.sources.address, watch.index, frozenset(self._content.values()))
+            ours = ListVersion(watch.sources.address, watch.index, frozenset(self._content.values()))
             if other is not None and watch.looked(ours, other, contradicted):
                 self._start_anew()
 
@@ -346,7 +352,7 @@
     return link
 
 
-async def _ask(link: _Link, ask: Ask, wants: Wants) -> tuple[ServerList, Held]:
+async def _ask(link: _Link, ask: ListRequest, wants: Wants) -> tuple[ServerList, Held]:
     """One call: the list, and what is held with it; ValueError if its answer is no list."""
     query = wants.query(asyncio.get_running_loop().time())
     if ask.after >= 0:
@@ -356,7 +362,7 @@
     return _read(answer, wants)
 
 
-def _read(answer: Answer, wants: Wants) -> tuple[ServerList, Held]:
+def _read(answer: UpstreamResponse, wants: Wants) -> tuple[ServerList, Held]:
     """What an answer tells; ValueError if it is no list, Paced if it says when to come again."""
     if answer.status != 200:
         wants.look_for_pace(answer.status, answer.body)
@@ -365,19 +371,19 @@
     return read_list(told), wants.read(told)
 
 
-async def _look(address: Address, wants: Wants) -> Look | None:
+async def _look(address: Address, wants: Wants) -> ListVersion | None:
     """Another instance's list; None if it does not tell."""
     link: _Link | None = None
     try:
         async with asyncio.timeout(WHOLE_S):
             link = await _connect(address)
-            news, _ = await _ask(link, Ask(address, WHOLE, 0.0, WHOLE_S), wants)
-    except (OSError, ValueError, TimeoutError, Paced):
+            news, _ = await _ask(link, ListRequest(address, FULL_SNAPSHOT, 0.0, WHOLE_S), wants)
+    except (OSError, ValueError, TimeoutError, RateLimitedError):
         return None
     finally:
         if link is not None:
             link.close()
-    return Look(address, news.index, frozenset(_entry(e) for e in news.endpoints))
+    return ListVersion(address, news.index, frozenset(_entry(e) for e in news.endpoints))
 
 
 def _entry(endpoint: AddressedEndpoint) -> tuple[object, ...]:
--- a/loadbalancer/net/downstream.py
+++ b/loadbalancer/net/downstream.py
@@ -23,16 +23,16 @@
     BODY_MAX,
     HEAD_MAX,
     LAST_CHUNK,
-    Ambiguous,
+    AmbiguousLengthError,
     Body,
-    Buffers,
+    BufferBudget,
+    BufferReservation,
     Headers,
-    Holding,
-    TooLarge,
+    MessageTooLargeError,
     body_length,
     chunk,
     end_to_end,
-    has_hung_up,
+    has_peer_closed,
     origin_form,
     peek,
     reset_on_close,
@@ -69,7 +69,7 @@
         """Go on."""
 
 
-class Taken:
+class DownstreamRequest:
     """A caller's request; it is owed one answer once it is whole."""
 
     __slots__ = (
@@ -160,7 +160,7 @@
             return 400, "X-Class must be the first part of the path"
         if not named.get(b"x-request-id"):
             return 400, "X-Request-Id is missing"
-        deadline = read_span_ms(named.get(b"x-deadline", b""))
+        deadline = parse_duration_ms(named.get(b"x-deadline", b""))
         if deadline is None:
             return 400, "X-Deadline must be a number above 0 and a unit, m or u"
         self.class_name, self.deadline_ms = first, min(deadline, DEADLINE_MAX_MS)
@@ -173,7 +173,7 @@
         return None
 
 
-def read_span_ms(text: bytes) -> float | None:
+def parse_duration_ms(text: bytes) -> float | None:
     """A number and a unit in milliseconds; None if it is no span above 0."""
     try:
         value = float(text[:-1]) * _UNIT_MS[text[-1:]]
@@ -193,16 +193,16 @@
 class RequestHandler(Protocol):
     """Where whole requests go."""
 
-    def arrived(self, taken: Taken) -> None:
+    def arrived(self, taken: DownstreamRequest) -> None:
         """Take a request; the rest of a long body may still come."""
 
-    def whole(self, taken: Taken) -> None:
+    def whole(self, taken: DownstreamRequest) -> None:
         """The rest of a request that was taken has come."""
 
-    def broke(self, taken: Taken, status: int) -> None:
+    def broke(self, taken: DownstreamRequest, status: int) -> None:
         """The rest of a request that was taken will not come: it ends with this status."""
 
-    def left(self, taken: Taken) -> None:
+    def left(self, taken: DownstreamRequest) -> None:
         """Hear that nobody waits for its answer any more."""
 
     def close(self) -> None:
@@ -212,13 +212,13 @@
 class DownstreamConnection(asyncio.BufferedProtocol):
     """One caller's connection: requests in turn, each answered before the next is looked at."""
 
-    def __init__(self, callers: Callers) -> None:
+    def __init__(self, callers: DownstreamListener) -> None:
         self._callers, self.buffers = callers, callers.buffers
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
-        self._waiting: deque[Taken] = deque()
-        self._current: Taken | None = None
-        self._incoming: Taken | None = None  # whose body has still to come, or to end
+        self._waiting: deque[DownstreamRequest] = deque()
+        self._current: DownstreamRequest | None = None
+        self._incoming: DownstreamRequest | None = None  # whose body has still to come, or to end
         self._bad: tuple[int, str] | None = None
         self._deaf = self._lost = self._advancing = self._paused = self._reading = False
         self._half_closed = False  # by us; what still comes is read and dropped
@@ -226,7 +226,7 @@
         self._in_head = self._passing = False
         self._ends_with_close = False  # the answer that is passed on: nothing else tells its end
         self._asked = False  # whether a whole request has come
-        self._unsent = Holding(self.buffers)
+        self._unsent = BufferReservation(self.buffers)
         self._left_unsent = 0  # when it was last looked at, after the end
         self._patience: asyncio.TimerHandle | None = None
         self._looking: asyncio.TimerHandle | None = None
@@ -259,23 +259,23 @@
         self._head += size
         if self._head > HEAD_MAX:
             self._bad = 431, "headers too large"
-            raise TooLarge
+            raise MessageTooLargeError
 
     def on_headers_complete(self) -> None:
         """The head is whole: the body is what comes next."""
         self._in_head = False
-        taken = Taken(self, self._parser.get_method(), self._target, self._headers)
+        taken = DownstreamRequest(self, self._parser.get_method(), self._target, self._headers)
         taken.keep_alive = self._parser.should_keep_alive()
         taken.version = self._parser.get_http_version()
         if (taken.body.length or 0) > BODY_MAX:
             self._bad = 413, "body too large"
-            raise TooLarge
+            raise MessageTooLargeError
         if taken.body.length == -1:
             taken.body.length = 0
         elif self._parser.should_upgrade():
-            raise Ambiguous("a body and another protocol")
+            raise AmbiguousLengthError("a body and another protocol")
         if taken.method == b"CONNECT":
-            raise Ambiguous("what follows would be for somebody else")
+            raise AmbiguousLengthError("what follows would be for somebody else")
         self._incoming = taken
 
     def on_body(self, data: bytes) -> None:
@@ -284,7 +284,7 @@
         assert taken is not None
         if taken.body.size + len(data) > BODY_MAX:
             self._bad = 413, "body too large"
-            raise TooLarge
+            raise MessageTooLargeError
         taken.body.feed(data)
 
     def on_message_complete(self) -> None:
@@ -391,7 +391,7 @@
         self._advance()
         self._be_patient()
 
-    def _is_queued(self, taken: Taken) -> bool:
+    def _is_queued(self, taken: DownstreamRequest) -> bool:
         return taken is self._current or taken in self._waiting or self._ends_with_body
 
     def _welcome(self) -> None:
@@ -432,7 +432,7 @@
 
     def _let_go_if_gone(self) -> bool:
         """Ask the socket whether the caller has gone, though there may be bytes to read before its end."""
-        if self._transport is None or not has_hung_up(self._transport):
+        if self._transport is None or not has_peer_closed(self._transport):
             return False
         self._leave()
         self._transport.abort()
@@ -518,7 +518,7 @@
         self._welcome()
         self.regulate()
 
-    def _take(self, taken: Taken) -> None:
+    def _take(self, taken: DownstreamRequest) -> None:
         # Whoever asks for no service gets a close with the answer: such peers stay, and there are many.
         if taken.target == b"/healthz" and taken.method == b"GET":
             taken.keep_alive = False
@@ -541,7 +541,7 @@
                 taken.body.drop()
                 taken.answer(500)
 
-    def answer(self, taken: Taken, status: int, headers: Headers, body: bytes) -> None:
+    def answer(self, taken: DownstreamRequest, status: int, headers: Headers, body: bytes) -> None:
         """Write the final answer of the current request."""
         if self._lost or taken is not self._current:
             return
@@ -549,7 +549,7 @@
         self._write(status, headers, body, close=self._is_last(taken))
         self._advance()
 
-    def _is_last(self, taken: Taken) -> bool:
+    def _is_last(self, taken: DownstreamRequest) -> bool:
         """Whether the connection is to end with this answer."""
         if not taken.body.whole:
             return True  # what still comes of the body is no request
@@ -572,7 +572,7 @@
         self._incoming.body.drop()
         self.regulate()
 
-    def begin(self, taken: Taken, headers: Headers, length: int | None) -> None:
+    def begin(self, taken: DownstreamRequest, headers: Headers, length: int | None) -> None:
         """Write the head of an answer that comes piece by piece."""
         if self._lost or self._transport is None or taken is not self._current:
             return
@@ -585,13 +585,13 @@
             taken.chunked = True
         self._transport.write(response_head(200, headers, length, close))
 
-    def pass_on(self, taken: Taken, data: bytes) -> None:
+    def pass_on(self, taken: DownstreamRequest, data: bytes) -> None:
         """Write a piece of it."""
         if self._lost or self._transport is None or taken is not self._current:
             return
         self._transport.write(chunk(data) if taken.chunked else data)
 
-    def finish(self, taken: Taken) -> None:
+    def finish(self, taken: DownstreamRequest) -> None:
         """It is whole."""
         if self._lost or self._transport is None or taken is not self._current:
             return
@@ -670,7 +670,7 @@
     return listener
 
 
-class Callers:
+class DownstreamListener:
     """The listening socket and the connections that came in by it."""
 
     def __init__(
@@ -679,7 +679,7 @@
         loop: asyncio.AbstractEventLoop,
         handler: RequestHandler,
         report: Callable[[str], None],
-        buffers: Buffers,
+        buffers: BufferBudget,
         listener: socket.socket | None = None,
     ) -> None:
         """`listener` is the socket that the process before this one has listened on."""
--- a/loadbalancer/net/hot_restart.py
+++ b/loadbalancer/net/hot_restart.py
@@ -182,7 +182,7 @@
         os.close(held)
 
 
-class Legacy:
+class Predecessor:
     """The older process, seen from the new one: the listening socket and what it has learned."""
 
     def __init__(self, link: socket.socket, listener: socket.socket, state: dict[str, Any]) -> None:
@@ -218,7 +218,7 @@
         return {str(name): int(count) for name, count in json.loads(line).items()}
 
 
-def ask_predecessor(folder: Path | None) -> Legacy | None:
+def connect_to_predecessor(folder: Path | None) -> Predecessor | None:
     """The process that serves here now, if there is one that answers. For use before there is a loop."""
     if folder is None:
         return None
@@ -241,7 +241,7 @@
         state = json.loads(data)
         if not isinstance(state, dict):
             raise ValueError("what was learned is no object")
-        return Legacy(link, listener, state)
+        return Predecessor(link, listener, state)
     except (OSError, ValueError):
         # Nobody is there, or nobody that can hand over: we start on our own.
         for opened in (link, listener):
@@ -269,7 +269,7 @@
         """Descriptors that are still held, by use."""
 
 
-class Handover:
+class HotRestartListener:
     """Waits for the process that is to take over."""
 
     def __init__(self, folder: Path, loop: asyncio.AbstractEventLoop, estate: Estate) -> None:
--- a/loadbalancer/net/http_framing.py
+++ b/loadbalancer/net/http_framing.py
@@ -22,15 +22,15 @@
 Headers = list[tuple[bytes, bytes]]
 
 
-class TooLarge(Exception):
+class MessageTooLargeError(Exception):
     """A message that is larger than the protocol allows."""
 
 
-class Ambiguous(Exception):
+class AmbiguousLengthError(Exception):
     """A message whose end two readers could see at different places."""
 
 
-class Buffers:
+class BufferBudget:
     """One bound over the bytes of bodies that are held, on all connections together."""
 
     def __init__(self, bound: int) -> None:
@@ -50,12 +50,12 @@
         return self._space[:count]
 
 
-class Holding:
+class BufferReservation:
     """The bytes that one connection, or one body, holds of the bound."""
 
     __slots__ = ("_buffers", "count")
 
-    def __init__(self, buffers: Buffers) -> None:
+    def __init__(self, buffers: BufferBudget) -> None:
         self._buffers, self.count = buffers, 0
 
     def set(self, count: int) -> None:
@@ -82,10 +82,10 @@
 
     __slots__ = ("_buffers", "_holding", "_on_flow", "_parts", "_sink", "dropped", "length", "size", "whole")
 
-    def __init__(self, buffers: Buffers, length: int | None, on_flow: Callable[[], None]) -> None:
+    def __init__(self, buffers: BufferBudget, length: int | None, on_flow: Callable[[], None]) -> None:
         """`length` is None where only its end tells it; `on_flow` hears when more may be read again."""
         self._buffers, self.length, self._on_flow = buffers, length, on_flow
-        self._holding = Holding(buffers)
+        self._holding = BufferReservation(buffers)
         self._parts: list[bytes] = []
         self._sink: Sink | None = None
         self.size = 0  # that has come
@@ -158,7 +158,7 @@
     coding = named.get(b"transfer-encoding")
     if coding is not None:
         if coding.strip().lower() != b"chunked":
-            raise Ambiguous("a transfer coding that is not known")
+            raise AmbiguousLengthError("a transfer coding that is not known")
         return None
     length = named.get(b"content-length")
     return -1 if length is None else int(length)
@@ -212,7 +212,7 @@
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
 
 
-def has_hung_up(transport: asyncio.Transport) -> bool:
+def has_peer_closed(transport: asyncio.Transport) -> bool:
     """Whether the other side has ended its sending, though there may be bytes to read before that."""
     if transport.is_closing():
         return True  # by us: its descriptor may be another's by now
--- a/loadbalancer/net/interest_subscription.py
+++ b/loadbalancer/net/interest_subscription.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from loadbalancer.endpoint_watch import Ask, Paced, Subscription
+from loadbalancer.endpoint_watch import ListRequest, RateLimitedError, Subscription
 from loadbalancer.net.config import Address, Config, Lists
 
 NO_INTERESTS = "the list service knows no interests: the whole of the service is taken"
@@ -35,7 +35,7 @@
         """Whether services are asked for by name."""
         return self._wanted is not None
 
-    def may_be_late(self, ask: Ask) -> bool:
+    def may_be_late(self, ask: ListRequest) -> bool:
         """Whether the answer of a call that was given up is of use: by interests it would depend on what was
         wanted when it was asked."""
         return self._wanted is None and not ask.waits
@@ -72,7 +72,7 @@
             self._wanted.heard(*held)
             self._say("" if self._wanted.is_known else NO_INTERESTS)
 
-    def paced(self, paced: Paced) -> None:
+    def paced(self, paced: RateLimitedError) -> None:
         """We come again as the service says."""
         if self._wanted is not None:
             self._wanted.paced(paced)
--- a/loadbalancer/net/membership.py
+++ b/loadbalancer/net/membership.py
@@ -11,7 +11,7 @@
 import zlib
 from collections.abc import Callable, Iterable
 
-from loadbalancer.membership import NOTE_MOST, Action, Membership, State, Tell, Wake
+from loadbalancer.membership import MAX_MESSAGE_BYTES, Action, Membership, MemberState, SendMessage, SetTimer
 from loadbalancer.net.config import Address, Config
 
 READ_MOST = 64  # notes that are read before others on the loop have their turn
@@ -24,7 +24,7 @@
     return zlib.crc32(text.encode()).to_bytes(4, "big")
 
 
-class Peers:
+class MembershipHost:
     """Our socket for notes, and the member behind it."""
 
     def __init__(
@@ -82,7 +82,7 @@
             if self._socket is None:
                 return
             try:
-                data, sender = self._socket.recvfrom(NOTE_MOST + 1)
+                data, sender = self._socket.recvfrom(MAX_MESSAGE_BYTES + 1)
             except OSError:  # nothing more is there, or a note of ours was refused
                 return
             number = self._numbers.get((sender[0], sender[1]))
@@ -97,11 +97,11 @@
     def _do(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case Tell(to, note):
+                case SendMessage(to, note):
                     if self._socket is not None:
                         with contextlib.suppress(OSError):  # a note that can't go out is one that is lost
                             self._socket.sendto(note, self._config.peers[to])
-                case Wake(at):
+                case SetTimer(at):
                     if self._timer is not None:
                         self._timer.cancel()
                     self._timer = self._loop.call_later(max(at - self._now(), 0.0) / 1_000, self._due)
@@ -136,7 +136,7 @@
 
     def by_state(self) -> dict[str, int]:
         """How many members are believed to be in each state."""
-        found = dict.fromkeys((state.name.lower() for state in State), 0)
+        found = dict.fromkeys((state.name.lower() for state in MemberState), 0)
         for belief in self.member.table.beliefs:
             found[belief.state.name.lower()] += 1
         return found
--- a/loadbalancer/net/metrics.py
+++ b/loadbalancer/net/metrics.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Mapping
 
-from loadbalancer.net.request_counters import Figures
+from loadbalancer.net.request_counters import RequestCounters
 
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 HELP = {
@@ -25,7 +25,9 @@
     return value.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
 
 
-def write(figures: Figures, discovered: int, ejected: int, left_out: int, members: Mapping[str, int]) -> str:
+def write(
+    figures: RequestCounters, discovered: int, ejected: int, left_out: int, members: Mapping[str, int]
+) -> str:
     """All figures, one sample a line; those of membership where it is on."""
     requests = [
         (f'{{class="{_label(name)}",ending="{ending}"}}', count)
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -17,18 +17,18 @@
 from loadbalancer.net.config import AddressedEndpoint, Config, ServerList, read_list, write_list
 from loadbalancer.net.console import Console
 from loadbalancer.net.discovery import Discovery
-from loadbalancer.net.downstream import Callers, Taken
-from loadbalancer.net.hot_restart import CordonFile, Handover, Legacy
-from loadbalancer.net.http_framing import Buffers, end_to_end
+from loadbalancer.net.downstream import DownstreamListener, DownstreamRequest
+from loadbalancer.net.hot_restart import CordonFile, HotRestartListener, Predecessor
+from loadbalancer.net.http_framing import BufferBudget, end_to_end
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
 from loadbalancer.net.log import Log, Sink, write_text
-from loadbalancer.net.request_counters import Figures
-from loadbalancer.net.upstream import Answer, Attempt, Exchange, Upstreams
+from loadbalancer.net.request_counters import RequestCounters
+from loadbalancer.net.upstream import Attempt, AttemptHandler, UpstreamPools, UpstreamResponse
 from loadbalancer.policy import Balancer
 
 if TYPE_CHECKING:
-    from loadbalancer.net.membership import Peers
-    from loadbalancer.net.snapshot_writer import Keeper
+    from loadbalancer.net.membership import MembershipHost
+    from loadbalancer.net.snapshot_writer import SnapshotWriter
 
 ANSWER_MS = 10.0  # the module is told so much less than the caller waits: its answer must still travel
 NET_MS = 5.0  # so long before the deadline the safety net answers what is still open
@@ -59,7 +59,7 @@
 
     __slots__ = ("attempts", "ends", "id", "net", "open", "out", "passed_on", "queued", "ran", "taken")
 
-    def __init__(self, number: int, taken: Taken, ends: float) -> None:
+    def __init__(self, number: int, taken: DownstreamRequest, ends: float) -> None:
         self.id, self.taken, self.ends = number, taken, ends
         self.attempts: list[Attempt | None] = []
         self.open = True  # until its final answer, or until nobody waits for one
@@ -81,10 +81,10 @@
                 attempt.withdraw()
 
 
-class _Call(Exchange):
+class _Call(AttemptHandler):
     """One attempt of a request."""
 
-    def __init__(self, driver: Driver, request: _Request, send: interface.SendAttempt, index: int) -> None:
+    def __init__(self, driver: Proxy, request: _Request, send: interface.SendAttempt, index: int) -> None:
         self._driver, self._request, self._server, self._index = driver, request, send.server, index
         taken = request.taken
         left_ms = request.ends - driver.clock.now() if taken.body.whole else taken.deadline_ms - ANSWER_MS
@@ -116,31 +116,31 @@
         """Count it."""
         self._driver.forwarded()
 
-    def started(self, attempt: Attempt, answer: Answer) -> Taken | None:
+    def started(self, attempt: Attempt, answer: UpstreamResponse) -> DownstreamRequest | None:
         """Pass a long answer on as it comes."""
         return self._driver.answer_started(self._request, self._index, attempt, answer)
 
-    def ended(self, outcome: Outcome, answer: Answer | None) -> None:
+    def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
         """Tell the end."""
         self._driver.attempt_ended(self._request, self._index, self._server, outcome, answer)
 
 
-class _HealthCheck(Exchange):
+class _HealthCheck(AttemptHandler):
     """One probe of a server."""
 
-    def __init__(self, driver: Driver, server: str) -> None:
+    def __init__(self, driver: Proxy, server: str) -> None:
         self._driver, self._server = driver, server
 
     def compose(self) -> bytes:
         """The call."""
         return b"GET /healthz HTTP/1.1\r\nHost: upstream\r\n\r\n"
 
-    def ended(self, outcome: Outcome, answer: Answer | None) -> None:
+    def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
         """Tell the end."""
         self._driver.probe_ended(self._server, outcome)
 
 
-class Driver:
+class Proxy:
     """One balancer: the module and all that it is connected to."""
 
     def __init__(
@@ -148,7 +148,7 @@
         config: Config,
         loop: asyncio.AbstractEventLoop,
         folder: Path | None = None,
-        legacy: Legacy | None = None,
+        legacy: Predecessor | None = None,
         sink: Sink = write_text,
     ) -> None:
         """`folder` is shared with the process before this one, whose `legacy` it is, and the one after it."""
@@ -156,16 +156,16 @@
         self.log = Log(config.name or "balancer", sink)
         self.clock = Clock()
         self.balancer = Balancer(config.settings, config.seed)
-        self.buffers = Buffers(int(config.memory_mb * BUFFERS_PART * 1_000_000))
-        self.upstreams = Upstreams(config, loop, self.buffers)
+        self.buffers = BufferBudget(int(config.memory_mb * BUFFERS_PART * 1_000_000))
+        self.upstreams = UpstreamPools(config, loop, self.buffers)
         listener = legacy.listener if legacy else None
-        self.callers = Callers(config, loop, self, self.log.exception, self.buffers, listener)
+        self.callers = DownstreamListener(config, loop, self, self.log.exception, self.buffers, listener)
         self.console = Console(config.console, loop, self) if config.console else None
         self._cordons = CordonFile(folder if config.console else None)
         self._back: dict[str, float] = {}  # the returns that the module has been told
         self._zones: dict[str, interface.ZoneEvacuation] = {}  # what the module has been told of zones
         self._ids: dict[str, None] = {}  # that lists have named, the newest last
-        self._figures = Figures(c.name for c in config.settings.classes)
+        self._figures = RequestCounters(c.name for c in config.settings.classes)
         self._keeper = self._make_keeper(config)
         self._kept = self._keeper.load() if self._keeper and legacy is None else None
         fresh = legacy is not None or self._kept is not None
@@ -181,25 +181,25 @@
         self._index = 0
         self._caps = self.callers.cap, self.upstreams.cap
         self._asked = asyncio.Event()  # whether discovery has answered, or failed to
-        self._handover = Handover(folder, loop, self) if folder and config.console else None
+        self._handover = HotRestartListener(folder, loop, self) if folder and config.console else None
         self._tasks: set[asyncio.Task[None]] = set()
         self.peers = self._make_peers(config)
 
-    def _make_keeper(self, config: Config) -> Keeper | None:
+    def _make_keeper(self, config: Config) -> SnapshotWriter | None:
         """Snapshots, where a folder is named; what they need is loaded there alone."""
         if config.snapshots is None:
             return None
-        from loadbalancer.net.snapshot_writer import Keeper
+        from loadbalancer.net.snapshot_writer import SnapshotWriter
 
-        return Keeper(config.snapshots, config.name, config.snapshot_every_ms, self.log)
+        return SnapshotWriter(config.snapshots, config.name, config.snapshot_every_ms, self.log)
 
-    def _make_peers(self, config: Config) -> Peers | None:
+    def _make_peers(self, config: Config) -> MembershipHost | None:
         """Membership, where it is on; what it needs is loaded there alone."""
         if config.peer_listen is None:
             return None
-        from loadbalancer.net.membership import Peers
+        from loadbalancer.net.membership import MembershipHost
 
-        return Peers(config, config.peer_listen, self._loop, self.clock.now)
+        return MembershipHost(config, config.peer_listen, self._loop, self.clock.now)
 
     def start(self) -> None:
         """Tell what was known, then begin to listen, or to take over from the process that does."""
@@ -245,7 +245,7 @@
 
     # ---- from one process to the next -----------------------------------------------------------
 
-    def _take_legacy(self, legacy: Legacy) -> None:
+    def _take_legacy(self, legacy: Predecessor) -> None:
         """Go on from cordons, list and evidence of the older process, as far as they can be read."""
         if "cordons" in legacy.state:  # a version before this one does not send them
             try:
@@ -266,7 +266,7 @@
         except (KeyError, ValueError) as error:
             self.log.event("nothing_learned", f"we start without what was learned: {error}")
 
-    async def _take_over(self, legacy: Legacy) -> None:
+    async def _take_over(self, legacy: Predecessor) -> None:
         """Read the list, have the older process accept no more, then accept in its place."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LIST_S):
@@ -443,7 +443,7 @@
             self._requests.pop(request.id, None)
             request.taken.body.drop()
 
-    def arrived(self, taken: Taken) -> None:
+    def arrived(self, taken: DownstreamRequest) -> None:
         """A caller's request is here, whole or with the rest of its body to come."""
         if self._closed:
             taken.body.drop()
@@ -474,7 +474,7 @@
     def _spread_net(self, request: _Request, left_ms: float) -> None:
         request.net = self._loop.call_later(max(left_ms - NET_MS, 0.0) / 1000, self._rescue, request.id)
 
-    def whole(self, taken: Taken) -> None:
+    def whole(self, taken: DownstreamRequest) -> None:
         """The rest of its body is here: its time runs from now."""
         request = self._requests.get(taken.request)
         if request is not None and request.open:
@@ -483,14 +483,14 @@
                 self._spread_net(request, taken.deadline_ms)
             self._tell(interface.RequestCompleted(request.id), request)
 
-    def broke(self, taken: Taken, status: int) -> None:
+    def broke(self, taken: DownstreamRequest, status: int) -> None:
         """The rest of its body will not come."""
         request = self._requests.get(taken.request)
         if request is not None and request.open:
             self._end(request, status)
             self._tell(interface.ClientDisconnected(request.id), request)
 
-    def left(self, taken: Taken) -> None:
+    def left(self, taken: DownstreamRequest) -> None:
         """The caller has gone."""
         request = self._requests.get(taken.request)
         if request is not None and request.open:
@@ -534,7 +534,9 @@
         """An attempt has been written whole."""
         self._figures.forwarded()
 
-    def answer_started(self, request: _Request, index: int, attempt: Attempt, answer: Answer) -> Taken | None:
+    def answer_started(
+        self, request: _Request, index: int, attempt: Attempt, answer: UpstreamResponse
+    ) -> DownstreamRequest | None:
         """A long answer has begun; the first one of a request is passed on, and nothing else from then on."""
         if not request.open or request.passed_on is not None:
             return None
@@ -547,7 +549,7 @@
         return request.taken
 
     def attempt_ended(
-        self, request: _Request, index: int, server: str, outcome: Outcome, answer: Answer | None
+        self, request: _Request, index: int, server: str, outcome: Outcome, answer: UpstreamResponse | None
     ) -> None:
         """An attempt is over. The first served answer goes out before anything else is done."""
         request.out -= 1
--- a/loadbalancer/net/request_counters.py
+++ b/loadbalancer/net/request_counters.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable
 
 SERVED = 200
-REFUSALS = frozenset({429, 503})
+REJECTIONS = frozenset({429, 503})
 
 
-class Figures:
+class RequestCounters:
     """Counts of requests by class and ending, and of attempts; the driver tells each ending once."""
 
     def __init__(self, classes: Iterable[str]) -> None:
@@ -30,7 +30,7 @@
         if status == SERVED:
             counts = self._succeeded
         else:
-            counts = self._declined if status in REFUSALS else self._aborted
+            counts = self._declined if status in REJECTIONS else self._aborted
         counts[class_name] += 1
 
     def forwarded(self) -> None:
--- a/loadbalancer/net/snapshot_writer.py
+++ b/loadbalancer/net/snapshot_writer.py
@@ -8,14 +8,14 @@
 from pathlib import Path
 
 from loadbalancer.net.log import Log
-from loadbalancer.snapshots import Snapshot, Store, encode
+from loadbalancer.snapshots import Snapshot, SnapshotStore, encode_snapshot
 
 
-class Keeper:
+class SnapshotWriter:
     """The snapshots of one balancer. A save that fails is told once; it costs nothing but itself."""
 
     def __init__(self, folder: Path, name: str, every_ms: float, log: Log) -> None:
-        self._store = Store(folder, name)
+        self._store = SnapshotStore(folder, name)
         self._every_s, self._log = every_ms / 1_000, log
         self._state: Callable[[], dict[str, object]] = dict
         self._told = ""
@@ -40,7 +40,7 @@
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(self._every_s)
-            data = encode(self._state(), time.time() * 1_000)
+            data = encode_snapshot(self._state(), time.time() * 1_000)
             await loop.run_in_executor(None, self._save, data)  # a disk that is slow holds up nobody
 
     def _save(self, data: bytes) -> None:
@@ -57,4 +57,4 @@
         """Save for the last time."""
         if self._task is not None:
             self._task.cancel()
-            self._save(encode(self._state(), time.time() * 1_000))
+            self._save(encode_snapshot(self._state(), time.time() * 1_000))
--- a/loadbalancer/net/upstream.py
+++ b/loadbalancer/net/upstream.py
@@ -23,12 +23,12 @@
     HEAD_MAX,
     KEPT_MAX,
     LAST_CHUNK,
-    Ambiguous,
+    AmbiguousLengthError,
     Body,
-    Buffers,
+    BufferBudget,
+    BufferReservation,
     Headers,
-    Holding,
-    TooLarge,
+    MessageTooLargeError,
     body_length,
     chunk,
     peek,
@@ -40,10 +40,15 @@
 HOLD_S = 0.05  # an answer of unknown length is waited for so long before its first bytes are passed on
 STALL_S = 20.0  # with no byte moved for so long, whoever should read or write has gone
 DRAIN_PART = 0.5  # of the grace: the news may have waited in our buffer before it was read
-UNREADABLE = (httptools.HttpParserError, httptools.HttpParserUpgrade, TooLarge, Ambiguous)
+UNREADABLE = (
+    httptools.HttpParserError,
+    httptools.HttpParserUpgrade,
+    MessageTooLargeError,
+    AmbiguousLengthError,
+)
 
 
-class Answer:
+class UpstreamResponse:
     """A response: whole, or its head alone where the body is passed on as it comes."""
 
     __slots__ = ("body", "headers", "length", "status")
@@ -72,7 +77,7 @@
     def feed(self, data: bytes | memoryview) -> bool:
         """Take bytes; whether the response is whole. Raises what `UNREADABLE` names."""
         if not self.has_head and self._head > HEAD_MAX:
-            raise TooLarge("headers too large")
+            raise MessageTooLargeError("headers too large")
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserCallbackError as error:
@@ -88,10 +93,10 @@
             return True
         return False
 
-    def answer(self) -> Answer:
+    def answer(self) -> UpstreamResponse:
         """The response as far as it is here."""
         length = None if self.length == -1 else self.length
-        return Answer(self.status, self._headers, length, self.take())
+        return UpstreamResponse(self.status, self._headers, length, self.take())
 
     def take(self) -> bytes:
         """The part of the body that has come since it was last taken."""
@@ -112,7 +117,7 @@
             return
         self._left += len(name) + len(value)
         if self._left > HEAD_MAX:
-            raise TooLarge("headers too large")
+            raise MessageTooLargeError("headers too large")
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
@@ -122,7 +127,7 @@
             return
         self.has_head, self.status, self.length = True, status, body_length(self._headers)
         if (self.length or 0) > BODY_MAX:
-            raise TooLarge("it would never end")
+            raise MessageTooLargeError("it would never end")
 
     def on_body(self, data: bytes) -> None:
         """Keep a part of the body until it is taken."""
@@ -131,7 +136,7 @@
             self.held += len(data)
             self._size += len(data)
             if self._size > BODY_MAX:
-                raise TooLarge("it does not end")
+                raise MessageTooLargeError("it does not end")
 
     def on_message_complete(self) -> None:
         """The message is whole."""
@@ -148,7 +153,7 @@
         """Take a piece of the body; `pause` and `resume` of the attempt tell when more should come."""
 
 
-class Exchange:
+class AttemptHandler:
     """What an attempt is made for: what it sends, and who hears of it. A probe needs no more than this."""
 
     body: Body | None = None  # where it is passed on behind the head, as it comes
@@ -164,11 +169,11 @@
     def written(self) -> None:
         """The last byte has left."""
 
-    def started(self, attempt: Attempt, answer: Answer) -> Caller | None:
+    def started(self, attempt: Attempt, answer: UpstreamResponse) -> Caller | None:
         """A long answer has begun; whoever takes it, or None if nobody wants it any more."""
         return None
 
-    def ended(self, outcome: Outcome, answer: Answer | None) -> None:
+    def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
         """The attempt is over; the answer is there if it came whole and was not passed on before."""
 
 
@@ -188,7 +193,7 @@
         *"_over _pool _task _timeout_s _timer _write_by connect_s".split(),
     )
 
-    def __init__(self, pool: Pool, exchange: Exchange) -> None:
+    def __init__(self, pool: ConnectionPool, exchange: AttemptHandler) -> None:
         self._pool, self._exchange = pool, exchange
         self._over = False
         self._coming = exchange.body is not None  # whether its body was not whole at the start
@@ -354,7 +359,7 @@
         # Nothing written means that it never ran, whatever kept it from being written.
         self._finish(Outcome.TIMED_OUT if self._connection else Outcome.CONNECT_FAILED)
 
-    def _finish(self, outcome: Outcome, answer: Answer | None = None, clean: bool = False) -> None:
+    def _finish(self, outcome: Outcome, answer: UpstreamResponse | None = None, clean: bool = False) -> None:
         if self._over:
             return
         self._over = True
@@ -376,13 +381,13 @@
 class UpstreamConnection(asyncio.BufferedProtocol):
     """One connection to an upstream, in its pool for as long as it is idle."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         """It counts as open from now on, until it is closed."""
         self.pool = pool
         pool.upstreams.open += 1
         self.idle_since = 0.0
         self._buffers = pool.upstreams.buffers
-        self._unsent, self._unread = Holding(self._buffers), Holding(self._buffers)
+        self._unsent, self._unread = BufferReservation(self._buffers), BufferReservation(self._buffers)
         self._attempt: Attempt | None = None
         self._body: Body | None = None  # that is passed on behind the head
         self._transport: asyncio.Transport | None = None
@@ -566,10 +571,10 @@
             self.pool.forget(self)
 
 
-class Pool:
+class ConnectionPool:
     """The connections to one server at one address since one start."""
 
-    def __init__(self, upstreams: Upstreams, name: str, address: Address, since_ms: float) -> None:
+    def __init__(self, upstreams: UpstreamPools, name: str, address: Address, since_ms: float) -> None:
         self.upstreams, self.name, self.address, self.since_ms = upstreams, name, address, since_ms
         self.idle: list[UpstreamConnection] = []  # the newest last
         self.drains_since: float | None = None
@@ -621,16 +626,16 @@
             connection.close()
 
 
-class Upstreams:
+class UpstreamPools:
     """The pools of all servers that discovery has named."""
 
-    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, buffers: Buffers) -> None:
+    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, buffers: BufferBudget) -> None:
         self.config, self.loop, self.buffers = config, loop, buffers
         self.idle_s = IDLE_PART * config.idle_ms / 1000
         self.open = 0
         self.cap = side_cap(config.sockets)
         self.held: set[str] = set()  # by operators: nothing begins there
-        self._pools: dict[str, Pool] = {}
+        self._pools: dict[str, ConnectionPool] = {}
 
     def listed(self, news: ServerList) -> None:
         """Follow the list: a server that is gone, moved or restarted loses its connections."""
@@ -647,7 +652,7 @@
                 self._drop(member.server)
                 pool = None
             if pool is None:
-                pool = self._pools[member.server] = Pool(
+                pool = self._pools[member.server] = ConnectionPool(
                     self, member.server, endpoint.address, member.started_at_ms
                 )
             if member.readiness is Readiness.READY:
@@ -667,7 +672,7 @@
         self,
         server: str,
         timeout_s: float,
-        exchange: Exchange,
+        exchange: AttemptHandler,
         within_s: float = math.inf,
         connect_s: float = math.inf,
     ) -> Attempt | None:
--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -19,7 +19,7 @@
 LEVEL_MIN = 0.05  # let in whatever happens, so that recovery is seen
 
 
-class Times:
+class LatencyEstimates:
     """The time that a call of each class, or a new connection, takes, and a call where nothing crowds."""
 
     def __init__(self, settings: interface.Settings) -> None:
@@ -56,14 +56,14 @@
         return max(mean + 4 * spread, request.patience)
 
 
-class Pressure:
+class OverloadLevel:
     """The part of the offered work that is let in: less as answers, and calls still out, near their aim.
 
     Guards against crowding whatever its cause (overload, lost servers, slow ones), also before the first
     late answer, and lifts as the evidence fades. It harms where calls fail for other causes.
     """
 
-    def __init__(self, times: Times) -> None:
+    def __init__(self, times: LatencyEstimates) -> None:
         self._times = times
         self.late, self.answers, self.weighed = 0.0, 0.0, 0.0
         self._level, self._level_at = 1.0, -math.inf
@@ -89,7 +89,7 @@
 class Admission:
     """Sheds load by worth: the level is the part of the work offered that is let in, the dearest first."""
 
-    def __init__(self, settings: interface.Settings, times: Times, chance: random.Random) -> None:
+    def __init__(self, settings: interface.Settings, times: LatencyEstimates, chance: random.Random) -> None:
         self._settings, self._times, self._random = settings, times, chance
         self._offered: dict[float, float] = {}
         self._quota = {t.name: t.quota_per_s / settings.balancer_count / 1000 for t in settings.tenants}
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -14,15 +14,15 @@
 from loadbalancer import interface
 from loadbalancer.interface import Idempotency, Outcome, UpdateKind
 from loadbalancer.policy import retries
-from loadbalancer.policy.admission import OFFER_CALLS, Admission, Pressure, Times
-from loadbalancer.policy.endpoints import Roster
+from loadbalancer.policy.admission import OFFER_CALLS, Admission, LatencyEstimates, OverloadLevel
+from loadbalancer.policy.endpoints import EndpointSet
 from loadbalancer.policy.limits import ConcurrencyLimits, WaitQueue
 from loadbalancer.policy.requests import Attempt, Request
 from loadbalancer.policy.selection import draws, least_loaded
-from loadbalancer.policy.servers import MEMORY_MS, Capacities, Server
-from loadbalancer.policy.slow_start import ColdStarts
-from loadbalancer.policy.weighted_sampling import Field
-from loadbalancer.policy.zones import Zones
+from loadbalancer.policy.servers import MEMORY_MS, CapacityEstimates, Server
+from loadbalancer.policy.slow_start import SlowStart
+from loadbalancer.policy.weighted_sampling import Sampler
+from loadbalancer.policy.zones import ZoneEvacuations
 
 SCAN = 64  # servers that are looked at one by one, for each choice, at the most
 TRIES = 24  # draws from a larger fleet until one meets a server that may be sent to
@@ -40,15 +40,15 @@
         self._settings = settings
         self._classes = {c.name: c for c in settings.classes}
         self._random = random.Random(seed)
-        self._roster = Roster(settings, self._random)
-        self._capacities = Capacities()
-        self._zones = Zones()
-        self._cold = ColdStarts(settings, self._random)
+        self._roster = EndpointSet(settings, self._random)
+        self._capacities = CapacityEstimates()
+        self._zones = ZoneEvacuations()
+        self._cold = SlowStart(settings, self._random)
         self._limits, self._queue = ConcurrencyLimits(settings), WaitQueue()
-        self._field, self._look_from = Field(), 0  # for large fleets
+        self._field, self._look_from = Sampler(), 0  # for large fleets
         self._freed: deque[Server] = deque(maxlen=FREED)
-        self._times = Times(settings)
-        self._pressure = Pressure(self._times)
+        self._times = LatencyEstimates(settings)
+        self._pressure = OverloadLevel(self._times)
         self._admission = Admission(settings, self._times, self._random)
         self._budget, self._idle = retries.RetryBudget(), retries.IdleConnections()
         self._requests: dict[int, Request] = {}
--- a/loadbalancer/policy/endpoints.py
+++ b/loadbalancer/policy/endpoints.py
@@ -28,7 +28,7 @@
 LAST = (math.inf, "")  # behind all ranks
 
 
-class Roster:
+class EndpointSet:
     """The servers known, those that may get work (`ready`), and of these the ones kept to.
 
     A change of the list costs what it changes, not what the list holds: the servers kept to are the first
--- a/loadbalancer/policy/servers.py
+++ b/loadbalancer/policy/servers.py
@@ -45,7 +45,7 @@
         self.seen = now
 
 
-class Capacities:
+class CapacityEstimates:
     """The median that unknown servers start from, and the best rate of each zone."""
 
     def __init__(self) -> None:
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -11,7 +11,7 @@
 COLD_SAFETY = 0.5  # the part of a cold server's budget that we use: other balancers and heavy calls count too
 
 
-class ColdStarts:
+class SlowStart:
     """Which servers are cold, and whether they may take one more call."""
 
     def __init__(self, settings: Settings, chance: random.Random) -> None:
--- a/loadbalancer/policy/weighted_sampling.py
+++ b/loadbalancer/policy/weighted_sampling.py
@@ -11,7 +11,7 @@
 REBUILD_PER_SLOT = 8  # sums are added up anew after so many changes for each slot: rounding errors stay small
 
 
-class Tree:
+class WeightedSamplingTree:
     """Servers and their weights: a Fenwick tree, in which a draw or a change takes log2(size) steps."""
 
     def __init__(self) -> None:
@@ -82,11 +82,11 @@
         self.total = sum(self._weights)
 
 
-class Field:
+class Sampler:
     """All that may be drawn: a tree for each zone."""
 
     def __init__(self) -> None:
-        self._trees: dict[str, Tree] = {}
+        self._trees: dict[str, WeightedSamplingTree] = {}
         self._zones: dict[str, str] = {}
 
     def __len__(self) -> int:
@@ -98,7 +98,7 @@
         if self._zones.get(name, zone) != zone:
             self.drop(name)
         self._zones[name] = zone
-        self._trees.setdefault(zone, Tree()).put(server, weight)
+        self._trees.setdefault(zone, WeightedSamplingTree()).put(server, weight)
 
     def drop(self, name: str) -> None:
         """Let a server go, if it is there."""
--- a/loadbalancer/policy/zones.py
+++ b/loadbalancer/policy/zones.py
@@ -9,7 +9,7 @@
 from loadbalancer.policy.servers import Server
 
 
-class Zones:
+class ZoneEvacuations:
     """The zones that operators have us leave, or come back to: in steps, by the time they gave."""
 
     def __init__(self) -> None:
--- a/loadbalancer/registry/__init__.py
+++ b/loadbalancer/registry/__init__.py
@@ -8,7 +8,16 @@
 `service` hosts both on HTTP by aiohttp. docs/directory.md is for users.
 """
 
-from loadbalancer.registry.catalog import Catalog, Change, Refused, first_index
+from loadbalancer.registry.catalog import Catalog, Change, WriteRejectedError, first_revision
 from loadbalancer.registry.entries import Entry, Registration, Rules, Status
 
-__all__ = ["Catalog", "Change", "Entry", "Refused", "Registration", "Rules", "Status", "first_index"]
+__all__ = [
+    "Catalog",
+    "Change",
+    "Entry",
+    "Registration",
+    "Rules",
+    "Status",
+    "WriteRejectedError",
+    "first_revision",
+]
--- a/loadbalancer/registry/admission_queue.py
+++ b/loadbalancer/registry/admission_queue.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class ScheduledRetry:
     """When a call is to come again."""
 
     after_s: float
@@ -30,7 +30,7 @@
     """Its time, ms of the service's clock."""
 
 
-class Gate:
+class AdmissionQueue:
     """The queue of those who return; bounded state: two numbers."""
 
     def __init__(self, seed: int = 0) -> None:
@@ -38,7 +38,7 @@
         self._random = random.Random(seed)
         self.turned_away = 0
 
-    def ask(self, now: float, cost_s: float, waited_s: float, ticket: int | None) -> Turn | None:
+    def ask(self, now: float, cost_s: float, waited_s: float, ticket: int | None) -> ScheduledRetry | None:
         """Whether a call may come in now: None if so. `waited_s` is how long it has tried already.
 
         One with a ticket whose time has come was counted when it got it.
@@ -56,4 +56,4 @@
         if ahead <= EARLY_S:
             return None
         self.turned_away += 1
-        return Turn(ahead, int((now + ahead) * 1_000))
+        return ScheduledRetry(ahead, int((now + ahead) * 1_000))
--- a/loadbalancer/registry/agent.py
+++ b/loadbalancer/registry/agent.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from loadbalancer.registry.client import Caller, CallError
+from loadbalancer.registry.client import RegistryCallError, RegistryClient
 from loadbalancer.registry.entries import Registration
 from loadbalancer.registry.lease import Lease
 
@@ -49,7 +49,7 @@
     """The agent of one server: `step` is called again and again, and says when it wants to be next."""
 
     def __init__(
-        self, name: str, told: Registration, caller: Caller, is_well: Callable[[], bool],
+        self, name: str, told: Registration, caller: RegistryClient, is_well: Callable[[], bool],
         log: Callable[[str], None], now_ms: Callable[[], float] = lambda: time.time() * 1_000,
     ) -> None:  # fmt: skip
         self._name, self._is_well, self._log = name, is_well, log
@@ -87,7 +87,7 @@
         """Make a call, and say what came of it."""
         try:
             call()
-        except CallError as error:
+        except RegistryCallError as error:
             self._say(f"the list service: {error}")
         else:
             if done:
--- a/loadbalancer/registry/anti_entropy.py
+++ b/loadbalancer/registry/anti_entropy.py
@@ -18,9 +18,9 @@
 import msgspec
 
 from loadbalancer.registry.catalog import Catalog, Change
-from loadbalancer.registry.merge import Shared, share
+from loadbalancer.registry.merge import SharedEntry, share
 
-MOST_INSTANCES = 8
+MAX_INSTANCES = 8
 MOST_TOLD = 2_000  # entries in one message; the rest follows in the next
 ODD_LOOKS = 3  # quiet messages in a row with another fingerprint, after which all is told again
 LOST_MS = 5_000.0  # another instance that has not answered for so long is shown as out of reach
@@ -42,11 +42,11 @@
     heard: int = 0
     """The receiver's life and count up to which the sender knows it."""
     fingerprint: int = 0
-    entries: tuple[Shared, ...] = ()
+    entries: tuple[SharedEntry, ...] = ()
     beats: tuple[Beat, ...] = ()
 
 
-class Mismatch(ValueError):
+class InstanceMismatchError(ValueError):
     """A message from somebody who is no other instance of this list: one line."""
 
 
@@ -63,13 +63,13 @@
     repaired: int = 0
 
 
-class Exchange:
+class AntiEntropy:
     """One instance's side of it, towards all others."""
 
     def __init__(self, catalog: Catalog, number: int, count: int, life: int) -> None:
         """`life` is new with each start; ValueError if there are too many instances."""
-        if not 0 <= number < count <= MOST_INSTANCES:
-            raise ValueError(f"instance {number} of {count}: at most {MOST_INSTANCES}, from 0")
+        if not 0 <= number < count <= MAX_INSTANCES:
+            raise ValueError(f"instance {number} of {count}: at most {MAX_INSTANCES}, from 0")
         self._catalog, self.number, self._life = catalog, number, life
         self.others = {other: Other() for other in range(count) if other != number}
 
@@ -109,7 +109,7 @@
     def answered(self, by: int, answer: Message, asked_at: float, now: float) -> list[Change]:
         """The answer to a question that was asked at `asked_at`; the changes to keep."""
         if answer.sender != by:
-            raise Mismatch(f"instance {by} answers as {answer.sender}")
+            raise InstanceMismatchError(f"instance {by} answers as {answer.sender}")
         other = self.others[by]
         changes = self._take(other, answer, now)
         other.asked_at = asked_at
@@ -119,7 +119,7 @@
 
     def _other(self, number: int) -> Other:
         if number not in self.others:
-            raise Mismatch(f"{number} is no other instance: this is {self.number}")
+            raise InstanceMismatchError(f"{number} is no other instance: this is {self.number}")
         return self.others[number]
 
     def _take(self, other: Other, message: Message, now: float) -> list[Change]:
--- a/loadbalancer/registry/catalog.py
+++ b/loadbalancer/registry/catalog.py
@@ -1,7 +1,7 @@
 """The list and its versions, as a state machine that is told the time: what may change, and who is told what.
 
 One index grows with each change and never goes back. After a start it is above all that any watcher can have
-seen (`first_index`). Who has seen a version of a life that is remembered (`lives`) goes on from there; who
+seen (`first_revision`). Who has seen a version of a life that is remembered (`lives`) goes on from there; who
 has seen another one, of a memory that was lost, gets the whole list: so neither a lost nor a restored memory
 looks to today's clients like an older list. Where several instances hold the list, each counts for itself:
 an index leaves the instance's number when divided by `stride`, so that a watch that comes from another
@@ -19,15 +19,15 @@
 import msgspec
 import xxhash
 
-from loadbalancer.registry.change_index import Places, left_by
+from loadbalancer.registry.change_index import ChangeIndex, left_by
 from loadbalancer.registry.entries import Entry, Registration, Rules, Status
-from loadbalancer.registry.merge import Shared, disagree, join, share
-from loadbalancer.registry.self_preservation import Floors
+from loadbalancer.registry.merge import SharedEntry, disagree, join, share
+from loadbalancer.registry.self_preservation import SelfPreservation
 
 CLOCKS_DIFFER_MS = 86_400_000.0  # by so much a clock may have gone back between two lives
 
 
-class Refused(ValueError):
+class WriteRejectedError(ValueError):
     """A write that changes nothing: an HTTP status, and one line that says why."""
 
     def __init__(self, status: int, why: str) -> None:
@@ -49,7 +49,7 @@
     before: Entry | None = None
 
 
-def first_index(stored: int, now_ms: float, number: int = 0, stride: int = 1) -> int:
+def first_revision(stored: int, now_ms: float, number: int = 0, stride: int = 1) -> int:
     """An index above all that were given out: changes come at less than one a millisecond on average."""
     return _above(max(stored, int(now_ms) * stride - 1), number, stride)
 
@@ -70,10 +70,10 @@
     """All servers of all tiers. Times are Unix ms."""
 
     def __init__(self, rules: Rules, start_index: int, number: int = 0, stride: int = 1) -> None:
-        """`start_index` is from `first_index`; entries of an earlier life come by `restore`."""
+        """`start_index` is from `first_revision`; entries of an earlier life come by `restore`."""
         self._rules, self._number, self._stride = rules, number, stride
         self.index = self.base = start_index  # who has seen less than the base gets the whole list
-        self.places = Places()  # and who has seen less than a service's own floor, of that service
+        self.places = ChangeIndex()  # and who has seen less than a service's own floor, of that service
         self.lives: list[tuple[int, int]] = []  # first and last version of those before, the oldest first
         self.first = start_index
         self.entries: dict[str, Entry] = {}
@@ -219,12 +219,12 @@
                 self._lapses.setdefault(entry.told.tier, deque()).append(now)
         for tier in {e.told.tier for e in over}:
             self._see_whether_to_doubt(tier, now)
-        floors: dict[str, Floors] = {}
+        floors: dict[str, SelfPreservation] = {}
         for entry in over:
             tier = entry.told.tier
             settles = now <= entry.lease_end_ms + self._rules.settle_ms
             if tier not in floors:
-                floors[tier] = Floors(self._all_of(tier), self._rules, now)
+                floors[tier] = SelfPreservation(self._all_of(tier), self._rules, now)
             stays = settles or self.doubts.get(tier, 0.0) > now or floors[tier].spare(entry)
             floors[tier].take(entry)
             if stays:
@@ -322,7 +322,7 @@
         self._beat(entry, now, beats)
         return self._put(entry, now, "renewed elsewhere", "the list", "") if was_lapsed else None
 
-    def merge(self, theirs: Shared, now: float, who: str) -> Change | None:
+    def merge(self, theirs: SharedEntry, now: float, who: str) -> Change | None:
         """Take another instance's account of a server; a change if balancers, or the file, must know."""
         entry = self.entries.get(theirs.name)
         if entry is None:
@@ -342,7 +342,7 @@
             entry.renewed_ms, entry.lapsed = now, False
         return self._adopt(entry, joined, now, who)
 
-    def _adopt(self, entry: Entry, account: Shared, now: float, who: str) -> Change:
+    def _adopt(self, entry: Entry, account: SharedEntry, now: float, who: str) -> Change:
         entry.told, entry.said, entry.life = account.told, account.said, account.life
         entry.beats, entry.lapsed_at, entry.pinned = account.beats, account.lapsed_at, account.pinned
         return self._put(entry, now, "told by another instance", who, "", rev=account.rev)
@@ -430,6 +430,6 @@
                 f"{entry.name} started at {entry.told.since_ms:.0f}; {told.since_ms:.0f} is earlier",
             )
 
-    def _refuse(self, status: int, cause: str, why: str) -> Refused:
+    def _refuse(self, status: int, cause: str, why: str) -> WriteRejectedError:
         self.refused[cause] += 1
-        return Refused(status, why)
+        return WriteRejectedError(status, why)
--- a/loadbalancer/registry/change_index.py
+++ b/loadbalancer/registry/change_index.py
@@ -16,7 +16,7 @@
 LEFT_MOST = 8  # services that a server is remembered to have left; who has seen it in others gets the whole
 
 
-class Places:
+class ChangeIndex:
     """By service: its servers' names, with the version at which each changed there last."""
 
     def __init__(self) -> None:
--- a/loadbalancer/registry/client.py
+++ b/loadbalancer/registry/client.py
@@ -10,7 +10,7 @@
 PATIENCE_S = 10.0
 
 
-class CallError(RuntimeError):
+class RegistryCallError(RuntimeError):
     """A call that was refused, or that nobody answered: one line. `status` is 0 for nobody."""
 
     def __init__(self, status: int, why: str) -> None:
@@ -18,7 +18,7 @@
         self.status = status
 
 
-class Caller:
+class RegistryClient:
     """The service at an address, or at those of its instances: the next is asked if one does not answer."""
 
     def __init__(self, address: str, who: str = "", patience_s: float = PATIENCE_S) -> None:
@@ -27,7 +27,7 @@
         for one in address.split(","):
             host, _, port = one.strip().rpartition(":")
             if not host or not port.isdigit():
-                raise CallError(0, f"{one!r} is no address: give HOST:PORT, such as 127.0.0.1:8500")
+                raise RegistryCallError(0, f"{one!r} is no address: give HOST:PORT, such as 127.0.0.1:8500")
             self._instances.append((host, int(port)))
         self._who, self._patience_s = who, patience_s
 
@@ -41,7 +41,7 @@
         for left in reversed(range(len(self._instances))):
             try:
                 return self._call(method, path, body, why, if_match)
-            except CallError as error:
+            except RegistryCallError as error:
                 if error.status not in (0, 503) or not left:
                     raise
                 self._instances.append(self._instances.pop(0))
@@ -59,11 +59,11 @@
             answer = connection.getresponse()
             told = json.loads(answer.read())
         except (OSError, ValueError, http.client.HTTPException) as error:
-            raise CallError(0, f"{host}:{port} gave no answer: {error}") from None
+            raise RegistryCallError(0, f"{host}:{port} gave no answer: {error}") from None
         finally:
             connection.close()
         if answer.status >= 300:
-            raise CallError(answer.status, str(told.get("error", told)))
+            raise RegistryCallError(answer.status, str(told.get("error", told)))
         return told
 
     def on(
--- a/loadbalancer/registry/interests.py
+++ b/loadbalancer/registry/interests.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class SubsetSpec:
     """How large a part is to be."""
 
     least: int
@@ -67,12 +67,12 @@
 
     services: tuple[str, ...]
     """Each once, in their order."""
-    shape: Shape | None = None
+    shape: SubsetSpec | None = None
     """None for the whole of each service."""
     place: int = 0
 
 
-class View:
+class SubsetView:
     """The servers that are held: decided for each by its service, zone and name alone."""
 
     def __init__(self, levels: Levels, place: int) -> None:
@@ -145,15 +145,15 @@
         return self._slices[level]
 
 
-class Parts:
+class SubsetCache:
     """The levels of parts, worked out once for all that ask for the same and until the service changes."""
 
     def __init__(self, catalog: Catalog) -> None:
         self._catalog = catalog
         self._zones: dict[str, tuple[int, dict[str, Zone]]] = {}
-        self._best: dict[tuple[str, Shape], tuple[dict[str, Zone], dict[str, int]]] = {}
+        self._best: dict[tuple[str, SubsetSpec], tuple[dict[str, Zone], dict[str, int]]] = {}
 
-    def best(self, service: str, shape: Shape) -> dict[str, int]:
+    def best(self, service: str, shape: SubsetSpec) -> dict[str, int]:
         """By zone, the finest level whose smallest slice has the least that is asked for."""
         zones = self._zones_of(service)
         known = self._best.get((service, shape))
@@ -169,7 +169,7 @@
                 del self._best[next(iter(self._best))]
         return known[1]
 
-    def size(self, view: View) -> int:
+    def size(self, view: SubsetView) -> int:
         """About how many servers a view holds."""
         return sum(
             math.ceil(len(zone.names) * min(COPIES / 2 ** levels.get(name, 0), 1))
@@ -177,7 +177,7 @@
             for name, zone in self._zones_of(service).items()
         )
 
-    def whole(self, view: View) -> list[Entry]:
+    def whole(self, view: SubsetView) -> list[Entry]:
         """All that a view holds: it costs what is held, and not what the services have."""
         names: list[str] = []
         for service, levels in view.levels.items():
@@ -237,7 +237,7 @@
     return levels
 
 
-def news(catalog: Catalog, held: View, view: View, after: int) -> list[Entry]:
+def news(catalog: Catalog, held: SubsetView, view: SubsetView, after: int) -> list[Entry]:
     """What to tell who has held `held` up to a version that goes on, and holds `view` from now on.
 
     A server that is not held any more is told as ended.
--- a/loadbalancer/registry/lease.py
+++ b/loadbalancer/registry/lease.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from loadbalancer.registry.client import Caller, CallError
+from loadbalancer.registry.client import RegistryCallError, RegistryClient
 from loadbalancer.registry.entries import Registration
 
 RENEW_PART = 0.3  # of the lease, after which it is renewed: two renewals may be lost
@@ -17,7 +17,7 @@
     """A server's place on the list; every call raises CallError if the service refuses or is not there."""
 
     def __init__(
-        self, caller: Caller, name: str, told: Registration,
+        self, caller: RegistryClient, name: str, told: Registration,
         now_ms: Callable[[], float] = lambda: time.time() * 1_000,
     ) -> None:  # fmt: skip
         self._caller, self._name, self._now_ms = caller, name, now_ms
@@ -48,7 +48,7 @@
         try:
             self._caller.on("POST", self._name, "/renew", {"since_ms": self.told.since_ms})
             self._renewed = self._now_ms()
-        except CallError as error:
+        except RegistryCallError as error:
             if error.status == 404:  # it has lapsed, or the service has lost its memory
                 self.is_held = False
             raise
--- a/loadbalancer/registry/list_query.py
+++ b/loadbalancer/registry/list_query.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from loadbalancer.registry.catalog import Refused
+from loadbalancer.registry.catalog import WriteRejectedError
 from loadbalancer.registry.entries import Name
-from loadbalancer.registry.interests import Interest, Levels, Shape, decode, place_of
+from loadbalancer.registry.interests import Interest, Levels, SubsetSpec, decode, place_of
 
 WAIT_MOST_MS = 60_000.0
 SERVICES_MOST = 32  # of one watch
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ListQuery:
     """One call for the list."""
 
     interest: Interest
@@ -36,15 +36,15 @@
     waited_ms: float = 0.0
 
 
-def read(query: Mapping[str, str]) -> Asked:
+def parse_list_query(query: Mapping[str, str]) -> ListQuery:
     """What a query asks; Refused, with 400, says what is wrong."""
     after, wait_ms = int(number(query, "after", WHOLE)), min(number(query, "wait_ms", 0.0), WAIT_MOST_MS)
     if "services" not in query:
         if extra := [key for key in ONLY_WITH if key in query]:
-            raise Refused(400, f"{extra[0]}: is only for a call with services=NAME,...")
-        return Asked(Interest((query.get("tier", "first"),)), after, wait_ms, is_old=True)
+            raise WriteRejectedError(400, f"{extra[0]}: is only for a call with services=NAME,...")
+        return ListQuery(Interest((query.get("tier", "first"),)), after, wait_ms, is_old=True)
     ticket = number(query, "ticket", -1.0)
-    return Asked(
+    return ListQuery(
         Interest(_services(query["services"]), _shape(query), place_of(_text(query, "of"))), after, wait_ms,
         _held(query), ticket=int(ticket) if ticket >= 0 else None,
         waited_ms=max(number(query, "waited_ms", 0.0), 0.0),
@@ -59,7 +59,7 @@
     except ValueError:
         value = math.nan
     if not -1 <= value < 1e16:
-        raise Refused(400, f"{key}={text!r} is no number that can be")
+        raise WriteRejectedError(400, f"{key}={text!r} is no number that can be")
     return value
 
 
@@ -68,36 +68,40 @@
     try:
         msgspec.convert(names, type=list[Name])
     except msgspec.ValidationError:
-        raise Refused(400, f"services={text[:80]!r}: must be names of services, commas between") from None
+        raise WriteRejectedError(
+            400, f"services={text[:80]!r}: must be names of services, commas between"
+        ) from None
     if len(set(names)) < len(names) or len(names) > SERVICES_MOST:
-        raise Refused(400, f"services: {len(names)} names; allowed: {SERVICES_MOST} at most, each once")
+        raise WriteRejectedError(
+            400, f"services: {len(names)} names; allowed: {SERVICES_MOST} at most, each once"
+        )
     return tuple(sorted(names))
 
 
-def _shape(query: Mapping[str, str]) -> Shape | None:
+def _shape(query: Mapping[str, str]) -> SubsetSpec | None:
     if "part" not in query:
         for key in ("of", "zone", "balancers"):
             if key in query:
-                raise Refused(400, f"{key}: is only for a call with part=SERVERS")
+                raise WriteRejectedError(400, f"{key}: is only for a call with part=SERVERS")
         return None
     part = _count(query, "part", 1, PART_MOST)
     if not query.get("of"):
-        raise Refused(400, "part: needs of=NAME, the watcher's own: it says which part is meant")
+        raise WriteRejectedError(400, "part: needs of=NAME, the watcher's own: it says which part is meant")
     balancers = _count(query, "balancers", 0, BALANCERS_MOST) if "balancers" in query else 0
-    return Shape(part, _text(query, "zone"), balancers)
+    return SubsetSpec(part, _text(query, "zone"), balancers)
 
 
 def _count(query: Mapping[str, str], key: str, least: int, most: int) -> int:
     text = query[key]
     if not text.isdecimal() or not least <= int(text[:20]) <= most:
-        raise Refused(400, f"{key}={text[:40]!r}; allowed: {least} to {most}")
+        raise WriteRejectedError(400, f"{key}={text[:40]!r}; allowed: {least} to {most}")
     return int(text)
 
 
 def _text(query: Mapping[str, str], key: str) -> str:
     text = query.get(key, "")
     if len(text) > TEXT_MOST:
-        raise Refused(400, f"{key}: longer than {TEXT_MOST}")
+        raise WriteRejectedError(400, f"{key}: longer than {TEXT_MOST}")
     return text
 
 
@@ -107,6 +111,6 @@
     try:
         return decode(query["held"])
     except ValueError as error:
-        raise Refused(
+        raise WriteRejectedError(
             400, f"held: not what this service told: {' '.join(str(error).split())[:120]}"
         ) from None
--- a/loadbalancer/registry/merge.py
+++ b/loadbalancer/registry/merge.py
@@ -18,7 +18,7 @@
 SAID = (Status.IN_SERVICE, Status.TERMINATING, Status.TERMINATED)  # in the order in which they replace
 
 
-class Shared(msgspec.Struct, frozen=True, array_like=True):
+class SharedEntry(msgspec.Struct, frozen=True, array_like=True):
     """One server as instances tell it; leases, marks and versions are each instance's own."""
 
     name: str
@@ -36,23 +36,23 @@
         return self.told.since_ms, self.life
 
 
-def share(entry: Entry) -> Shared:
+def share(entry: Entry) -> SharedEntry:
     """What others are told of an entry."""
-    return Shared(
+    return SharedEntry(
         entry.name, entry.told, entry.said, entry.life, entry.rev, entry.beats, entry.lapsed_at, entry.pinned
     )
 
 
-def _order(one: Shared) -> tuple[int, bytes]:
+def _order(one: SharedEntry) -> tuple[int, bytes]:
     return one.rev, msgspec.json.encode((one.told, one.pinned))
 
 
-def join(one: Shared, other: Shared) -> Shared:
+def join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
     """Both accounts of a server as one."""
     if one.start != other.start:
         return max(one, other, key=lambda account: account.start)
     later = max(one, other, key=_order)
-    return Shared(
+    return SharedEntry(
         one.name,
         later.told,
         max(one.said, other.said, key=SAID.index),
@@ -64,6 +64,6 @@
     )
 
 
-def disagree(one: Shared, other: Shared) -> bool:
+def disagree(one: SharedEntry, other: SharedEntry) -> bool:
     """Whether two accounts were made without knowing of one another: one of them is lost in the join."""
     return one.start == other.start and one.rev == other.rev and _order(one) != _order(other)
--- a/loadbalancer/registry/rate_limiter.py
+++ b/loadbalancer/registry/rate_limiter.py
@@ -7,7 +7,7 @@
 LEAST_S = 0.02  # between two wakes, however few watch; the first after a quiet spell comes at once
 
 
-class Pace:
+class WakeRateLimiter:
     """Under a stream of changes each watch gets several at once, and the service has time for writes.
 
     Times are seconds of a clock that never goes back.
--- a/loadbalancer/registry/self_preservation.py
+++ b/loadbalancer/registry/self_preservation.py
@@ -17,7 +17,7 @@
 Place = tuple[str, str | int]
 
 
-class Floors:
+class SelfPreservation:
     """The servers of one tier by zone and by group: how many count there, and how many of these are well.
 
     Those that lapsed within `floor_ms` count, too. Times are Unix ms.
--- a/loadbalancer/registry/server.py
+++ b/loadbalancer/registry/server.py
@@ -9,15 +9,15 @@
 import msgspec
 from aiohttp import web
 
-from loadbalancer.registry.anti_entropy import MOST_INSTANCES
+from loadbalancer.registry.anti_entropy import MAX_INSTANCES
 from loadbalancer.registry.entries import Address, Rules
 from loadbalancer.registry.service import Service
-from loadbalancer.registry.store import Store
+from loadbalancer.registry.store import CatalogStore
 
 SHUTDOWN_S = 1.0
 
 
-class HostError(ValueError):
+class RegistryServerError(ValueError):
     """What can't be served: one line."""
 
 
@@ -39,18 +39,18 @@
     try:
         told = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), type=File)
         count = len(told.instances)
-        if count > MOST_INSTANCES or len(set(told.instances)) < count:
-            raise ValueError(f"instances: {count}; allowed: {MOST_INSTANCES} at most, each once")
+        if count > MAX_INSTANCES or len(set(told.instances)) < count:
+            raise ValueError(f"instances: {count}; allowed: {MAX_INSTANCES} at most, each once")
         if told.instance >= max(count, 1):
             raise ValueError(f"instance: {told.instance}; allowed: 0 to {max(count, 1) - 1}")
         return told
     except (OSError, ValueError) as error:
-        raise HostError(f"{path}: {' '.join(str(error).split())}") from None
+        raise RegistryServerError(f"{path}: {' '.join(str(error).split())}") from None
 
 
 def open_service(told: File) -> Service:
     """The service with all that its database holds; StoreError if that can't be used."""
-    return Service(Store(told.database), told.rules, told.instances, told.instance)
+    return Service(CatalogStore(told.database), told.rules, told.instances, told.instance)
 
 
 def serve(told: File, service: Service) -> None:
@@ -62,4 +62,4 @@
             shutdown_timeout=SHUTDOWN_S,
         )  # fmt: skip
     except OSError as error:
-        raise HostError(f"can't listen on {told.listen}: {error}") from None
+        raise RegistryServerError(f"can't listen on {told.listen}: {error}") from None
--- a/loadbalancer/registry/service.py
+++ b/loadbalancer/registry/service.py
@@ -19,12 +19,12 @@
 import msgspec
 from aiohttp import web
 
-from loadbalancer.registry.anti_entropy import MOST_INSTANCES, Exchange, Message, Mismatch
-from loadbalancer.registry.catalog import Catalog, Change, Refused, first_index
+from loadbalancer.registry.anti_entropy import MAX_INSTANCES, AntiEntropy, InstanceMismatchError, Message
+from loadbalancer.registry.catalog import Catalog, Change, WriteRejectedError, first_revision
 from loadbalancer.registry.entries import Name, Registration, Rules
-from loadbalancer.registry.list_query import number, read
-from loadbalancer.registry.query_evaluation import Reads
-from loadbalancer.registry.store import Store, StoreError
+from loadbalancer.registry.list_query import number, parse_list_query
+from loadbalancer.registry.query_evaluation import QueryEvaluator
+from loadbalancer.registry.store import CatalogStore, CatalogStoreError
 
 BATCH_S = 0.005  # writes that come within it share a transaction, and watches are told of them at once
 LAPSE_S = 0.25
@@ -62,13 +62,15 @@
 class Service:
     """One instance: the catalog in memory, its file, and those who watch."""
 
-    def __init__(self, store: Store, rules: Rules, instances: Sequence[str] = (), instance: int = 0) -> None:
+    def __init__(
+        self, store: CatalogStore, rules: Rules, instances: Sequence[str] = (), instance: int = 0
+    ) -> None:
         """`instances` are the addresses of all that hold the list; StoreError if the file can't be read."""
         self._store, now = store, now_ms()
-        first = first_index(store.index(), now, instance, MOST_INSTANCES)
-        self.catalog = Catalog(rules, first, instance, MOST_INSTANCES)
+        first = first_revision(store.index(), now, instance, MAX_INSTANCES)
+        self.catalog = Catalog(rules, first, instance, MAX_INSTANCES)
         self.catalog.restore(store.entries(), now, store.lives(), *store.floors())
-        self.exchange = Exchange(self.catalog, instance, max(len(instances), 1), secrets.randbits(48) + 1)
+        self.exchange = AntiEntropy(self.catalog, instance, max(len(instances), 1), secrets.randbits(48) + 1)
         self._addresses = instances
         self._moved = asyncio.Event()  # something is to be told to the other instances at once
         self._synced = not self.exchange.others
@@ -76,7 +78,7 @@
         store.begin(self.catalog.index, self.catalog.base, self.catalog.entries, self.catalog.places.floors)
         self._queue: list[Waiting] = []
         self._flushing: asyncio.TimerHandle | None = None
-        self.reads = Reads(self.catalog, store)
+        self.reads = QueryEvaluator(self.catalog, store)
         self.cut_off = 0
         self.slow_s = SLOW_S
 
@@ -102,11 +104,13 @@
     # ---- reads ----------------------------------------------------------------------------------
 
     async def _list(self, request: web.Request) -> web.StreamResponse:
-        asked = read(request.query)
+        asked = parse_list_query(request.query)
         if not self._synced:
-            raise Refused(503, "this instance has just started, and has not heard the others yet")
+            raise WriteRejectedError(503, "this instance has just started, and has not heard the others yet")
         if asked.after >= 0 and now_ms() < self._learns_until and not self.reads.knows(asked):
-            raise Refused(503, "this service has lost its memory, or is new: keep the list that you have")
+            raise WriteRejectedError(
+                503, "this service has lost its memory, or is new: keep the list that you have"
+            )
         if (turn := self.reads.turn(asked)) is not None:
             retry_ms = round(turn.after_s * 1_000)
             told = {"error": "too many come back at once", "retry_ms": retry_ms, "ticket": turn.ticket}
@@ -212,12 +216,12 @@
         for waiting in queue:
             try:
                 done.append((waiting, waiting.write()))
-            except Refused as refused:
+            except WriteRejectedError as refused:
                 _fail(waiting, refused)
         changes = [change for _, change in done if change is not None]
         try:
             self._store.keep(changes)
-        except StoreError as error:
+        except CatalogStoreError as error:
             self.catalog.undo(changes)
             for waiting, _ in done:
                 _fail(waiting, error)
@@ -242,14 +246,14 @@
     async def _look_for_lapses(self) -> None:
         while True:
             await asyncio.sleep(LAPSE_S)
-            with suppress(StoreError):  # they lapse again when the disk takes them
+            with suppress(CatalogStoreError):  # they lapse again when the disk takes them
                 self._keep(self.catalog.lapse(now_ms(), self.exchange.heard))
 
     def _keep(self, changes: list[Change]) -> None:
         """Keep changes that nobody here waits for; StoreError, and none is made, if that can't be."""
         try:
             self._store.keep(changes)
-        except StoreError:
+        except CatalogStoreError:
             self.catalog.undo(changes)
             raise
         if changes:
@@ -263,19 +267,21 @@
         async for part in request.content.iter_chunked(EXCHANGE_PART):
             data += part
             if len(data) > EXCHANGE_MOST:
-                raise Refused(413, "a message of another instance is too long")
+                raise WriteRejectedError(413, "a message of another instance is too long")
         try:
             question = msgspec.json.decode(data, type=Message)
             answer, changes = self.exchange.heard_from(question, now_ms())
-        except (msgspec.DecodeError, Mismatch) as error:
-            raise Refused(400, f"no message of another instance: {' '.join(str(error).split())}") from None
+        except (msgspec.DecodeError, InstanceMismatchError) as error:
+            raise WriteRejectedError(
+                400, f"no message of another instance: {' '.join(str(error).split())}"
+            ) from None
         self._keep_heard(question.sender, changes)
         return web.Response(body=msgspec.json.encode(answer), content_type="application/json")
 
     def _keep_heard(self, sender: int, changes: list[Change]) -> None:
         try:
             self._keep(changes)
-        except StoreError:
+        except CatalogStoreError:
             self.exchange.others[sender].heard = 0  # all is to be told again
             raise
 
@@ -299,7 +305,7 @@
     async def _ask_on(self, http: aiohttp.ClientSession, other: int) -> None:
         """Ask another instance every so often, and at once when something is to be told."""
         while True:
-            with suppress(aiohttp.ClientError, OSError, ValueError, StoreError):
+            with suppress(aiohttp.ClientError, OSError, ValueError, CatalogStoreError):
                 await self._ask(http, other)
             with suppress(TimeoutError):
                 async with asyncio.timeout(EXCHANGE_S):
@@ -327,9 +333,9 @@
     try:
         response: web.StreamResponse = await handler(request)
         return response
-    except Refused as refused:
+    except WriteRejectedError as refused:
         return _json({"error": str(refused)}, status=refused.status)
-    except StoreError as error:
+    except CatalogStoreError as error:
         return _json({"error": str(error)}, status=503)
     except web.HTTPException as error:
         if error.status >= 400:
@@ -347,14 +353,16 @@
     try:
         return msgspec.convert(name, type=Name)
     except msgspec.ValidationError:
-        raise Refused(400, f"{name[:80]!r} is no name of a server: letters, digits, . _ : -") from None
+        raise WriteRejectedError(
+            400, f"{name[:80]!r} is no name of a server: letters, digits, . _ : -"
+        ) from None
 
 
 def _said(request: web.Request) -> tuple[str, str, int | None]:
     """Who writes and why, and at which version."""
     match = request.headers.get("If-Match", "").strip().strip('"')
     if match and not match.isdigit():
-        raise Refused(400, f"If-Match {match[:40]!r} is no version")
+        raise WriteRejectedError(400, f"If-Match {match[:40]!r} is no version")
     who, why = (request.headers.get(key, "")[:200] for key in (WHO, WHY))
     return who, why, int(match) if match else None
 
@@ -364,4 +372,4 @@
         return msgspec.json.decode(await request.read() or b"{}", type=kind)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         allowed = ", ".join(f.name for f in msgspec.structs.fields(kind))
-        raise Refused(400, f"{' '.join(str(error).split())}; allowed: {allowed}") from None
+        raise WriteRejectedError(400, f"{' '.join(str(error).split())}; allowed: {allowed}") from None
--- a/loadbalancer/registry/store.py
+++ b/loadbalancer/registry/store.py
@@ -28,11 +28,11 @@
 """
 
 
-class StoreError(RuntimeError):
+class CatalogStoreError(RuntimeError):
     """A file that can't be used: one line."""
 
 
-class Store:
+class CatalogStore:
     """One file. All calls come from one thread."""
 
     def __init__(self, path: Path | str) -> None:
@@ -47,10 +47,10 @@
             if form == 1:
                 self._read_anew()
             elif form not in (0, FORM):
-                raise StoreError(f"{path}: it is of form {form}; this program reads form {FORM}")
+                raise CatalogStoreError(f"{path}: it is of form {form}; this program reads form {FORM}")
             self._db.execute("insert or replace into meta values ('form', ?)", (FORM,))
         except sqlite3.Error as error:
-            raise StoreError(f"{path}: can't be used: {error}") from None
+            raise CatalogStoreError(f"{path}: can't be used: {error}") from None
 
     def _meta(self, key: str) -> int:
         row = self._db.execute("select value from meta where key = ?", (key,)).fetchone()
@@ -78,7 +78,7 @@
             rows = self._db.execute("select entry from entries").fetchall()
             return [msgspec.json.decode(row[0], type=Entry) for row in rows]
         except (sqlite3.Error, msgspec.DecodeError, msgspec.ValidationError) as error:
-            raise StoreError(f"an entry can't be read: {error}") from None
+            raise CatalogStoreError(f"an entry can't be read: {error}") from None
 
     def floor(self) -> int:
         """The highest version up to which a removal may be forgotten."""
@@ -169,7 +169,7 @@
         except sqlite3.Error as error:
             if self._db.in_transaction:
                 self._db.execute("rollback")
-            raise StoreError(f"nothing was kept: {error}") from None
+            raise CatalogStoreError(f"nothing was kept: {error}") from None
 
     def history(self, name: str = "", most: int = 100) -> list[Change]:
         """The newest changes first, of one server or of all."""
--- a/loadbalancer/registry/watcher_index.py
+++ b/loadbalancer/registry/watcher_index.py
@@ -15,31 +15,40 @@
 from typing import NamedTuple
 
 from loadbalancer.registry.entries import Entry
-from loadbalancer.registry.interests import LEVEL_MOST, Parts, Shape, View, places_left, slices_of
+from loadbalancer.registry.interests import (
+    LEVEL_MOST,
+    SubsetCache,
+    SubsetSpec,
+    SubsetView,
+    places_left,
+    slices_of,
+)
 
 Woken = asyncio.Future[None]
 
 
-class Found(NamedTuple):
+class AffectedWatchers(NamedTuple):
     """Those to wake, and the services that have changed."""
 
     waiting: set[Woken]
     services: set[str]
 
 
-class Waits:
+class WatcherIndex:
     """Who waits for what, by the services, the slices and the shapes of parts."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: SubsetCache) -> None:
         self._parts = parts
         self._by: dict[Hashable, set[Woken]] = {}
-        self._shapes: dict[str, dict[Shape, dict[str, int]]] = {}  # by service, the parts that are waited for
+        self._shapes: dict[
+            str, dict[SubsetSpec, dict[str, int]]
+        ] = {}  # by service, the parts that are waited for
 
     def __len__(self) -> int:
         return sum(map(len, self._by.values()))
 
     @contextmanager
-    def waiting(self, view: View, shape: Shape | None) -> Iterator[Woken]:
+    def waiting(self, view: SubsetView, shape: SubsetSpec | None) -> Iterator[Woken]:
         """Wait for changes of what a view holds, and of the levels of its parts, until the block ends."""
         woken: Woken = asyncio.get_running_loop().create_future()
         keys = list(self._keys(view, shape))
@@ -55,7 +64,7 @@
             if shape is not None:
                 self._let_go(view, shape)
 
-    def _keys(self, view: View, shape: Shape | None) -> Iterator[Hashable]:
+    def _keys(self, view: SubsetView, shape: SubsetSpec | None) -> Iterator[Hashable]:
         for service, zones in view.levels.items():
             if shape is None:
                 yield service
@@ -67,7 +76,7 @@
                 level = zones.get(zone, 0)
                 yield service, zone, level, view.place & ((1 << level) - 1)
 
-    def _let_go(self, view: View, shape: Shape) -> None:
+    def _let_go(self, view: SubsetView, shape: SubsetSpec) -> None:
         for service in view.levels:
             if (service, shape) not in self._by and service in self._shapes:
                 self._shapes[service].pop(shape, None)
@@ -78,7 +87,7 @@
         """Wake those who wait for one of the servers that have changed since a version; how many."""
         return self.tell(self.find(changed, after))
 
-    def tell(self, found: Found) -> int:
+    def tell(self, found: AffectedWatchers) -> int:
         """Wake whom a look of this very moment has found; how many."""
         for one in found.waiting:
             if not one.done():
@@ -88,7 +97,7 @@
                 self._shapes[service][shape] = self._parts.best(service, shape)
         return len(found.waiting)
 
-    def find(self, changed: Iterable[Entry], after: int) -> Found:
+    def find(self, changed: Iterable[Entry], after: int) -> AffectedWatchers:
         """Whom the servers that have changed since a version would wake."""
         found: set[Woken] = set()
         services: set[str] = set()
@@ -103,7 +112,7 @@
             for shape, best in self._shapes[service].items():
                 if self._parts.best(service, shape) != best:
                     found |= self._by.get((service, shape), set())
-        return Found(found, services)
+        return AffectedWatchers(found, services)
 
 
 def _slices(service: str, zone: str, name: str) -> Iterator[Hashable]:
--- a/loadbalancer/scale/hollow.py
+++ b/loadbalancer/scale/hollow.py
@@ -24,7 +24,7 @@
 from loadbalancer.interface import Readiness, UpdateKind
 from loadbalancer.net import discovery
 from loadbalancer.net.config import AddressedEndpoint, Config, ServerList, read_config, read_list
-from loadbalancer.net.upstream import Answer
+from loadbalancer.net.upstream import UpstreamResponse
 from loadbalancer.policy import Balancer
 from loadbalancer.scale.counting import Tally, in_background, run, tell_each_second
 from loadbalancer.scale.plan import Plan, balancer_config
@@ -160,7 +160,7 @@
         self._count(len(data))
         super().data_received(data)
 
-    async def call(self, request: bytes) -> Answer:
+    async def call(self, request: bytes) -> UpstreamResponse:
         """Count, and call."""
         self._owner._host.tally.calls[self._at] += 1
         self._count(len(request))
--- a/loadbalancer/scale/plants.py
+++ b/loadbalancer/scale/plants.py
@@ -16,11 +16,11 @@
 
 def polls() -> None:
     """Watches ask again and again, instead of waiting for news."""
-    from loadbalancer.endpoint_watch import Ask, Watch
+    from loadbalancer.endpoint_watch import ListRequest, Watch
 
     real = Watch.ask
 
-    def ask(self: Watch, now: float = 0.0) -> Ask:
+    def ask(self: Watch, now: float = 0.0) -> ListRequest:
         told = real(self, now)
         return replace(told, wait_ms=min(told.wait_ms, POLL_MS))
 
@@ -29,20 +29,20 @@
 
 def quadratic_fan_out() -> None:
     """Each change tells each watch the whole list."""
-    from loadbalancer.registry.query_evaluation import Reads
+    from loadbalancer.registry.query_evaluation import QueryEvaluator
 
-    Reads._goes_on = lambda self, asked: False  # type: ignore[method-assign]
+    QueryEvaluator._goes_on = lambda self, asked: False  # type: ignore[method-assign]
 
 
 def never_backs_off() -> None:
     """A call that has failed is made again at once, whoever else does the same."""
     from loadbalancer import interface
     from loadbalancer.endpoint_watch import Watch
-    from loadbalancer.policy.endpoints import Roster
+    from loadbalancer.policy.endpoints import EndpointSet
 
-    real_failed, real_watch = Roster.failed, Watch.failed
+    real_failed, real_watch = EndpointSet.failed, Watch.failed
 
-    def failed(self: Roster, now: float, again_ms: float) -> list[interface.Action]:
+    def failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
         told = real_failed(self, now, again_ms)
         return [
             replace(a, at_ms=now + AGAIN_S * 1_000) if isinstance(a, interface.SetTimer) else a for a in told
@@ -54,7 +54,7 @@
         pause_s = real_watch(self, took_s, fell_silent, turned_away)
         return None if pause_s is None else AGAIN_S
 
-    Roster.failed, Watch.failed = failed, watch_failed  # type: ignore[method-assign]
+    EndpointSet.failed, Watch.failed = failed, watch_failed  # type: ignore[method-assign]
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
--- a/loadbalancer/simhost.py
+++ b/loadbalancer/simhost.py
@@ -101,7 +101,7 @@
         if isinstance(event, wire.Stop):
             del self._balancers[who]
             return
-        if isinstance(event, wire.ListNews):
+        if isinstance(event, wire.EndpointListNotice):
             members: tuple[Endpoint, ...] = ()
             if event.ledger is not None:
                 if event.ledger not in self._ledgers:
--- a/loadbalancer/simulation/__init__.py
+++ b/loadbalancer/simulation/__init__.py
@@ -9,7 +9,7 @@
     print(result.worth.figure)
 """
 
-from loadbalancer.simulation.fleet import World
+from loadbalancer.simulation.fleet import SimulatedFleet
 from loadbalancer.simulation.scenario import Scenario, ScenarioError, draw, load
 
-__all__ = ["Scenario", "ScenarioError", "World", "draw", "load"]
+__all__ = ["Scenario", "ScenarioError", "SimulatedFleet", "draw", "load"]
--- a/loadbalancer/simulation/baselines.py
+++ b/loadbalancer/simulation/baselines.py
@@ -10,7 +10,7 @@
 from loadbalancer.interface import Idempotency, Readiness
 
 if TYPE_CHECKING:
-    from loadbalancer.simulation.fleet import World
+    from loadbalancer.simulation.fleet import SimulatedFleet
 
 ORACLE_ROOM = 2.5  # calls that want a core, for each core, up to which the oracle lets cheap requests in
 
@@ -124,7 +124,7 @@
 class Oracle(Plain):
     """Sees what every server holds and can do at this moment: what is left to be had."""
 
-    world: World
+    world: SimulatedFleet
 
     def pick(self, cls: interface.RequestClass) -> str | None:
         """Where the request would be done soonest; cheap ones are refused where all are full."""
--- a/loadbalancer/simulation/clients.py
+++ b/loadbalancer/simulation/clients.py
@@ -12,7 +12,7 @@
 from loadbalancer.simulation.network import Network
 from loadbalancer.simulation.rules import GRACE_MS
 from loadbalancer.simulation.scenario import Day, number
-from loadbalancer.simulation.utility import Wish
+from loadbalancer.simulation.utility import RequestedValue
 
 GRID_MS = 10.0
 IMPATIENT_PART = 0.1  # of its time, after which an impatient client leaves
@@ -90,7 +90,9 @@
         *"_until _wish _world".split(),
     )
 
-    def __init__(self, world: Front, arrival: Arrival, wish: Wish, honours: bool, impatient: bool) -> None:
+    def __init__(
+        self, world: Front, arrival: Arrival, wish: RequestedValue, honours: bool, impatient: bool
+    ) -> None:
         self._world, self._arrival, self._wish = world, arrival, wish
         self._honours, self._impatient = honours, impatient
         cls = world.day.scenario.classes[arrival.cls]
--- a/loadbalancer/simulation/faults.py
+++ b/loadbalancer/simulation/faults.py
@@ -16,7 +16,7 @@
 PAUSE_EVERY_MS = 2_000.0
 
 
-class Stage(Protocol):
+class FaultTarget(Protocol):
     """What troubles befall."""
 
     clock: Clock
@@ -49,10 +49,10 @@
         """It is started again."""
 
 
-class Troubles:
+class FaultInjector:
     """Brings each trouble of the day about."""
 
-    def __init__(self, world: Stage) -> None:
+    def __init__(self, world: FaultTarget) -> None:
         self._world = world
         self._rng = world.day.stream("troubles")
         self.log: list[tuple[float, str]] = []
--- a/loadbalancer/simulation/fleet.py
+++ b/loadbalancer/simulation/fleet.py
@@ -12,12 +12,12 @@
 from loadbalancer.simulation.clients import Arrival, Client, arrivals
 from loadbalancer.simulation.clock import Clock
 from loadbalancer.simulation.discovery import Discovery
-from loadbalancer.simulation.faults import Troubles
+from loadbalancer.simulation.faults import FaultInjector
 from loadbalancer.simulation.network import Network
 from loadbalancer.simulation.rules import FALL_MS, FALL_MULTIPLE, GRACE_MS, Breach, Rules
 from loadbalancer.simulation.scenario import Day, Tier, number
 from loadbalancer.simulation.servers import Build, Job, Server
-from loadbalancer.simulation.utility import Ledger, Worth
+from loadbalancer.simulation.utility import Ledger, Utility
 
 START_MS = 1_000_000.0  # the day begins here: 0 stands for long ago in lists
 ERROR_MS = 2.0  # a failing server answers so soon
@@ -42,7 +42,7 @@
 class Result:
     """What came of a day."""
 
-    worth: Worth
+    worth: Utility
     breaches: list[Breach]
     samples: list[Sample]
     took_ms: list[tuple[str, float, str]]  # class, time from the first try to its end, ending
@@ -53,7 +53,7 @@
     log: list[tuple[float, str]] = field(default_factory=list)
 
 
-class World:
+class SimulatedFleet:
     """A day, ready to run once."""
 
     def __init__(self, day: Day, policy: Policy) -> None:
@@ -190,7 +190,7 @@
             self.fronts.append(self._host(f"n{index}", 0, zone, index, fronts))
         for index, server in enumerate(self.tiers[0]):
             self._start_inner(server, index)
-        troubles = Troubles(self)
+        troubles = FaultInjector(self)
         bursts = [
             (number(t.at_s) * 1_000, (number(t.at_s) + number(t.for_s)) * 1_000, number(t.size))
             for t in scenario.trouble
@@ -323,7 +323,7 @@
     def _first_count(self) -> int:
         return max(round(number(self.day.scenario.fleet.servers)), 1)
 
-    def _close(self, troubles: Troubles, length: float) -> Result:
+    def _close(self, troubles: FaultInjector, length: float) -> Result:
         self.rules.close()
         every = list(self.servers.values())
         choked = sum(s.choked_ms for s in every) / (length * len(every))
@@ -358,7 +358,7 @@
 
     def __init__(
         self,
-        world: World,
+        world: SimulatedFleet,
         number: int,
         server: Server,
         ask: Ask,
--- a/loadbalancer/simulation/gossip.py
+++ b/loadbalancer/simulation/gossip.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from loadbalancer.membership import Action, Membership, State, Tell, Wake
+from loadbalancer.membership import Action, Membership, MemberState, SendMessage, SetTimer
 from loadbalancer.simulation.clock import Clock, Due
 
 FLEET = b"lab0"
@@ -93,7 +93,7 @@
         """Members whose process is there."""
         return [n for n, seat in enumerate(self.seats) if seat.member is not None]
 
-    def view(self, number: int) -> tuple[State, ...]:
+    def view(self, number: int) -> tuple[MemberState, ...]:
         """What a living member believes of all."""
         member = self.seats[number].member
         assert member is not None
@@ -102,13 +102,13 @@
     def knowing(self, dead: int) -> float:
         """The share of the living that hold a member for gone, or for one that has left."""
         others = [n for n in self.living() if n != dead]
-        return sum(self.view(n)[dead] >= State.GONE for n in others) / max(len(others), 1)
+        return sum(self.view(n)[dead] >= MemberState.GONE for n in others) / max(len(others), 1)
 
     def agree(self) -> bool:
         """Whether all who live hold all who live for alive, and nobody else."""
         living = set(self.living())
         return all(
-            (state is State.ALIVE) == (n in living) and state is not State.SUSPECTED
+            (state is MemberState.ALIVE) == (n in living) and state is not MemberState.SUSPECTED
             for one in living
             for n, state in enumerate(self.view(one))
         )
@@ -118,14 +118,14 @@
     def _do(self, number: int, actions: Iterable[Action]) -> None:
         seat = self.seats[number]
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, SendMessage):
                 self._send(number, action)
-            elif isinstance(action, Wake):
+            elif isinstance(action, SetTimer):
                 if seat.due is not None:
                     seat.due.cancel()
                 seat.due = self.clock.at(action.at, self._wake, number)
 
-    def _send(self, number: int, tell: Tell) -> None:
+    def _send(self, number: int, tell: SendMessage) -> None:
         self.notes += 1
         self.bytes += len(tell.note)
         for _ in range(2 if self._random.random() < self.doubled else 1):
--- a/loadbalancer/simulation/utility.py
+++ b/loadbalancer/simulation/utility.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Wish:
+class RequestedValue:
     """What a client wanted, over all its tries."""
 
     number: int
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class Worth:
+class Utility:
     """The figure of a day and its parts, each from 0 to 1 but for the prices."""
 
     figure: float
@@ -48,14 +48,14 @@
 
     def __init__(self, day: Day, quotas: dict[str, float]) -> None:
         self._day = day
-        self.wishes: list[Wish] = []
+        self.wishes: list[RequestedValue] = []
         self._quota = quotas
         self._left = {name: QUOTA_BURST_MS / 1_000 * quota for name, quota in quotas.items()}
         self._seen = 0.0
         self.attempts, self.crossings, self.probes = 0, 0, 0
         self.by_zone: dict[int, Counter[str]] = defaultdict(Counter)  # calls of front balancers, by second
 
-    def open(self, at: float, cls: str, tenant: str, work: float, worth: float, aim: float) -> Wish:
+    def open(self, at: float, cls: str, tenant: str, work: float, worth: float, aim: float) -> RequestedValue:
         """A first try: worth little where its tenant is past its share."""
         for name, quota in self._quota.items():
             most = QUOTA_BURST_MS / 1_000 * quota
@@ -65,7 +65,7 @@
         if in_share and tenant in self._left:
             self._left[tenant] -= 1
         counts = worth * work * (1.0 if in_share else self._day.scenario.over_share_worth)
-        wish = Wish(len(self.wishes), at, cls, tenant, counts, work, in_share, aim)
+        wish = RequestedValue(len(self.wishes), at, cls, tenant, counts, work, in_share, aim)
         self.wishes.append(wish)
         return wish
 
@@ -76,7 +76,7 @@
         if of_front:
             self.by_zone[int(now / 1_000)][zone] += 1
 
-    def close(self, worked: float, choked: float) -> Worth:
+    def close(self, worked: float, choked: float) -> Utility:
         """The day's figure; `worked` is all work done, `choked` the part of servers that a crowd slowed."""
         counted = [w for w in self.wishes if w.at >= SKIP_MS] or self.wishes
         goal, price = self._day.scenario.goal, self._day.scenario.prices
@@ -103,21 +103,21 @@
         endings: dict[str, int] = defaultdict(int)
         for wish in counted:
             endings[wish.ending or "gave up"] += 1
-        return Worth(figure, **parts, prices=prices, served=by_class, endings=dict(sorted(endings.items())))
+        return Utility(figure, **parts, prices=prices, served=by_class, endings=dict(sorted(endings.items())))
 
 
-def _served(wishes: list[Wish]) -> float:
+def _served(wishes: list[RequestedValue]) -> float:
     return sum(w.worth for w in wishes if w.ending == "in time") / (sum(w.worth for w in wishes) or 1.0)
 
 
-def _served_by(wishes: list[Wish], key: object) -> dict[str, float]:
-    groups: dict[str, list[Wish]] = defaultdict(list)
+def _served_by(wishes: list[RequestedValue], key: object) -> dict[str, float]:
+    groups: dict[str, list[RequestedValue]] = defaultdict(list)
     for wish in wishes:
         groups[key(wish)].append(wish)  # type: ignore[operator]
     return {name: _served(group) for name, group in sorted(groups.items())}
 
 
-def _worst_window(wishes: list[Wish]) -> float:
+def _worst_window(wishes: list[RequestedValue]) -> float:
     first, last = wishes[0].at, wishes[-1].at
     worst, start = 1.0, first
     while True:
--- a/loadbalancer/simulation/watches.py
+++ b/loadbalancer/simulation/watches.py
@@ -7,9 +7,9 @@
 fleet.run(330_000)
 print(fleet.figures())
 
-Catalogs, exchanges, watches and the pauses of `Roster` are the real ones. What is the model's own: a service
-has one core, which takes `ANSWER_MS` an answer and more for a whole list, and hears all who call in turn.
-Balancers hold no servers; what they have heard is the version up to which they know the list.
+Catalogs, exchanges, watches and the pauses of `EndpointSet` are the real ones. What is the model's own: a
+service has one core, which takes `ANSWER_MS` an answer and more for a whole list, and hears all who call in
+turn. Balancers hold no servers; what they have heard is the version up to which they know the list.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from loadbalancer.endpoint_watch import Address, Ask, Watch
+from loadbalancer.endpoint_watch import Address, ListRequest, Watch
 from loadbalancer.interface import (
     EndpointListUpdate,
     Idempotency,
@@ -29,10 +29,10 @@
     Settings,
     UpdateKind,
 )
-from loadbalancer.policy.endpoints import Roster
-from loadbalancer.registry import Catalog, Entry, Registration, Rules, first_index
-from loadbalancer.registry.anti_entropy import MOST_INSTANCES, Exchange
-from loadbalancer.registry.rate_limiter import Pace
+from loadbalancer.policy.endpoints import EndpointSet
+from loadbalancer.registry import Catalog, Entry, Registration, Rules, first_revision
+from loadbalancer.registry.anti_entropy import MAX_INSTANCES, AntiEntropy
+from loadbalancer.registry.rate_limiter import WakeRateLimiter
 from loadbalancer.simulation.clock import Clock
 
 START_MS = 1.8e12  # Unix ms at which a play begins
@@ -51,7 +51,7 @@
     """A watch that waits at a service."""
 
     seat: int
-    ask: Ask
+    ask: ListRequest
     call: int
 
 
@@ -60,8 +60,8 @@
     """One instance of the service."""
 
     catalog: Catalog
-    exchange: Exchange
-    pace: Pace = field(default_factory=Pace)
+    exchange: AntiEntropy
+    pace: WakeRateLimiter = field(default_factory=WakeRateLimiter)
     held: list[Held] = field(default_factory=list)
     is_up: bool = True
     free_at: float = 0.0
@@ -74,7 +74,7 @@
 class Seat:
     """One balancer: its watch, and the truth up to which it has heard."""
 
-    def __init__(self, watch: Watch, roster: Roster) -> None:
+    def __init__(self, watch: Watch, roster: EndpointSet) -> None:
         self.watch, self.roster = watch, roster
         self.began = 0.0  # when the last call did, ms
         self.call = 0  # the one that is out; an answer to an earlier one is late
@@ -108,9 +108,9 @@
         self.clock.after(LOOK_MS, self._look)
 
     def _site(self, number: int, count: int) -> Site:
-        first = first_index(0, START_MS, number, MOST_INSTANCES)
-        catalog = Catalog(Rules(), first, number, MOST_INSTANCES)
-        return Site(catalog, Exchange(catalog, number, count, life=number + 1))
+        first = first_revision(0, START_MS, number, MAX_INSTANCES)
+        catalog = Catalog(Rules(), first, number, MAX_INSTANCES)
+        return Site(catalog, AntiEntropy(catalog, number, count, life=number + 1))
 
     def _seat(self, number: int, count: int, seed: int) -> Seat:
         settings = Settings(
@@ -120,7 +120,7 @@
             self._addresses, number=number, balancers=count, grace_ms=GRACE_MS, own=True,
             seed=random.Random(f"{seed}/{number}").getrandbits(32),
         )  # fmt: skip
-        return Seat(watch, Roster(settings, random.Random(f"{seed}/{number}/roster")))
+        return Seat(watch, EndpointSet(settings, random.Random(f"{seed}/{number}/roster")))
 
     # ---- what happens ---------------------------------------------------------------------------
 
--- a/loadbalancer/snapshots/__init__.py
+++ b/loadbalancer/snapshots/__init__.py
@@ -8,7 +8,14 @@
 By the standard library alone, since every balancer may use it: JSON, and a digest by hashlib's BLAKE2.
 """
 
-from loadbalancer.snapshots.codec import Snapshot, Unreadable, decode, encode
-from loadbalancer.snapshots.store import Found, Store
+from loadbalancer.snapshots.codec import Snapshot, SnapshotDecodeError, decode_snapshot, encode_snapshot
+from loadbalancer.snapshots.store import LoadResult, SnapshotStore
 
-__all__ = ["Found", "Snapshot", "Store", "Unreadable", "decode", "encode"]
+__all__ = [
+    "LoadResult",
+    "Snapshot",
+    "SnapshotDecodeError",
+    "SnapshotStore",
+    "decode_snapshot",
+    "encode_snapshot",
+]
--- a/loadbalancer/snapshots/codec.py
+++ b/loadbalancer/snapshots/codec.py
@@ -11,13 +11,13 @@
 from hashlib import blake2b
 from typing import Any
 
-FORM = 1
-MOST_BYTES = 32_000_000
+FORMAT_VERSION = 1
+MAX_SNAPSHOT_BYTES = 32_000_000
 DIGEST_BYTES = 16
 State = dict[str, Any]
 
 
-class Unreadable(ValueError):
+class SnapshotDecodeError(ValueError):
     """No snapshot that we can use: one line that says why."""
 
 
@@ -33,14 +33,14 @@
     return blake2b(body, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def encode(state: State, written_ms: float) -> bytes:
+def encode_snapshot(state: State, written_ms: float) -> bytes:
     """The bytes of a state."""
     body = json.dumps(state, separators=(",", ":")).encode()
-    head = {"form": FORM, "written_ms": written_ms, "bytes": len(body), "digest": _digest(body)}
+    head = {"form": FORMAT_VERSION, "written_ms": written_ms, "bytes": len(body), "digest": _digest(body)}
     return json.dumps(head).encode() + b"\n" + body
 
 
-def decode(data: bytes) -> Snapshot:
+def decode_snapshot(data: bytes) -> Snapshot:
     """The state in some bytes; Unreadable if they are cut short, garbled, or of a newer form."""
     first, _, body = data.partition(b"\n")
     try:
@@ -48,17 +48,17 @@
         form, size = head["form"], head["bytes"]
         written, digest = float(head["written_ms"]), head["digest"]
     except (ValueError, KeyError, TypeError, RecursionError):
-        raise Unreadable("its first line is none of ours") from None
-    if form != FORM:
-        raise Unreadable(f"it is of form {form!r}; this program reads form {FORM}")
+        raise SnapshotDecodeError("its first line is none of ours") from None
+    if form != FORMAT_VERSION:
+        raise SnapshotDecodeError(f"it is of form {form!r}; this program reads form {FORMAT_VERSION}")
     if len(body) != size:
-        raise Unreadable(f"it holds {len(body)} of {size} bytes")
+        raise SnapshotDecodeError(f"it holds {len(body)} of {size} bytes")
     if _digest(body) != digest:
-        raise Unreadable("its digest is another")
+        raise SnapshotDecodeError("its digest is another")
     try:
         state = json.loads(body)
     except (ValueError, RecursionError):
-        raise Unreadable("it is no JSON") from None
+        raise SnapshotDecodeError("it is no JSON") from None
     if not isinstance(state, dict):
-        raise Unreadable("it is no object")
+        raise SnapshotDecodeError("it is no object")
     return Snapshot(state, written)
--- a/loadbalancer/snapshots/store.py
+++ b/loadbalancer/snapshots/store.py
@@ -11,18 +11,18 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from loadbalancer.snapshots.codec import MOST_BYTES, Snapshot, Unreadable, decode
+from loadbalancer.snapshots.codec import MAX_SNAPSHOT_BYTES, Snapshot, SnapshotDecodeError, decode_snapshot
 
 
 @dataclass(frozen=True)
-class Found:
+class LoadResult:
     """What was there: the newest snapshot that can be read, and a line on each file that can't."""
 
     snapshot: Snapshot | None
     troubles: tuple[str, ...]
 
 
-class Store:
+class SnapshotStore:
     """The snapshots of one balancer in a folder."""
 
     def __init__(self, folder: Path, name: str) -> None:
@@ -53,16 +53,16 @@
         finally:
             os.close(folder)
 
-    def load(self) -> Found:
+    def load(self) -> LoadResult:
         """The newest generation that can be read. Nothing raises: a start must not fail by it."""
         troubles: list[str] = []
         for path in (self._now, self._old):
             try:
-                if path.stat().st_size > MOST_BYTES:
-                    raise Unreadable("it is too large")
-                return Found(decode(path.read_bytes()), tuple(troubles))
+                if path.stat().st_size > MAX_SNAPSHOT_BYTES:
+                    raise SnapshotDecodeError("it is too large")
+                return LoadResult(decode_snapshot(path.read_bytes()), tuple(troubles))
             except FileNotFoundError:
                 continue
-            except (OSError, Unreadable) as error:
+            except (OSError, SnapshotDecodeError) as error:
                 troubles.append(f"{path.name} is passed over: {error}")
-        return Found(None, tuple(troubles))
+        return LoadResult(None, tuple(troubles))
--- a/loadbalancer/wire.py
+++ b/loadbalancer/wire.py
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListNews:
+class EndpointListNotice:
     """A list event that names its entries by the number of a ledger."""
 
     kind: UpdateKind
@@ -248,7 +248,7 @@
 
 def read_event(
     word: str, fields: Fields, note: Callable[[str], None]
-) -> Event | Start | Stop | ListNews | None:
+) -> Event | Start | Stop | EndpointListNotice | None:
     """The event of one line, or None for a kind that is unknown or of no use to a balancer."""
     match word:
         case "knock":
@@ -279,7 +279,7 @@
             return HealthCheckEnded(need(fields, "upstream"), _outcome(fields, note), _report(fields))
         case "membership":
             kind = _word(_LIST_KINDS, fields, "mode")
-            return ListNews(kind, None if kind is UpdateKind.FAILED else whole(fields, "list"))
+            return EndpointListNotice(kind, None if kind is UpdateKind.FAILED else whole(fields, "list"))
         case "up":
             facts = {name: value for name, value in fields.items() if name not in ("who", "prng")}
             return Start(whole(fields, "prng"), read_settings(facts, note))
@@ -291,7 +291,7 @@
     return None
 
 
-def list_update(news: ListNews, members: tuple[Endpoint, ...]) -> EndpointListUpdate:
+def list_update(news: EndpointListNotice, members: tuple[Endpoint, ...]) -> EndpointListUpdate:
     """The list event with the entries of its ledger."""
     return EndpointListUpdate(news.kind, members)
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,8 +16,8 @@
 import uvloop
 
 from loadbalancer.net.config import read_config
-from loadbalancer.net.proxy import Driver
-from loadbalancer.net.upstream import Pool, UpstreamConnection
+from loadbalancer.net.proxy import Proxy
+from loadbalancer.net.upstream import ConnectionPool, UpstreamConnection
 
 T = TypeVar("T")
 PATIENCE_S = 10.0  # for what must happen; reached only when a test fails
@@ -174,9 +174,9 @@
         self.begun, self._gate = asyncio.Event(), asyncio.Event()
         self.then: Callable[[], object] = lambda: None
         self.count = 0
-        connect = Pool.connect
+        connect = ConnectionPool.connect
 
-        async def held(pool: Pool, connection: UpstreamConnection) -> None:
+        async def held(pool: ConnectionPool, connection: UpstreamConnection) -> None:
             if server in ("", pool.name):
                 self.count += 1
                 self.begun.set()
@@ -184,7 +184,7 @@
             await connect(pool, connection)
             self.then()
 
-        monkeypatch.setattr(Pool, "connect", held)
+        monkeypatch.setattr(ConnectionPool, "connect", held)
 
     def let_up(self) -> None:
         """Let them come up from now on."""
@@ -204,7 +204,7 @@
     await over.wait()
 
 
-def left_behind(driver: Driver) -> list[str]:
+def left_behind(driver: Proxy) -> list[str]:
     """What a balancer that has nothing to do still holds: nothing, if all that ended let go."""
     held = {
         "requests": len(driver._requests),
@@ -233,14 +233,14 @@
         self._console, self._folder = console, folder
         self.discovery = ListServer()
         self.entries: list[dict[str, Any]] = []
-        self.driver: Driver
+        self.driver: Proxy
 
     async def __aenter__(self) -> Rig:
         for i, upstream in enumerate(self.upstreams):
             self.entries.append(entry(f"s{i}", await upstream.start()))
         text = config_text(await self.discovery.start(), self.entries, self._console, **self._settings)
         config = replace(read_config(text, lambda note: None), memory_mb=self._memory_mb)
-        self.driver = Driver(config, asyncio.get_running_loop(), self._folder)
+        self.driver = Proxy(config, asyncio.get_running_loop(), self._folder)
         self.driver.start()
         return self
 
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -38,7 +38,7 @@
 
 def test_the_platforms_json_means_the_same_here_as_to_run() -> None:
     text = config_text("127.0.0.1:9", [entry("s0", "127.0.0.1:5000")])
-    assert configuration.faults(json.loads(text)) == []
+    assert configuration.validation_errors(json.loads(text)) == []
     ours = configuration.parse(json.loads(text), pytest.fail)
     assert ours == replace(read_config(text, pytest.fail))
 
@@ -53,7 +53,7 @@
         },
         "known": {"endpoints": [{"name": "s", "address": "127.0.0.1:1", "weight": 0}]},
     }
-    found = configuration.faults(tables)
+    found = configuration.validation_errors(tables)
     for told in (
         'listen: "localhost"; allowed: an address such as',
         "nme: no such key; allowed: listen, discovery, settings",
@@ -71,7 +71,7 @@
 def test_what_only_the_whole_can_tell_is_told_too() -> None:
     tables = json.loads(config_text("127.0.0.1:9", []))
     tables["settings"]["classes"] *= 2
-    assert configuration.faults(tables) == [
+    assert configuration.validation_errors(tables) == [
         "classes is ['read', 'pay', 'read', 'pay']: it must not name a class twice"
     ]
 
@@ -80,7 +80,7 @@
 def test_a_file_that_cannot_be_read_is_one_line(tmp_path: Path, content: str) -> None:
     path = tmp_path / "x.json"
     path.write_text(content)
-    with pytest.raises(configuration.Unusable) as caught:
+    with pytest.raises(configuration.ConfigurationError) as caught:
         configuration.read(path, pytest.fail)
     assert len(caught.value.lines) == 1 and str(path) in caught.value.lines[0]
 
@@ -98,5 +98,5 @@
 @example({"\n": None})
 def test_whatever_a_file_holds_its_faults_are_lines(value: object) -> None:
     tables = value if isinstance(value, dict) else {"settings": value}
-    found = configuration.faults(tables)
+    found = configuration.validation_errors(tables)
     assert found and not [line for line in found if "\n" in line]
