--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -23,12 +23,20 @@
 
 from loadbalancer.drill.fleet import free_port
 from loadbalancer.net.config import read_list
-from loadbalancer.registry import Catalog, Change, Refused, Registration, Rules, Status, first_index
+from loadbalancer.registry import (
+    Catalog,
+    Change,
+    Registration,
+    Rules,
+    Status,
+    WriteRejectedError,
+    first_revision,
+)
 from loadbalancer.registry.agent import Agent
-from loadbalancer.registry.client import Caller, CallError
-from loadbalancer.registry.rate_limiter import ANSWER_S, WAKES_PART, Pace
+from loadbalancer.registry.client import RegistryCallError, RegistryClient
+from loadbalancer.registry.rate_limiter import ANSWER_S, WAKES_PART, WakeRateLimiter
 from loadbalancer.registry.service import Service
-from loadbalancer.registry.store import Store, StoreError
+from loadbalancer.registry.store import CatalogStore, CatalogStoreError
 from tests.loopback import Rig, Upstream, run, status
 
 ROOT = Path(__file__).parent.parent
@@ -70,13 +78,13 @@
     one = catalog("s0", since_ms=50.0)
     change = one.register("s0", told(since_ms=60.0), 1.0)
     assert change is not None and change.what == "started anew"
-    with pytest.raises(Refused, match="earlier") as caught:
+    with pytest.raises(WriteRejectedError, match="earlier") as caught:
         one.register("s0", told(since_ms=50.0), 2.0)
     assert caught.value.status == 409
-    with pytest.raises(Refused, match="started at 60"):
+    with pytest.raises(WriteRejectedError, match="started at 60"):
         one.renew("s0", 50.0, 2.0)
     one.remove("s0", 3.0)
-    with pytest.raises(Refused, match="earlier"):
+    with pytest.raises(WriteRejectedError, match="earlier"):
         one.register("s0", told(since_ms=50.0), 4.0)
 
 
@@ -84,7 +92,7 @@
     one = catalog("s0")
     one.drain("s0", 1.0)
     assert listed(one) == {"s0": "terminating"} and one.drain("s0", 2.0) is None
-    with pytest.raises(Refused, match="drains"):
+    with pytest.raises(WriteRejectedError, match="drains"):
         one.register("s0", told(), 3.0)
     one.register("s0", told(since_ms=5.0), 5.0)
     assert listed(one) == {"s0": "in_service"}
@@ -92,14 +100,14 @@
 
 def test_a_foreign_owner_is_refused_until_the_lease_is_over() -> None:
     one = catalog("s0", owner="a")
-    with pytest.raises(Refused, match="held by 'a'"):
+    with pytest.raises(WriteRejectedError, match="held by 'a'"):
         one.register("s0", told(owner="b"), 500.0)
     assert one.register("s0", told(owner="b"), 1_500.0) is not None
 
 
 def test_a_write_at_another_version_is_refused() -> None:
     one = catalog("s0", "s1")
-    with pytest.raises(Refused, match="at version 101, not 100") as caught:
+    with pytest.raises(WriteRejectedError, match="at version 101, not 100") as caught:
         one.drain("s0", 1.0, if_match=100)
     assert caught.value.status == 412
     assert one.drain("s0", 1.0, if_match=101) is not None
@@ -160,7 +168,7 @@
         one.lapse(now)
         if len(one.entries["s0"].lapses_ms) < RULES.flaps:
             one.register("s0", told(lease_ms=100.0), now)
-    with pytest.raises(Refused, match="come and gone too often"):
+    with pytest.raises(WriteRejectedError, match="come and gone too often"):
         one.register("s0", told(), now + 1_000.0)
     assert one.register("s0", told(), now + RULES.damp_ms) is not None
     one.pin("s1", True, now)
@@ -191,7 +199,7 @@
 
 
 def test_a_watcher_from_before_a_lost_memory_gets_the_whole_list_at_a_higher_version() -> None:
-    one = Catalog(RULES, first_index(0, 1_000_000.0))
+    one = Catalog(RULES, first_revision(0, 1_000_000.0))
     one.register("s0", told(), 1_000_000.0)
     assert one.changes("first", 1_000_500, 1_000_100.0) is None and one.index == 1_000_501
     assert one.changes("first", 10**15, 1_000_100.0) is None and one.index == 1_000_501  # nobody's version
@@ -200,19 +208,19 @@
 # ---- the store ----------------------------------------------------------------------------------
 
 
-def some(store: Store, count: int) -> list[Change]:
-    one = Catalog(RULES, first_index(store.index(), 0.0))
+def some(store: CatalogStore, count: int) -> list[Change]:
+    one = Catalog(RULES, first_revision(store.index(), 0.0))
     changes = [one.register(f"s{i}", told(), 0.0, who="me", why="test") for i in range(count)]
     return [c for c in changes if c is not None]
 
 
 def test_what_was_kept_is_there_again_and_history_tells_who_and_why(tmp_path: Path) -> None:
     path = tmp_path / "list.sqlite"
-    store = Store(path)
+    store = CatalogStore(path)
     changes = some(store, 3)
     store.keep(changes)
     store.close()
-    again = Store(path)
+    again = CatalogStore(path)
     assert [e.name for e in again.entries()] == ["s0", "s1", "s2"] and again.index() == changes[-1].index
     newest = again.history("s1")[0]
     assert (newest.what, newest.who, newest.why) == ("registered", "me", "test")
@@ -221,10 +229,10 @@
 
 def test_after_a_restart_watches_go_on_and_those_of_a_lost_life_get_the_whole_list(tmp_path: Path) -> None:
     """Each start made all watches ask for the whole list: 1.5 MB each for 10,000 servers, all at once."""
-    store = Store(tmp_path / "a")
+    store = CatalogStore(tmp_path / "a")
 
-    def begin(store: Store, now: float) -> Catalog:
-        one = Catalog(RULES, first_index(store.index(), now))
+    def begin(store: CatalogStore, now: float) -> Catalog:
+        one = Catalog(RULES, first_revision(store.index(), now))
         one.restore(store.entries(), now, store.lives(), store.floor())
         store.begin(one.index, one.floor, one.entries)
         return one
@@ -243,10 +251,10 @@
     assert missed is not None and [e.name for e in missed] == ["s1"]
     store.close()
     shutil.copy(tmp_path / "a", tmp_path / "old")
-    store = Store(tmp_path / "a")
+    store = CatalogStore(tmp_path / "a")
     lost = put(begin(store, 9_000.0), "s2")
     store.close()
-    store = Store(tmp_path / "old")  # the life in which s2 came is not in this copy
+    store = CatalogStore(tmp_path / "old")  # the life in which s2 came is not in this copy
     three = begin(store, 20_000.0)
     assert three.knows(seen) and not three.knows(lost)
     assert three.changes("first", lost, 20_000.0) is None
@@ -256,7 +264,7 @@
 
 
 def test_removals_of_long_ago_are_forgotten_on_the_disk_too(tmp_path: Path) -> None:
-    store = Store(tmp_path / "a")
+    store = CatalogStore(tmp_path / "a")
     rules = msgspec.structs.replace(RULES, tombstones=2)
     one = Catalog(rules, 100)
     names = [f"s{i}" for i in range(6)]
@@ -271,7 +279,7 @@
 
 def test_watches_that_are_between_two_calls_count_for_the_pace() -> None:
     """Who had just been answered did not count: a thousand watches took 0.78 of a core in place of half."""
-    pace = Pace()
+    pace = WakeRateLimiter()
     assert pace.due(1_000) == float("-inf")
     pace.woke(10.0, 1_000)
     assert pace.due(5) == pytest.approx(10.0 + 1_000 * ANSWER_S / WAKES_PART)
@@ -303,7 +311,7 @@
 
 def test_a_rewound_entry_and_a_lost_version_are_found(tmp_path: Path) -> None:
     path = tmp_path / "list.sqlite"
-    store = Store(path)
+    store = CatalogStore(path)
     store.keep(some(store, 3))
     store.close()
     with sqlite3.connect(path) as db:
@@ -311,7 +319,7 @@
             "update entries set entry = (select entry from entries where name = 's0') where name = 's1'"
         )
         db.execute("update meta set value = 1 where key = 'index'")
-    faults = list(Store(path).verify())
+    faults = list(CatalogStore(path).verify())
     assert len(faults) == 2 and "history reaches" in faults[0] and faults[1].startswith("s1: ")
 
 
@@ -319,12 +327,12 @@
     garbled = tmp_path / "garbled"
     garbled.write_bytes(b"no database" * 100)
     newer = tmp_path / "newer"
-    Store(newer).close()
+    CatalogStore(newer).close()
     with sqlite3.connect(newer) as db:
         db.execute("update meta set value = 99 where key = 'form'")
     for path, why in ((garbled, "not a database"), (newer, "of form 99"), (tmp_path / "no" / "x", "unable")):
-        with pytest.raises(StoreError, match=why) as caught:
-            Store(path)
+        with pytest.raises(CatalogStoreError, match=why) as caught:
+            CatalogStore(path)
         assert "\n" not in str(caught.value)
 
 
@@ -333,7 +341,7 @@
 
 @asynccontextmanager
 async def serving(path: Path | str = ":memory:", rules: Rules = RULES) -> AsyncIterator[tuple[Service, str]]:
-    service = Service(Store(path), rules)
+    service = Service(CatalogStore(path), rules)
     runner = web.AppRunner(service.app(), shutdown_timeout=0.1)
     await runner.setup()
     site = web.TCPSite(runner, HOST, 0)
@@ -464,7 +472,7 @@
         port = free_port(HOST)
 
         async def service(name: str) -> web.AppRunner:
-            runner = web.AppRunner(Service(Store(tmp_path / name), RULES).app(), shutdown_timeout=0.05)
+            runner = web.AppRunner(Service(CatalogStore(tmp_path / name), RULES).app(), shutdown_timeout=0.05)
             await runner.setup()
             await web.TCPSite(runner, HOST, port).start()
             return runner
@@ -510,15 +518,15 @@
     while True:
         assert process.poll() is None
         try:
-            Caller(f"{HOST}:{port}").call("GET", "/v1/state")
+            RegistryClient(f"{HOST}:{port}").call("GET", "/v1/state")
             return process
-        except CallError:
+        except RegistryCallError:
             continue
 
 
 def test_what_was_answered_outlasts_kills_and_versions_only_grow(tmp_path: Path) -> None:
     path, port = tmp_path / "list.toml", free_port(HOST)
-    caller, versions = Caller(f"{HOST}:{port}", who="test"), [0]
+    caller, versions = RegistryClient(f"{HOST}:{port}", who="test"), [0]
     answered: list[str] = []
     for life in range(3):
         process = served(path, port)
@@ -574,12 +582,12 @@
     calls: list[tuple[str, str]] = []
     well, now, lapsed = [True], [0.0], [False]
 
-    class Desk(Caller):
+    class Desk(RegistryClient):
         def on(self, method: str, name: str, what: str = "", body: object = None, **more: Any) -> Any:
             calls.append((method, what))
             if what == "/renew" and lapsed[0]:
                 lapsed[0] = False
-                raise CallError(404, "no such server")
+                raise RegistryCallError(404, "no such server")
 
     agent = Agent("s0", told(), Desk(f"{HOST}:1"), lambda: well[0], lambda text: None, lambda: now[0])
 
--- a/tests/test_directory_instances.py
+++ b/tests/test_directory_instances.py
@@ -14,11 +14,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from loadbalancer.registry import Catalog, Refused, Registration, Rules, Status, first_index
-from loadbalancer.registry.anti_entropy import MOST_INSTANCES, ODD_LOOKS, Exchange, Mismatch
-from loadbalancer.registry.merge import SAID, Shared, disagree, join
-from loadbalancer.registry.server import HostError, read_file
-from loadbalancer.registry.store import Store
+from loadbalancer.registry import Catalog, Registration, Rules, Status, WriteRejectedError, first_revision
+from loadbalancer.registry.anti_entropy import MAX_INSTANCES, ODD_LOOKS, AntiEntropy, InstanceMismatchError
+from loadbalancer.registry.merge import SAID, SharedEntry, disagree, join
+from loadbalancer.registry.server import RegistryServerError, read_file
+from loadbalancer.registry.store import CatalogStore
 
 LEASE_MS = 1_000.0
 RULES = Rules(doubt_part=1.0, floor_part=0.0, flaps=1_000, settle_ms=0.0)
@@ -36,20 +36,20 @@
         self.now = 0.0
         self.cut: set[tuple[int, int]] = set()
         self.catalogs: list[Catalog] = []
-        self.exchanges: list[Exchange] = []
+        self.exchanges: list[AntiEntropy] = []
         for number in range(count):
             self.catalogs.append(self.catalog(number))
-            self.exchanges.append(Exchange(self.catalogs[number], number, count, life=number + 1))
+            self.exchanges.append(AntiEntropy(self.catalogs[number], number, count, life=number + 1))
 
     def catalog(self, number: int) -> Catalog:
-        first = first_index(0, 1_000.0 + number, number, MOST_INSTANCES)
-        return Catalog(RULES, first, number, MOST_INSTANCES)
+        first = first_revision(0, 1_000.0 + number, number, MAX_INSTANCES)
+        return Catalog(RULES, first, number, MAX_INSTANCES)
 
     def restart(self, number: int) -> None:
         """It comes back without its memory."""
         self.catalogs[number] = self.catalog(number)
         life = 100 + int(self.now) + number
-        self.exchanges[number] = Exchange(self.catalogs[number], number, len(self.catalogs), life)
+        self.exchanges[number] = AntiEntropy(self.catalogs[number], number, len(self.catalogs), life)
 
     def ask(self, one: int, other: int) -> None:
         if (one, other) in self.cut:
@@ -98,7 +98,7 @@
 
 
 accounts = st.builds(
-    Shared,
+    SharedEntry,
     st.just("s0"),
     st.builds(told, since_ms=st.sampled_from([0.0, 5.0]), weight=st.sampled_from([1.0, 2.0])),
     st.sampled_from(SAID),
@@ -111,7 +111,9 @@
 
 
 @given(accounts, accounts, accounts)
-def test_accounts_join_alike_in_any_order_and_however_often(one: Shared, two: Shared, three: Shared) -> None:
+def test_accounts_join_alike_in_any_order_and_however_often(
+    one: SharedEntry, two: SharedEntry, three: SharedEntry
+) -> None:
     assert join(one, two) == join(two, one)
     assert join(join(one, two), three) == join(one, join(two, three))
     assert join(one, one) == one
@@ -119,7 +121,7 @@
 
 
 @given(accounts, accounts)
-def test_a_drain_is_never_lost_but_to_a_later_server(one: Shared, two: Shared) -> None:
+def test_a_drain_is_never_lost_but_to_a_later_server(one: SharedEntry, two: SharedEntry) -> None:
     joined = join(one, two)
     for account in (one, two):
         if account.start == joined.start:
@@ -243,7 +245,7 @@
     assert seen > other.index and one.changes("first", seen, 1.0) == []
     stayed = other.index
     assert other.changes("first", seen, 1_000.0) is None
-    assert other.index > seen and other.index % MOST_INSTANCES == 1
+    assert other.index > seen and other.index % MAX_INSTANCES == 1
     changes = other.changes("first", stayed, 1_000.0)
     assert changes == [], "whoever stayed goes on from where it was"
 
@@ -252,9 +254,9 @@
     made = two("s0")
     question = made.exchanges[0].question(1)
     for sender in (1, 5):
-        with pytest.raises(Mismatch):
+        with pytest.raises(InstanceMismatchError):
             made.exchanges[1].heard_from(msgspec.structs.replace(question, sender=sender), 0.0)
-    with pytest.raises(Mismatch):
+    with pytest.raises(InstanceMismatchError):
         made.exchanges[1].answered(0, msgspec.structs.replace(question, sender=1), 0.0, 0.0)
 
 
@@ -305,7 +307,7 @@
     @invariant()
     def versions_are_the_instances_own(self) -> None:
         for number, catalog in enumerate(getattr(self, "made", Instances(0)).catalogs):
-            assert catalog.index % MOST_INSTANCES == number
+            assert catalog.index % MAX_INSTANCES == number
 
     def teardown(self) -> None:
         """Without further faults all agree within a few rounds."""
@@ -319,7 +321,7 @@
         assert len({catalog.fingerprint for catalog in self.made.catalogs}) == 1
 
     def _try(self, write: Any, number: int) -> None:
-        with suppress(Refused):
+        with suppress(WriteRejectedError):
             write(self.made.catalogs[number])
 
 
@@ -347,7 +349,7 @@
 
 def test_a_file_of_the_version_before_is_read_and_sound(tmp_path: Path) -> None:
     path = tmp_path / "list.sqlite"
-    store = Store(path)
+    store = CatalogStore(path)
     one = Catalog(RULES, 100)
     store.keep([c for name in ("s0", "s1", "s2") if (c := one.register(name, told(), 0.0))])
     store.keep([c for c in [one.drain("s1", 1.0), one.remove("s2", 1.0)] if c])
@@ -364,7 +366,7 @@
                     del entry[new]
                 old.execute(f"update {table} set entry = ? where {key} = ?", (json.dumps(entry), row))
         old.execute("update meta set value = 1 where key = 'form'")
-    again = Store(path)
+    again = CatalogStore(path)
     assert list(again.verify()) == []
     found = {e.name: (e.by_lapse, e.is_listed) for e in again.entries()}
     assert found == {"s0": (True, False), "s1": (True, False), "s2": (False, False)}
@@ -381,5 +383,5 @@
 def test_instances_that_cannot_be_are_a_line(tmp_path: Path, line: str, fault: str) -> None:
     path = tmp_path / "directory.toml"
     path.write_text(f'listen = "127.0.0.1:1"\ndatabase = "x"\n{line}\n')
-    with pytest.raises(HostError, match=fault):
+    with pytest.raises(RegistryServerError, match=fault):
         read_file(path)
--- a/tests/test_endings_callers.py
+++ b/tests/test_endings_callers.py
@@ -15,7 +15,7 @@
 
 from loadbalancer.interface import UpdateKind
 from loadbalancer.net import downstream
-from loadbalancer.net.http_framing import has_hung_up
+from loadbalancer.net.http_framing import has_peer_closed
 from tests.loopback import (
     Asked,
     Caller,
@@ -174,9 +174,9 @@
             assert status(await caller.answer()) == 200
             (connection,) = rig.driver.callers._connections
             transport = connection._transport
-            assert transport is not None and not has_hung_up(transport)
+            assert transport is not None and not has_peer_closed(transport)
             transport.abort()
-            assert has_hung_up(transport)
+            assert has_peer_closed(transport)
 
     run(scenario())
 
--- a/tests/test_endings_upstreams.py
+++ b/tests/test_endings_upstreams.py
@@ -14,7 +14,7 @@
 from loadbalancer import interface
 from loadbalancer.interface import OUTCOMES_WITHOUT_EFFECT, Outcome, UpdateKind
 from loadbalancer.net import upstream as upstreams_module
-from loadbalancer.net.upstream import Upstreams
+from loadbalancer.net.upstream import UpstreamPools
 from tests.loopback import (
     Asked,
     Dials,
@@ -41,7 +41,7 @@
 
 # ---- dials --------------------------------------------------------------------------------------
 
-Ending = Callable[[Upstreams, str, Try], Any]
+Ending = Callable[[UpstreamPools, str, Try], Any]
 ENDINGS: dict[str, tuple[Ending, Outcome]] = {
     "cancelled": (lambda upstreams, address, attempt: attempt.attempt.cancel(), Outcome.CANCELLED),
     "withdrawn": (lambda upstreams, address, attempt: attempt.attempt.withdraw(), Outcome.NOT_SENT),
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -17,7 +17,7 @@
 from loadbalancer.interface import UpdateKind
 from loadbalancer.net import downstream
 from loadbalancer.net.downstream import DownstreamConnection
-from loadbalancer.net.http_framing import has_hung_up
+from loadbalancer.net.http_framing import has_peer_closed
 from loadbalancer.net.upstream import UpstreamConnection
 from tests.loopback import (
     Caller,
@@ -59,7 +59,7 @@
         else:
             writer.close()
         assert transport is not None
-        await until(lambda: has_hung_up(transport))
+        await until(lambda: has_peer_closed(transport))
         await at_least(ALLOWED_S)
 
 
--- a/tests/test_interest.py
+++ b/tests/test_interest.py
@@ -19,15 +19,24 @@
 from hypothesis import strategies as st
 
 from loadbalancer import configuration
-from loadbalancer.endpoint_watch import Paced, Subscription
+from loadbalancer.endpoint_watch import RateLimitedError, Subscription
 from loadbalancer.net.config import read_config
-from loadbalancer.registry import Catalog, Change, Refused, Registration, Rules, first_index
-from loadbalancer.registry.admission_queue import ALL_IN_S, BURST_S, EARLY_S, PART, Gate
-from loadbalancer.registry.anti_entropy import MOST_INSTANCES, Exchange
-from loadbalancer.registry.interests import COPIES, COVER, Parts, Shape, View, decode, is_in, place_of
-from loadbalancer.registry.list_query import Asked, read
-from loadbalancer.registry.query_evaluation import Reads
-from loadbalancer.registry.store import Store
+from loadbalancer.registry import Catalog, Change, Registration, Rules, WriteRejectedError, first_revision
+from loadbalancer.registry.admission_queue import ALL_IN_S, BURST_S, EARLY_S, PART, AdmissionQueue
+from loadbalancer.registry.anti_entropy import MAX_INSTANCES, AntiEntropy
+from loadbalancer.registry.interests import (
+    COPIES,
+    COVER,
+    SubsetCache,
+    SubsetSpec,
+    SubsetView,
+    decode,
+    is_in,
+    place_of,
+)
+from loadbalancer.registry.list_query import ListQuery, parse_list_query
+from loadbalancer.registry.query_evaluation import QueryEvaluator
+from loadbalancer.registry.store import CatalogStore
 from tests.loopback import Rig, Upstream, config_text, entry, run
 from tests.test_directory import serving
 
@@ -43,27 +52,29 @@
     )
 
 
-def query(services: str, after: int = -1, **more: Any) -> Asked:
-    return read({"services": services, "after": str(after)} | {k: str(v) for k, v in more.items()})
+def query(services: str, after: int = -1, **more: Any) -> ListQuery:
+    return parse_list_query(
+        {"services": services, "after": str(after)} | {k: str(v) for k, v in more.items()}
+    )
 
 
 class Instance:
     """One instance without sockets: catalog, file and watches."""
 
     def __init__(self, number: int = 0, count: int = 1, now: float = 1e6, rules: Rules = RULES) -> None:
-        self.store, self.number, self.count, self.rules = Store(":memory:"), number, count, rules
+        self.store, self.number, self.count, self.rules = CatalogStore(":memory:"), number, count, rules
         self._life = 0
         self.begin(now)
 
     def begin(self, now: float) -> None:
         """Start, or start again from the file."""
         store, self._life = self.store, self._life + 1
-        first = first_index(store.index(), now, self.number, MOST_INSTANCES)
-        self.catalog = Catalog(self.rules, first, self.number, MOST_INSTANCES)
+        first = first_revision(store.index(), now, self.number, MAX_INSTANCES)
+        self.catalog = Catalog(self.rules, first, self.number, MAX_INSTANCES)
         self.catalog.restore(store.entries(), now, store.lives(), *store.floors())
         store.begin(self.catalog.index, self.catalog.base, self.catalog.entries, self.catalog.places.floors)
-        self.exchange = Exchange(self.catalog, self.number, self.count, self._life)
-        self.reads = Reads(self.catalog, store)
+        self.exchange = AntiEntropy(self.catalog, self.number, self.count, self._life)
+        self.reads = QueryEvaluator(self.catalog, store)
 
     def keep(self, *changes: Change | None) -> None:
         self.store.keep([change for change in changes if change is not None])
@@ -71,14 +82,14 @@
     def put(self, name: str, service: str, zone: str = "east", since: float = 0.0, now: float = 1e6) -> None:
         self.keep(self.catalog.register(name, told(service, zone, since), now))
 
-    def tell(self, asked: Asked) -> dict[str, Any]:
+    def tell(self, asked: ListQuery) -> dict[str, Any]:
         """An answer without a wait."""
         data, _ = self.reads.find(asked, may_wait=False)
         assert data is not None
         answer: dict[str, Any] = json.loads(data)
         return answer
 
-    def names(self, asked: Asked) -> list[str]:
+    def names(self, asked: ListQuery) -> list[str]:
         return sorted(e["name"] for e in self.tell(asked)["endpoints"])
 
 
@@ -96,7 +107,7 @@
     content: dict[str, tuple[str, float, str]] = field(default_factory=dict)
     last: list[str] = field(default_factory=list)
 
-    def asked(self) -> Asked:
+    def asked(self) -> ListQuery:
         more: dict[str, Any] = {"part": self.part, "of": self.name, "zone": self.zone} if self.part else {}
         return query(self.services, self.after, **more, **({} if self.held is None else {"held": self.held}))
 
@@ -111,9 +122,9 @@
                 del self.content[e["name"]]
         self.after, self.held = answer["index"], answer["held"]
 
-    def view(self) -> View:
+    def view(self) -> SubsetView:
         assert self.held is not None
-        return View(decode(self.held), place_of(self.name if self.part else ""))
+        return SubsetView(decode(self.held), place_of(self.name if self.part else ""))
 
     def truth(self, catalog: Catalog) -> dict[str, tuple[str, float, str]]:
         view = self.view()
@@ -160,7 +171,7 @@
         getattr(self, f"_{kind}")(*more)
 
     def _write(self, at: int, change: Any) -> None:
-        with suppress(Refused):
+        with suppress(WriteRejectedError):
             self.sites[at].keep(change(self.sites[at].catalog))
 
     def _register(self, at: int, name: str, service: str, zone: str) -> None:
@@ -405,8 +416,8 @@
     return catalog
 
 
-def part(catalog: Catalog, name: str, shape: Shape) -> set[str]:
-    view = View({"a": Parts(catalog).best("a", shape)}, place_of(name))
+def part(catalog: Catalog, name: str, shape: SubsetSpec) -> set[str]:
+    view = SubsetView({"a": SubsetCache(catalog).best("a", shape)}, place_of(name))
     return {e.name for e in catalog.whole("a") if view.holds_entry(e)}
 
 
@@ -414,7 +425,7 @@
 def test_a_part_has_the_least_in_each_zone_and_is_near_first(count: int, zones: int) -> None:
     catalog, least = filled(count, zones), 4
     for number in range(50):
-        mine = part(catalog, f"b-{number}", Shape(least, "z0"))
+        mine = part(catalog, f"b-{number}", SubsetSpec(least, "z0"))
         by_zone = Counter(catalog.entries[name].told.zone for name in mine)
         assert all(by_zone[f"z{zone}"] >= least for zone in range(zones))
         assert by_zone["z0"] >= min(least * (zones - 1), count / zones)
@@ -425,21 +436,21 @@
     catalog = filled(600, 3)
     few, many = Counter[str](), Counter[str]()
     for number in range(300):
-        few.update(part(catalog, f"b-{number}", Shape(4, balancers=300)))
-        many.update(part(catalog, f"b-{number}", Shape(4)))
+        few.update(part(catalog, f"b-{number}", SubsetSpec(4, balancers=300)))
+        many.update(part(catalog, f"b-{number}", SubsetSpec(4)))
     assert len(many) == 600, "nobody is left out"
     held = [few[e.name] for e in catalog.whole("a")]  # where watchers say how many they are
     assert sum(held) / len(held) >= COVER and min(held) >= COVER / 2 and max(held) < 300
 
 
 def test_a_server_that_comes_or_goes_moves_no_other() -> None:
-    catalog, shape = filled(600, 3), Shape(4)
+    catalog, shape = filled(600, 3), SubsetSpec(4)
     names = [f"b-{number}" for number in range(100)]
     before = [part(catalog, name, shape) for name in names]
     catalog.remove("a-17", 0.0)
     after = [part(catalog, name, shape) for name in names]
     assert [one - {"a-17"} for one in before] == after
-    level = Parts(catalog).best("a", shape)["z2"]
+    level = SubsetCache(catalog).best("a", shape)["z2"]
     held = sum("a-17" in one for one in before)
     assert 0 < held <= 3 * 100 * COPIES / 2**level
 
@@ -453,12 +464,12 @@
 
 def test_a_service_at_the_edge_of_a_level_does_not_move_parts_to_and_fro() -> None:
     site, parts_of = Instance(rules=ROOMY), []
-    seat, shape = Client("a", part=4), Shape(4)
+    seat, shape = Client("a", part=4), SubsetSpec(4)
     seat.take(site.tell(seat.asked()))
     for number in range(200):
         site.put(f"s{number}", "a")
         seat.take(site.tell(seat.asked()))
-        parts_of.append(Parts(site.catalog).best("a", shape)["east"])
+        parts_of.append(SubsetCache(site.catalog).best("a", shape)["east"])
     edges = [n for n in range(1, 200) if parts_of[n] > parts_of[n - 1]]
     assert len(edges) >= 3 and len(seat.content) < 150
     for number in range(199, edges[-1], -1):
@@ -471,7 +482,7 @@
         else:
             site.keep(site.catalog.remove(last, 1e6 + turn))
         seat.take(site.tell(seat.asked()))
-        levels.add(Parts(site.catalog).best("a", shape)["east"])
+        levels.add(SubsetCache(site.catalog).best("a", shape)["east"])
         assert seat.content == seat.truth(site.catalog) and len(seat.content) >= 4
         moved += seat.held != held
     assert len(levels) == 2 and moved <= 2
@@ -597,7 +608,7 @@
 
 def test_the_table_lists_takes_services_and_a_part_and_its_faults_are_told() -> None:
     def faults(**lists: Any) -> list[str]:
-        return configuration.faults(json.loads(config_text("127.0.0.1:9", [], lists=lists)))
+        return configuration.validation_errors(json.loads(config_text("127.0.0.1:9", [], lists=lists)))
 
     config = read_config(
         config_text("127.0.0.1:9", [], lists={"services": ["b", "a"], "part": 8}), pytest.fail
@@ -711,7 +722,7 @@
 # ---- the pace of a return -----------------------------------------------------------------------
 
 
-def back(gate: Gate, callers: int, cost_s: float, waited: float = 0.0) -> list[float]:
+def back(gate: AdmissionQueue, callers: int, cost_s: float, waited: float = 0.0) -> list[float]:
     """When each is let in who asks at 0 and again as it is told."""
     times: list[float] = []
     due: list[tuple[float, int | None]] = [(0.0, None)] * callers
@@ -726,8 +737,8 @@
 
 
 def test_a_few_who_return_are_let_in_at_once_and_a_crowd_at_the_pace_of_the_service() -> None:
-    assert back(Gate(), 100, 200e-6) == [0.0] * 100
-    times = sorted(back(Gate(), 10_000, 200e-6))
+    assert back(AdmissionQueue(), 100, 200e-6) == [0.0] * 100
+    times = sorted(back(AdmissionQueue(), 10_000, 200e-6))
     at_once = times.count(0.0)
     assert at_once == int((BURST_S + EARLY_S) * PART / 200e-6)
     seconds = Counter(int(at) for at in times if at)
@@ -735,13 +746,13 @@
 
 
 def test_a_crowd_beyond_the_pace_is_let_in_within_the_bound_all_the_same() -> None:
-    assert max(back(Gate(), 60_000, 200e-6)) <= ALL_IN_S
-    assert max(back(Gate(), 60_000, 200e-6, waited=3.0)) <= ALL_IN_S - 3.0
-    assert max(back(Gate(), 60_000, 200e-6, waited=9.0)) == 0.0
+    assert max(back(AdmissionQueue(), 60_000, 200e-6)) <= ALL_IN_S
+    assert max(back(AdmissionQueue(), 60_000, 200e-6, waited=3.0)) <= ALL_IN_S - 3.0
+    assert max(back(AdmissionQueue(), 60_000, 200e-6, waited=9.0)) == 0.0
 
 
 def test_a_ticket_that_is_not_due_or_long_over_is_none() -> None:
-    gate = Gate()
+    gate = AdmissionQueue()
     back(gate, 5_000, 200e-6)
     for ticket in (10_000, -9_000):
         assert gate.ask(0.0, 200e-6, 0.0, ticket) is not None
@@ -778,7 +789,7 @@
     one = wanted()
     body = b'{"error": "x", "retry_ms": 2000, "ticket": 77}'
     for _ in range(2):
-        with pytest.raises(Paced) as caught:
+        with pytest.raises(RateLimitedError) as caught:
             one.look_for_pace(503, body)
         one.paced(caught.value)
         assert one.query(0.0)[-1] == "ticket=77"
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -594,7 +594,7 @@
 def test_a_watch_with_no_answer_fails_before_its_news_counts_as_told(monkeypatch: pytest.MonkeyPatch) -> None:
     """All changes count as told 2 s after a watch's wait, and a silent one was kept for 5 s."""
     assert watch.OVERDUE_S < 2.0
-    monkeypatch.setattr(watch, "WAIT_MS", 10)
+    monkeypatch.setattr(watch, "MAX_WAIT_MS", 10)
     monkeypatch.setattr(watch, "OVERDUE_S", 0.01)
 
     async def scenario() -> None:
--- a/tests/test_observed.py
+++ b/tests/test_observed.py
@@ -12,7 +12,7 @@
 
 from loadbalancer.net import log, metrics
 from loadbalancer.net.config import read_config
-from loadbalancer.net.request_counters import Figures
+from loadbalancer.net.request_counters import RequestCounters
 from tests.loopback import Rig, Upstream, config_text, run, status
 from tests.test_console import call, figures
 
@@ -50,7 +50,7 @@
 
 def test_a_class_may_have_any_name() -> None:
     name = 'a"b\\c\nd'
-    read = samples(metrics.write(Figures([name]), 0, 0, 7, {"alive": 2}))
+    read = samples(metrics.write(RequestCounters([name]), 0, 0, 7, {"alive": 2}))
     assert read["irondrum_requests_total", name, "aborted"] == 0
     assert read["irondrum_log_lines_left_out_total", "", ""] == 7
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from loadbalancer.membership import NOTE_MOST, Membership, State, Tell
-from loadbalancer.membership.messages import Kind, Note, write
+from loadbalancer.membership import MAX_MESSAGE_BYTES, Membership, MemberState, SendMessage
+from loadbalancer.membership.messages import GossipMessage, MessageKind, encode_message
 from loadbalancer.simulation.gossip import FLEET, Tier
 
 HEAL_MS = 20_000.0  # within which all views are one when nothing fails any more
@@ -24,17 +24,17 @@
 def note(sender: int = 1, **more: Any) -> bytes:
     base: dict[str, Any] = {
         "fleet": FLEET,
-        "kind": Kind.PING,
+        "kind": MessageKind.PING,
         "sequence": 5,
         "sender": sender,
         "incarnation": 0,
     }
-    return write(Note(**(base | {"target": -1, "news": ()} | more)))
+    return encode_message(GossipMessage(**(base | {"target": -1, "news": ()} | more)))
 
 
 def test_a_ping_is_answered_and_nothing_else_is_done() -> None:
-    told = [a for a in member().heard(1, note(), now=10.0) if isinstance(a, Tell)]
-    assert [a.to for a in told] == [1] and len(told[0].note) <= NOTE_MOST
+    told = [a for a in member().heard(1, note(), now=10.0) if isinstance(a, SendMessage)]
+    assert [a.to for a in told] == [1] and len(told[0].note) <= MAX_MESSAGE_BYTES
 
 
 @pytest.mark.parametrize(
@@ -62,19 +62,24 @@
 
 def test_old_and_doubled_news_change_nothing() -> None:
     one = member()
-    one.heard(1, note(news=((2, State.GONE, 3),)), now=1.0)
-    assert one.table.state(2) is State.GONE
-    for old in ((2, State.GONE, 3), (2, State.ALIVE, 3), (2, State.ALIVE, 2), (2, State.SUSPECTED, 3)):
+    one.heard(1, note(news=((2, MemberState.GONE, 3),)), now=1.0)
+    assert one.table.state(2) is MemberState.GONE
+    for old in (
+        (2, MemberState.GONE, 3),
+        (2, MemberState.ALIVE, 3),
+        (2, MemberState.ALIVE, 2),
+        (2, MemberState.SUSPECTED, 3),
+    ):
         one.heard(1, note(news=(old,)), now=2.0)
-        assert one.table.state(2) is State.GONE
-    one.heard(1, note(news=((2, State.ALIVE, 4),)), now=3.0)
-    assert one.table.state(2) is State.ALIVE
+        assert one.table.state(2) is MemberState.GONE
+    one.heard(1, note(news=((2, MemberState.ALIVE, 4),)), now=3.0)
+    assert one.table.state(2) is MemberState.ALIVE
 
 
 def test_what_is_said_of_us_is_overruled_by_a_higher_incarnation() -> None:
     one = member()
-    one.heard(1, note(news=((0, State.GONE, 6),)), now=1.0)
-    assert (one.table.state(0), one.table.incarnation) == (State.ALIVE, 7)
+    one.heard(1, note(news=((0, MemberState.GONE, 6),)), now=1.0)
+    assert (one.table.state(0), one.table.incarnation) == (MemberState.ALIVE, 7)
 
 
 @pytest.mark.parametrize("count", [2, 3, 10, 200])
@@ -96,7 +101,7 @@
     tier.run(1_000)
     tier.leave(3)
     tier.run(3_000)
-    assert {tier.view(n)[3] for n in tier.living()} == {State.LEFT}
+    assert {tier.view(n)[3] for n in tier.living()} == {MemberState.LEFT}
     assert tier.deaths == []
 
 
@@ -136,7 +141,7 @@
     tier = Tier(12, seed=6, loss=0.02)
     tier.cut = lambda one, other: (one < 4) != (other < 4)
     tier.run(15_000)
-    assert tier.view(0)[4:] == (State.GONE,) * 8 and tier.view(11)[:4] == (State.GONE,) * 4
+    assert tier.view(0)[4:] == (MemberState.GONE,) * 8 and tier.view(11)[:4] == (MemberState.GONE,) * 4
     tier.cut = lambda one, other: False
     tier.run(HEAL_MS)
     assert tier.agree()
@@ -196,7 +201,7 @@
     @invariant()
     def nobody_holds_itself_for_dead(self) -> None:
         for number in self.tier.living():
-            assert self.tier.view(number)[number] is State.ALIVE
+            assert self.tier.view(number)[number] is MemberState.ALIVE
 
     def teardown(self) -> None:
         self.tier.cut, self.tier.loss = lambda one, other: False, 0.0
--- a/tests/test_peers_net.py
+++ b/tests/test_peers_net.py
@@ -11,9 +11,9 @@
 import pytest
 
 from loadbalancer.cli.operate import views_of
-from loadbalancer.membership import State
+from loadbalancer.membership import MemberState
 from loadbalancer.net.config import Config, ConfigError, read_config
-from loadbalancer.net.membership import Peers
+from loadbalancer.net.membership import MembershipHost
 from tests.loopback import Rig, Upstream, config_text, run, status
 from tests.test_console import call
 
@@ -42,16 +42,16 @@
     return configs
 
 
-def hosts(configs: list[Config]) -> list[Peers]:
+def hosts(configs: list[Config]) -> list[MembershipHost]:
     loop = asyncio.get_running_loop()
     found = []
     for config in configs:
         assert config.peer_listen is not None
-        found.append(Peers(config, config.peer_listen, loop, lambda: loop.time() * 1_000))
+        found.append(MembershipHost(config, config.peer_listen, loop, lambda: loop.time() * 1_000))
     return found
 
 
-async def until_all_say(tier: list[Peers], number: int, state: State) -> None:
+async def until_all_say(tier: list[MembershipHost], number: int, state: MemberState) -> None:
     while any(p.member.table.state(number) is not state for p in tier):
         await asyncio.sleep(0.01)
 
@@ -62,11 +62,11 @@
         assert [p.start() for p in tier] == [""] * 4
         tier[1].stop()
         others = [tier[0], *tier[2:]]
-        await until_all_say(others, 1, State.GONE)
+        await until_all_say(others, 1, MemberState.GONE)
         assert tier[1].start() == ""
-        await until_all_say(others, 1, State.ALIVE)
+        await until_all_say(others, 1, MemberState.ALIVE)
         tier[3].leave()
-        await until_all_say(tier[:3], 3, State.LEFT)
+        await until_all_say(tier[:3], 3, MemberState.LEFT)
         for peers in tier:
             peers.stop()
 
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -16,7 +16,7 @@
 
 from loadbalancer.drill.fleet import free_port
 from loadbalancer.net.config import read_config
-from loadbalancer.net.proxy import Driver
+from loadbalancer.net.proxy import Proxy
 from tests.loopback import config_text, entry, program, response, run
 
 HOST = "127.0.0.1"
@@ -125,7 +125,7 @@
 ) -> None:
     async def scenario() -> None:
         text = json.dumps(configuration(f"{HOST}:{free_port(HOST)}", how, knows, own))
-        driver = Driver(read_config(text, lambda note: None), asyncio.get_running_loop())
+        driver = Proxy(read_config(text, lambda note: None), asyncio.get_running_loop())
         driver.start()
         assert driver.is_serving()
 
--- a/tests/test_sampler.py
+++ b/tests/test_sampler.py
@@ -9,8 +9,8 @@
 import pytest
 
 from loadbalancer.interface import CordonChanged, Endpoint, Outcome, Readiness, Reject, UpdateKind
-from loadbalancer.policy.servers import Capacities, Server
-from loadbalancer.policy.weighted_sampling import Field, Tree
+from loadbalancer.policy.servers import CapacityEstimates, Server
+from loadbalancer.policy.weighted_sampling import Sampler, WeightedSamplingTree
 from tests.helpers import PAY, READ, Desk, members, of_kind, sent
 
 
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_tree_draws_what_a_walk_over_all_weights_draws(seed: int) -> None:
-    chance, tree = random.Random(seed), Tree()
+    chance, tree = random.Random(seed), WeightedSamplingTree()
     weights: dict[str, float] = {}
     for step in range(3_000):
         name = f"s{chance.randrange(70)}"
@@ -39,7 +39,7 @@
 
 
 def test_a_server_that_changes_its_zone_is_drawn_in_the_new_one_alone() -> None:
-    field, moved = Field(), server("s0", "a")
+    field, moved = Sampler(), server("s0", "a")
     field.put(moved, 1.0)
     field.put(server("s1", "a"), 1.0)
     moved.member = Endpoint("s0", zone="b")
@@ -56,13 +56,13 @@
 ) -> None:
     """At 10,000 servers each decision took 14 ms: it walked over all of them."""
     desk, looked = Desk(count, balancer_count=4), [0]
-    estimate = Capacities.estimate
+    estimate = CapacityEstimates.estimate
 
     def counted(*args: Any) -> float:
         looked[0] += 1
         return estimate(*args)
 
-    monkeypatch.setattr(Capacities, "estimate", counted)
+    monkeypatch.setattr(CapacityEstimates, "estimate", counted)
     for _ in range(300):
         desk.serve()
     assert looked[0] <= 300 * 15
@@ -75,7 +75,7 @@
         looked[0] += 1
         return 1.0
 
-    monkeypatch.setattr(Capacities, "estimate", counted)
+    monkeypatch.setattr(CapacityEstimates, "estimate", counted)
     for number in range(50):
         readiness = Readiness.DRAINING if number % 2 else Readiness.READY
         desk.show(Endpoint(f"s{number}", readiness), Endpoint(f"new{number}"), kind=UpdateKind.DELTA)
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -11,7 +11,13 @@
 
 from loadbalancer import configuration, interface
 from loadbalancer.endpoint_watch import watch
-from loadbalancer.endpoint_watch.instance_selection import HOME_S, SILENT_S, Look, Sources, Witnesses
+from loadbalancer.endpoint_watch.instance_selection import (
+    PREFERRED_INSTANCE_RETRY_S,
+    SILENCE_THRESHOLD_S,
+    ContradictionDetector,
+    InstanceSelector,
+    ListVersion,
+)
 from loadbalancer.interface import Outcome, UpdateKind
 from loadbalancer.net import discovery
 from loadbalancer.net.config import read_config
@@ -22,12 +28,12 @@
 A, B, C = (("127.0.0.1", port) for port in (1, 2, 3))
 
 
-def sources(number: int = 0) -> Sources:
-    return Sources((A, B, C), number, random.Random(1))
+def sources(number: int = 0) -> InstanceSelector:
+    return InstanceSelector((A, B, C), number, random.Random(1))
 
 
-def look(address: tuple[str, int], index: int, *names: str) -> Look:
-    return Look(address, index, frozenset((name,) for name in names))
+def look(address: tuple[str, int], index: int, *names: str) -> ListVersion:
+    return ListVersion(address, index, frozenset((name,) for name in names))
 
 
 def test_balancers_begin_at_different_instances_and_ask_all_in_turn() -> None:
@@ -55,8 +61,8 @@
     assert not s.may_go_home(1e9), "it is at home"
     s.failed()
     s.answered(3, 100.0, True)
-    assert not s.may_go_home(100.0 + HOME_S / 2)
-    assert s.may_go_home(100.0 + 2 * HOME_S)
+    assert not s.may_go_home(100.0 + PREFERRED_INSTANCE_RETRY_S / 2)
+    assert s.may_go_home(100.0 + 2 * PREFERRED_INSTANCE_RETRY_S)
     assert s.address == A
 
 
@@ -85,14 +91,14 @@
 
 
 def test_a_listed_server_that_answers_nothing_speaks_against_the_list() -> None:
-    w = Witnesses()
+    w = ContradictionDetector()
     w.note("s0", Outcome.CONNECT_FAILED, 0.0)
     w.note("s1", Outcome.CONNECT_FAILED, 0.0)
     w.note("s1", Outcome.SERVED, 1.0)
     w.note("s0", Outcome.CANCELLED, 1.0)
     w.note("s0", Outcome.RESET, 4.0)
-    assert w.against(SILENT_S - 0.1) == []
-    assert w.against(SILENT_S) == ["s0"]
+    assert w.against(SILENCE_THRESHOLD_S - 0.1) == []
+    assert w.against(SILENCE_THRESHOLD_S) == ["s0"]
     w.forget("s0")
     assert w.against(100.0) == []
 
@@ -105,9 +111,9 @@
     assert config.lists is not None
     assert (config.lists.tier, config.settings.suspect_stale_fraction) == ("second", 0.3)
     bad = json.loads(config_text("127.0.0.1:9", entries, lists={"others": ["here"], "doubt": 2, "x": 1}))
-    assert len(configuration.faults(bad)) == 3
+    assert len(configuration.validation_errors(bad)) == 3
     twice = json.loads(config_text("127.0.0.1:9", entries, lists={"others": ["127.0.0.1:9"]}))
-    assert configuration.faults(twice) == [
+    assert configuration.validation_errors(twice) == [
         "lists.others: an instance stands twice, or is the one in `discovery`"
     ]
 
@@ -238,8 +244,8 @@
 def test_a_watch_moves_on_from_an_instance_that_answers_and_never_changes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(watch, "COMPARE_S", 0.0)
-    monkeypatch.setattr(watch, "COMPARE_MS", 0.0)
+    monkeypatch.setattr(watch, "CROSS_CHECK_INTERVAL_S", 0.0)
+    monkeypatch.setattr(watch, "CROSS_CHECK_INTERVAL_PER_BALANCER_MS", 0.0)
     monkeypatch.setattr(discovery, "LOOK_S", 0.01)
 
     async def scenario() -> None:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -15,9 +15,9 @@
 
 from loadbalancer.interface import Endpoint
 from loadbalancer.net.log import Log
-from loadbalancer.net.snapshot_writer import Keeper
-from loadbalancer.snapshots import Store, Unreadable, decode, encode
-from loadbalancer.snapshots.codec import FORM
+from loadbalancer.net.snapshot_writer import SnapshotWriter
+from loadbalancer.snapshots import SnapshotDecodeError, SnapshotStore, decode_snapshot, encode_snapshot
+from loadbalancer.snapshots.codec import FORMAT_VERSION
 from tests.helpers import Desk
 from tests.loopback import run
 
@@ -26,10 +26,10 @@
 DIES = """
 import os, sys
 from pathlib import Path
-from loadbalancer.snapshots import Store, encode
-store, dies_at, calls = Store(Path(sys.argv[1]), "b"), int(sys.argv[2]), 0
-store.save(encode({"save": 0}, 0.0))
-store.save(encode({"save": 1}, 1.0))
+from loadbalancer.snapshots import SnapshotStore, encode_snapshot
+store, dies_at, calls = SnapshotStore(Path(sys.argv[1]), "b"), int(sys.argv[2]), 0
+store.save(encode_snapshot({"save": 0}, 0.0))
+store.save(encode_snapshot({"save": 1}, 1.0))
 def dying(real):
     def call(*args, **more):
         global calls
@@ -40,15 +40,15 @@
     return call
 for name in ("fsync", "replace", "open", "close"):
     setattr(os, name, dying(getattr(os, name)))
-store.save(encode({"save": 2}, 2.0))
+store.save(encode_snapshot({"save": 2}, 2.0))
 """
 
 
 def test_what_is_kept_is_what_was_saved_and_the_one_before_it(tmp_path: Path) -> None:
-    store = Store(tmp_path, "front/1")
+    store = SnapshotStore(tmp_path, "front/1")
     assert store.load().snapshot is None
     for number in (1, 2):
-        store.save(encode({"save": number}, float(number)))
+        store.save(encode_snapshot({"save": number}, float(number)))
     found = store.load()
     assert found.snapshot is not None and found.troubles == ()
     assert (found.snapshot.state, found.snapshot.written_ms) == ({"save": 2}, 2.0)
@@ -62,42 +62,44 @@
 def test_a_process_that_dies_at_any_step_of_a_save_leaves_a_whole_one(tmp_path: Path, step: int) -> None:
     done = subprocess.run([sys.executable, "-c", DIES, str(tmp_path), str(step)], check=False)
     assert done.returncode in (0, 9)
-    found = Store(tmp_path, "b").load()
+    found = SnapshotStore(tmp_path, "b").load()
     assert found.snapshot is not None and found.troubles == ()
     assert found.snapshot.state["save"] in (1, 2)
     if done.returncode == 0:
         assert found.snapshot.state["save"] == 2 and step > 6  # it had no such step
-    Store(tmp_path, "b").save(encode({"save": 3}, 3.0))
-    after = Store(tmp_path, "b").load().snapshot
+    SnapshotStore(tmp_path, "b").save(encode_snapshot({"save": 3}, 3.0))
+    after = SnapshotStore(tmp_path, "b").load().snapshot
     assert after is not None and after.state == {"save": 3}
 
 
 @given(st.integers(0, 400), st.integers(0, 255))
 def test_no_change_of_a_byte_and_no_cut_passes_unseen(place: int, byte: int) -> None:
-    data = encode(STATE, 7.0)
+    data = encode_snapshot(STATE, 7.0)
     place %= len(data)
-    with pytest.raises(Unreadable):
-        decode(data[:place])
+    with pytest.raises(SnapshotDecodeError):
+        decode_snapshot(data[:place])
     changed = data[:place] + bytes([byte]) + data[place + 1 :]
     try:
-        assert decode(changed).state == STATE
-    except Unreadable:
+        assert decode_snapshot(changed).state == STATE
+    except SnapshotDecodeError:
         assert changed != data
 
 
 def test_a_newer_form_is_told_and_a_later_field_is_no_fault() -> None:
-    first, _, body = encode(STATE, 7.0).partition(b"\n")
+    first, _, body = encode_snapshot(STATE, 7.0).partition(b"\n")
     head = json.loads(first)
-    assert decode(json.dumps(head | {"more": 1}).encode() + b"\n" + body).state == STATE
-    with pytest.raises(Unreadable, match=f"form {FORM + 1}; this program reads form {FORM}"):
-        decode(json.dumps(head | {"form": FORM + 1}).encode() + b"\n" + body)
+    assert decode_snapshot(json.dumps(head | {"more": 1}).encode() + b"\n" + body).state == STATE
+    with pytest.raises(
+        SnapshotDecodeError, match=f"form {FORMAT_VERSION + 1}; this program reads form {FORMAT_VERSION}"
+    ):
+        decode_snapshot(json.dumps(head | {"form": FORMAT_VERSION + 1}).encode() + b"\n" + body)
 
 
 def test_a_folder_that_cannot_be_written_is_told_once_and_stops_nothing(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario() -> None:
-        keeper = Keeper(tmp_path / "missing", "b", 1.0, Log("b"))
+        keeper = SnapshotWriter(tmp_path / "missing", "b", 1.0, Log("b"))
         assert keeper.load() is None
         saves = 0
 
@@ -116,11 +118,11 @@
 
 
 def test_a_full_disk_keeps_both_generations(tmp_path: Path) -> None:
-    store = Store(tmp_path, "b")
-    store.save(encode({"save": 1}, 1.0))
+    store = SnapshotStore(tmp_path, "b")
+    store.save(encode_snapshot({"save": 1}, 1.0))
     (tmp_path / "b.snapshot.draft").mkdir()  # nothing can be written there
     with pytest.raises(OSError, match="directory"):
-        store.save(encode({"save": 2}, 2.0))
+        store.save(encode_snapshot({"save": 2}, 2.0))
     found = store.load().snapshot
     assert found is not None and found.state == {"save": 1}
     assert sorted(os.listdir(tmp_path)) == ["b.snapshot", "b.snapshot.draft"]
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -21,12 +21,12 @@
 from hypothesis import strategies as st
 
 from loadbalancer import interface
-from loadbalancer.endpoint_watch import Ask, Watch
+from loadbalancer.endpoint_watch import ListRequest, Watch
 from loadbalancer.endpoint_watch.time_budget import (
-    CROWDED_ROUND_S,
+    CHANGE_DEADLINE_S,
+    CONGESTED_ROUND_S,
     OWN_ANSWER_S,
     SLACK_S,
-    TOLD_S,
     answer_s,
     call_s,
     round_s,
@@ -34,14 +34,14 @@
 from loadbalancer.interface import UpdateKind
 from loadbalancer.net import discovery
 from loadbalancer.net.config import ServerList, read_config
-from loadbalancer.net.proxy import Driver
-from loadbalancer.net.upstream import Answer
+from loadbalancer.net.proxy import Proxy
+from loadbalancer.net.upstream import UpstreamResponse
 from loadbalancer.policy import Balancer
-from loadbalancer.policy.endpoints import Roster
+from loadbalancer.policy.endpoints import EndpointSet
 from tests.loopback import config_text, entry, response
 from tests.test_upstreams import full_backlog
 
-BUDGET_S = TOLD_S - SLACK_S
+BUDGET_S = CHANGE_DEADLINE_S - SLACK_S
 HERE = entry("s0", "127.0.0.1:5000")
 BEFORE, CHANGE = 7, 1_000
 WAYS = ("refused", "reset", "503", "silent", "half", "garbage", "no dial")
@@ -161,7 +161,7 @@
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
 
-    async def call(self, request: bytes) -> Answer:
+    async def call(self, request: bytes) -> UpstreamResponse:
         spell = self._instance.now()
         if spell.way in ("silent", "half", "no dial"):
             await asyncio.Event().wait()
@@ -169,13 +169,13 @@
         if spell.way in ("reset", "refused"):
             raise ConnectionResetError
         if spell.way != "up":
-            return Answer(503 if spell.way == "503" else 200, [], 1, b"{")
+            return UpstreamResponse(503 if spell.way == "503" else 200, [], 1, b"{")
         if f"after={CHANGE}&".encode() in request:
             await asyncio.Event().wait()
-        return Answer(200, [], None, list_body(CHANGE))
+        return UpstreamResponse(200, [], None, list_body(CHANGE))
 
-    async def late(self) -> Answer:
-        never: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+    async def late(self) -> UpstreamResponse:
+        never: asyncio.Future[UpstreamResponse] = asyncio.get_running_loop().create_future()
         return await never
 
     def close(self) -> None:
@@ -369,7 +369,7 @@
     watch.answered(8, 0.0)
     watch.disbelieved(0.0)
     assert watch.ask(0.0).wait_ms <= 1_500
-    assert watch.ask(1.5) == Ask(("127.0.0.1", 1), -1, 0.0, call_s(1, own=True))
+    assert watch.ask(1.5) == ListRequest(("127.0.0.1", 1), -1, 0.0, call_s(1, own=True))
 
 
 # ---- a crowd ------------------------------------------------------------------------------------
@@ -397,7 +397,7 @@
                 (("127.0.0.1", 1),), number=n, balancers=balancers, grace_ms=500.0, own=False,
                 seed=self._chance.getrandbits(32), index=BEFORE,
             )  # fmt: skip
-            self._seats.append((watch, Roster(told, random.Random(self._chance.getrandbits(32)))))
+            self._seats.append((watch, EndpointSet(told, random.Random(self._chance.getrandbits(32)))))
 
     def _answers_at(self, now: float) -> tuple[float, bool]:
         """When a call that comes now ends, and whether it tells."""
@@ -446,7 +446,7 @@
         assert watch.again_s == round_s(1, own=False) - 0.1, "turned away at once: no crowd"
         for crowds in range(9):
             watch.failed(2.0, fell_silent=False, turned_away=True)
-            assert watch.again_s == pytest.approx(min(CROWDED_ROUND_S * 2**crowds, most) - 2.0)
+            assert watch.again_s == pytest.approx(min(CONGESTED_ROUND_S * 2**crowds, most) - 2.0)
         watch.answered(CHANGE, 0.0)
         watch.failed(0.1, fell_silent=False, turned_away=True)
         assert watch.again_s == round_s(1, own=False) - 0.1, "the crowd has gone"
@@ -534,7 +534,7 @@
         lists={"others": addresses[1:]} if instances else None,
         contract={"drainGrace": 300.0, "askWithin": 30_000.0},
     )  # fmt: skip
-    driver = Driver(read_config(text, lambda note: None), asyncio.get_running_loop())
+    driver = Proxy(read_config(text, lambda note: None), asyncio.get_running_loop())
     watch = driver._discovery._watch
     watch.index = -1  # the first call does not wait, whatever is known
     refused, failed = asyncio.Event(), watch.failed
@@ -580,7 +580,7 @@
         kinds = [("ask", 0), ("push", 0), ("ask", 1), ("ask", 2), ("ask", 3)]
         plays = [(way, how, count) for way in WAYS if way != "no dial" for how, count in kinds]
         late = await asyncio.gather(*[late_over_sockets(*one) for one in plays])
-        over = {one: round(s, 1) for one, s in zip(plays, late, strict=True) if s >= TOLD_S}
+        over = {one: round(s, 1) for one, s in zip(plays, late, strict=True) if s >= CHANGE_DEADLINE_S}
         assert not over
 
     bounded(scenario(), 40.0)
@@ -600,7 +600,7 @@
                 return await connect(to)
 
             stack.enter_context(pytest.MonkeyPatch.context()).setattr(discovery, "_connect", counted)
-            driver = Driver(read_config(text, lambda note: None), asyncio.get_running_loop())
+            driver = Proxy(read_config(text, lambda note: None), asyncio.get_running_loop())
             driver.start()
             await until_known(lambda: len(dials) == 2)
             assert dials[1] - dials[0] < round_s(1, own=False) + SLACK_S
@@ -619,13 +619,13 @@
         self.asked.put_nowait(writer)
 
 
-def slow_scenario(then: Callable[[Driver, asyncio.StreamWriter, Slow], Coroutine[Any, Any, None]]) -> None:
+def slow_scenario(then: Callable[[Proxy, asyncio.StreamWriter, Slow], Coroutine[Any, Any, None]]) -> None:
     """A call whose time is up, and the next one that is out; neither has an answer yet."""
 
     async def scenario() -> None:
         slow = Slow()
         config = read_config(config_text(await slow.start(), [HERE]), lambda note: None)
-        driver = Driver(config, asyncio.get_running_loop())
+        driver = Proxy(config, asyncio.get_running_loop())
         driver._discovery._watch._call_s = 0.05
         driver._discovery._watch.index = -1
         driver.start()
@@ -641,7 +641,7 @@
 def test_the_answer_to_a_call_that_was_given_up_is_taken_while_the_next_one_is_out() -> None:
     """Over a slow link each call was given up just before its answer came, and what is written is told."""
 
-    async def then(driver: Driver, first: asyncio.StreamWriter, slow: Slow) -> None:
+    async def then(driver: Proxy, first: asyncio.StreamWriter, slow: Slow) -> None:
         first.write(response(200, list_body(BEFORE + 2)))
         await until_known(lambda: driver._index == BEFORE + 2)
         assert driver._discovery._watch.index == -1, "the watch stays where it was"
@@ -650,7 +650,7 @@
 
 
 def test_after_a_newer_answer_nothing_can_come_late() -> None:
-    async def then(driver: Driver, first: asyncio.StreamWriter, slow: Slow) -> None:
+    async def then(driver: Proxy, first: asyncio.StreamWriter, slow: Slow) -> None:
         slow._held[1].write(response(200, list_body(BEFORE + 3)))
         await until_known(lambda: driver._index == BEFORE + 3)
         assert driver._discovery._late._link is None
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -268,10 +268,10 @@
     elif left == "a dead socket":
         with socket.socket(socket.AF_UNIX) as dead, hot_restart._path_in(tmp_path) as short:
             dead.bind(short)
-    assert hot_restart.ask_predecessor(tmp_path) is None
+    assert hot_restart.connect_to_predecessor(tmp_path) is None
 
     async def scenario() -> None:
-        waiting = hot_restart.Handover(tmp_path, asyncio.get_running_loop(), estate=object())  # type: ignore[arg-type]
+        waiting = hot_restart.HotRestartListener(tmp_path, asyncio.get_running_loop(), estate=object())  # type: ignore[arg-type]
         assert waiting.start() == ""
 
     run(scenario())
@@ -284,7 +284,7 @@
     with socket.socket(socket.AF_UNIX) as listener, hot_restart._path_in(tmp_path) as path:
         listener.bind(path)
         listener.listen()
-        assert hot_restart.ask_predecessor(tmp_path) is None
+        assert hot_restart.connect_to_predecessor(tmp_path) is None
 
 
 def test_what_was_learned_passes_to_the_next_process() -> None:
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -12,8 +12,8 @@
 from loadbalancer import interface
 from loadbalancer.interface import Outcome
 from loadbalancer.net.config import read_config, read_list
-from loadbalancer.net.http_framing import Buffers
-from loadbalancer.net.upstream import Answer, Attempt, Exchange, Upstreams
+from loadbalancer.net.http_framing import BufferBudget
+from loadbalancer.net.upstream import Attempt, AttemptHandler, UpstreamPools, UpstreamResponse
 from tests.loopback import Rig, Upstream, config_text, entry, response, run, silent, status
 
 REQUEST = b"GET /read HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n"
@@ -23,30 +23,30 @@
     return read_list({"index": 1, "snapshot": whole, "endpoints": list(entries)})
 
 
-def make(address: str, contract: dict[str, float] | None = None, **limits: Any) -> Upstreams:
+def make(address: str, contract: dict[str, float] | None = None, **limits: Any) -> UpstreamPools:
     base = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 200.0}
     more: dict[str, Any] = {"contract": contract} if contract else {}
     text = config_text("127.0.0.1:9", [], limits=base | limits, **more)
-    upstreams = Upstreams(
-        read_config(text, lambda note: None), asyncio.get_running_loop(), Buffers(1_000_000)
+    upstreams = UpstreamPools(
+        read_config(text, lambda note: None), asyncio.get_running_loop(), BufferBudget(1_000_000)
     )
     upstreams.listed(told_list(entry("s0", address)))
     return upstreams
 
 
-class Quiet(Exchange):
+class Quiet(AttemptHandler):
     """An exchange whose end nobody waits for."""
 
     def compose(self) -> bytes:
         return REQUEST
 
 
-class Try(Exchange):
+class Try(AttemptHandler):
     """One attempt and all that was told of its end."""
 
     def __init__(
         self,
-        upstreams: Upstreams,
+        upstreams: UpstreamPools,
         request: bytes = REQUEST,
         timeout_s: float = 5.0,
         within_s: float = math.inf,
@@ -62,7 +62,7 @@
     def compose(self) -> bytes:
         return self._request
 
-    def ended(self, outcome: Outcome, answer: Answer | None) -> None:
+    def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
         self.ends.append(outcome)
         self.over.set()
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -10,7 +10,7 @@
 
 from loadbalancer import interface
 from loadbalancer.policy import Balancer
-from loadbalancer.simulation import Scenario, ScenarioError, World, draw
+from loadbalancer.simulation import Scenario, ScenarioError, SimulatedFleet, draw
 from loadbalancer.simulation.baselines import BASELINES, Plain
 from loadbalancer.simulation.clock import Clock
 from loadbalancer.simulation.scenario import TROUBLES, Day, parse
@@ -138,13 +138,13 @@
 
 
 def test_the_same_seed_gives_the_same_day_and_another_one_another() -> None:
-    figures = [World(day(seed=seed), Balancer).run().worth.figure for seed in (1, 1, 2)]
+    figures = [SimulatedFleet(day(seed=seed), Balancer).run().worth.figure for seed in (1, 1, 2)]
     assert figures[0] == figures[1] != figures[2]
 
 
 def test_a_part_that_draws_more_does_not_shift_what_others_draw() -> None:
     texts = ("", "[network]\njitter = 0.5")
-    names = [[s.build.name for s in World(day(text), Balancer).tiers[0]] for text in texts]
+    names = [[s.build.name for s in SimulatedFleet(day(text), Balancer).tiers[0]] for text in texts]
     assert names[0] == names[1]
 
 
@@ -178,7 +178,7 @@
 [clients]
 impatient = 0
 """
-    world = World(draw(parse(text), 3), Balancer)
+    world = SimulatedFleet(draw(parse(text), 3), Balancer)
     result = world.run()
     assert result.worth.endings.keys() <= {"in time", "late"}
     wishes = world.ledger.wishes
@@ -196,7 +196,7 @@
         told.append((settings.tier, settings.balancer_index, settings.balancer_count))
         return Balancer(settings, seed)
 
-    World(day("balancers = 2"), policy).run()
+    SimulatedFleet(day("balancers = 2"), policy).run()
     assert sorted(told) == [(0, 0, 2), (0, 1, 2), (1, 0, 4), (1, 1, 4), (1, 2, 4), (1, 3, 4)]
 
 
@@ -271,7 +271,7 @@
 )
 def test_each_rule_is_seen_to_be_broken(policy: Callable[..., Any], text: str, rule: str) -> None:
     seconds = "[load]\nseconds = 9\nof_capacity = 0.9\n[fleet]\nservers = 6\n"
-    result = World(draw(parse(seconds + text), 2), policy).run()
+    result = SimulatedFleet(draw(parse(seconds + text), 2), policy).run()
     assert rule in {breach.rule for breach in result.breaches}
 
 
@@ -279,13 +279,13 @@
 def test_our_decisions_keep_the_rules_whatever_happens(kind: str) -> None:
     size = 0.5 if kind == "errors" else 3.0
     trouble = f'[[trouble]]\nkind = "{kind}"\nat_s = 1\nfor_s = 2\npart = 0.5\nsize = {size}\n'
-    result = World(day(trouble), Balancer).run()
+    result = SimulatedFleet(day(trouble), Balancer).run()
     assert result.breaches == []
     assert kind == "burst" or result.log == [(1_000.0, kind)], "all troubles began with the day"
 
 
 def test_a_trouble_of_a_zone_befalls_the_last_one_alone() -> None:
-    world = World(
+    world = SimulatedFleet(
         day('[[trouble]]\nkind = "errors"\nat_s = 1\nfor_s = 1\npart = 1\nsize = 0.5\nzone = true\n'),
         Balancer,
     )
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -13,7 +13,7 @@
 from loadbalancer.interface import AttemptEnded, CordonChanged, Endpoint, Outcome, Readiness, ZoneEvacuation
 from loadbalancer.net import hot_restart
 from loadbalancer.net.hot_restart import CordonFile
-from loadbalancer.policy.zones import Zones, zone_parts
+from loadbalancer.policy.zones import ZoneEvacuations, zone_parts
 from tests.helpers import Desk, sent
 from tests.loopback import Rig, Upstream, read_message, run
 
@@ -30,7 +30,7 @@
 
 
 def test_a_zone_is_left_and_come_back_to_in_steps() -> None:
-    zones = Zones()
+    zones = ZoneEvacuations()
     assert zones.shares(50.0) == {}
     zones.hold(ZoneEvacuation("a", is_evacuating=True, started_at_ms=100.0, duration_ms=1_000.0))
     assert [round(zones.share("a", at), 2) for at in (100.0, 350.0, 1_100.0, 9_999.0)] == [
