--- a/loadbalancer/endpoint_watch/time_budget.py
+++ b/loadbalancer/endpoint_watch/time_budget.py
@@ -1,7 +1,8 @@
 """How soon a change has to be known, and what that leaves for a call and for the pause after it.
 
 A change counts as told `CHANGE_DEADLINE_S` after its service had it and could be reached, whatever calls
-before had come to. In the worst case each of n instances is asked in turn, and the one that can be reached was just missed:
+before had come to. In the worst case each of n instances is asked in turn, and the one that can be reached
+was just missed:
 
     a call that fails and the pause after it, n times      n x round
     the call that tells                                    answer
