--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -45,14 +45,16 @@
     now, cpu = 0.0, cpu_ms(pid)
     todo = one.start(now)
     for _ in range(MEMBER_PERIODS):
-        now = max(now, max(action.at for action in todo if isinstance(action, membership.SetTimer)))
+        now = max(now, max(action.at_ms for action in todo if isinstance(action, membership.SetTimer)))
         sender = chance.randrange(1, size)
-        one.heard(sender, encode_message(GossipMessage(FLEET, MessageKind.PING, 1, sender, 0, -1, ())), now)
-        for action in one.due(now):
+        one.handle_message(
+            sender, encode_message(GossipMessage(FLEET, MessageKind.PING, 1, sender, 0, -1, ())), now
+        )
+        for action in one.handle_timer(now):
             if isinstance(action, SendMessage):
-                asked = _decoder.decode(action.note)
-                answer = GossipMessage(FLEET, MessageKind.ACK, asked.sequence, action.to, 0, -1, ())
-                todo = one.heard(action.to, encode_message(answer), now + 1.0)
+                asked = _decoder.decode(action.payload)
+                answer = GossipMessage(FLEET, MessageKind.ACK, asked.sequence, action.recipient, 0, -1, ())
+                todo = one.handle_message(action.recipient, encode_message(answer), now + 1.0)
     spent = (cpu_ms(pid) - cpu) / (MEMBER_PERIODS * PERIOD_MS / 1_000)
     return {"size": size, "play": number, "table_mb": memory, "member_ms_s": spent}
 
--- a/benchmarks/interest_balancer.py
+++ b/benchmarks/interest_balancer.py
@@ -12,7 +12,7 @@
 import time
 from pathlib import Path
 
-from loadbalancer.net.config import read_config, read_list
+from loadbalancer.net.config import decode_endpoint_list, read_config
 from loadbalancer.net.proxy import Proxy
 
 
@@ -34,7 +34,7 @@
         gc.collect()
         idle, size = rss_mb(), len(body := Path(told["body"]).read_bytes())
         began = time.process_time()
-        driver._discovery._note(news := read_list(json.loads(body)), 0.0)
+        driver._discovery._note(news := decode_endpoint_list(json.loads(body)), 0.0)
         driver._news(news)
         took = time.process_time() - began
         del news, body
--- a/loadbalancer/cli/serve.py
+++ b/loadbalancer/cli/serve.py
@@ -65,5 +65,5 @@
     if file is None:
         raise Misuse("check: name a file, or give --schema")
     config = configuration.read(file, lambda note: None)
-    known = len(config.known.endpoints)
+    known = len(config.initial_list.endpoints)
     typer.echo(f"{file}: can be used; {len(config.settings.classes)} classes, {known} servers known")
--- a/loadbalancer/configuration/model.py
+++ b/loadbalancer/configuration/model.py
@@ -10,14 +10,14 @@
 import msgspec
 from msgspec import Meta
 
-from loadbalancer.net.config import DEFAULT_SUSPECT_STALE_FRACTION, MAX_SUBSET_SIZE, SERVICE
+from loadbalancer.net.config import DEFAULT_SUSPECT_STALE_FRACTION, MAX_SUBSET_SIZE, SERVICE_NAME_PATTERN
 
 DURATION = r"^[0-9]+(\.[0-9]+)?(ms|s|m)$"
 Duration = Annotated[float, Meta(ge=0)] | Annotated[str, Meta(pattern=DURATION)]
 ADDRESS = r"(\[[0-9a-fA-F:.]+\]|[0-9]{1,3}(\.[0-9]{1,3}){3}):[0-9]{1,5}"
 Address = Annotated[str, Meta(pattern=f"^{ADDRESS}$", description="host:port")]
 AddressOrNone = Annotated[str, Meta(pattern=f"^({ADDRESS})?$", description="host:port, or empty")]
-ServiceName = Annotated[str, Meta(pattern=SERVICE.pattern)]
+ServiceName = Annotated[str, Meta(pattern=SERVICE_NAME_PATTERN.pattern)]
 Share = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=1)]
 Amount = Annotated[float, Meta(ge=0)]
--- a/loadbalancer/drill/plants.py
+++ b/loadbalancer/drill/plants.py
@@ -15,7 +15,7 @@
 from loadbalancer.drill.papers import SERVICE_DEFECTS
 from loadbalancer.interface import Outcome, Readiness
 from loadbalancer.net import discovery, proxy
-from loadbalancer.net.config import ServerList
+from loadbalancer.net.config import EndpointList
 from loadbalancer.net.downstream import DownstreamRequest
 from loadbalancer.net.proxy import Proxy
 from loadbalancer.net.upstream import Attempt, UpstreamResponse
@@ -56,7 +56,7 @@
     """Whatever the list says is in that state passes for ready, in the module and at the sockets."""
     real = Proxy._listed
 
-    def listed(self: Proxy, kind: interface.UpdateKind, news: ServerList) -> bool:
+    def listed(self: Proxy, kind: interface.UpdateKind, news: EndpointList) -> bool:
         kept = tuple(
             replace(e, endpoint=replace(e.endpoint, readiness=Readiness.READY))
             if e.endpoint.readiness is state
@@ -95,48 +95,50 @@
 def trusts_any_list() -> None:
     """A list that is older than the one at hand is taken for news."""
     names, newest = vars(discovery), [0]
-    real = names["read_list"]
+    real = names["decode_endpoint_list"]
 
-    def read_list(answer: Any) -> ServerList:
-        news: ServerList = real(answer)
+    def decode_endpoint_list(answer: Any) -> EndpointList:
+        news: EndpointList = real(answer)
         newest[0] = max(newest[0], news.index)
         return replace(news, index=newest[0])
 
-    names["read_list"] = read_list
+    names["decode_endpoint_list"] = decode_endpoint_list
 
 
 def deaf_to_peers() -> None:
     """What other balancers say of who is there is not heard, and they hear nothing of us."""
     from loadbalancer.membership import Membership
 
-    def heard(self: Membership, sender: int, data: bytes, now: float) -> list[Any]:
+    def handle_message(self: Membership, sender: int, data: bytes, now: float) -> list[Any]:
         return []
 
-    Membership.heard = heard  # type: ignore[method-assign]
+    Membership.handle_message = handle_message  # type: ignore[method-assign]
 
 
 def never_gives_up() -> None:
     """A balancer that is silent is suspected for ever."""
     from loadbalancer.membership import MemberTable
 
-    def give_up(self: MemberTable, number: int, now: float) -> None:
+    def declare_dead(self: MemberTable, number: int, now: float) -> None:
         return None
 
-    MemberTable.give_up = give_up  # type: ignore[method-assign]
+    MemberTable.declare_dead = declare_dead  # type: ignore[method-assign]
 
 
 def forgets_returns() -> None:
     """Who was gone once stays gone: what it says of itself is not taken."""
     from loadbalancer.membership import MemberState, MemberTable
 
-    real = MemberTable.learn
+    real = MemberTable.apply_update
 
-    def learn(self: MemberTable, number: int, state: MemberState, incarnation: int, now: float) -> bool:
-        if self.state(number) is MemberState.GONE:
+    def apply_update(
+        self: MemberTable, number: int, state: MemberState, incarnation: int, now: float
+    ) -> bool:
+        if self.state(number) is MemberState.DEAD:
             return False
         return real(self, number, state, incarnation, now)
 
-    MemberTable.learn = learn  # type: ignore[method-assign]
+    MemberTable.apply_update = apply_update  # type: ignore[method-assign]
 
 
 def forgets_snapshot() -> None:
@@ -245,7 +247,7 @@
 
     def failed(self: Proxy) -> None:
         real(self)
-        self._listed(interface.UpdateKind.FULL_SNAPSHOT, ServerList(self._index, True, ()))
+        self._listed(interface.UpdateKind.FULL_SNAPSHOT, EndpointList(self._index, True, ()))
 
     Proxy._list_failed = failed  # type: ignore[method-assign]
     obeys_lists()
--- a/loadbalancer/membership/messages.py
+++ b/loadbalancer/membership/messages.py
@@ -24,19 +24,19 @@
 
     PING = 0
     ACK = 1
-    RELAY = 2  # ask somebody else for me
+    PING_REQUEST = 2  # ask somebody else for me
 
 
 class GossipMessage(msgspec.Struct, array_like=True, frozen=True):
     """A note as it goes out."""
 
-    fleet: bytes
+    fleet_tag: bytes
     kind: int
     sequence: int
     sender: int
     incarnation: int
     target: int
-    news: tuple[tuple[int, int, int], ...]
+    updates: tuple[tuple[int, int, int], ...]
 
 
 class MessageDecodeError(ValueError):
@@ -63,14 +63,14 @@
         note = _decoder.decode(data)
     except (msgspec.DecodeError, RecursionError):
         raise MessageDecodeError("garbled") from None
-    if note.fleet != fleet:
+    if note.fleet_tag != fleet:
         raise MessageDecodeError("foreign")
-    numbers = (note.sender, note.target + 1, *(number for number, _, _ in note.news))
-    figures = (note.sequence, note.incarnation, *(incarnation for _, _, incarnation in note.news))
+    numbers = (note.sender, note.target + 1, *(number for number, _, _ in note.updates))
+    figures = (note.sequence, note.incarnation, *(incarnation for _, _, incarnation in note.updates))
     if note.kind not in tuple(MessageKind) or not 0 <= note.sender < count or note.target >= count:
         raise MessageDecodeError("garbled")
     if not all(0 <= n < _MOST_NUMBER for n in numbers) or not all(0 <= f < _MOST_COUNT for f in figures):
         raise MessageDecodeError("garbled")
-    if any(number >= count or not 0 <= state <= 3 for number, state, _ in note.news):
+    if any(number >= count or not 0 <= state <= 3 for number, state, _ in note.updates):
         raise MessageDecodeError("garbled")
     return note
--- a/loadbalancer/membership/swim.py
+++ b/loadbalancer/membership/swim.py
@@ -37,15 +37,15 @@
 class SendMessage:
     """Send a note to a member."""
 
-    to: int
-    note: bytes
+    recipient: int
+    payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
     """Call `due` at a moment; an earlier wish gives way."""
 
-    at: float
+    at_ms: float
 
 
 Action = SendMessage | SetTimer
@@ -68,7 +68,7 @@
 
     sent: int = 0
     sent_bytes: int = 0
-    taken: int = 0
+    received: int = 0
     dropped: Counter[str] = field(default_factory=Counter)
 
 
@@ -80,7 +80,7 @@
         if not 0 <= number < count or len(fleet) != messages.TAG_BYTES:
             raise ValueError(f"member {number} of {count}, with a tag of {len(fleet)} bytes")
         self.table = MemberTable(number, count, now)
-        self.counts, self.health = MessageCounts(), 0
+        self.counts, self.awareness_score = MessageCounts(), 0
         self._number, self._fleet = number, fleet
         self._random = random.Random(seed)
         self._sequence = self._random.randrange(1 << 16)
@@ -98,7 +98,7 @@
         self._next_period = now + self._random.random() * PERIOD_MS
         return self._done(now)
 
-    def due(self, now: float) -> list[Action]:
+    def handle_timer(self, now: float) -> list[Action]:
         """A wake-up, on time or late."""
         if self._left:
             return []
@@ -112,7 +112,7 @@
         self._look_again(now)
         return self._done(now)
 
-    def heard(self, sender: int, data: bytes, now: float) -> list[Action]:
+    def handle_message(self, sender: int, data: bytes, now: float) -> list[Action]:
         """A note from the address of a member; one that can't be used is counted and passed over."""
         try:
             note = messages.decode_message(data, self._fleet, self.table.count)
@@ -123,7 +123,7 @@
             return []
         if self._left:
             return []
-        self.counts.taken += 1
+        self.counts.received += 1
         self._take_news(note, now)
         if note.kind == MessageKind.ACK:
             self._acked(note, now)
@@ -138,7 +138,7 @@
     def leave(self, now: float) -> list[Action]:
         """Say to some that we go on purpose, and nothing more from then on."""
         self.table.leave(now)
-        others = [n for n in self.table.present if n != self._number]
+        others = [n for n in self.table.active_members if n != self._number]
         for to in self._random.sample(others, min(LEAVING_NOTES, len(others))):
             self._tell(to, MessageKind.PING, self._new_sequence(), about_us=True)
         self._left = True
@@ -153,7 +153,7 @@
         self._periods += 1
         self._carried = dict(list(self._carried.items())[-RELAYED_MOST // 2 :])
         if not self._order:
-            self._order = [n for n in self.table.present if n != self._number]
+            self._order = [n for n in self.table.active_members if n != self._number]
             self._random.shuffle(self._order)
         while self._order:
             target = self._order.pop()
@@ -161,7 +161,7 @@
                 self._probe(target, now)
                 break
         if self._periods % TRIAL_EVERY == 0:
-            gone = [n for n, b in enumerate(self.table.beliefs) if b.state is MemberState.GONE]
+            gone = [n for n, b in enumerate(self.table.records) if b.state is MemberState.DEAD]
             if gone:
                 self._tell(self._random.choice(gone), MessageKind.PING, self._new_sequence())
 
@@ -184,19 +184,21 @@
         probe.rounds += 1
         if probe.rounds >= ROUNDS:
             del self._probes[target]
-            self.table.give_up(target, now)
+            self.table.declare_dead(target, now)
             return
         if probe.rounds == 1:
-            self.health = min(self.health + 1, HEALTH_MOST - 1)
-            self.table.learn(target, MemberState.SUSPECTED, self.table.beliefs[target].incarnation, now)
+            self.awareness_score = min(self.awareness_score + 1, HEALTH_MOST - 1)
+            self.table.apply_update(
+                target, MemberState.SUSPECTED, self.table.records[target].incarnation, now
+            )
         self._tell(target, MessageKind.PING, probe.sequence)
         self._ask_others(probe)
         probe.next_step = now + ROUND_MS * self._stretch()
 
     def _ask_others(self, probe: Probe) -> None:
-        others = [n for n in self.table.present if n not in (self._number, probe.target)]
+        others = [n for n in self.table.active_members if n not in (self._number, probe.target)]
         for other in self._random.sample(others, min(RELAYS, len(others))):
-            self._tell(other, MessageKind.RELAY, probe.sequence, probe.target)
+            self._tell(other, MessageKind.PING_REQUEST, probe.sequence, probe.target)
 
     def _acked(self, note: GossipMessage, now: float) -> None:
         """Somebody was heard, by us or for another."""
@@ -208,41 +210,41 @@
         probe = self._probes.get(target)
         if probe is not None and probe.sequence == note.sequence:
             del self._probes[target]
-            self.health = max(self.health - 1, 0)
+            self.awareness_score = max(self.awareness_score - 1, 0)
 
     def _were_stopped(self, now: float) -> None:
         """We were not there: who did not answer meanwhile has not failed."""
         self._probes.clear()
         self._next_period = now
-        self.health = min(self.health + 2, HEALTH_MOST - 1)
+        self.awareness_score = min(self.awareness_score + 2, HEALTH_MOST - 1)
 
     # ---- news -----------------------------------------------------------------------------------
 
     def _take_news(self, note: GossipMessage, now: float) -> None:
-        sender = self.table.beliefs[note.sender]
-        sender.heard = now
-        self.table.learn(note.sender, MemberState.ALIVE, note.incarnation, now)
-        for number, state, incarnation in note.news:
+        sender = self.table.records[note.sender]
+        sender.last_message_at_ms = now
+        self.table.apply_update(note.sender, MemberState.ALIVE, note.incarnation, now)
+        for number, state, incarnation in note.updates:
             if number != self._number:
-                self.table.learn(number, MemberState(state), incarnation, now)
+                self.table.apply_update(number, MemberState(state), incarnation, now)
             elif (incarnation, state) > (self.table.incarnation, MemberState.ALIVE):
                 self.table.refute(incarnation, now)
 
     def _look_again(self, now: float) -> None:
         """Look again at those whose suspicion nobody confirms or overrules: who raised it may be gone."""
-        for number, belief in enumerate(self.table.beliefs):
+        for number, belief in enumerate(self.table.records):
             if (
                 belief.state is MemberState.SUSPECTED
-                and now - belief.since > TRUST_MS
+                and now - belief.state_since_ms > TRUST_MS
                 and number not in self._probes
             ):
-                belief.since = now
+                belief.state_since_ms = now
                 self._probe(number, now)
 
     # ---- notes ----------------------------------------------------------------------------------
 
     def _stretch(self) -> float:
-        return 1.0 + self.health
+        return 1.0 + self.awareness_score
 
     def _new_sequence(self) -> int:
         self._sequence = (self._sequence + 1) % (1 << 32)
@@ -251,9 +253,9 @@
     def _tell(
         self, to: int, kind: MessageKind, sequence: int, target: int = -1, about_us: bool = False
     ) -> None:
-        news = self.table.news(to)
+        news = self.table.select_updates(to)
         if about_us:
-            own = self.table.beliefs[self._number]
+            own = self.table.records[self._number]
             said = (self._number, int(own.state), own.incarnation)
             news = (said, *[item for item in news if item[0] != self._number])[: messages.MAX_UPDATES]
         note = GossipMessage(self._fleet, kind, sequence, self._number, self.table.incarnation, target, news)
--- a/loadbalancer/net/config.py
+++ b/loadbalancer/net/config.py
@@ -11,7 +11,7 @@
 import math
 import re
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass, replace
+from dataclasses import dataclass, fields, replace
 from pathlib import Path
 from typing import Any
 
@@ -22,9 +22,12 @@
 DEFAULT_SUSPECT_STALE_FRACTION = (
     0.3  # of the ready servers: more do not go at once unsaid, but for a fault of the list itself
 )
-SERVICES_MOST, MAX_SUBSET_SIZE = 32, 100_000  # as a list service takes them
-SERVICE = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$")
-SNAPSHOT_MS, SNAPSHOT_LEAST_MS = 10_000.0, 100.0  # evidence fades within 6 s: more often gains nothing
+MAX_SERVICES, MAX_SUBSET_SIZE = 32, 100_000  # as a list service takes them
+SERVICE_NAME_PATTERN = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$")
+DEFAULT_SNAPSHOT_INTERVAL_MS, MIN_SNAPSHOT_INTERVAL_MS = (
+    10_000.0,
+    100.0,
+)  # evidence fades within 6 s: more often gains nothing
 
 _READINESS = {
     "in_service": Readiness.READY,
@@ -46,36 +49,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerList:
+class EndpointList:
     """One answer of discovery, in whole or only what changed."""
 
     index: int
-    whole: bool
+    is_full_snapshot: bool
     endpoints: tuple[AddressedEndpoint, ...]
-    rewound: bool = False
+    is_rewound: bool = False
     """Whether its service has gone back to an older state, and nobody else has a newer one."""
 
 
 @dataclass(frozen=True, slots=True)
-class Lists:
+class RegistryConfig:
     """How a list service of one's own is asked; the platform's is asked as PROTOCOL says, without this."""
 
-    others: tuple[Address, ...] = ()
+    other_instances: tuple[Address, ...] = ()
     """Further instances that hold the same list."""
     tier: str = ""
     """The tier that is asked for; empty for the service's first."""
-    doubt: float = DEFAULT_SUSPECT_STALE_FRACTION
+    suspect_stale_fraction: float = DEFAULT_SUSPECT_STALE_FRACTION
     """A whole list that leaves out more than this part of the ready servers is doubted: `list_doubt`."""
     services: tuple[str, ...] = ()
     """What is asked for in place of a tier, where the service knows interests; several are one pool."""
-    part: int = 0
+    subset_size: int = 0
     """Servers of each service that are held in each zone at the least; 0 for all."""
 
-    def may_become(self, other: Lists | None) -> bool:
+    def can_change_to(self, other: RegistryConfig | None) -> bool:
         """Whether another table can be followed while we run: where only the services or the part differ."""
         if other is None or not (self.services and other.services):
             return False
-        return replace(self, services=other.services, part=other.part) == other
+        return replace(self, services=other.services, subset_size=other.subset_size) == other
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,30 +89,53 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
+    max_sockets: int
     memory_mb: float
     console: Address | None
-    known: ServerList
+    initial_list: EndpointList
     settings: Settings
     connect_timeout_ms: float
-    idle_ms: float
+    idle_timeout_ms: float
     drain_grace_ms: float
     peers: tuple[Address, ...] = ()
     """One for each balancer of the tier, by their numbers; none where membership is off."""
     peer_listen: Address | None = None
-    snapshots: Path | None = None
+    snapshot_folder: Path | None = None
     """The folder in which what was learned is kept; None where it is not."""
-    snapshot_every_ms: float = SNAPSHOT_MS
-    lists: Lists | None = None
+    snapshot_interval_ms: float = DEFAULT_SNAPSHOT_INTERVAL_MS
+    registry: RegistryConfig | None = None
     """None for the platform's list."""
 
     def __post_init__(self) -> None:
-        for name in ("sockets", "memory_mb", "connect_timeout_ms", "snapshot_every_ms"):
+        for name in ("max_sockets", "memory_mb", "connect_timeout_ms", "snapshot_interval_ms"):
             if not 0 < (value := getattr(self, name)) < math.inf:
-                raise ConfigError(f"{name} is {value!r}: it must be a finite number above 0")
-        for name in ("idle_ms", "drain_grace_ms"):
+                raise ConfigError(f"{_operator_name(name)} is {value!r}: it must be a finite number above 0")
+        for name in ("idle_timeout_ms", "drain_grace_ms"):
             if not 0 <= (value := getattr(self, name)) < math.inf:
-                raise ConfigError(f"{name} is {value!r}: it must be a finite number, not below 0")
+                raise ConfigError(
+                    f"{_operator_name(name)} is {value!r}: it must be a finite number, not below 0"
+                )
+
+
+OPERATOR_NAMES = {
+    "max_sockets": "sockets",
+    "initial_list": "known",
+    "idle_timeout_ms": "idle_ms",
+    "snapshot_folder": "snapshots",
+    "snapshot_interval_ms": "snapshot_every_ms",
+    "registry": "lists",
+}
+"""What operators read for a field of `Config`, in errors and on a reload, where it differs from the field."""
+
+
+def _operator_name(field: str) -> str:
+    return OPERATOR_NAMES.get(field, field)
+
+
+def changed_settings(old: Config, new: Config) -> list[str]:
+    """Return the names, as operators read them, of the fields in which two configurations differ."""
+    names = [field.name for field in fields(Config)]
+    return [_operator_name(name) for name in names if getattr(old, name) != getattr(new, name)]
 
 
 def read_address(text: object) -> Address:
@@ -141,19 +167,19 @@
     return AddressedEndpoint(member, read_address(entry["address"]))
 
 
-def read_list(answer: Mapping[str, Any]) -> ServerList:
+def decode_endpoint_list(answer: Mapping[str, Any]) -> EndpointList:
     """A list in discovery's form; ValueError if it is anything else."""
     try:
         endpoints = tuple([_read_endpoint(entry) for entry in answer["endpoints"]])
         if len({e.endpoint.server for e in endpoints}) < len(endpoints):
             raise ValueError("a server is listed twice")
-        return ServerList(int(answer["index"]), bool(answer["snapshot"]), endpoints)
+        return EndpointList(int(answer["index"]), bool(answer["snapshot"]), endpoints)
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
         raise ValueError(f"not a server list: {type(error).__name__}: {error}") from None
 
 
-def write_list(news: ServerList) -> dict[str, Any]:
-    """A list in discovery's form, as `read_list` takes it."""
+def encode_endpoint_list(news: EndpointList) -> dict[str, Any]:
+    """A list in discovery's form, as `decode_endpoint_list` takes it."""
     status = {readiness: word for word, readiness in _READINESS.items()}
     endpoints = [
         {
@@ -167,7 +193,7 @@
         }
         for e in news.endpoints
     ]
-    return {"index": news.index, "snapshot": news.whole, "endpoints": endpoints}
+    return {"index": news.index, "snapshot": news.is_full_snapshot, "endpoints": endpoints}
 
 
 def flatten(value: object, prefix: str, into: wire.Fields) -> None:
@@ -202,7 +228,7 @@
     return peers
 
 
-def _read_lists(raw: Mapping[str, Any]) -> Lists | None:
+def _read_lists(raw: Mapping[str, Any]) -> RegistryConfig | None:
     """How a list service of one's own is asked, if the configuration has one."""
     told = raw.get("lists")
     if not isinstance(told, Mapping):
@@ -218,15 +244,17 @@
         raise ValueError(
             f"lists.part: {part}; allowed: 0 to {MAX_SUBSET_SIZE}, and only with `lists.services`"
         )
-    return Lists(others, tier, float(told.get("doubt", DEFAULT_SUSPECT_STALE_FRACTION)), services, part)
+    return RegistryConfig(
+        others, tier, float(told.get("doubt", DEFAULT_SUSPECT_STALE_FRACTION)), services, part
+    )
 
 
 def _read_services(told: Mapping[str, Any]) -> tuple[str, ...]:
     """The services that are asked for, each once, in their order."""
     services = tuple(str(name) for name in told.get("services") or ())
-    if len(set(services)) < len(services) or len(services) > SERVICES_MOST:
-        raise ValueError(f"lists.services: {len(services)} names; allowed: {SERVICES_MOST}, each once")
-    if odd := [name for name in services if not SERVICE.match(name)]:
+    if len(set(services)) < len(services) or len(services) > MAX_SERVICES:
+        raise ValueError(f"lists.services: {len(services)} names; allowed: {MAX_SERVICES}, each once")
+    if odd := [name for name in services if not SERVICE_NAME_PATTERN.match(name)]:
         raise ValueError(f"lists.services: {odd[0]!r}; allowed: letters, digits, . _ : -")
     return tuple(sorted(services))
 
@@ -243,26 +271,30 @@
         flatten(raw["settings"], "", facts)
         settings, lists = wire.read_settings(facts, note), _read_lists(raw)
         if lists is not None:
-            settings = replace(settings, suspect_stale_fraction=lists.doubt)
+            settings = replace(settings, suspect_stale_fraction=lists.suspect_stale_fraction)
         peers = _read_peers(raw, settings, facts)
         return Config(
             name=str(raw.get("name", "")),
             listen=read_address(raw["listen"]),
             discovery=read_address(raw["discovery"]),
             seed=int(str(raw.get("seed", "0")), 16),
-            sockets=int(raw.get("limits", {}).get("sockets", 1024)),
+            max_sockets=int(raw.get("limits", {}).get("sockets", 1024)),
             memory_mb=float(raw.get("limits", {}).get("memory_mb", 192)),
             console=read_address(console) if console else None,
-            known=read_list(raw.get("known") or {"index": 0, "snapshot": True, "endpoints": []}),
+            initial_list=decode_endpoint_list(
+                raw.get("known") or {"index": 0, "snapshot": True, "endpoints": []}
+            ),
             settings=settings,
             connect_timeout_ms=wire.number(facts, "limits.connectTimeout", 250.0),
-            idle_ms=wire.number(facts, "limits.connIdle", 15_000.0),
+            idle_timeout_ms=wire.number(facts, "limits.connIdle", 15_000.0),
             drain_grace_ms=wire.number(facts, "contract.drainGrace", 0.0),
             peers=peers,
-            snapshots=Path(str(raw["snapshots"])) if raw.get("snapshots") else None,
-            snapshot_every_ms=max(float(raw.get("snapshotEvery", SNAPSHOT_MS)), SNAPSHOT_LEAST_MS),
+            snapshot_folder=Path(str(raw["snapshots"])) if raw.get("snapshots") else None,
+            snapshot_interval_ms=max(
+                float(raw.get("snapshotEvery", DEFAULT_SNAPSHOT_INTERVAL_MS)), MIN_SNAPSHOT_INTERVAL_MS
+            ),
             peer_listen=read_address(raw["peer_listen"]) if peers else None,
-            lists=lists,
+            registry=lists,
         )
     except KeyError as error:
         raise ConfigError(f"{error} is missing") from None
--- a/loadbalancer/net/discovery.py
+++ b/loadbalancer/net/discovery.py
@@ -18,7 +18,14 @@
 )
 from loadbalancer.endpoint_watch.watch import FULL_SNAPSHOT
 from loadbalancer.interface import EndpointListUpdate, Readiness, UpdateKind
-from loadbalancer.net.config import Address, AddressedEndpoint, Config, Lists, ServerList, read_list
+from loadbalancer.net.config import (
+    Address,
+    AddressedEndpoint,
+    Config,
+    EndpointList,
+    RegistryConfig,
+    decode_endpoint_list,
+)
 from loadbalancer.net.interest_subscription import Held, Wants
 from loadbalancer.net.upstream import UNREADABLE, ResponseReader, UpstreamResponse
 
@@ -140,7 +147,7 @@
     def __init__(
         self,
         config: Config,
-        on_news: Callable[[ServerList], bool],
+        on_news: Callable[[EndpointList], bool],
         on_failed: Callable[[], None],
         fresh: bool = False,
         log: Callable[[str], None] = lambda text: None,
@@ -152,9 +159,9 @@
         """
         self._on_news, self._on_failed = on_news, on_failed
         self._asked = config.settings.polls_endpoint_list
-        self._own, self._home = config.lists, config.discovery
+        self._own, self._home = config.registry, config.discovery
         self._wants = Wants(config, fresh, log)
-        is_known = config.known.endpoints and not fresh and not self._wants.by_interest
+        is_known = config.initial_list.endpoints and not fresh and not self._wants.by_interest
         self._watch = Watch(
             _addresses(config.discovery, self._own),
             number=config.settings.balancer_index,
@@ -162,7 +169,7 @@
             grace_ms=config.drain_grace_ms,
             own=self._own is not None,
             seed=config.seed,
-            index=config.known.index if is_known else FULL_SNAPSHOT,
+            index=config.initial_list.index if is_known else FULL_SNAPSHOT,
         )
         self._task: asyncio.Task[None] | None = None
         self._comparing: asyncio.Task[None] | None = None
@@ -187,7 +194,7 @@
         if self._own is not None and self._comparing is None:
             self._comparing = loop.create_task(self._compare())
 
-    def move(self, address: Address, lists: Lists | None = None) -> None:
+    def move(self, address: Address, lists: RegistryConfig | None = None) -> None:
         """Discovery is elsewhere from now on, or something else is wanted of it: ask at once.
 
         A call that waits is abandoned. What is held is told with what is wanted now, and the answer says
@@ -277,7 +284,7 @@
             self._on_failed()  # when to ask again is the module's to say, unless we do at once
         return 0.0 if at_once else None if self._asked else min(PUSH_PAUSE_S, self._watch.again_s)
 
-    async def _call(self, ask: ListRequest) -> ServerList:
+    async def _call(self, ask: ListRequest) -> EndpointList:
         loop = asyncio.get_running_loop()
         until = loop.time() + ask.limit_s
         if self._link is None or self._link.closed or self._linked_to != ask.address:
@@ -293,7 +300,7 @@
             raise SilentError from None
         now = asyncio.get_running_loop().time()
         if self._watch.answered(news.index, now):
-            news = replace(news, rewound=True)
+            news = replace(news, is_rewound=True)
         self._heard = now
         self._wants.heard(held)
         if self._own is not None:
@@ -309,10 +316,10 @@
                 self._note(news, self._heard)
             self._on_news(news)
 
-    def _note(self, news: ServerList, now: float) -> None:
+    def _note(self, news: EndpointList, now: float) -> None:
         """What the list holds, to be held against another instance's."""
         before = dict(self._content)
-        if news.whole:
+        if news.is_full_snapshot:
             self._content.clear()
         for endpoint in news.endpoints:
             name = endpoint.endpoint.server
@@ -342,8 +349,8 @@
                 self._start_anew()
 
 
-def _addresses(first: Address, own: Lists | None) -> tuple[Address, ...]:
-    others = own.others if own else ()
+def _addresses(first: Address, own: RegistryConfig | None) -> tuple[Address, ...]:
+    others = own.other_instances if own else ()
     return (first, *(other for other in others if other != first))
 
 
@@ -352,7 +359,7 @@
     return link
 
 
-async def _ask(link: _Link, ask: ListRequest, wants: Wants) -> tuple[ServerList, Held]:
+async def _ask(link: _Link, ask: ListRequest, wants: Wants) -> tuple[EndpointList, Held]:
     """One call: the list, and what is held with it; ValueError if its answer is no list."""
     query = wants.query(asyncio.get_running_loop().time())
     if ask.after >= 0:
@@ -362,13 +369,13 @@
     return _read(answer, wants)
 
 
-def _read(answer: UpstreamResponse, wants: Wants) -> tuple[ServerList, Held]:
+def _read(answer: UpstreamResponse, wants: Wants) -> tuple[EndpointList, Held]:
     """What an answer tells; ValueError if it is no list, Paced if it says when to come again."""
     if answer.status != 200:
         wants.look_for_pace(answer.status, answer.body)
         raise TurnedAwayError(f"discovery answered {answer.status}")
     told = json.loads(answer.body)
-    return read_list(told), wants.read(told)
+    return decode_endpoint_list(told), wants.read(told)
 
 
 async def _look(address: Address, wants: Wants) -> ListVersion | None:
--- a/loadbalancer/net/downstream.py
+++ b/loadbalancer/net/downstream.py
@@ -687,7 +687,7 @@
         self.classes = frozenset([c.name for c in config.settings.classes])
         self.serving = self.ending = self.closing = self._retired = False
         self._longest_s = max(c.deadline_ms for c in config.settings.classes) / 1000
-        self.cap = side_cap(config.sockets)
+        self.cap = side_cap(config.max_sockets)
         self._eviction = IdleEviction()
         self._connections: set[DownstreamConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
--- a/loadbalancer/net/hot_restart.py
+++ b/loadbalancer/net/hot_restart.py
@@ -25,12 +25,15 @@
 
 from loadbalancer.interface import ZoneEvacuation
 
-BACK_MS = 600_000.0  # so long a return is remembered: longer than any server stays cold
-LOCK_TRIES, LOCK_PAUSE_S = 20, 0.005  # the lock is held for one small write; we do not wait for a stuck one
-FILE_MAX = 1_000_000
-STATE_MAX = 16_000_000
-ANSWER_S = 1.0  # the other process answers at once or not at all
-TELL_S = 0.05  # between the counts that the older process sends
+RETURN_RETENTION_MS = 600_000.0  # so long a return is remembered: longer than any server stays cold
+MAX_LOCK_ATTEMPTS, LOCK_RETRY_INTERVAL_S = (
+    20,
+    0.005,
+)  # the lock is held for one small write; we do not wait for a stuck one
+MAX_CORDON_FILE_BYTES = 1_000_000
+MAX_STATE_BYTES = 16_000_000
+ANSWER_TIMEOUT_S = 1.0  # the other process answers at once or not at all
+COUNT_INTERVAL_S = 0.05  # between the counts that the older process sends
 READY = b"ready\n"
 
 
@@ -38,27 +41,33 @@
 class Cordons:
     """What operators hold out, and when they put back what they held (Unix milliseconds)."""
 
-    out: frozenset[str] = frozenset()
-    back: dict[str, float] = field(default_factory=dict)
-    zones: dict[str, ZoneEvacuation] = field(default_factory=dict)
+    servers: frozenset[str] = frozenset()
+    returned_at_ms: dict[str, float] = field(default_factory=dict)
+    evacuations: dict[str, ZoneEvacuation] = field(default_factory=dict)
     """What operators last said of each zone."""
 
-    def changed(self, server: str, out: bool, now_ms: float) -> Cordons:
+    def with_cordon(self, server: str, out: bool, now_ms: float) -> Cordons:
         """With one server taken out, or put back; what changes nothing keeps the time of its return."""
-        if out == (server in self.out):
+        if out == (server in self.servers):
             return self
-        back = {name: at for name, at in self.back.items() if name != server and at > now_ms - BACK_MS}
+        back = {
+            name: at
+            for name, at in self.returned_at_ms.items()
+            if name != server and at > now_ms - RETURN_RETENTION_MS
+        }
         if out:
-            return replace(self, out=self.out | {server}, back=back)
-        return replace(self, out=self.out - {server}, back=back | {server: now_ms})
+            return replace(self, servers=self.servers | {server}, returned_at_ms=back)
+        return replace(self, servers=self.servers - {server}, returned_at_ms=back | {server: now_ms})
 
-    def moved(self, held: ZoneEvacuation) -> Cordons:
+    def with_evacuation(self, held: ZoneEvacuation) -> Cordons:
         """With a zone left, or come back to; one that has long been back in full is forgotten."""
+        earliest_ms = held.started_at_ms - RETURN_RETENTION_MS
         kept = {
-            name: one for name, one in self.zones.items()
-            if one.is_evacuating or one.started_at_ms + one.duration_ms > held.started_at_ms - BACK_MS
-        }  # fmt: skip
-        return replace(self, zones=kept | {held.zone: held})
+            name: evacuation
+            for name, evacuation in self.evacuations.items()
+            if evacuation.is_evacuating or evacuation.started_at_ms + evacuation.duration_ms > earliest_ms
+        }
+        return replace(self, evacuations=kept | {held.zone: held})
 
 
 def _read_cordons(raw: Any) -> Cordons:
@@ -102,7 +111,7 @@
         try:
             stat = os.stat(self._path)
             seen = stat.st_ino, stat.st_mtime_ns, stat.st_size
-            if seen == self._seen or stat.st_size > FILE_MAX:
+            if seen == self._seen or stat.st_size > MAX_CORDON_FILE_BYTES:
                 return False
             self._seen = seen
             self.cordons = _read_cordons(json.loads(self._path.read_bytes()))
@@ -110,13 +119,13 @@
             return False
         return True
 
-    def change(self, server: str, out: bool) -> str:
+    def set_cordon(self, server: str, out: bool) -> str:
         """Take a server out or put it back; a line on what went wrong with the file, if anything did."""
-        return self._change(lambda cordons: cordons.changed(server, out, time.time() * 1000))
+        return self._change(lambda cordons: cordons.with_cordon(server, out, time.time() * 1000))
 
-    def move(self, held: ZoneEvacuation) -> str:
+    def set_evacuation(self, held: ZoneEvacuation) -> str:
         """Leave a zone or come back to it; a line on what went wrong with the file, if anything did."""
-        return self._change(lambda cordons: cordons.moved(held))
+        return self._change(lambda cordons: cordons.with_evacuation(held))
 
     def _change(self, change: Callable[[Cordons], Cordons]) -> str:
         try:
@@ -129,20 +138,20 @@
             return f"cordons are kept in memory alone: {error}"
         return ""
 
-    def inherit(self, raw: object) -> None:
+    def adopt(self, raw: object) -> None:
         """Go on from what the process before us holds: its file may be behind, where a disk is full.
 
         ValueError if that can't be read; the file then stands. What changes in the file later is followed.
         """
         self.cordons = _read_cordons(raw)
 
-    def state(self) -> dict[str, object]:
+    def encode(self) -> dict[str, object]:
         """What stands in the file, and goes to the next process."""
         zones = {
             name: [held.is_evacuating, held.started_at_ms, held.duration_ms, held.initial_fraction]
-            for name, held in self.cordons.zones.items()
+            for name, held in self.cordons.evacuations.items()
         }
-        return {"out": sorted(self.cordons.out), "back": self.cordons.back, "zones": zones}
+        return {"out": sorted(self.cordons.servers), "back": self.cordons.returned_at_ms, "zones": zones}
 
     @contextmanager
     def _locked(self) -> Iterator[None]:
@@ -150,14 +159,14 @@
             yield
             return
         with open(self._path.with_suffix(".lock"), "wb") as lock:
-            for tries in range(LOCK_TRIES):
+            for tries in range(MAX_LOCK_ATTEMPTS):
                 try:
                     fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
                     break
                 except BlockingIOError:
-                    if tries == LOCK_TRIES - 1:
+                    if tries == MAX_LOCK_ATTEMPTS - 1:
                         raise
-                    time.sleep(LOCK_PAUSE_S)
+                    time.sleep(LOCK_RETRY_INTERVAL_S)
             yield
 
     def _write(self) -> None:
@@ -165,7 +174,7 @@
             return
         draft = self._path.with_suffix(f".{os.getpid()}")
         try:
-            draft.write_text(json.dumps(self.state()))
+            draft.write_text(json.dumps(self.encode()))
             os.replace(draft, self._path)
         except OSError:
             draft.unlink(missing_ok=True)
@@ -189,17 +198,17 @@
         self._link, self.listener, self.state = link, listener, state
         self._unread = b""
 
-    async def relieve(self) -> dict[str, int]:
+    async def take_over(self) -> dict[str, int]:
         """Say that we are ready; what the older process still holds, now that it accepts no more."""
         loop = asyncio.get_running_loop()
         self._link.setblocking(False)
         with suppress(OSError, ValueError, TimeoutError):
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 await loop.sock_sendall(self._link, READY)
                 return await self._counts() or {}
         return {}
 
-    async def follow(self, told: Callable[[dict[str, int]], None]) -> None:
+    async def follow_counts(self, told: Callable[[dict[str, int]], None]) -> None:
         """Pass on what the older process holds, and at its end that it holds nothing."""
         with suppress(OSError, ValueError):
             while counts := await self._counts():
@@ -226,7 +235,7 @@
     link: socket.socket | None = None
     try:
         link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        link.settimeout(ANSWER_S)
+        link.settimeout(ANSWER_TIMEOUT_S)
         with _path_in(folder) as path:
             link.connect(path)
         data, descriptors, _, _ = socket.recv_fds(link, 65_536, 1)
@@ -235,7 +244,7 @@
         listener = socket.socket(fileno=descriptors[0])
         while not data.endswith(b"\n"):
             more = link.recv(65_536)
-            if not more or len(data) > STATE_MAX:
+            if not more or len(data) > MAX_STATE_BYTES:
                 raise ValueError("what was learned came in part")
             data += more
         state = json.loads(data)
@@ -250,29 +259,29 @@
         return None
 
 
-class Estate(Protocol):
+class ServingProcess(Protocol):
     """What there is to hand over."""
 
     def listening_socket(self) -> socket.socket:
         """The one that callers wait at."""
 
-    def state(self) -> dict[str, Any]:
+    def handover_state(self) -> dict[str, Any]:
         """What the next process should know."""
 
-    def retire(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept no more: the next process does."""
 
-    def return_to_work(self) -> None:
+    def resume_accepting(self) -> None:
         """The next process has died."""
 
-    def holds(self) -> dict[str, int]:
+    def descriptor_counts(self) -> dict[str, int]:
         """Descriptors that are still held, by use."""
 
 
 class HotRestartListener:
     """Waits for the process that is to take over."""
 
-    def __init__(self, folder: Path, loop: asyncio.AbstractEventLoop, estate: Estate) -> None:
+    def __init__(self, folder: Path, loop: asyncio.AbstractEventLoop, estate: ServingProcess) -> None:
         self._folder, self._loop, self._estate = folder, loop, estate
         self._socket: socket.socket | None = None
         self._tasks: set[asyncio.Task[None]] = set()
@@ -307,12 +316,12 @@
     async def _attend(self, link: socket.socket) -> None:
         try:
             socket.send_fds(link, [b" "], [self._estate.listening_socket().fileno()])
-            await self._loop.sock_sendall(link, json.dumps(self._estate.state()).encode() + b"\n")
+            await self._loop.sock_sendall(link, json.dumps(self._estate.handover_state()).encode() + b"\n")
             if await self._loop.sock_recv(link, len(READY)) == READY:
-                self._estate.retire()
+                self._estate.stop_accepting()
                 with suppress(OSError):
                     await self._tell_until_it_ends(link)
-                self._estate.return_to_work()
+                self._estate.resume_accepting()
         except OSError:
             return  # it died before it was ready
         finally:
@@ -321,7 +330,7 @@
     async def _tell_until_it_ends(self, link: socket.socket) -> None:
         told: dict[str, int] = {}
         while True:
-            if (holds := self._estate.holds()) != told:
+            if (holds := self._estate.descriptor_counts()) != told:
                 told = holds
                 await self._loop.sock_sendall(link, json.dumps(holds).encode() + b"\n")
             if not await self._is_there(link):
@@ -329,7 +338,7 @@
 
     async def _is_there(self, link: socket.socket) -> bool:
         """Wait a moment; whether the other process still lives then."""
-        await asyncio.sleep(TELL_S)
+        await asyncio.sleep(COUNT_INTERVAL_S)
         try:
             return link.recv(1) != b""
         except BlockingIOError:
--- a/loadbalancer/net/interest_subscription.py
+++ b/loadbalancer/net/interest_subscription.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from loadbalancer.endpoint_watch import ListRequest, RateLimitedError, Subscription
-from loadbalancer.net.config import Address, Config, Lists
+from loadbalancer.net.config import Address, Config, RegistryConfig
 
 NO_INTERESTS = "the list service knows no interests: the whole of the service is taken"
 Held = tuple[str, bool]
@@ -26,7 +26,7 @@
 
     def __init__(self, config: Config, has_list: bool, log: Callable[[str], None]) -> None:
         """`has_list` if a list is at hand, of whatever interest; `log` takes a line on what can't be told."""
-        self._tier = config.lists.tier if config.lists else ""
+        self._tier = config.registry.tier if config.registry else ""
         self._wanted = _subscription(config, has_list)
         self._log, self._said = log, ""
 
@@ -45,11 +45,11 @@
         """Whether the service can tell what has left an interest that changes."""
         return self._wanted is None or self._wanted.is_known
 
-    def move(self, lists: Lists | None) -> bool:
+    def move(self, lists: RegistryConfig | None) -> bool:
         """The configuration names other services, or another part; whether it does, and both name some."""
         if self._wanted is None or lists is None or not lists.services:
             return False
-        return self._wanted.move(lists.services, lists.part)
+        return self._wanted.move(lists.services, lists.subset_size)
 
     def query(self, now: float) -> list[str]:
         """What is wanted, and what is held of it."""
@@ -92,10 +92,11 @@
 
 
 def _subscription(config: Config, has_list: bool) -> Subscription | None:
-    lists, settings = config.lists, config.settings
+    lists, settings = config.registry, config.settings
     if lists is None or not lists.services:
         return None
     return Subscription(
-        lists.services, lists.part, name=f"{config.name}/{settings.balancer_index}", zone=settings.zone,
-        balancers=settings.balancer_count, holds_all=has_list or bool(config.known.endpoints),
+        lists.services, lists.subset_size, name=f"{config.name}/{settings.balancer_index}",
+        zone=settings.zone, balancers=settings.balancer_count,
+        holds_all=has_list or bool(config.initial_list.endpoints),
     )  # fmt: skip
--- a/loadbalancer/net/membership.py
+++ b/loadbalancer/net/membership.py
@@ -16,6 +16,14 @@
 
 READ_MOST = 64  # notes that are read before others on the loop have their turn
 
+STATE_LABELS = {
+    MemberState.ALIVE: "alive",
+    MemberState.SUSPECTED: "suspected",
+    MemberState.DEAD: "gone",
+    MemberState.LEFT: "left",
+}
+"""What operators read for a state, on the console, in Prometheus' labels and in drills."""
+
 
 def fleet_tag(config: Config) -> bytes:
     """Four bytes that all balancers of one tier share."""
@@ -36,7 +44,7 @@
         self._socket: socket.socket | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._starts = 0
-        self.strangers = 0  # notes from addresses that are no member's
+        self.unknown_sender_count = 0  # notes from addresses that are no member's
         self.member = self._new_member()
 
     def _new_member(self) -> Membership:
@@ -87,12 +95,12 @@
                 return
             number = self._numbers.get((sender[0], sender[1]))
             if number is None:
-                self.strangers += 1
+                self.unknown_sender_count += 1
             else:
-                self._do(self.member.heard(number, data, self._now()))
+                self._do(self.member.handle_message(number, data, self._now()))
 
     def _due(self) -> None:
-        self._do(self.member.due(self._now()))
+        self._do(self.member.handle_timer(self._now()))
 
     def _do(self, actions: Iterable[Action]) -> None:
         for action in actions:
@@ -106,37 +114,39 @@
                         self._timer.cancel()
                     self._timer = self._loop.call_later(max(at - self._now(), 0.0) / 1_000, self._due)
 
-    def report(self) -> dict[str, object]:
+    def console_report(self) -> dict[str, object]:
         """What operators read: who is believed to be what since when, and the notes in, out and dropped."""
         now, member = self._now(), self.member
         members = [
             {
                 "number": number,
-                "state": belief.state.name.lower(),
-                "since_s": round((now - belief.since) / 1_000, 3),
+                "state": STATE_LABELS[belief.state],
+                "since_s": round((now - belief.state_since_ms) / 1_000, 3),
                 "incarnation": belief.incarnation,
-                "heard_s": round((now - belief.heard) / 1_000, 3) if belief.heard > 0 else None,
+                "heard_s": round((now - belief.last_message_at_ms) / 1_000, 3)
+                if belief.last_message_at_ms > 0
+                else None,
             }
-            for number, belief in enumerate(member.table.beliefs)
+            for number, belief in enumerate(member.table.records)
         ]
         counts = member.counts
         return {
             "me": self._config.settings.balancer_index,
-            "present": len(member.table.present),
+            "present": len(member.table.active_members),
             "takes_part": self._socket is not None,
-            "health": member.health,
+            "health": member.awareness_score,
             "members": members,
             "notes": {
                 "sent": counts.sent,
                 "sent_bytes": counts.sent_bytes,
-                "taken": counts.taken,
-                "dropped": {**counts.dropped, "stranger": self.strangers},
+                "taken": counts.received,
+                "dropped": {**counts.dropped, "stranger": self.unknown_sender_count},
             },
         }
 
-    def by_state(self) -> dict[str, int]:
+    def count_by_state(self) -> dict[str, int]:
         """How many members are believed to be in each state."""
-        found = dict.fromkeys((state.name.lower() for state in MemberState), 0)
-        for belief in self.member.table.beliefs:
-            found[belief.state.name.lower()] += 1
+        found = dict.fromkeys((STATE_LABELS[state] for state in MemberState), 0)
+        for belief in self.member.table.records:
+            found[STATE_LABELS[belief.state]] += 1
         return found
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -7,14 +7,21 @@
 import socket
 import time
 from collections import deque
-from dataclasses import fields, replace
+from dataclasses import replace
 from pathlib import Path
 from typing import TYPE_CHECKING, Any, assert_never
 
 from loadbalancer import interface
 from loadbalancer.interface import OUTCOMES_WITHOUT_EFFECT, Outcome, Readiness, UpdateKind
 from loadbalancer.net import metrics
-from loadbalancer.net.config import AddressedEndpoint, Config, ServerList, read_list, write_list
+from loadbalancer.net.config import (
+    AddressedEndpoint,
+    Config,
+    EndpointList,
+    changed_settings,
+    decode_endpoint_list,
+    encode_endpoint_list,
+)
 from loadbalancer.net.console import Console
 from loadbalancer.net.discovery import Discovery
 from loadbalancer.net.downstream import DownstreamListener, DownstreamRequest
@@ -176,7 +183,7 @@
         self._last = 0
         self._events: deque[interface.Event] = deque()
         self._busy = self._closed = False
-        self._known = config.known
+        self._known = config.initial_list
         self._list: dict[str, AddressedEndpoint] = {}
         self._index = 0
         self._caps = self.callers.cap, self.upstreams.cap
@@ -187,11 +194,11 @@
 
     def _make_keeper(self, config: Config) -> SnapshotWriter | None:
         """Snapshots, where a folder is named; what they need is loaded there alone."""
-        if config.snapshots is None:
+        if config.snapshot_folder is None:
             return None
         from loadbalancer.net.snapshot_writer import SnapshotWriter
 
-        return SnapshotWriter(config.snapshots, config.name, config.snapshot_every_ms, self.log)
+        return SnapshotWriter(config.snapshot_folder, config.name, config.snapshot_interval_ms, self.log)
 
     def _make_peers(self, config: Config) -> MembershipHost | None:
         """Membership, where it is on; what it needs is loaded there alone."""
@@ -208,9 +215,9 @@
         if self._legacy is not None:
             self._take_legacy(self._legacy)
         elif self._kept is not None:
-            self._take_state(self._kept.state, max(self.clock.now() - self._kept.written_ms, 0.0))
+            self._take_state(self._kept.state, max(self.clock.now() - self._kept.written_at_ms, 0.0))
         if self._keeper is not None:
-            self._keeper.start(self.state)
+            self._keeper.start(self.handover_state)
         self._discovery.start()
         self._sweep()
         if self.console is not None:
@@ -237,7 +244,7 @@
         if self.peers is not None:
             self.peers.leave()
         if self._keeper is not None:
-            self._keeper.end()
+            self._keeper.close()
 
     def is_serving(self) -> bool:
         """Whether clients are taken."""
@@ -249,7 +256,7 @@
         """Go on from cordons, list and evidence of the older process, as far as they can be read."""
         if "cordons" in legacy.state:  # a version before this one does not send them
             try:
-                self._cordons.inherit(legacy.state["cordons"])
+                self._cordons.adopt(legacy.state["cordons"])
             except ValueError as error:
                 self.log.event("nothing_learned", f"we start with the cordons on file: {error}")
             self._apply_cordons()
@@ -258,7 +265,7 @@
     def _take_state(self, state: dict[str, Any], age_ms: float) -> None:
         """Go on from a list and evidence of some age: servers that have started anew since are unknown."""
         try:
-            known = read_list(state["list"])
+            known = decode_endpoint_list(state["list"])
             if known.endpoints and known.index >= self._known.index:
                 self._listed(UpdateKind.CACHED, known)
             learned = decode_learned_state(state["learned"], {c.name for c in self._config.settings.classes})
@@ -271,10 +278,10 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LIST_S):
                 await self._asked.wait()
-        self._share(await legacy.relieve())
+        self._share(await legacy.take_over())
         if not self.callers.ending:
             self._serve()
-        await legacy.follow(self._share)
+        await legacy.follow_counts(self._share)
 
     def _share(self, other: dict[str, int]) -> None:
         """Hold so much less as the other process holds."""
@@ -285,13 +292,13 @@
         """Where callers wait."""
         return self.callers.listener
 
-    def state(self) -> dict[str, object]:
+    def handover_state(self) -> dict[str, object]:
         """What the next process should know."""
-        known = ServerList(self._index, True, tuple(self._list.values()))
+        known = EndpointList(self._index, True, tuple(self._list.values()))
         learned = encode_learned_state(self.balancer.learned_state(self.clock.now()))
-        return {"list": write_list(known), "learned": learned, "cordons": self._cordons.state()}
+        return {"list": encode_endpoint_list(known), "learned": learned, "cordons": self._cordons.encode()}
 
-    def retire(self) -> None:
+    def stop_accepting(self) -> None:
         """The next process is ready to accept in our place."""
         self.log.event("taken_over", "another process takes over")
         if self.peers is not None:
@@ -299,7 +306,7 @@
         self.callers.retire()
         self._tell(interface.TakeoverChanged(True))
 
-    def return_to_work(self) -> None:
+    def resume_accepting(self) -> None:
         """The next process has died."""
         self.log.event("returned", "the process that took over is gone")
         self.callers.return_to_work()
@@ -307,7 +314,7 @@
         self.upstreams.cap = self._caps[1]
         self._tell(interface.TakeoverChanged(False))
 
-    def holds(self) -> dict[str, int]:
+    def descriptor_counts(self) -> dict[str, int]:
         """What we keep to from now on: callers only leave, and upstreams are called for them alone."""
         callers = self.callers.count()
         self.upstreams.cap = min(self.upstreams.cap, max(self.upstreams.open, callers + 4))
@@ -320,18 +327,18 @@
     def metrics(self) -> str:
         """The same figures in Prometheus' form."""
         avoided = len(self.balancer.avoided(self.clock.now()))
-        members = self.peers.by_state() if self.peers else {}
+        members = self.peers.count_by_state() if self.peers else {}
         return metrics.write(self._figures, len(self._list), avoided, self.log.left_out, members)
 
     def membership(self) -> dict[str, object] | None:
         """What we believe of the other balancers; None where membership is off."""
-        return self.peers.report() if self.peers else None
+        return self.peers.console_report() if self.peers else None
 
     def list_report(self) -> dict[str, object]:
         """Where the list is from, how old it is, and whom it left out that is in use all the same."""
         told = self._discovery.report()
         if told["heard_ms_ago"] is None and self._kept is not None:
-            age_ms = max(time.time() * 1_000 - self._kept.written_ms, 0.0)
+            age_ms = max(time.time() * 1_000 - self._kept.written_at_ms, 0.0)
             return told | {"from": "snapshot", "heard_ms_ago": round(age_ms), "doubted": []}
         if told["heard_ms_ago"] is None:
             return told | {"from": "configuration", "doubted": []}
@@ -339,9 +346,9 @@
 
     def cordon(self, server: str, out: bool) -> bool:
         """Take a server out, or put it back; False if nobody has that ID."""
-        if server not in self._ids and server not in self._cordons.cordons.out:
+        if server not in self._ids and server not in self._cordons.cordons.servers:
             return False
-        if trouble := self._cordons.change(server, out):
+        if trouble := self._cordons.set_cordon(server, out):
             self.log.event("cordons_not_kept", trouble)
         self._apply_cordons()
         return True
@@ -354,21 +361,21 @@
 
     def _apply_cordons(self) -> None:
         cordons, held = self._cordons.cordons, self.upstreams.held
-        for server in sorted(cordons.out - held):
+        for server in sorted(cordons.servers - held):
             self.upstreams.hold(server)
             self._tell(interface.CordonChanged(server, is_cordoned=True))
-        for server in sorted(held - cordons.out):
+        for server in sorted(held - cordons.servers):
             held.discard(server)
-            at = cordons.back.get(server, self.clock.now())
+            at = cordons.returned_at_ms.get(server, self.clock.now())
             self._tell(interface.CordonChanged(server, is_cordoned=False, returned_at_ms=at))
-        for server, at in cordons.back.items():
+        for server, at in cordons.returned_at_ms.items():
             if self._back.get(server, 0.0) < at:
                 self._tell(interface.CordonChanged(server, is_cordoned=False, returned_at_ms=at))
-        self._back = cordons.back
-        for name, word in cordons.zones.items():
+        self._back = cordons.returned_at_ms
+        for name, word in cordons.evacuations.items():
             if self._zones.get(name) != word:
                 self._tell(word)
-        self._zones = dict(cordons.zones)
+        self._zones = dict(cordons.evacuations)
 
     def zones(self) -> dict[str, dict[str, float]]:
         """How it stands with each zone."""
@@ -382,7 +389,7 @@
         if out and not force and (trouble := _no_room(zone, zones)):
             return 409, trouble
         share = self.balancer.zone_share(zone, now)
-        if trouble := self._cordons.move(interface.ZoneEvacuation(zone, out, now, over_ms, share)):
+        if trouble := self._cordons.set_evacuation(interface.ZoneEvacuation(zone, out, now, over_ms, share)):
             self.log.event("cordons_not_kept", trouble)
         self._apply_cordons()
         self.log.event("zone", "operators have us leave it" if out else "operators have us back", zone=zone)
@@ -391,9 +398,11 @@
     def replace(self, config: Config) -> tuple[list[str], list[str]]:
         """Follow a configuration that the platform has replaced: what was taken, and what needs a restart."""
         old, self._config = self._config, config
-        changed = [f.name for f in fields(Config) if getattr(old, f.name) != getattr(config, f.name)]
-        self._discovery.move(config.discovery, config.lists)
-        followed = FOLLOWED | ({"lists"} if old.lists and old.lists.may_become(config.lists) else set())
+        changed = changed_settings(old, config)
+        self._discovery.move(config.discovery, config.registry)
+        followed = FOLLOWED | (
+            {"lists"} if old.registry and old.registry.can_change_to(config.registry) else set()
+        )
         return [n for n in changed if n in followed], [n for n in changed if n not in followed | UNHEEDED]
 
     def _sweep(self) -> None:
@@ -554,7 +563,7 @@
         """An attempt is over. The first served answer goes out before anything else is done."""
         request.out -= 1
         request.ran = request.ran or outcome not in OUTCOMES_WITHOUT_EFFECT
-        if self._config.lists is not None:
+        if self._config.registry is not None:
             self._discovery.witnesses.note(server, outcome, self._loop.time())
         if request.open and request.passed_on is not None and request.passed_on is request.attempts[index]:
             if outcome is Outcome.SERVED:
@@ -584,23 +593,23 @@
         """A probe is over."""
         self._tell(interface.HealthCheckEnded(server, outcome))
 
-    def _news(self, news: ServerList) -> bool:
+    def _news(self, news: EndpointList) -> bool:
         """Take news of the list; whether it was believed."""
         self._asked.set()
-        return self._listed(UpdateKind.FULL_SNAPSHOT if news.whole else UpdateKind.DELTA, news)
+        return self._listed(UpdateKind.FULL_SNAPSHOT if news.is_full_snapshot else UpdateKind.DELTA, news)
 
-    def _listed(self, kind: UpdateKind, news: ServerList) -> bool:
+    def _listed(self, kind: UpdateKind, news: EndpointList) -> bool:
         update = self.balancer.validate(
-            interface.EndpointListUpdate(kind, tuple([e.endpoint for e in news.endpoints]), news.rewound)
+            interface.EndpointListUpdate(kind, tuple([e.endpoint for e in news.endpoints]), news.is_rewound)
         )
-        if update.suspected_stale or news.rewound:
+        if update.suspected_stale or news.is_rewound:
             at = {e.endpoint.server: e.address for e in (*self._list.values(), *news.endpoints)}
             news = replace(
                 news, endpoints=tuple([AddressedEndpoint(m, at[m.server]) for m in update.endpoints])
             )
         self.upstreams.listed(news)
         self._index = news.index
-        if news.whole:
+        if news.is_full_snapshot:
             self._list.clear()
         for endpoint in news.endpoints:
             self._list[endpoint.endpoint.server] = endpoint
--- a/loadbalancer/net/snapshot_writer.py
+++ b/loadbalancer/net/snapshot_writer.py
@@ -24,10 +24,10 @@
     def load(self) -> Snapshot | None:
         """What was kept, if any of it can be read; a line in the log on each file that can't."""
         found = self._store.load()
-        for trouble in found.troubles:
+        for trouble in found.errors:
             self._log.event("snapshot_unreadable", trouble)
         if found.snapshot is not None:
-            age_s = max(time.time() - found.snapshot.written_ms / 1_000, 0.0)
+            age_s = max(time.time() - found.snapshot.written_at_ms / 1_000, 0.0)
             self._log.event("snapshot_taken", f"we go on from a snapshot, {age_s:.1f} s old")
         return found.snapshot
 
@@ -53,7 +53,7 @@
                 self._log.event("snapshot_failed", text)
             self._told = text
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Save for the last time."""
         if self._task is not None:
             self._task.cancel()
--- a/loadbalancer/net/upstream.py
+++ b/loadbalancer/net/upstream.py
@@ -16,7 +16,7 @@
 import httptools
 
 from loadbalancer.interface import Outcome, Readiness
-from loadbalancer.net.config import Address, Config, ServerList
+from loadbalancer.net.config import Address, Config, EndpointList
 from loadbalancer.net.descriptors import side_cap
 from loadbalancer.net.http_framing import (
     BODY_MAX,
@@ -631,15 +631,15 @@
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, buffers: BufferBudget) -> None:
         self.config, self.loop, self.buffers = config, loop, buffers
-        self.idle_s = IDLE_PART * config.idle_ms / 1000
+        self.idle_s = IDLE_PART * config.idle_timeout_ms / 1000
         self.open = 0
-        self.cap = side_cap(config.sockets)
+        self.cap = side_cap(config.max_sockets)
         self.held: set[str] = set()  # by operators: nothing begins there
         self._pools: dict[str, ConnectionPool] = {}
 
-    def listed(self, news: ServerList) -> None:
+    def listed(self, news: EndpointList) -> None:
         """Follow the list: a server that is gone, moved or restarted loses its connections."""
-        if news.whole:
+        if news.is_full_snapshot:
             for name in self._pools.keys() - {e.endpoint.server for e in news.endpoints}:
                 self._drop(name)
         for endpoint in news.endpoints:
--- a/loadbalancer/scale/hollow.py
+++ b/loadbalancer/scale/hollow.py
@@ -23,7 +23,7 @@
 from loadbalancer.drill.standin import Place, follow, read_spec, say
 from loadbalancer.interface import Readiness, UpdateKind
 from loadbalancer.net import discovery
-from loadbalancer.net.config import AddressedEndpoint, Config, ServerList, read_config, read_list
+from loadbalancer.net.config import AddressedEndpoint, Config, EndpointList, decode_endpoint_list, read_config
 from loadbalancer.net.upstream import UpstreamResponse
 from loadbalancer.policy import Balancer
 from loadbalancer.scale.counting import Tally, in_background, run, tell_each_second
@@ -69,7 +69,7 @@
     def start(self) -> None:
         """Begin as the driver does: from nothing known, on to the first call for the list."""
         OWNER.set(self)
-        self._listed(UpdateKind.CACHED, ServerList(0, True, ()))
+        self._listed(UpdateKind.CACHED, EndpointList(0, True, ()))
 
     def stop(self) -> None:
         """End as a process does that is killed."""
@@ -98,21 +98,21 @@
             return f"{self.name}: {found} held as {held.get(found)}, listed as {listed.get(found)}"
         return "" if held else f"{self.name}: nothing held"
 
-    def _news(self, news: ServerList) -> bool:
+    def _news(self, news: EndpointList) -> bool:
         if self.ready_ms is None:
             self.ready_ms = self._host.clock.now
-        return self._listed(UpdateKind.FULL_SNAPSHOT if news.whole else UpdateKind.DELTA, news)
+        return self._listed(UpdateKind.FULL_SNAPSHOT if news.is_full_snapshot else UpdateKind.DELTA, news)
 
-    def _listed(self, kind: UpdateKind, news: ServerList) -> bool:
+    def _listed(self, kind: UpdateKind, news: EndpointList) -> bool:
         members = tuple([e.endpoint for e in news.endpoints])
-        update = self._balancer.validate(interface.EndpointListUpdate(kind, members, news.rewound))
-        if update.suspected_stale or news.rewound:
+        update = self._balancer.validate(interface.EndpointListUpdate(kind, members, news.is_rewound))
+        if update.suspected_stale or news.is_rewound:
             at = {e.endpoint.server: e.address for e in (*self.list.values(), *news.endpoints)}
             news = replace(
                 news, endpoints=tuple([AddressedEndpoint(m, at[m.server]) for m in update.endpoints])
             )
         before = self.list
-        if news.whole:
+        if news.is_full_snapshot:
             self.list = {}
         for endpoint in news.endpoints:
             self.list[endpoint.endpoint.server] = endpoint
@@ -205,15 +205,15 @@
         self._hollows[number] = hollow
         contextvars.copy_context().run(hollow.start)
 
-    def note_all(self, before: dict[str, AddressedEndpoint], news: ServerList) -> None:
+    def note_all(self, before: dict[str, AddressedEndpoint], news: EndpointList) -> None:
         """A balancer has news, applied: what in it is a change to what it had."""
         now = self.clock.now
         for endpoint in news.endpoints:
             member = endpoint.endpoint
-            old = before.get(member.server) if news.whole else None
+            old = before.get(member.server) if news.is_full_snapshot else None
             if old is None or old.endpoint != member:
                 self._note(member, now)
-        if news.whole:
+        if news.is_full_snapshot:
             named = {e.endpoint.server for e in news.endpoints}
             for name, old in before.items():
                 if name not in named:
@@ -261,20 +261,20 @@
     """In place of `json` in `net/discovery.py`: an answer that many get is read once. See `Plan`."""
 
     def __init__(self) -> None:
-        self._read: dict[bytes, ServerList] = {}
+        self._read: dict[bytes, EndpointList] = {}
 
-    def loads(self, body: bytes) -> ServerList:
+    def loads(self, body: bytes) -> EndpointList:
         """The list in an answer; ValueError if it is none."""
         if body not in self._read:
             while len(self._read) >= READINGS_KEPT:
                 del self._read[next(iter(self._read))]
-            self._read[body] = read_list(json.loads(body))
+            self._read[body] = decode_endpoint_list(json.loads(body))
         return self._read[body]
 
 
 def _read_once() -> None:
     """Share what is read among the balancers of this process."""
-    vars(discovery).update(json=Reading(), read_list=lambda news: news)
+    vars(discovery).update(json=Reading(), decode_endpoint_list=lambda news: news)
 
 
 def _give_up(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
--- a/loadbalancer/simulation/gossip.py
+++ b/loadbalancer/simulation/gossip.py
@@ -97,12 +97,12 @@
         """What a living member believes of all."""
         member = self.seats[number].member
         assert member is not None
-        return tuple(b.state for b in member.table.beliefs)
+        return tuple(b.state for b in member.table.records)
 
     def knowing(self, dead: int) -> float:
         """The share of the living that hold a member for gone, or for one that has left."""
         others = [n for n in self.living() if n != dead]
-        return sum(self.view(n)[dead] >= MemberState.GONE for n in others) / max(len(others), 1)
+        return sum(self.view(n)[dead] >= MemberState.DEAD for n in others) / max(len(others), 1)
 
     def agree(self) -> bool:
         """Whether all who live hold all who live for alive, and nobody else."""
@@ -123,31 +123,31 @@
             elif isinstance(action, SetTimer):
                 if seat.due is not None:
                     seat.due.cancel()
-                seat.due = self.clock.at(action.at, self._wake, number)
+                seat.due = self.clock.at(action.at_ms, self._wake, number)
 
     def _send(self, number: int, tell: SendMessage) -> None:
         self.notes += 1
-        self.bytes += len(tell.note)
+        self.bytes += len(tell.payload)
         for _ in range(2 if self._random.random() < self.doubled else 1):
-            if self._random.random() >= self.loss and not self.cut(number, tell.to):
+            if self._random.random() >= self.loss and not self.cut(number, tell.recipient):
                 delay = self._random.uniform(*self._delay)
-                self.clock.after(delay, self._arrive, number, tell.to, tell.note)
+                self.clock.after(delay, self._arrive, number, tell.recipient, tell.payload)
 
     def _arrive(self, sender: int, to: int, data: bytes) -> None:
         seat = self.seats[to]
         if seat.paused:
             self.clock.after(10.0, self._arrive, sender, to, data)
         elif seat.member is not None:
-            self._take(to, lambda member: member.heard(sender, data, self.clock.now))
+            self._take(to, lambda member: member.handle_message(sender, data, self.clock.now))
 
     def _wake(self, number: int) -> None:
         if self.seats[number].member is not None and not self.seats[number].paused:
-            self._take(number, lambda member: member.due(self.clock.now))
+            self._take(number, lambda member: member.handle_timer(self.clock.now))
 
     def _take(self, number: int, event: Callable[[Membership], list[Action]]) -> None:
         member = self.seats[number].member
         assert member is not None
-        before = member.table.gone_by_us
+        before = member.table.declared_dead_count
         self._do(number, event(member))
-        if member.table.gone_by_us > before:
-            self.deaths.append((self.clock.now, number, member.table.last_gone))
+        if member.table.declared_dead_count > before:
+            self.deaths.append((self.clock.now, number, member.table.last_declared_dead))
--- a/loadbalancer/snapshots/codec.py
+++ b/loadbalancer/snapshots/codec.py
@@ -26,7 +26,7 @@
     """What was learned, and when that was written."""
 
     state: State
-    written_ms: float
+    written_at_ms: float
 
 
 def _digest(body: bytes) -> str:
--- a/loadbalancer/snapshots/store.py
+++ b/loadbalancer/snapshots/store.py
@@ -19,7 +19,7 @@
     """What was there: the newest snapshot that can be read, and a line on each file that can't."""
 
     snapshot: Snapshot | None
-    troubles: tuple[str, ...]
+    errors: tuple[str, ...]
 
 
 class SnapshotStore:
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -28,7 +28,7 @@
     )
     assert config.console == ("127.0.0.1", 9901)
     assert (config.drain_grace_ms, config.settings.slow_start_ms) == (3_000.0, 5_000.0)
-    assert [e.endpoint.server for e in config.known.endpoints] == ["s-1"]
+    assert [e.endpoint.server for e in config.initial_list.endpoints] == ["s-1"]
 
 
 def test_the_schema_in_the_documents_is_the_one_that_is_generated() -> None:
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -22,7 +22,7 @@
 from aiohttp import web
 
 from loadbalancer.drill.fleet import free_port
-from loadbalancer.net.config import read_list
+from loadbalancer.net.config import decode_endpoint_list
 from loadbalancer.registry import (
     Catalog,
     Change,
@@ -422,7 +422,7 @@
             news = await asyncio.gather(*watches)
             assert {len(n["endpoints"]) for n in news} == {2} and not any(n["snapshot"] for n in news)
             assert service.reads.serialized == 1 and service.reads.told == 200
-            assert read_list(news[0]).index == service.catalog.index
+            assert decode_endpoint_list(news[0]).index == service.catalog.index
 
     run(scenario())
 
--- a/tests/test_interest.py
+++ b/tests/test_interest.py
@@ -613,8 +613,12 @@
     config = read_config(
         config_text("127.0.0.1:9", [], lists={"services": ["b", "a"], "part": 8}), pytest.fail
     )
-    assert config.lists is not None
-    assert (config.lists.services, config.lists.part, config.lists.tier) == (("a", "b"), 8, "")
+    assert config.registry is not None
+    assert (config.registry.services, config.registry.subset_size, config.registry.tier) == (
+        ("a", "b"),
+        8,
+        "",
+    )
     assert faults(services=["a"], part=8) == []
     assert "only with `lists.services`" in faults(part=8)[0]
     assert "give one of the two" in faults(services=["a"], tier="a")[0]
--- a/tests/test_observed.py
+++ b/tests/test_observed.py
@@ -90,7 +90,7 @@
         async with Rig(Upstream()) as rig:
             old = read_config(config_text("127.0.0.1:9", []), print)
             rig.driver.replace(old)
-            moved = replace(old, discovery=("127.0.0.1", 8), sockets=7, seed=old.seed + 1)
+            moved = replace(old, discovery=("127.0.0.1", 8), max_sockets=7, seed=old.seed + 1)
             assert rig.driver.replace(moved) == (["discovery"], ["sockets"])
             assert rig.driver.replace(moved) == ([], [])
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -23,62 +23,62 @@
 
 def note(sender: int = 1, **more: Any) -> bytes:
     base: dict[str, Any] = {
-        "fleet": FLEET,
+        "fleet_tag": FLEET,
         "kind": MessageKind.PING,
         "sequence": 5,
         "sender": sender,
         "incarnation": 0,
     }
-    return encode_message(GossipMessage(**(base | {"target": -1, "news": ()} | more)))
+    return encode_message(GossipMessage(**(base | {"target": -1, "updates": ()} | more)))
 
 
 def test_a_ping_is_answered_and_nothing_else_is_done() -> None:
-    told = [a for a in member().heard(1, note(), now=10.0) if isinstance(a, SendMessage)]
-    assert [a.to for a in told] == [1] and len(told[0].note) <= MAX_MESSAGE_BYTES
+    told = [a for a in member().handle_message(1, note(), now=10.0) if isinstance(a, SendMessage)]
+    assert [a.recipient for a in told] == [1] and len(told[0].payload) <= MAX_MESSAGE_BYTES
 
 
 @pytest.mark.parametrize(
     ("sender", "data", "reason"),
     [
         (1, b"", "garbled"), (1, b"\xc1" * 20, "garbled"), (1, b"x" * 300, "long"), (2, note(1), "forged"),
-        (1, note(1, fleet=b"else"), "foreign"), (1, note(1, kind=9), "garbled"),
-        (1, note(1, news=((9, 0, 0),)), "garbled"), (1, note(1, news=((2, 7, 0),)), "garbled"),
+        (1, note(1, fleet_tag=b"else"), "foreign"), (1, note(1, kind=9), "garbled"),
+        (1, note(1, updates=((9, 0, 0),)), "garbled"), (1, note(1, updates=((2, 7, 0),)), "garbled"),
         (1, note(1, target=99), "garbled"), (1, note(1, incarnation=1 << 40), "garbled"),
         (0, note(0), "forged"),
     ],
 )  # fmt: skip
 def test_notes_that_are_no_use_are_counted_and_change_nothing(sender: int, data: bytes, reason: str) -> None:
     one = member()
-    before = [(b.state, b.incarnation) for b in one.table.beliefs]
-    assert one.heard(sender, data, now=1.0) == []
+    before = [(b.state, b.incarnation) for b in one.table.records]
+    assert one.handle_message(sender, data, now=1.0) == []
     assert one.counts.dropped == {reason: 1}
-    assert [(b.state, b.incarnation) for b in one.table.beliefs] == before
+    assert [(b.state, b.incarnation) for b in one.table.records] == before
 
 
 @given(st.binary(max_size=300), st.integers(0, 3))
 def test_whatever_comes_throws_nothing(data: bytes, sender: int) -> None:
-    member().heard(sender, data, now=1.0)
+    member().handle_message(sender, data, now=1.0)
 
 
 def test_old_and_doubled_news_change_nothing() -> None:
     one = member()
-    one.heard(1, note(news=((2, MemberState.GONE, 3),)), now=1.0)
-    assert one.table.state(2) is MemberState.GONE
+    one.handle_message(1, note(updates=((2, MemberState.DEAD, 3),)), now=1.0)
+    assert one.table.state(2) is MemberState.DEAD
     for old in (
-        (2, MemberState.GONE, 3),
+        (2, MemberState.DEAD, 3),
         (2, MemberState.ALIVE, 3),
         (2, MemberState.ALIVE, 2),
         (2, MemberState.SUSPECTED, 3),
     ):
-        one.heard(1, note(news=(old,)), now=2.0)
-        assert one.table.state(2) is MemberState.GONE
-    one.heard(1, note(news=((2, MemberState.ALIVE, 4),)), now=3.0)
+        one.handle_message(1, note(updates=(old,)), now=2.0)
+        assert one.table.state(2) is MemberState.DEAD
+    one.handle_message(1, note(updates=((2, MemberState.ALIVE, 4),)), now=3.0)
     assert one.table.state(2) is MemberState.ALIVE
 
 
 def test_what_is_said_of_us_is_overruled_by_a_higher_incarnation() -> None:
     one = member()
-    one.heard(1, note(news=((0, MemberState.GONE, 6),)), now=1.0)
+    one.handle_message(1, note(updates=((0, MemberState.DEAD, 6),)), now=1.0)
     assert (one.table.state(0), one.table.incarnation) == (MemberState.ALIVE, 7)
 
 
@@ -141,7 +141,7 @@
     tier = Tier(12, seed=6, loss=0.02)
     tier.cut = lambda one, other: (one < 4) != (other < 4)
     tier.run(15_000)
-    assert tier.view(0)[4:] == (MemberState.GONE,) * 8 and tier.view(11)[:4] == (MemberState.GONE,) * 4
+    assert tier.view(0)[4:] == (MemberState.DEAD,) * 8 and tier.view(11)[:4] == (MemberState.DEAD,) * 4
     tier.cut = lambda one, other: False
     tier.run(HEAL_MS)
     assert tier.agree()
--- a/tests/test_peers_net.py
+++ b/tests/test_peers_net.py
@@ -62,7 +62,7 @@
         assert [p.start() for p in tier] == [""] * 4
         tier[1].stop()
         others = [tier[0], *tier[2:]]
-        await until_all_say(others, 1, MemberState.GONE)
+        await until_all_say(others, 1, MemberState.DEAD)
         assert tier[1].start() == ""
         await until_all_say(others, 1, MemberState.ALIVE)
         tier[3].leave()
@@ -77,16 +77,16 @@
     async def scenario() -> None:
         one, other = hosts(some(2))
         assert one.start() == ""
-        before = one.by_state()
+        before = one.count_by_state()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"noise", one._listen)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as member:
             member.bind(other._listen)
             member.sendto(b"noise", one._listen)
-            while not (one.strangers and one.member.counts.dropped):
+            while not (one.unknown_sender_count and one.member.counts.dropped):
                 await asyncio.sleep(0.01)
-        assert one.by_state() == before
-        told = one.report()["notes"]
+        assert one.count_by_state() == before
+        told = one.console_report()["notes"]
         assert isinstance(told, dict) and told["dropped"] == {"garbled": 1, "stranger": 1}
         one.stop()
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -105,11 +105,11 @@
 
 def test_the_table_lists_turns_this_on_and_its_faults_are_told() -> None:
     entries = [entry("s0", "127.0.0.1:5000")]
-    assert read_config(config_text("127.0.0.1:9", entries), pytest.fail).lists is None
+    assert read_config(config_text("127.0.0.1:9", entries), pytest.fail).registry is None
     good: dict[str, Any] = {"others": ["127.0.0.1:10"], "tier": "second"}
     config = configuration.parse(json.loads(config_text("127.0.0.1:9", entries, lists=good)), pytest.fail)
-    assert config.lists is not None
-    assert (config.lists.tier, config.settings.suspect_stale_fraction) == ("second", 0.3)
+    assert config.registry is not None
+    assert (config.registry.tier, config.settings.suspect_stale_fraction) == ("second", 0.3)
     bad = json.loads(config_text("127.0.0.1:9", entries, lists={"others": ["here"], "doubt": 2, "x": 1}))
     assert len(configuration.validation_errors(bad)) == 3
     twice = json.loads(config_text("127.0.0.1:9", entries, lists={"others": ["127.0.0.1:9"]}))
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -50,12 +50,12 @@
     for number in (1, 2):
         store.save(encode_snapshot({"save": number}, float(number)))
     found = store.load()
-    assert found.snapshot is not None and found.troubles == ()
-    assert (found.snapshot.state, found.snapshot.written_ms) == ({"save": 2}, 2.0)
+    assert found.snapshot is not None and found.errors == ()
+    assert (found.snapshot.state, found.snapshot.written_at_ms) == ({"save": 2}, 2.0)
     (tmp_path / "front_1.snapshot").write_bytes(b"garbled")
     older = store.load()
     assert older.snapshot is not None and older.snapshot.state == {"save": 1}
-    assert older.troubles == ("front_1.snapshot is passed over: its first line is none of ours",)
+    assert older.errors == ("front_1.snapshot is passed over: its first line is none of ours",)
 
 
 @pytest.mark.parametrize("step", range(1, 8))
@@ -63,7 +63,7 @@
     done = subprocess.run([sys.executable, "-c", DIES, str(tmp_path), str(step)], check=False)
     assert done.returncode in (0, 9)
     found = SnapshotStore(tmp_path, "b").load()
-    assert found.snapshot is not None and found.troubles == ()
+    assert found.snapshot is not None and found.errors == ()
     assert found.snapshot.state["save"] in (1, 2)
     if done.returncode == 0:
         assert found.snapshot.state["save"] == 2 and step > 6  # it had no such step
@@ -111,7 +111,7 @@
         keeper.start(state)
         while saves < 5:
             await asyncio.sleep(0.001)
-        keeper.end()
+        keeper.close()
 
     run(scenario())
     assert capsys.readouterr().err.count("no snapshot is kept") == 1
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -33,7 +33,7 @@
 )
 from loadbalancer.interface import UpdateKind
 from loadbalancer.net import discovery
-from loadbalancer.net.config import ServerList, read_config
+from loadbalancer.net.config import EndpointList, read_config
 from loadbalancer.net.proxy import Proxy
 from loadbalancer.net.upstream import UpstreamResponse
 from loadbalancer.policy import Balancer
@@ -221,7 +221,7 @@
             elif isinstance(action, interface.WatchEndpointList):
                 self.found.subscribe()
 
-    def _news(self, news: ServerList) -> bool:
+    def _news(self, news: EndpointList) -> bool:
         self.tell(
             interface.EndpointListUpdate(UpdateKind.FULL_SNAPSHOT, tuple(e.endpoint for e in news.endpoints))
         )
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -250,13 +250,13 @@
 
 def test_cordons_that_cannot_be_read_leave_those_of_the_file(tmp_path: Path) -> None:
     file = hot_restart.CordonFile(tmp_path)
-    assert file.change("s0", True) == ""
+    assert file.set_cordon("s0", True) == ""
     unusable: tuple[object, ...] = (None, [], {"out": "s1", "back": {}}, {"out": ["s1"], "back": {"s": "x"}})
     for raw in unusable:
         with pytest.raises(ValueError, match="not "):
-            file.inherit(raw)
-    assert file.cordons.out == {"s0"}
-    file.inherit({"out": ["s1"], "back": {"s0": 1.0}})
+            file.adopt(raw)
+    assert file.cordons.servers == {"s0"}
+    file.adopt({"out": ["s1"], "back": {"s0": 1.0}})
     assert file.cordons == hot_restart.Cordons(frozenset({"s1"}), {"s0": 1.0})
 
 
@@ -280,7 +280,7 @@
 def test_a_process_that_hands_over_in_part_is_passed_over(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(hot_restart, "ANSWER_S", 0.05)
+    monkeypatch.setattr(hot_restart, "ANSWER_TIMEOUT_S", 0.05)
     with socket.socket(socket.AF_UNIX) as listener, hot_restart._path_in(tmp_path) as path:
         listener.bind(path)
         listener.listen()
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -11,7 +11,7 @@
 
 from loadbalancer import interface
 from loadbalancer.interface import Outcome
-from loadbalancer.net.config import read_config, read_list
+from loadbalancer.net.config import decode_endpoint_list, read_config
 from loadbalancer.net.http_framing import BufferBudget
 from loadbalancer.net.upstream import Attempt, AttemptHandler, UpstreamPools, UpstreamResponse
 from tests.loopback import Rig, Upstream, config_text, entry, response, run, silent, status
@@ -20,7 +20,7 @@
 
 
 def told_list(*entries: dict[str, Any], whole: bool = False) -> Any:
-    return read_list({"index": 1, "snapshot": whole, "endpoints": list(entries)})
+    return decode_endpoint_list({"index": 1, "snapshot": whole, "endpoints": list(entries)})
 
 
 def make(address: str, contract: dict[str, float] | None = None, **limits: Any) -> UpstreamPools:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -170,16 +170,16 @@
 
 def test_what_was_said_of_zones_outlasts_the_process(tmp_path: Path) -> None:
     file, held = CordonFile(tmp_path), ZoneEvacuation("east", True, 1_000.0, 60_000.0, 0.5)
-    assert file.move(held) == ""
+    assert file.set_evacuation(held) == ""
     again = CordonFile(tmp_path)
-    assert again.refresh() and again.cordons.zones == {"east": held}
-    assert again.change("s0", out=True) == ""
-    assert again.cordons.zones == {"east": held}
-    later = held.started_at_ms + hot_restart.BACK_MS + 1
+    assert again.refresh() and again.cordons.evacuations == {"east": held}
+    assert again.set_cordon("s0", out=True) == ""
+    assert again.cordons.evacuations == {"east": held}
+    later = held.started_at_ms + hot_restart.RETURN_RETENTION_MS + 1
     back = ZoneEvacuation("east", False, 2_000.0, 0.0, 0.5)
-    assert again.cordons.moved(back).moved(ZoneEvacuation("west", True, later + 2_000.0)).zones.keys() == {
-        "west"
-    }
+    assert again.cordons.with_evacuation(back).with_evacuation(
+        ZoneEvacuation("west", True, later + 2_000.0)
+    ).evacuations.keys() == {"west"}
 
 
 @pytest.mark.parametrize(
@@ -193,4 +193,4 @@
 def test_a_file_of_the_version_before_has_no_zones(tmp_path: Path) -> None:
     (tmp_path / "cordons.json").write_text(json.dumps({"out": ["s0"], "back": {}}))
     file = CordonFile(tmp_path)
-    assert file.refresh() and file.cordons.out == {"s0"} and file.cordons.zones == {}
+    assert file.refresh() and file.cordons.servers == {"s0"} and file.cordons.evacuations == {}
