--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -116,6 +116,8 @@
     watch = Watch((HOME,), number=0, balancers=size, grace_ms=5_000.0, own=False, seed=number)
     roster, now, most = EndpointSet(settings, random.Random(number)), 0.0, 0.0
     while now < 30_000.0:
-        at = next(a.at_ms for a in roster.failed(now, watch.again_s * 1e3) if isinstance(a, SetTimer))
+        at = next(
+            a.at_ms for a in roster.handle_list_failure(now, watch.again_s * 1e3) if isinstance(a, SetTimer)
+        )
         most, now = max(most, at - now), at
     return {"size": size, "play": number, "pause_most_s": most / 1_000}
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -19,7 +19,7 @@
     MAX_WAIT_MS,
     WAIT_JITTER,
 )
-from loadbalancer.policy.endpoints import SUBSET_COVER
+from loadbalancer.policy.endpoints import BALANCERS_PER_SERVER
 from loadbalancer.registry.entries import Rules
 from loadbalancer.registry.lease import RENEW_PART
 from loadbalancer.registry.rate_limiter import ANSWER_S, LEAST_S, WAKES_PART
@@ -182,7 +182,7 @@
 
     def callers(self, servers: float) -> float:
         """Balancers that keep to any of so many servers, at the most."""
-        return min(servers * SUBSET_COVER, self.size)
+        return min(servers * BALANCERS_PER_SERVER, self.size)
 
     def peak_cores(self, peak: Peak) -> float:
         """Of an instance in the worst span, for changes and whole lists: if it could use so many."""
--- a/loadbalancer/drill/plants.py
+++ b/loadbalancer/drill/plants.py
@@ -236,7 +236,7 @@
     def failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
         return [interface.SetTimer(now + 1.0, "list")]
 
-    EndpointSet.failed = failed  # type: ignore[method-assign]
+    EndpointSet.handle_list_failure = failed  # type: ignore[method-assign]
 
 
 def forgets_list() -> None:
@@ -255,16 +255,16 @@
     """A zone is left, and come back to, at once, whatever time operators gave."""
     from loadbalancer.policy.zones import ZoneEvacuations
 
-    real = ZoneEvacuations.hold
-    ZoneEvacuations.hold = lambda self, event: real(self, replace(event, duration_ms=0.0))  # type: ignore[method-assign]
+    real = ZoneEvacuations.apply
+    ZoneEvacuations.apply = lambda self, event: real(self, replace(event, duration_ms=0.0))  # type: ignore[method-assign]
 
 
 def never_returns() -> None:
     """A zone that was left stays so."""
     from loadbalancer.policy.zones import ZoneEvacuations
 
-    real = ZoneEvacuations.hold
-    ZoneEvacuations.hold = lambda self, event: real(self, replace(event, is_evacuating=True))  # type: ignore[method-assign]
+    real = ZoneEvacuations.apply
+    ZoneEvacuations.apply = lambda self, event: real(self, replace(event, is_evacuating=True))  # type: ignore[method-assign]
 
 
 def forgets_zones() -> None:
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -315,11 +315,11 @@
 
     def figures(self) -> dict[str, object]:
         """What operators read."""
-        return self._figures.report(len(self._list), len(self.balancer.avoided(self.clock.now())))
+        return self._figures.report(len(self._list), len(self.balancer.excluded_servers(self.clock.now())))
 
     def metrics(self) -> str:
         """The same figures in Prometheus' form."""
-        avoided = len(self.balancer.avoided(self.clock.now()))
+        avoided = len(self.balancer.excluded_servers(self.clock.now()))
         members = self.peers.by_state() if self.peers else {}
         return metrics.write(self._figures, len(self._list), avoided, self.log.left_out, members)
 
@@ -335,7 +335,7 @@
             return told | {"from": "snapshot", "heard_ms_ago": round(age_ms), "doubted": []}
         if told["heard_ms_ago"] is None:
             return told | {"from": "configuration", "doubted": []}
-        return told | {"doubted": self.balancer.doubted()}
+        return told | {"doubted": self.balancer.suspected_stale_servers()}
 
     def cordon(self, server: str, out: bool) -> bool:
         """Take a server out, or put it back; False if nobody has that ID."""
@@ -372,7 +372,7 @@
 
     def zones(self) -> dict[str, dict[str, float]]:
         """How it stands with each zone."""
-        return self.balancer.zones(self.clock.now())
+        return self.balancer.zone_statuses(self.clock.now())
 
     def move_zone(self, zone: str, out: bool, over_ms: float, force: bool) -> tuple[int, str]:
         """Leave a zone, or come back to it, over a time: status and text of the answer."""
@@ -381,7 +381,7 @@
             return 404, f"no server is of that zone; there are {', '.join(zones) or 'none'}"
         if out and not force and (trouble := _no_room(zone, zones)):
             return 409, trouble
-        share = self.balancer.zone_share(zone, now)
+        share = self.balancer.zone_traffic_fraction(zone, now)
         if trouble := self._cordons.move(interface.ZoneEvacuation(zone, out, now, over_ms, share)):
             self.log.event("cordons_not_kept", trouble)
         self._apply_cordons()
--- a/loadbalancer/policy/endpoints.py
+++ b/loadbalancer/policy/endpoints.py
@@ -18,14 +18,16 @@
 )
 from loadbalancer.policy.servers import Server
 
-SUBSET_MIN = 12  # servers that a balancer keeps to at the least: losing a few must leave a choice
-SUBSET_COVER = 30  # balancers that keep to each server: their chance parts then even out to a fifth
-HOMES = 6  # servers near our place on the ring, where an inner balancer's free ones are taken first
-LIST_RETRY_MS = 500.0  # first pause before the list is asked again, doubled at each failure
+MIN_SUBSET_SERVERS = 12  # servers that a balancer keeps to at the least: losing a few must leave a choice
+BALANCERS_PER_SERVER = 30  # balancers that keep to each server: their chance parts then even out to a fifth
+NEARBY_SERVERS = 6  # servers near our place on the ring, where an inner balancer's free ones are taken first
+LIST_RETRY_INITIAL_BACKOFF_MS = 500.0  # first pause before the list is asked again, doubled at each failure
 
-STRIKES = 2  # connections in a row that do not come up: one may be lost on the way, or to a crowd
+CONNECT_FAILURES_TO_REMOVE = (
+    2  # connections in a row that do not come up: one may be lost on the way, or to a crowd
+)
 
-LAST = (math.inf, "")  # behind all ranks
+RANK_AFTER_ALL = (math.inf, "")  # behind all ranks
 
 
 class EndpointSet:
@@ -40,54 +42,54 @@
         self._settings, self._random = settings, chance
         self.servers: dict[str, Server] = {}
         self.ready: dict[str, Server] = {}
-        self.unused: dict[str, Server] = {}  # put back by operators and not called since
-        self.kept, self.size, self.last_started = 0, 0.0, 0.0
+        self.awaiting_first_call: dict[str, Server] = {}  # put back by operators and not called since
+        self.subset_size, self.total_capacity, self.last_started_at_ms = 0, 0.0, 0.0
         self._ranked: list[tuple[float, str]] = []
         self._names: list[str] = []
-        self.rings: dict[str, list[str]] = {}
+        self.names_by_zone: dict[str, list[str]] = {}
         self._held: set[str] = set()  # out by operators' hand
         self._back: dict[str, float] = {}  # when operators put servers back
         self._failures = 0
         self._touched: dict[str, None] = {}
-        self._edge = LAST
+        self._edge = RANK_AFTER_ALL
         self._all_near: list[Server] | None = None
 
-    def near(self, first: int, count: int) -> list[Server]:
+    def subset_servers(self, first: int, count: int) -> list[Server]:
         """So many of the servers kept to, from one of them on and round."""
-        if count >= self.kept:
+        if count >= self.subset_size:
             if self._all_near is None:
-                self._all_near = [self.ready[name] for _, name in self._ranked[: self.kept]]
+                self._all_near = [self.ready[name] for _, name in self._ranked[: self.subset_size]]
             return self._all_near
-        names = self._ranked[first : min(first + count, self.kept)]
+        names = self._ranked[first : min(first + count, self.subset_size)]
         names += self._ranked[: count - len(names)]
         return [self.ready[name] for _, name in names]
 
-    def keeps_to(self, server: Server) -> bool:
+    def is_in_subset(self, server: Server) -> bool:
         """Whether a server is one of those kept to."""
-        return server.ready and (server.rank, server.member.server) < self._edge
+        return server.is_ready and (server.rank, server.endpoint.server) < self._edge
 
-    def moved(self) -> list[Server]:
+    def take_changed_servers(self) -> list[Server]:
         """The servers that may have come to those kept to, or left them, since this was asked last."""
-        edge = self._ranked[self.kept] if self.kept < len(self._ranked) else LAST
+        edge = self._ranked[self.subset_size] if self.subset_size < len(self._ranked) else RANK_AFTER_ALL
         low, high = sorted((edge, self._edge))
         between = self._ranked[bisect_left(self._ranked, low) : bisect_left(self._ranked, high)]
         names = self._touched | dict.fromkeys(name for _, name in between)
         self._edge, self._touched = edge, {}
         return [self.servers[name] for name in names if name in self.servers]
 
-    def home(self) -> list[Server]:
+    def nearby_servers(self) -> list[Server]:
         """The servers of our zone that are nearest to our place, if names and balancers stand in a ring.
 
         Each server is near few balancers: their own calls there are then most of what it holds.
         """
-        ring = self.rings.get(self._settings.zone) or self._names
+        ring = self.names_by_zone.get(self._settings.zone) or self._names
         place = len(ring) * (self._settings.balancer_index + 0.5) / self._settings.balancer_count
-        first = round(place - HOMES / 2)
-        return [self.ready[ring[i % len(ring)]] for i in range(first, first + min(HOMES, len(ring)))]
+        first = round(place - NEARBY_SERVERS / 2)
+        return [self.ready[ring[i % len(ring)]] for i in range(first, first + min(NEARBY_SERVERS, len(ring)))]
 
-    def failed(self, now: float, again_ms: float) -> list[interface.Action]:
+    def handle_list_failure(self, now: float, again_ms: float) -> list[interface.Action]:
         """The list is out of reach: the old one stands; ask again in time, not all balancers in step."""
-        first = max(LIST_RETRY_MS, LIST_RETRY_MEAN_BACKOFF_MS * self._settings.balancer_count)
+        first = max(LIST_RETRY_INITIAL_BACKOFF_MS, LIST_RETRY_MEAN_BACKOFF_MS * self._settings.balancer_count)
         pause = min(
             first * 2 ** min(self._failures, 9),
             self._settings.poll_interval_ms / 3,
@@ -102,7 +104,7 @@
         spread = self._random.uniform(1 - LIST_RETRY_JITTER, 1 + LIST_RETRY_JITTER)
         return [*told, interface.SetTimer(now + pause * spread, "list")]
 
-    def believe(self, event: interface.EndpointListUpdate) -> interface.EndpointListUpdate:
+    def validate(self, event: interface.EndpointListUpdate) -> interface.EndpointListUpdate:
         """What a list is taken for.
 
         Servers that a whole list leaves out unsaid stay if they are too many, or all there are.
@@ -114,30 +116,30 @@
             lost = self.ready.keys() - named
             if len(lost) > max(self._settings.suspect_stale_fraction * len(self.ready), bool(named)):
                 doubted = frozenset(lost)
-                members += tuple(self.ready[name].member for name in sorted(lost))
+                members += tuple(self.ready[name].endpoint for name in sorted(lost))
         if event.is_rolled_back:
             members = tuple(self._kept_draining(member) for member in members)
         return replace(event, endpoints=members, suspected_stale=doubted)
 
     def _kept_draining(self, member: interface.Endpoint) -> interface.Endpoint:
         old = self.servers.get(member.server)
-        drains = old and old.member.readiness is Readiness.DRAINING
-        if old and drains and member.started_at_ms <= old.member.started_at_ms:
+        drains = old and old.endpoint.readiness is Readiness.DRAINING
+        if old and drains and member.started_at_ms <= old.endpoint.started_at_ms:
             return replace(member, readiness=Readiness.DRAINING)
         return member
 
-    def proves_dead(self, server: Server, outcome: Outcome) -> bool:
+    def record_outcome(self, server: Server, outcome: Outcome) -> bool:
         """Whether this ends our doubt of a list that has left the server out: it is gone, then."""
-        if server.doubted and outcome is Outcome.CONNECT_FAILED:
-            server.doubted -= 1
-            if not server.doubted:
+        if server.remaining_strikes and outcome is Outcome.CONNECT_FAILED:
+            server.remaining_strikes -= 1
+            if not server.remaining_strikes:
                 self._gone(server)
                 return True
-        elif server.doubted and outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.REJECTED):
-            server.doubted = STRIKES
+        elif server.remaining_strikes and outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.REJECTED):
+            server.remaining_strikes = CONNECT_FAILURES_TO_REMOVE
         return False
 
-    def listed(self, event: interface.EndpointListUpdate, now: float) -> list[interface.Action]:
+    def apply_update(self, event: interface.EndpointListUpdate, now: float) -> list[interface.Action]:
         """Take a whole list, or a change to it."""
         told: list[interface.Action] = []
         if event.suspected_stale:
@@ -154,7 +156,7 @@
             self._take(member, now, member.server in event.suspected_stale)
         return told
 
-    def cordoned(self, event: interface.CordonChanged, now: float) -> None:
+    def apply_cordon(self, event: interface.CordonChanged, now: float) -> None:
         """Operators' word on a server stands over the list's; one that they put back counts as cold."""
         server = self.servers.get(event.server)
         if event.is_cordoned:
@@ -166,78 +168,78 @@
             }
             self._back[event.server] = event.returned_at_ms
             if server:
-                server.forget(now)
-                self.unused[event.server] = server
+                server.reset_evidence(now)
+                self.awaiting_first_call[event.server] = server
         if server:
-            self._sort_in(server, server.member)
+            self._sort_in(server, server.endpoint)
 
-    def avoided(self) -> list[str]:
+    def excluded_servers(self) -> list[str]:
         """The listed servers that get no new work: held by operators, or ready and not kept to."""
-        passed_over = {name for _, name in self._ranked[self.kept :]}
+        passed_over = {name for _, name in self._ranked[self.subset_size :]}
         if self._settings.tier:
-            passed_over -= {s.member.server for s in self.home()}
+            passed_over -= {s.endpoint.server for s in self.nearby_servers()}
         return [
             name
             for name, s in self.servers.items()
-            if s.listed and (name in self._held or name in passed_over)
+            if s.is_listed and (name in self._held or name in passed_over)
         ]
 
-    def call_ended(self, server: Server) -> None:
+    def forget_if_unused(self, server: Server) -> None:
         """A call of ours at a server is over: one that is gone may be forgotten."""
-        if not server.listed and not server.in_flight:
-            self.servers.pop(server.member.server, None)
+        if not server.is_listed and not server.in_flight:
+            self.servers.pop(server.endpoint.server, None)
 
     def _take(self, member: interface.Endpoint, now: float, doubted: bool) -> None:
         if (server := self.servers.get(member.server)) is None:
             server = self.servers[member.server] = Server(member, now, self._random.random())
-        if member.started_at_ms > server.member.started_at_ms:
-            server.forget(now)  # the same name, a new process
-        server.listed = member.readiness is not Readiness.DEAD
-        server.doubted = (server.doubted or STRIKES) if doubted else 0
+        if member.started_at_ms > server.endpoint.started_at_ms:
+            server.reset_evidence(now)  # the same name, a new process
+        server.is_listed = member.readiness is not Readiness.DEAD
+        server.remaining_strikes = (server.remaining_strikes or CONNECT_FAILURES_TO_REMOVE) if doubted else 0
         self._sort_in(server, member)
-        if not server.listed:
+        if not server.is_listed:
             self._gone(server)
 
     def _gone(self, server: Server) -> None:
-        server.listed, server.doubted = False, 0
-        self._sort_in(server, server.member)
-        self.unused.pop(server.member.server, None)
-        self.call_ended(server)
+        server.is_listed, server.remaining_strikes = False, 0
+        self._sort_in(server, server.endpoint)
+        self.awaiting_first_call.pop(server.endpoint.server, None)
+        self.forget_if_unused(server)
 
     def _sort_in(self, server: Server, member: interface.Endpoint) -> None:
         """Put a server where its entry, its hold and its start say."""
         name = member.server
         self._touched[name] = None
-        is_ready = server.listed and member.readiness is Readiness.READY and name not in self._held
-        stays = is_ready and server.ready and member.zone == server.member.zone
-        if server.ready and not stays:
+        is_ready = server.is_listed and member.readiness is Readiness.READY and name not in self._held
+        stays = is_ready and server.is_ready and member.zone == server.endpoint.zone
+        if server.is_ready and not stays:
             self._take_out(server)
         if stays:
-            self.size -= server.size
-        server.member, server.ready = member, is_ready
-        server.size = (
+            self.total_capacity -= server.registered_capacity
+        server.endpoint, server.is_ready = member, is_ready
+        server.registered_capacity = (
             member.registered_capacity if 0 < member.registered_capacity < math.inf else 1.0
         )  # a list may give odd ones
-        server.started = max(member.started_at_ms, self._back.get(name, 0.0))
+        server.started_at_ms = max(member.started_at_ms, self._back.get(name, 0.0))
         if is_ready:
-            self.size += server.size
-            self.last_started = max(self.last_started, server.started)
+            self.total_capacity += server.registered_capacity
+            self.last_started_at_ms = max(self.last_started_at_ms, server.started_at_ms)
         if is_ready and not stays:
             self.ready[name], self._all_near = server, None
             insort(self._ranked, (server.rank, name))
             insort(self._names, name)
-            insort(self.rings.setdefault(member.zone, []), name)
+            insort(self.names_by_zone.setdefault(member.zone, []), name)
         # A balancer of hundreds calls each of all too seldom to learn it, or to use a connection twice.
-        keep = math.ceil(len(self._ranked) * SUBSET_COVER / self._settings.balancer_count)
-        self.kept = min(max(SUBSET_MIN, keep), len(self._ranked))
+        keep = math.ceil(len(self._ranked) * BALANCERS_PER_SERVER / self._settings.balancer_count)
+        self.subset_size = min(max(MIN_SUBSET_SERVERS, keep), len(self._ranked))
 
     def _take_out(self, server: Server) -> None:
-        name, self._all_near = server.member.server, None
+        name, self._all_near = server.endpoint.server, None
         del self.ready[name]
         del self._ranked[bisect_left(self._ranked, (server.rank, name))]
         del self._names[bisect_left(self._names, name)]
-        ring = self.rings[server.member.zone]
+        ring = self.names_by_zone[server.endpoint.zone]
         del ring[bisect_left(ring, name)]
         if not ring:
-            del self.rings[server.member.zone]
-        self.size -= server.size
+            del self.names_by_zone[server.endpoint.zone]
+        self.total_capacity -= server.registered_capacity
--- a/loadbalancer/policy/limits.py
+++ b/loadbalancer/policy/limits.py
@@ -9,8 +9,10 @@
 from loadbalancer.policy.requests import Request
 from loadbalancer.policy.servers import Server
 
-ROOM = 5.0  # calls that all balancers together have out at a server for each unit of its registered size
-CHEAP_PART = 0.6  # the part of that room which requests of less than the highest worth may fill
+CALLS_PER_CAPACITY_UNIT = (
+    5.0  # calls that all balancers together have out at a server for each unit of its registered size
+)
+ORDINARY_FRACTION = 0.6  # the part of that room which requests of less than the highest worth may fill
 
 
 class ConcurrencyLimits:
@@ -25,30 +27,37 @@
         self._bounded = settings.tier == 0
         self._balancers = settings.balancer_count
         self._sharers = float(settings.balancer_count)
-        self.waiting_most = 0
+        self.max_waiting = 0
 
     @property
-    def part(self) -> float:
+    def calls_per_capacity_unit(self) -> float:
         """The calls of usual worth that we may have out at a server, for each unit of its size."""
-        return CHEAP_PART * ROOM / self._sharers
+        return ORDINARY_FRACTION * CALLS_PER_CAPACITY_UNIT / self._sharers
 
-    def share(self, ready: int, kept: int, size: float) -> None:
+    def update(self, ready: int, kept: int, size: float) -> None:
         """Take our part: of so many ready servers of this size in all we keep to some, as others do."""
         self._sharers = max(self._balancers * kept / max(ready, 1), 1.0)
-        self.waiting_most = math.ceil(ROOM * size / self._balancers)
+        self.max_waiting = math.ceil(CALLS_PER_CAPACITY_UNIT * size / self._balancers)
 
-    def has(self, request: Request, server: Server) -> bool:
+    def can_accept(self, request: Request, server: Server) -> bool:
         """Whether a server has room for a request."""
         if not self._bounded:
             return True
-        return server.in_flight < self._limit(server, 1.0 if request.worth >= self._dearest else CHEAP_PART)
+        return server.in_flight < self._limit(
+            server, 1.0 if request.priority_weight >= self._dearest else ORDINARY_FRACTION
+        )
 
     def _limit(self, server: Server, part: float) -> int:
         """Our part of this part of a server's room, one call at the least.
 
         The rank rounds it, up by some and down by others: all together keep to the room.
         """
-        return max(math.floor(part * ROOM * server.size / self._sharers + server.rank), 1)
+        return max(
+            math.floor(
+                part * CALLS_PER_CAPACITY_UNIT * server.registered_capacity / self._sharers + server.rank
+            ),
+            1,
+        )
 
 
 class WaitQueue:
@@ -60,15 +69,15 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def join(self, request: Request) -> None:
+    def add(self, request: Request) -> None:
         """Take a place by worth, then by when the answer is wanted."""
-        request.waits = True
-        insort(self._waiting, request, key=Request.turn)
+        request.is_waiting = True
+        insort(self._waiting, request, key=Request.queue_order)
 
-    def leave(self, request: Request) -> None:
+    def discard(self, request: Request) -> None:
         """Give the place up; nothing happens to who has none."""
-        if request.waits:
-            request.waits = False
+        if request.is_waiting:
+            request.is_waiting = False
             self._waiting.remove(request)
 
     def first(self) -> Request | None:
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -9,9 +9,9 @@
 from itertools import accumulate
 
 from loadbalancer.policy.servers import Server
-from loadbalancer.policy.zones import totals_of, zone_parts
+from loadbalancer.policy.zones import zone_capacities, zone_fractions
 
-DRAWS = 4  # the most for d of the design, while each server drawn holds a call of ours
+MAX_CANDIDATES = 4  # the most for d of the design, while each server drawn holds a call of ours
 
 
 def least_loaded(drawn: Iterable[tuple[Server, float]], chance: random.Random) -> Server | None:
@@ -24,12 +24,12 @@
         load = ((server.in_flight + 1) / c, -c, chance.random())
         if load < best:
             best, chosen = load, server
-        if not server.in_flight or number == DRAWS:
+        if not server.in_flight or number == MAX_CANDIDATES:
             break  # with none of our calls in view (1/c) would send all to the largest: the draw decides
     return chosen
 
 
-def draws(
+def draw_by_capacity(
     able: list[Server],
     capacity: list[float],
     own_zone: str,
@@ -37,8 +37,8 @@
     chance: random.Random,
 ) -> Iterator[tuple[Server, float]]:
     """Draw without end from a short list, by capacity, with the servers of our zone preferred."""
-    parts = zone_parts(totals_of(able, capacity), own_zone, shares)
-    sums = list(accumulate(parts[s.member.zone] * c for s, c in zip(able, capacity, strict=True)))
+    parts = zone_fractions(zone_capacities(able, capacity), own_zone, shares)
+    sums = list(accumulate(parts[s.endpoint.zone] * c for s, c in zip(able, capacity, strict=True)))
     while True:
         i = min(bisect(sums, chance.random() * sums[-1]), len(able) - 1)
         yield able[i], capacity[i]
--- a/loadbalancer/policy/weighted_sampling.py
+++ b/loadbalancer/policy/weighted_sampling.py
@@ -6,9 +6,11 @@
 from collections.abc import Iterator
 
 from loadbalancer.policy.servers import Server
-from loadbalancer.policy.zones import zone_parts
+from loadbalancer.policy.zones import zone_fractions
 
-REBUILD_PER_SLOT = 8  # sums are added up anew after so many changes for each slot: rounding errors stay small
+MAX_CHANGES_PER_SLOT = (
+    8  # sums are added up anew after so many changes for each slot: rounding errors stay small
+)
 
 
 class WeightedSamplingTree:
@@ -27,24 +29,24 @@
     def __len__(self) -> int:
         return len(self._slots)
 
-    def put(self, server: Server, weight: float) -> None:
+    def set_weight(self, server: Server, weight: float) -> None:
         """Take a server in, or change its weight."""
-        slot = self._slots.get(server.member.server)
+        slot = self._slots.get(server.endpoint.server)
         if slot is None:
             if not self._free:
                 self._grow()
-            slot = self._slots[server.member.server] = self._free.pop()
+            slot = self._slots[server.endpoint.server] = self._free.pop()
         self._servers[slot] = server
         self._set(slot, weight)
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Let a server go."""
         slot = self._slots.pop(name)
         self._servers[slot] = None
         self._free.append(slot)
         self._set(slot, 0.0)
 
-    def find(self, part: float) -> Server | None:
+    def server_at(self, part: float) -> Server | None:
         """The server in which this part of the total (0 to 1) lies; None if rounding leads past the last."""
         left, slot, step = part * self.total, 0, self._size
         while step:
@@ -57,7 +59,7 @@
     def _set(self, slot: int, weight: float) -> None:
         change, self._weights[slot] = weight - self._weights[slot], weight
         self._changes += 1
-        if self._changes > REBUILD_PER_SLOT * self._size:
+        if self._changes > MAX_CHANGES_PER_SLOT * self._size:
             self._add_up()
             return
         self.total += change
@@ -92,19 +94,19 @@
     def __len__(self) -> int:
         return len(self._zones)
 
-    def put(self, server: Server, weight: float) -> None:
+    def set_weight(self, server: Server, weight: float) -> None:
         """Take a server in, or change its weight; it may have moved to another zone."""
-        name, zone = server.member.server, server.member.zone
+        name, zone = server.endpoint.server, server.endpoint.zone
         if self._zones.get(name, zone) != zone:
-            self.drop(name)
+            self.remove(name)
         self._zones[name] = zone
-        self._trees.setdefault(zone, WeightedSamplingTree()).put(server, weight)
+        self._trees.setdefault(zone, WeightedSamplingTree()).set_weight(server, weight)
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Let a server go, if it is there."""
         zone = self._zones.pop(name, None)
         if zone is not None:
-            self._trees[zone].drop(name)
+            self._trees[zone].remove(name)
             if not self._trees[zone]:
                 del self._trees[zone]
 
@@ -113,19 +115,19 @@
         self._trees.clear()
         self._zones.clear()
 
-    def draws(
+    def draw(
         self, own_zone: str, shares: dict[str, float], chance: random.Random, most: int
     ) -> Iterator[Server]:
         """Servers drawn by weight, with those of our zone preferred; the same one may come twice."""
         totals = {zone: tree.total for zone, tree in self._trees.items()}
-        parts = zone_parts(totals, own_zone, shares)
+        parts = zone_fractions(totals, own_zone, shares)
         sums = {zone: totals[zone] * part for zone, part in parts.items()}
         whole = sum(sums.values())
         for _ in range(most):
             point = chance.random() * whole
             for zone, weight in sums.items():
                 if point < weight:
-                    if server := self._trees[zone].find(point / weight):
+                    if server := self._trees[zone].server_at(point / weight):
                         yield server
                     break
                 point -= weight
--- a/loadbalancer/policy/zones.py
+++ b/loadbalancer/policy/zones.py
@@ -14,15 +14,15 @@
 
     def __init__(self) -> None:
         self._held: dict[str, interface.ZoneEvacuation] = {}
-        self.left = 0.0  # when the last of the moves is over; inf while a zone is left
+        self.all_restored_at_ms = 0.0  # when the last of the moves is over; inf while a zone is left
 
-    def hold(self, event: interface.ZoneEvacuation) -> None:
+    def apply(self, event: interface.ZoneEvacuation) -> None:
         """Take operators' word on a zone."""
         self._held[event.zone] = event
         ends = [math.inf if h.is_evacuating else h.started_at_ms + h.duration_ms for h in self._held.values()]
-        self.left = max(ends)
+        self.all_restored_at_ms = max(ends)
 
-    def share(self, zone: str, now: float) -> float:
+    def traffic_fraction(self, zone: str, now: float) -> float:
         """The part of a zone's capacity that is drawn from, 0 to 1."""
         if (held := self._held.get(zone)) is None:
             return 1.0
@@ -31,20 +31,20 @@
             moved, 0.0
         )
 
-    def shares(self, now: float) -> dict[str, float]:
+    def reduced_fractions(self, now: float) -> dict[str, float]:
         """The zones of which less than all is drawn from."""
-        if now >= self.left:
+        if now >= self.all_restored_at_ms:
             return {}
-        known = {zone: self.share(zone, now) for zone in self._held}
+        known = {zone: self.traffic_fraction(zone, now) for zone in self._held}
         return {zone: share for zone, share in known.items() if share < 1}
 
-    def left_in_full(self, there: Iterable[str], now: float) -> set[str]:
+    def fully_evacuated(self, there: Iterable[str], now: float) -> set[str]:
         """The zones that nothing goes to, however full the others are; none if no other is there."""
-        left = {zone for zone, share in self.shares(now).items() if not share}
+        left = {zone for zone, share in self.reduced_fractions(now).items() if not share}
         return left if set(there) - left else set()
 
 
-def zone_parts(totals: dict[str, float], own: str, shares: dict[str, float]) -> dict[str, float]:
+def zone_fractions(totals: dict[str, float], own: str, shares: dict[str, float]) -> dict[str, float]:
     """The part of each zone's capacity that we draw from: our own, and those with more than their part.
 
     Of a zone that is being left only its share counts; if nothing else is there, it counts in full.
@@ -60,9 +60,9 @@
     return {z: (min(c, part) if z == own else spill * over[z]) / totals[z] for z, c in left.items()}
 
 
-def totals_of(servers: Iterable[Server], capacity: Iterable[float]) -> dict[str, float]:
+def zone_capacities(servers: Iterable[Server], capacity: Iterable[float]) -> dict[str, float]:
     """The capacity of each zone."""
     zones: dict[str, float] = {}
     for server, c in zip(servers, capacity, strict=True):
-        zones[server.member.zone] = zones.get(server.member.zone, 0.0) + c
+        zones[server.endpoint.zone] = zones.get(server.endpoint.zone, 0.0) + c
     return zones
--- a/loadbalancer/scale/plants.py
+++ b/loadbalancer/scale/plants.py
@@ -40,7 +40,7 @@
     from loadbalancer.endpoint_watch import Watch
     from loadbalancer.policy.endpoints import EndpointSet
 
-    real_failed, real_watch = EndpointSet.failed, Watch.failed
+    real_failed, real_watch = EndpointSet.handle_list_failure, Watch.failed
 
     def failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
         told = real_failed(self, now, again_ms)
@@ -54,7 +54,7 @@
         pause_s = real_watch(self, took_s, fell_silent, turned_away)
         return None if pause_s is None else AGAIN_S
 
-    EndpointSet.failed, Watch.failed = failed, watch_failed  # type: ignore[method-assign]
+    EndpointSet.handle_list_failure, Watch.failed = failed, watch_failed  # type: ignore[method-assign]
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
--- a/loadbalancer/simulation/watches.py
+++ b/loadbalancer/simulation/watches.py
@@ -282,7 +282,7 @@
             if not self._waiting_for[change]:
                 self.heard_ms[change] = now - self.drained[change][0]
         seat.knows = max(seat.knows, known)
-        seat.roster.listed(BACK, now)  # the pauses begin anew
+        seat.roster.apply_update(BACK, now)  # the pauses begin anew
         seat.watch.went_home((now - START_MS) / 1_000)
         self._ask(number)
 
@@ -297,7 +297,9 @@
             self.clock.after(pause_s * 1_000, self._ask, number)
             return
         timer = next(
-            a for a in seat.roster.failed(now, seat.watch.again_s * 1_000) if isinstance(a, SetTimer)
+            a
+            for a in seat.roster.handle_list_failure(now, seat.watch.again_s * 1_000)
+            if isinstance(a, SetTimer)
         )
         self.clock.at(timer.at_ms, self._ask, number)
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -211,7 +211,7 @@
         "the module's requests": len(driver.balancer._requests),
         "waiting": len(driver.balancer._queue),
         "bytes": driver.buffers.held,
-        "calls in flight": sum(s.in_flight for s in driver.balancer._roster.servers.values()),
+        "calls in flight": sum(s.in_flight for s in driver.balancer._endpoints.servers.values()),
         "connections in use": driver.upstreams.open
         - sum(len(p.idle) for p in driver.upstreams._pools.values()),
     }
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -62,13 +62,13 @@
 
 def test_the_play_shows_callers_that_all_round_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """What the tests above rest on: a rule that is broken makes servers fall."""
-    has_room = SlowStart.has_room
+    can_accept = SlowStart.can_accept
 
     def rounded_up(self: SlowStart, server: Any, rate: float, work: float, now: float) -> bool:
-        server.chance, server.chance_until = 1.0, now + 1.0
-        return has_room(self, server, rate, work, now)
+        server.rounding_chance, server.rounding_chance_until_ms = 1.0, now + 1.0
+        return can_accept(self, server, rate, work, now)
 
-    monkeypatch.setattr(SlowStart, "has_room", rounded_up)
+    monkeypatch.setattr(SlowStart, "can_accept", rounded_up)
     assert play("all", 100, "uneven", seed=0, load=2.0, zones=2).falls > 0
 
 
--- a/tests/test_doubt.py
+++ b/tests/test_doubt.py
@@ -27,7 +27,7 @@
 
 
 def ready(d: Desk) -> list[str]:
-    return sorted(d.balancer._roster.ready)
+    return sorted(d.balancer._endpoints.ready)
 
 
 def send_until(d: Desk, server: str, outcome: Outcome) -> None:
@@ -49,7 +49,7 @@
     d = desk()
     told = tell_list(d, *members(3))
     assert ready(d) == NAMES
-    assert d.balancer.doubted() == ["s3", "s4", "s5"]
+    assert d.balancer.suspected_stale_servers() == ["s3", "s4", "s5"]
     assert told[0] == LogMessage("the list leaves out 3 of 6 ready servers: kept for now")
 
 
@@ -84,7 +84,7 @@
     assert "s4" in ready(d), "it has answered in between"
     send_until(d, "s4", Outcome.CONNECT_FAILED)
     assert ready(d) == ["s0", "s1", "s2", "s3", "s5"]
-    assert d.balancer.doubted() == ["s3", "s5"]
+    assert d.balancer.suspected_stale_servers() == ["s3", "s5"]
 
 
 def test_a_crowded_server_is_not_taken_for_dead() -> None:
@@ -109,9 +109,9 @@
     d = desk()
     tell_list(d, *members(3))
     tell_list(d, *members(6)[3:5], whole=False)
-    assert d.balancer.doubted() == ["s5"]
+    assert d.balancer.suspected_stale_servers() == ["s5"]
     tell_list(d, *members(6))
-    assert d.balancer.doubted() == []
+    assert d.balancer.suspected_stale_servers() == []
     send_until(d, "s4", Outcome.CONNECT_FAILED)
     assert ready(d) == NAMES  # refusing once is no reason to forget one that is listed
 
--- a/tests/test_endings_core.py
+++ b/tests/test_endings_core.py
@@ -157,7 +157,7 @@
                 self.end(number, ENDS.index(Outcome.RESET))
         assert all(case.over for case in self.cases.values()), "a request has no final answer"
         assert not self.balancer._requests and not self.balancer._queue
-        assert not any(s.in_flight for s in self.balancer._roster.servers.values())
+        assert not any(s.in_flight for s in self.balancer._endpoints.servers.values())
 
 
 STEPS = (*["arrive"] * 4, "end", "end", "leave", "fire", "change", "wait")
--- a/tests/test_endings_list.py
+++ b/tests/test_endings_list.py
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("how", ["ask", "push"])
 def test_a_watch_that_fell_silent_is_opened_anew_at_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """What it missed counts as told 2 s after its wait; a large tier's balancers paused up to 5 s more."""
-    monkeypatch.setattr(endpoints, "LIST_RETRY_MS", NEVER * 1_000)
+    monkeypatch.setattr(endpoints, "LIST_RETRY_INITIAL_BACKOFF_MS", NEVER * 1_000)
     monkeypatch.setattr(discovery, "PUSH_PAUSE_S", NEVER)
     monkeypatch.setattr(watch, "MAX_WAIT_MS", 10)
     monkeypatch.setattr(watch, "OVERDUE_S", 0.01)
@@ -158,7 +158,7 @@
 
 
 def test_a_drain_in_the_first_answer_after_an_outage_is_heeded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(endpoints, "LIST_RETRY_MS", 1.0)
+    monkeypatch.setattr(endpoints, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
     monkeypatch.setattr(endpoints, "LIST_RETRY_MEAN_BACKOFF_MS", 0.0)
 
     async def scenario() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -369,13 +369,13 @@
         desk.serve()
     desk.tell(CordonChanged("s0", is_cordoned=True))
     assert "s0" not in {desk.serve() for _ in range(100)}
-    assert desk.balancer.avoided(desk.now) == ["s0"]
+    assert desk.balancer.excluded_servers(desk.now) == ["s0"]
     desk.show(*members(4))  # no list lifts it
     desk.show(*members(3)[1:], kind=UpdateKind.FULL_SNAPSHOT)
     desk.show(*members(4))
     assert "s0" not in {desk.serve() for _ in range(100)}
     desk.tell(CordonChanged("s0", is_cordoned=False, returned_at_ms=desk.now))
-    assert desk.balancer.avoided(desk.now) == []
+    assert desk.balancer.excluded_servers(desk.now) == []
     served = [desk.serve() for _ in range(100)]  # 5 s, as a server that has just started
     assert 0 < served.count("s0") < 15
     desk.now += 10_000
@@ -402,7 +402,7 @@
     desk = Desk(2)
     desk.tell(CordonChanged("new", is_cordoned=True))
     desk.show(Endpoint("new"))
-    assert desk.balancer.avoided(desk.now) == ["new"]
+    assert desk.balancer.excluded_servers(desk.now) == ["new"]
     _, actions = desk.ask()
     assert not sent(actions) and of_kind(actions, Reject)
 
@@ -683,7 +683,7 @@
             desk.now += 5
             actions = desk.end(request, attempt, sent(actions)[0].server, Outcome.REJECTED)
             attempt += 1
-    assert desk.balancer._let_in(desk.now) < 1.0
+    assert desk.balancer._admitted_fraction(desk.now) < 1.0
 
 
 def test_shedding_lifts_within_seconds_once_the_crowd_is_gone() -> None:
@@ -706,7 +706,7 @@
     """A third of the calls but a tenth of the work: they fit in a level of a fifth."""
     desk = Desk(4, classes=(CHEAP, DEAR))
     let_in = Counter[str]()
-    monkeypatch.setattr(desk.balancer, "_let_in", lambda _: 0.2)
+    monkeypatch.setattr(desk.balancer, "_admitted_fraction", lambda _: 0.2)
     for _ in range(400):
         for cls, takes in ((DEAR, 30.0), (CHEAP, 999.0), (CHEAP, 999.0)):
             let_in[cls.name] += serve_in(desk, takes, cls, 1)
@@ -736,7 +736,7 @@
     desk = Desk(1, tenants=(Tenant("big", 2.0),), over_quota_weight_factor=0.1)
 
     def over(repeat: bool) -> bool:
-        return desk.balancer._admission.over_share(RequestArrived(1, "read", 900, "big", repeat), desk.now)
+        return desk.balancer._admission.is_over_quota(RequestArrived(1, "read", 900, "big", repeat), desk.now)
 
     assert not any(over(repeat=True) for _ in range(20))
     assert [over(repeat=False) for _ in range(5)] == [False] * 4 + [True], "two seconds of its share at once"
@@ -882,13 +882,15 @@
 def test_ties_go_to_the_larger_capacity_and_draws_follow_it(monkeypatch: pytest.MonkeyPatch) -> None:
     desk = Desk(2)
     capacity = {"s0": 2.0, "s1": 1.0}
-    monkeypatch.setattr(desk.balancer._capacities, "estimate", lambda s, *_: capacity[s.member.server])
+    monkeypatch.setattr(desk.balancer._capacities, "estimate", lambda s, *_: capacity[s.endpoint.server])
     request, _ = desk.ask()
     known = desk.balancer._requests[request]
     known.attempts.clear()
     # (3 + 1) / 2 ties with (1 + 1) / 1
-    desk.balancer._roster.servers["s0"].in_flight, desk.balancer._roster.servers["s1"].in_flight = 3, 1
-    got = Counter(s.member.server for _ in range(2_000) if (s := desk.balancer._pick(known, desk.now)))
+    desk.balancer._endpoints.servers["s0"].in_flight, desk.balancer._endpoints.servers["s1"].in_flight = 3, 1
+    got = Counter(
+        s.endpoint.server for _ in range(2_000) if (s := desk.balancer._select_server(known, desk.now))
+    )
     assert got["s0"] > 1_900, "s1 wins only if none of the four draws is s0: one in 81"
     assert got["s1"] > 5
 
@@ -899,9 +901,11 @@
     _, actions = desk.ask(PAY)
     desk.now += 5
     desk.end(1, 0, "s0", Outcome.ERROR)
-    server = desk.balancer._roster.servers["s0"]
-    assert server.in_flight == 0 and server.busy == pytest.approx(sent(actions)[0].timeout_ms, rel=0.01)
-    assert server.served == 0
+    server = desk.balancer._endpoints.servers["s0"]
+    assert server.in_flight == 0 and server.in_flight_ms == pytest.approx(
+        sent(actions)[0].timeout_ms, rel=0.01
+    )
+    assert server.served_calls == 0
 
 
 def closes(desk: Desk, pause: float) -> bool:
@@ -949,7 +953,7 @@
     request, actions = desk.ask(cls, remaining=5_000)
     for _ in range(60):  # out for three seconds beside good answers
         serve_in(desk, 50.0, cls, 1)
-    assert desk.balancer._let_in(desk.now) == 1.0
+    assert desk.balancer._admitted_fraction(desk.now) == 1.0
     desk.now += 2_000
     desk.end(request, 0, sent(actions)[0].server, Outcome.TIMED_OUT)
     assert serve_in(desk, 50.0, cls, 40) == 40
@@ -962,10 +966,10 @@
         request, actions = desk.ask(PAY, expected_work_ms=hint)
         desk.now += hint * 2
         desk.end(request, 0, sent(actions)[0].server, Outcome.SERVED)
-    server = desk.balancer._roster.servers["s0"]
+    server = desk.balancer._endpoints.servers["s0"]
     mean = (20 * 3 + 200) / 4
-    server.catch_up(desk.now)
-    assert server.served / server.busy == pytest.approx(1 / (2 * mean), rel=0.25)
+    server.advance_to(desk.now)
+    assert server.served_calls / server.in_flight_ms == pytest.approx(1 / (2 * mean), rel=0.25)
 
 
 def test_a_heavy_call_may_take_long_before_a_copy_goes_out_or_load_is_shed() -> None:
@@ -986,7 +990,7 @@
         request, actions = desk.ask(PAY, expected_work_ms=hint)
         desk.now += 4 * hint
         desk.end(request, 0, sent(actions)[0].server, Outcome.SERVED)
-    assert desk.balancer._let_in(desk.now) == 1.0
+    assert desk.balancer._admitted_fraction(desk.now) == 1.0
 
 
 def test_small_calls_with_a_tight_aim_do_not_shed_the_large_ones() -> None:
@@ -998,9 +1002,9 @@
             takes = takes if n > 100 else 10.0  # what is usual is learned first
             request, actions = desk.ask(cls, remaining=900, expected_work_ms=hint)
             desk.now += takes / 10  # ten at a time
-            desk.balancer._requests[request].attempts[0].sent -= takes * 0.9
+            desk.balancer._requests[request].attempts[0].sent_at_ms -= takes * 0.9
             desk.end(request, 0, sent(actions)[0].server, Outcome.SERVED)
-    assert desk.balancer._let_in(desk.now) == 1.0
+    assert desk.balancer._admitted_fraction(desk.now) == 1.0
 
 
 def test_work_that_takes_long_where_nothing_crowds_sheds_nothing() -> None:
@@ -1008,11 +1012,11 @@
     desk = Desk(4)
     for _ in range(200):
         desk.serve(READ, takes=249.0)  # steady, and a quarter of its aim
-    assert desk.balancer._let_in(desk.now) == 1.0
+    assert desk.balancer._admitted_fraction(desk.now) == 1.0
     for _ in range(10):
-        if desk.balancer._let_in(desk.now) == 1.0:
+        if desk.balancer._admitted_fraction(desk.now) == 1.0:
             desk.serve(READ, takes=900.0)  # the same class, crowded
-    assert desk.balancer._let_in(desk.now) < 1.0
+    assert desk.balancer._admitted_fraction(desk.now) < 1.0
 
 
 def test_answers_that_come_in_half_their_aim_shed_nothing() -> None:
@@ -1021,4 +1025,4 @@
     for _ in range(100):
         for takes in (200.0, 350.0, 500.0):
             desk.serve(READ, takes=takes)
-            assert desk.balancer._let_in(desk.now) == 1.0
+            assert desk.balancer._admitted_fraction(desk.now) == 1.0
--- a/tests/test_sampler.py
+++ b/tests/test_sampler.py
@@ -25,29 +25,31 @@
     for step in range(3_000):
         name = f"s{chance.randrange(70)}"
         if name in weights and chance.random() < 0.3:
-            tree.drop(name)
+            tree.remove(name)
             del weights[name]
         else:
             weights[name] = chance.choice((0.0, chance.random(), 5.0))
-            tree.put(server(name), weights[name])
+            tree.set_weight(server(name), weights[name])
         assert len(tree) == len(weights)
         assert tree.total == pytest.approx(sum(weights.values()), abs=1e-9)
         if step % 100 == 0:
-            found = Counter(s.member.server for i in range(2_000) if (s := tree.find((i + 0.5) / 2_000)))
+            found = Counter(
+                s.endpoint.server for i in range(2_000) if (s := tree.server_at((i + 0.5) / 2_000))
+            )
             for name, weight in weights.items():
                 assert found[name] == pytest.approx(2_000 * weight / (tree.total or 1), abs=2)
 
 
 def test_a_server_that_changes_its_zone_is_drawn_in_the_new_one_alone() -> None:
     field, moved = Sampler(), server("s0", "a")
-    field.put(moved, 1.0)
-    field.put(server("s1", "a"), 1.0)
-    moved.member = Endpoint("s0", zone="b")
-    field.put(moved, 1.0)
-    drawn = Counter(s.member.server for s in field.draws("", {}, random.Random(1), 400))
+    field.set_weight(moved, 1.0)
+    field.set_weight(server("s1", "a"), 1.0)
+    moved.endpoint = Endpoint("s0", zone="b")
+    field.set_weight(moved, 1.0)
+    drawn = Counter(s.endpoint.server for s in field.draw("", {}, random.Random(1), 400))
     assert len(field) == 2 and abs(drawn["s0"] - 200) < 50 < drawn["s1"]
-    field.drop("s0")
-    assert {s.member.server for s in field.draws("a", {}, random.Random(1), 50)} == {"s1"}
+    field.remove("s0")
+    assert {s.endpoint.server for s in field.draw("a", {}, random.Random(1), 50)} == {"s1"}
 
 
 @pytest.mark.parametrize("count", [10, 2_000])
@@ -131,12 +133,12 @@
 def test_each_of_many_balancers_keeps_to_a_part_of_a_large_fleet_as_it_changes() -> None:
     desk = Desk(0, balancer_count=60)
     desk.show(*members(400))
-    assert len(desk.balancer.avoided(desk.now)) == 200
+    assert len(desk.balancer.excluded_servers(desk.now)) == 200
     desk.show(*(Endpoint(f"s{i}", Readiness.DEAD) for i in range(200)), kind=UpdateKind.DELTA)
-    avoided = set(desk.balancer.avoided(desk.now))
+    avoided = set(desk.balancer.excluded_servers(desk.now))
     assert len(avoided) == 100
     assert not {desk.serve() for _ in range(600)} & avoided
     desk.show(*members(300))
-    avoided = set(desk.balancer.avoided(desk.now))
+    avoided = set(desk.balancer.excluded_servers(desk.now))
     assert len(avoided) == 150
     assert not {desk.serve() for _ in range(600)} & avoided
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -151,7 +151,7 @@
 def test_the_next_instance_is_asked_when_one_fails_and_the_list_has_not_failed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(endpoints, "LIST_RETRY_MS", 1.0)
+    monkeypatch.setattr(endpoints, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
 
     async def scenario() -> None:
         two = Two()
@@ -193,7 +193,7 @@
             assert "after" not in await rig.discovery.calls.get()
             rig.discovery.tell(4, *rig.entries, snapshot=True)  # to a whole look: a new beginning
             assert "after=4&" in await rig.discovery.calls.get()
-            assert sorted(rig.driver.balancer._roster.ready) == ["s1"]
+            assert sorted(rig.driver.balancer._endpoints.ready) == ["s1"]
             assert rig.driver.list_report()["rewound"] == 1
             for _ in range(4):
                 assert status(await rig.ask()) == 200
@@ -236,7 +236,7 @@
             two.other.tell(3, *rig.entries, snapshot=True)
             assert "after=3&" in await two.other.calls.get()
             assert rig.driver.list_report()["doubted"] == []
-            assert len(rig.driver.balancer._roster.ready) == 4
+            assert len(rig.driver.balancer._endpoints.ready) == 4
 
     run(scenario())
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -422,7 +422,7 @@
                 self._answers_at(ends)  # its watch
                 continue
             watch.failed(ends - began, fell_silent=False, turned_away=True)
-            told = roster.failed(ends * 1e3, watch.again_s * 1e3)
+            told = roster.handle_list_failure(ends * 1e3, watch.again_s * 1e3)
             [timer] = [a for a in told if isinstance(a, interface.SetTimer)]
             heapq.heappush(calls, (timer.at_ms / 1e3, number))
         return known
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -245,7 +245,7 @@
 def test_what_was_known_is_told_before_all_else() -> None:
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            assert rig.driver.balancer._roster.ready  # before a single turn of the loop
+            assert rig.driver.balancer._endpoints.ready  # before a single turn of the loop
             assert rig.discovery.calls.empty()
 
     run(scenario())
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -13,7 +13,7 @@
 from loadbalancer.interface import AttemptEnded, CordonChanged, Endpoint, Outcome, Readiness, ZoneEvacuation
 from loadbalancer.net import hot_restart
 from loadbalancer.net.hot_restart import CordonFile
-from loadbalancer.policy.zones import ZoneEvacuations, zone_parts
+from loadbalancer.policy.zones import ZoneEvacuations, zone_fractions
 from tests.helpers import Desk, sent
 from tests.loopback import Rig, Upstream, read_message, run
 
@@ -23,7 +23,7 @@
     found: Counter[str] = Counter()
     for _ in range(count):
         for send in sent(desk.ask()[1]):
-            found[desk.balancer._roster.servers[send.server].member.zone] += 1
+            found[desk.balancer._endpoints.servers[send.server].endpoint.zone] += 1
             desk.now += 5.0
             desk.tell(AttemptEnded(send.request_id, 0, send.server, Outcome.SERVED, True))
     return found
@@ -31,37 +31,37 @@
 
 def test_a_zone_is_left_and_come_back_to_in_steps() -> None:
     zones = ZoneEvacuations()
-    assert zones.shares(50.0) == {}
-    zones.hold(ZoneEvacuation("a", is_evacuating=True, started_at_ms=100.0, duration_ms=1_000.0))
-    assert [round(zones.share("a", at), 2) for at in (100.0, 350.0, 1_100.0, 9_999.0)] == [
+    assert zones.reduced_fractions(50.0) == {}
+    zones.apply(ZoneEvacuation("a", is_evacuating=True, started_at_ms=100.0, duration_ms=1_000.0))
+    assert [round(zones.traffic_fraction("a", at), 2) for at in (100.0, 350.0, 1_100.0, 9_999.0)] == [
         1.0,
         0.75,
         0.0,
         0.0,
     ]
-    zones.hold(
+    zones.apply(
         ZoneEvacuation(
             "a", is_evacuating=False, started_at_ms=350.0, duration_ms=1_000.0, initial_fraction=0.75
         )
     )
-    assert [round(zones.share("a", at), 2) for at in (350.0, 850.0, 1_350.0)] == [0.75, 0.88, 1.0]
-    assert zones.shares(850.0).keys() == {"a"} and zones.shares(1_350.0) == {}
+    assert [round(zones.traffic_fraction("a", at), 2) for at in (350.0, 850.0, 1_350.0)] == [0.75, 0.88, 1.0]
+    assert zones.reduced_fractions(850.0).keys() == {"a"} and zones.reduced_fractions(1_350.0) == {}
 
 
 def test_what_a_zone_that_is_left_held_goes_to_those_with_more_than_their_part() -> None:
     even = {"a": 4.0, "b": 4.0, "c": 4.0}
-    half = zone_parts(even, "a", {"a": 0.5})
+    half = zone_fractions(even, "a", {"a": 0.5})
     weights = {zone: even[zone] * part for zone, part in half.items()}
     assert weights["a"] == pytest.approx(2.0)
     assert weights["b"] == weights["c"] == pytest.approx(2 / 3)
-    gone = zone_parts(even, "a", {"a": 0.0})
+    gone = zone_fractions(even, "a", {"a": 0.0})
     assert gone["a"] == 0.0 and gone["b"] == gone["c"] > 0
-    assert zone_parts(even, "", {"b": 0.25}) == {"a": 1.0, "b": 0.25, "c": 1.0}
+    assert zone_fractions(even, "", {"b": 0.25}) == {"a": 1.0, "b": 0.25, "c": 1.0}
 
 
 def test_where_nothing_else_is_there_a_zone_that_was_left_serves_on() -> None:
-    assert zone_parts({"a": 4.0}, "a", {"a": 0.0}) == {"a": 1.0}
-    assert zone_parts({"a": 4.0, "b": 2.0}, "", {"a": 0.0, "b": 0.0}) == {"a": 1.0, "b": 1.0}
+    assert zone_fractions({"a": 4.0}, "a", {"a": 0.0}) == {"a": 1.0}
+    assert zone_fractions({"a": 4.0, "b": 2.0}, "", {"a": 0.0, "b": 0.0}) == {"a": 1.0, "b": 1.0}
 
 
 @pytest.mark.parametrize("servers", [6, 300])
@@ -72,7 +72,7 @@
     desk.now += 1_000.0
     assert drawn_zones(desk).keys() == {"z1"}
     in_zone = {f"s{i}" for i in range(0, servers, 2)}
-    assert in_zone <= set(desk.balancer.avoided(desk.now))
+    assert in_zone <= set(desk.balancer.excluded_servers(desk.now))
     desk.tell(
         ZoneEvacuation(
             "z0", is_evacuating=False, started_at_ms=desk.now, duration_ms=10_000.0, initial_fraction=0.0
@@ -88,7 +88,7 @@
     desk = Desk(count=servers, zone="z0")
     desk.tell(ZoneEvacuation("z0", is_evacuating=True, started_at_ms=desk.now))
     sends = [send for _ in range(8 * servers) for send in sent(desk.ask()[1])]
-    assert {desk.balancer._roster.servers[send.server].member.zone for send in sends} == {"z1"}
+    assert {desk.balancer._endpoints.servers[send.server].endpoint.zone for send in sends} == {"z1"}
     assert len(sends) < 8 * servers, "the others are full"
 
 
@@ -158,9 +158,9 @@
             rig.discovery.tell(9, rig.entries[0], rig.entries[1] | {"zone": "b", "weight": 0.1})
             await rig.discovery.calls.get()
             await rig.discovery.calls.get()
-            server = rig.driver.balancer._roster.servers["s0"]
-            server.catch_up(rig.driver.clock.now())
-            server.busy = 60_000.0  # ten calls out at any time
+            server = rig.driver.balancer._endpoints.servers["s0"]
+            server.advance_to(rig.driver.clock.now())
+            server.in_flight_ms = 60_000.0  # ten calls out at any time
             code, text = await call(rig, "POST", "/admin/zone/leave", "a")
             assert code == 409 and "calls are out on average" in text
             assert (await call(rig, "POST", "/admin/zone/leave", "a force"))[0] == 200
