--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -62,7 +62,7 @@
     gc.freeze()  # what start-up made stays: it need not be looked at again
     await stop.wait()
     driver.say_goodbye()
-    await driver.callers.end()
+    await driver.callers.shut_down()
 
 
 def main() -> int:
--- a/loadbalancer/drill/plants.py
+++ b/loadbalancer/drill/plants.py
@@ -26,14 +26,14 @@
 class _Second(proxy._Call):
     """A second attempt that nobody asked for, and whose answer nobody hears."""
 
-    def written(self) -> None:
+    def on_request_written(self) -> None:
         """Count it not."""
 
-    def started(self, attempt: Attempt, answer: UpstreamResponse) -> DownstreamRequest | None:
+    def on_response_started(self, attempt: Attempt, answer: UpstreamResponse) -> DownstreamRequest | None:
         """Pass nothing on."""
         return None
 
-    def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
+    def on_attempt_ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
         """Tell nobody."""
 
 
@@ -47,7 +47,7 @@
         others = [name for name in self._list if name != action.server]
         if request is not None and request.taken.method == b"POST" and others:
             call = _Second(self, request, action, 0)
-            self.upstreams.attempt(others[0], call.timeout_ms / 1_000, call)
+            self.upstreams.start_attempt(others[0], call.timeout_ms / 1_000, call)
 
     Proxy._send = send  # type: ignore[method-assign]
 
@@ -80,16 +80,16 @@
 
 def answers_from_nowhere() -> None:
     """Some requests are answered with 200 though no server ever saw them."""
-    real, seen = Proxy.arrived, [0]
+    real, seen = Proxy.on_request_arrived, [0]
 
-    def arrived(self: Proxy, taken: DownstreamRequest) -> None:
+    def on_request_arrived(self: Proxy, taken: DownstreamRequest) -> None:
         seen[0] += 1
-        if seen[0] % NOWHERE_EVERY == 0 and taken.body.whole:
-            taken.answer(200, [], b'{"served": true}')
+        if seen[0] % NOWHERE_EVERY == 0 and taken.body.is_complete:
+            taken.send_response(200, [], b'{"served": true}')
         else:
             real(self, taken)
 
-    Proxy.arrived = arrived  # type: ignore[method-assign]
+    Proxy.on_request_arrived = on_request_arrived  # type: ignore[method-assign]
 
 
 def trusts_any_list() -> None:
--- a/loadbalancer/net/console.py
+++ b/loadbalancer/net/console.py
@@ -14,7 +14,7 @@
 import httptools
 
 from loadbalancer.net.config import Address
-from loadbalancer.net.http_framing import Headers, response, set_no_delay
+from loadbalancer.net.http_framing import Headers, encode_response, set_no_delay
 from loadbalancer.net.metrics import CONTENT_TYPE
 
 CALLERS_MAX = 16  # held at once; the spare sockets have room for them, and the longest there makes way
@@ -121,7 +121,7 @@
         if self._answered or self._transport is None or self._transport.is_closing():
             return
         self._answered = True
-        self._transport.write(response(status, headers, text.encode() + b"\n", close=True))
+        self._transport.write(encode_response(status, headers, text.encode() + b"\n", close=True))
         self._transport.write_eof()
         self._console.loop.call_later(LINGER_S, self._transport.abort)
 
--- a/loadbalancer/net/descriptors.py
+++ b/loadbalancer/net/descriptors.py
@@ -6,16 +6,17 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-SIDE_PART = 0.5  # of the descriptors are for callers, as many for upstreams
-SPARE_SOCKETS = 48  # less on each side: for the event loop, the logs, discovery, the console, what is closing
-SIDE_LEAST = 4  # however few there are
-EVICT_S = 0.05  # between passes: who was told to end needs a moment to do so
-EVICT_MOST = 16  # in one pass: each that comes in its place costs processor time
-IDLE_S = 1.0  # a caller that asked for nothing for so long may have to make way
-FRESH_S = 0.1  # a connection is opened for a request, which follows
+SIDE_FRACTION = 0.5  # of the descriptors are for callers, as many for upstreams
+# Less on each side: for the event loop, the logs, discovery, the console, sockets that are closing.
+RESERVED_SOCKETS_PER_SIDE = 48
+MIN_CONNECTIONS_PER_SIDE = 4  # however few there are
+EVICTION_INTERVAL_S = 0.05  # between passes: who was told to end needs a moment to do so
+MAX_EVICTIONS_PER_PASS = 16  # in one pass: each that comes in its place costs processor time
+MIN_EVICTABLE_IDLE_S = 1.0  # a caller that asked for nothing for so long may have to make way
+NEW_CONNECTION_GRACE_S = 0.1  # a connection is opened for a request, which follows
 
 
-def side_cap(sockets: int) -> int:
+def max_connections_per_side(sockets: int) -> int:
     """How many connections callers may hold, or upstreams: `sockets` is what the configuration allows.
 
     The process's own limit (RLIMIT_NOFILE) may be lower. Where it was passed over, idle callers filled it,
@@ -23,22 +24,22 @@
     """
     own, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     allowed = sockets if own == resource.RLIM_INFINITY else min(sockets, own)
-    return max(int(allowed * SIDE_PART) - SPARE_SOCKETS, SIDE_LEAST)
+    return max(int(allowed * SIDE_FRACTION) - RESERVED_SOCKETS_PER_SIDE, MIN_CONNECTIONS_PER_SIDE)
 
 
 class Evictable(Protocol):
     """A connection that may have to make way for another."""
 
-    idle_since: float
+    idle_since_s: float
     """When it last had an answer, or came, on the monotonic clock."""
 
-    def has_asked(self) -> bool:
+    def has_received_request(self) -> bool:
         """Whether a whole request has ever come."""
 
-    def may_end(self) -> bool:
+    def can_close(self) -> bool:
         """Whether it can be ended, once, with nothing lost; asks the kernel."""
 
-    def make_way(self) -> None:
+    def evict(self) -> None:
         """End."""
 
 
@@ -54,31 +55,31 @@
         self._count = 1
         self._next = 0.0
 
-    def relax(self) -> None:
+    def reset(self) -> None:
         """Nobody waits any more."""
         self._count = 1
 
-    def make_room(self, connections: Iterable[Evictable], now: float) -> None:
+    def evict_idle(self, connections: Iterable[Evictable], now: float) -> None:
         """End some, unless the last pass was a moment ago; `now` is on the monotonic clock, in seconds."""
         if now < self._next:
             return
-        self._next = now + EVICT_S
-        asked_before = now - max(IDLE_S / self._count, FRESH_S)
+        self._next = now + EVICTION_INTERVAL_S
+        asked_before = now - max(MIN_EVICTABLE_IDLE_S / self._count, NEW_CONNECTION_GRACE_S)
         strangers, idle = list[Evictable](), list[Evictable]()
         for connection in connections:
-            if connection.has_asked():
-                if connection.idle_since < asked_before:
+            if connection.has_received_request():
+                if connection.idle_since_s < asked_before:
                     idle.append(connection)
-            elif connection.idle_since < now - FRESH_S:
+            elif connection.idle_since_s < now - NEW_CONNECTION_GRACE_S:
                 strangers.append(connection)
         left = self._count
         for connection in (*sorted(strangers, key=_idle_since), *sorted(idle, key=_idle_since)):
-            if left and connection.may_end():
-                connection.make_way()
+            if left and connection.can_close():
+                connection.evict()
                 left -= 1
         if not left:
-            self._count = min(self._count * 2, EVICT_MOST)
+            self._count = min(self._count * 2, MAX_EVICTIONS_PER_PASS)
 
 
 def _idle_since(connection: Evictable) -> float:
-    return connection.idle_since
+    return connection.idle_since_s
--- a/loadbalancer/net/discovery.py
+++ b/loadbalancer/net/discovery.py
@@ -20,7 +20,7 @@
 from loadbalancer.interface import EndpointListUpdate, Readiness, UpdateKind
 from loadbalancer.net.config import Address, AddressedEndpoint, Config, Lists, ServerList, read_list
 from loadbalancer.net.interest_subscription import Held, Wants
-from loadbalancer.net.upstream import UNREADABLE, ResponseReader, UpstreamResponse
+from loadbalancer.net.upstream import RESPONSE_ERRORS, ResponseReader, UpstreamResponse
 
 PUSH_PAUSE_S = 0.5  # before the agent on this machine is called again, where lists are pushed
 WHOLE_S = 2.0  # for a look at another instance
@@ -55,9 +55,9 @@
         """Read on."""
         try:
             whole = self._reader.feed(data)
-            if self._reader.held > LIST_MAX:
+            if self._reader.buffered_bytes > LIST_MAX:
                 raise ValueError("too long")
-        except (*UNREADABLE, ValueError) as error:
+        except (*RESPONSE_ERRORS, ValueError) as error:
             self._fail(ValueError(f"not an answer: {error!r}"))
             self.close()
             return
@@ -66,13 +66,13 @@
 
     def eof_received(self) -> None:
         """Discovery ends, which may be the end of its answer; the transport closes by itself."""
-        if self._reader.end():
+        if self._reader.feed_eof():
             self._answered()
 
     def _answered(self) -> None:
-        self.closed = self.closed or not self._reader.may_reuse
+        self.closed = self.closed or not self._reader.is_reusable
         if self._answer is not None and not self._answer.done():
-            self._answer.set_result(self._reader.answer())
+            self._answer.set_result(self._reader.response())
 
     def connection_lost(self, exc: Exception | None) -> None:
         """A call that is out has failed."""
@@ -87,7 +87,7 @@
         """Send a call and wait for its answer."""
         assert self._transport is not None
         self._answer = asyncio.get_running_loop().create_future()
-        self._reader.next()
+        self._reader.reset()
         self._transport.write(request)
         return await self._answer
 
--- a/loadbalancer/net/http_framing.py
+++ b/loadbalancer/net/http_framing.py
@@ -11,10 +11,11 @@
 from http import HTTPStatus
 from typing import Protocol
 
-HEAD_MAX = 65_536
-KEPT_MAX = 65_536  # a body up to this is held until it is whole; a larger one is passed on as it comes
-BODY_MAX = 32 * 1024 * 1024
-PIECE_MAX, PIECE_MIN = 65_536, 4_096  # of what is read at once
+MAX_HEAD_BYTES = 65_536
+# A body up to this is buffered until it is complete; a larger one is streamed.
+MAX_BUFFERED_BODY_BYTES = 65_536
+MAX_BODY_BYTES = 32 * 1024 * 1024
+MAX_READ_BYTES, MIN_READ_BYTES = 65_536, 4_096  # of what is read at once
 _HOP_BY_HOP = frozenset(
     b"connection content-length keep-alive proxy-connection te trailer transfer-encoding upgrade".split()
 )
@@ -34,18 +35,18 @@
     """One bound over the bytes of bodies that are held, on all connections together."""
 
     def __init__(self, bound: int) -> None:
-        self.bound, self.held = bound, 0
-        self._space = memoryview(bytearray(PIECE_MAX))
+        self.max_bytes, self.used_bytes = bound, 0
+        self._space = memoryview(bytearray(MAX_READ_BYTES))
 
     def is_full(self) -> bool:
         """Whether no more should be held than what can't be helped."""
-        return self.held >= self.bound
+        return self.used_bytes >= self.max_bytes
 
-    def space(self) -> memoryview:
+    def receive_buffer(self) -> memoryview:
         """Where the next piece is read to: a small one once much is held, for it may have to wait."""
-        return self._space if self.held < self.bound / 2 else self._space[:PIECE_MIN]
+        return self._space if self.used_bytes < self.max_bytes / 2 else self._space[:MIN_READ_BYTES]
 
-    def read(self, count: int) -> memoryview:
+    def received(self, count: int) -> memoryview:
         """The piece that has just been read; it must be used up before the next one is."""
         return self._space[:count]
 
@@ -53,18 +54,18 @@
 class BufferReservation:
     """The bytes that one connection, or one body, holds of the bound."""
 
-    __slots__ = ("_buffers", "count")
+    __slots__ = ("_buffers", "size_bytes")
 
     def __init__(self, buffers: BufferBudget) -> None:
-        self._buffers, self.count = buffers, 0
+        self._buffers, self.size_bytes = buffers, 0
 
-    def set(self, count: int) -> None:
+    def resize(self, count: int) -> None:
         """It holds so many now."""
-        self._buffers.held += count - self.count
-        self.count = count
+        self._buffers.used_bytes += count - self.size_bytes
+        self.size_bytes = count
 
 
-class Sink(Protocol):
+class BodySink(Protocol):
     """Where a body is passed on to."""
 
     def write(self, data: bytes) -> None:
@@ -80,41 +81,57 @@
 class Body:
     """A request's body: held as long as it is small, else passed on to the one attempt that takes it over."""
 
-    __slots__ = ("_buffers", "_holding", "_on_flow", "_parts", "_sink", "dropped", "length", "size", "whole")
+    __slots__ = (
+        "_buffers",
+        "_holding",
+        "_on_flow",
+        "_parts",
+        "_sink",
+        "is_complete",
+        "is_discarded",
+        "length",
+        "received_bytes",
+    )
 
     def __init__(self, buffers: BufferBudget, length: int | None, on_flow: Callable[[], None]) -> None:
         """`length` is None where only its end tells it; `on_flow` hears when more may be read again."""
         self._buffers, self.length, self._on_flow = buffers, length, on_flow
         self._holding = BufferReservation(buffers)
         self._parts: list[bytes] = []
-        self._sink: Sink | None = None
-        self.size = 0  # that has come
-        self.whole = False
-        self.dropped = False  # whether bytes of it are gone: it can't be sent from its start any more
+        self._sink: BodySink | None = None
+        self.received_bytes = 0  # that has come
+        self.is_complete = False
+        self.is_discarded = False  # whether bytes of it are gone: it can't be sent from its start any more
 
-    def is_large(self) -> bool:
+    def is_too_large_to_buffer(self) -> bool:
         """Whether it is too much to wait for its end."""
-        held = max(self._holding.count, self.length or 0)
-        return not self.whole and (held > KEPT_MAX or (self.size > 0 and self._buffers.is_full()))
+        held = max(self._holding.size_bytes, self.length or 0)
+        return not self.is_complete and (
+            held > MAX_BUFFERED_BODY_BYTES or (self.received_bytes > 0 and self._buffers.is_full())
+        )
 
-    def may_grow(self) -> bool:
+    def can_receive(self) -> bool:
         """Whether more of it should be read now."""
         if self._sink is not None:
             return self._sink.is_ready()
-        return self.dropped or self.size == 0 or not (self.is_large() or self._buffers.is_full())
+        return (
+            self.is_discarded
+            or self.received_bytes == 0
+            or not (self.is_too_large_to_buffer() or self._buffers.is_full())
+        )
 
     def feed(self, data: bytes) -> None:
         """Take a piece."""
-        self.size += len(data)
+        self.received_bytes += len(data)
         if self._sink is not None:
             self._sink.write(data)
-        elif not self.dropped:
+        elif not self.is_discarded:
             self._parts.append(data)
-            self._holding.set(self._holding.count + len(data))
+            self._holding.resize(self._holding.size_bytes + len(data))
 
-    def end(self) -> None:
+    def complete(self) -> None:
         """It is whole."""
-        self.whole = True
+        self.is_complete = True
         if self._sink is not None:
             self._sink.end()
 
@@ -124,27 +141,27 @@
             self._parts = [b"".join(self._parts)]
         return self._parts[0] if self._parts else b""
 
-    def pass_to(self, sink: Sink) -> None:
+    def stream_to(self, sink: BodySink) -> None:
         """Let an attempt have what is here and what still comes."""
         data = self.data()
-        self.drop()
+        self.discard()
         self._sink = sink
         if data:
             sink.write(data)
-        self.flow()
+        self.on_sink_ready()
 
-    def flow(self) -> None:
+    def on_sink_ready(self) -> None:
         """The sink may be ready again."""
         self._on_flow()
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Hold nothing, and let what still comes go by."""
-        self._sink, self.dropped = None, True
+        self._sink, self.is_discarded = None, True
         self._parts = []
-        self._holding.set(0)
+        self._holding.resize(0)
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     """A piece of a body whose length is not known."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
@@ -164,7 +181,7 @@
     return -1 if length is None else int(length)
 
 
-def origin_form(target: bytes) -> bytes:
+def to_origin_form(target: bytes) -> bytes:
     """The path and query of a target, which may name a host before them."""
     scheme, mark, rest = target.partition(b"://")
     if not mark or scheme.lower() not in (b"http", b"https"):
@@ -173,12 +190,12 @@
     return path if path[:1] == b"/" else b"/" + path
 
 
-def end_to_end(headers: Headers) -> Headers:
+def end_to_end_headers(headers: Headers) -> Headers:
     """The headers that are not about this one connection."""
     return [(n, v) for n, v in headers if n not in _HOP_BY_HOP]
 
 
-def reason(status: int) -> str:
+def reason_phrase(status: int) -> str:
     """The phrase that goes with a status."""
     try:
         return HTTPStatus(status).phrase
@@ -186,18 +203,18 @@
         return ""
 
 
-def response_head(status: int, headers: Headers, length: int | None, close: bool) -> bytes:
+def encode_response_head(status: int, headers: Headers, length: int | None, close: bool) -> bytes:
     """The head of a response; of one whose end tells its length, if that is None."""
-    parts = [b"HTTP/1.1 %d %b\r\n" % (status, reason(status).encode())]
+    parts = [b"HTTP/1.1 %d %b\r\n" % (status, reason_phrase(status).encode())]
     parts.append(b"Content-Length: %d\r\n" % length if length is not None else b"")
     parts.extend([b"%b: %b\r\n" % pair for pair in headers])
     parts.append(b"Connection: close\r\n\r\n" if close else b"\r\n")
     return b"".join(parts)
 
 
-def response(status: int, headers: Headers, body: bytes, close: bool) -> bytes:
+def encode_response(status: int, headers: Headers, body: bytes, close: bool) -> bytes:
     """A whole response."""
-    return response_head(status, headers, len(body), close) + body
+    return encode_response_head(status, headers, len(body), close) + body
 
 
 def set_no_delay(transport: asyncio.BaseTransport) -> None:
@@ -224,7 +241,7 @@
         return False
 
 
-def peek(transport: asyncio.BaseTransport) -> bytes | None:
+def peek_socket(transport: asyncio.BaseTransport) -> bytes | None:
     """What the kernel holds that the loop has not read: a first byte, b"" for the end, None for nothing."""
     wrapped = transport.get_extra_info("socket")
     probe = socket.socket(wrapped.family, wrapped.type, wrapped.proto, wrapped.fileno())
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -19,7 +19,7 @@
 from loadbalancer.net.discovery import Discovery
 from loadbalancer.net.downstream import DownstreamListener, DownstreamRequest
 from loadbalancer.net.hot_restart import CordonFile, HotRestartListener, Predecessor
-from loadbalancer.net.http_framing import BufferBudget, end_to_end
+from loadbalancer.net.http_framing import BufferBudget, end_to_end_headers
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
 from loadbalancer.net.log import Log, Sink, write_text
 from loadbalancer.net.request_counters import RequestCounters
@@ -78,7 +78,7 @@
         """Nobody waits for it: what has not been written never will be, as nothing is sent for it."""
         for attempt in self.attempts:
             if attempt is not None:
-                attempt.withdraw()
+                attempt.cancel_if_unwritten()
 
 
 class _Call(AttemptHandler):
@@ -87,21 +87,23 @@
     def __init__(self, driver: Proxy, request: _Request, send: interface.SendAttempt, index: int) -> None:
         self._driver, self._request, self._server, self._index = driver, request, send.server, index
         taken = request.taken
-        left_ms = request.ends - driver.clock.now() if taken.body.whole else taken.deadline_ms - ANSWER_MS
+        left_ms = (
+            request.ends - driver.clock.now() if taken.body.is_complete else taken.deadline_ms - ANSWER_MS
+        )
         self.timeout_ms = max(min(send.timeout_ms, left_ms) if send.timeout_ms else left_ms, 0.0)
         self._until = time.monotonic() + self.timeout_ms / 1000
-        self.body = None if taken.body.whole else taken.body
+        self.body = None if taken.body.is_complete else taken.body
 
-    def is_wanted(self) -> bool:
+    def is_needed(self) -> bool:
         """Whether the caller is there: nothing begins for one that has gone, seen by the loop or not."""
-        return self._request.taken.is_awaited()
+        return self._request.taken.is_client_connected()
 
-    def compose(self) -> bytes:
+    def build_request(self) -> bytes:
         """The head with the time that is left, and the body if it is whole."""
         taken, left_s = self._request.taken, self._until - time.monotonic()
         if self.body is not None:
             left_s = self.timeout_ms / 1000  # it counts from the last byte
-            if taken.body.whole:
+            if taken.body.is_complete:
                 self.body = None  # the rest came while we connected
         data = taken.body.data() if self.body is None else b""
         length: int | None = len(data) if self.body is None else taken.body.length
@@ -110,17 +112,17 @@
         else:
             framing = b"Content-Length: %d\r\n" % length if length or taken.method != b"GET" else b""
         left_us = max(left_s * 1_000_000, 1.0)
-        return b"%bX-Deadline: %du\r\n%b\r\n%b" % (taken.head, left_us, framing, data)
+        return b"%bX-Deadline: %du\r\n%b\r\n%b" % (taken.forwarded_head, left_us, framing, data)
 
-    def written(self) -> None:
+    def on_request_written(self) -> None:
         """Count it."""
         self._driver.forwarded()
 
-    def started(self, attempt: Attempt, answer: UpstreamResponse) -> DownstreamRequest | None:
+    def on_response_started(self, attempt: Attempt, answer: UpstreamResponse) -> DownstreamRequest | None:
         """Pass a long answer on as it comes."""
         return self._driver.answer_started(self._request, self._index, attempt, answer)
 
-    def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
+    def on_attempt_ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
         """Tell the end."""
         self._driver.attempt_ended(self._request, self._index, self._server, outcome, answer)
 
@@ -131,11 +133,11 @@
     def __init__(self, driver: Proxy, server: str) -> None:
         self._driver, self._server = driver, server
 
-    def compose(self) -> bytes:
+    def build_request(self) -> bytes:
         """The call."""
         return b"GET /healthz HTTP/1.1\r\nHost: upstream\r\n\r\n"
 
-    def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
+    def on_attempt_ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
         """Tell the end."""
         self._driver.probe_ended(self._server, outcome)
 
@@ -179,7 +181,7 @@
         self._known = config.known
         self._list: dict[str, AddressedEndpoint] = {}
         self._index = 0
-        self._caps = self.callers.cap, self.upstreams.cap
+        self._caps = self.callers.max_connections, self.upstreams.max_connections
         self._asked = asyncio.Event()  # whether discovery has answered, or failed to
         self._handover = HotRestartListener(folder, loop, self) if folder and config.console else None
         self._tasks: set[asyncio.Task[None]] = set()
@@ -241,7 +243,7 @@
 
     def is_serving(self) -> bool:
         """Whether clients are taken."""
-        return self.callers.serving and not self.callers.ending
+        return self.callers.is_serving and not self.callers.is_shutting_down
 
     # ---- from one process to the next -----------------------------------------------------------
 
@@ -272,18 +274,18 @@
             async with asyncio.timeout(LIST_S):
                 await self._asked.wait()
         self._share(await legacy.relieve())
-        if not self.callers.ending:
+        if not self.callers.is_shutting_down:
             self._serve()
         await legacy.follow(self._share)
 
     def _share(self, other: dict[str, int]) -> None:
         """Hold so much less as the other process holds."""
-        self.callers.cap = max(self._caps[0] - other.get("callers", 0), 4)
-        self.upstreams.cap = max(self._caps[1] - other.get("upstreams", 0), 4)
+        self.callers.max_connections = max(self._caps[0] - other.get("callers", 0), 4)
+        self.upstreams.max_connections = max(self._caps[1] - other.get("upstreams", 0), 4)
 
     def listening_socket(self) -> socket.socket:
         """Where callers wait."""
-        return self.callers.listener
+        return self.callers.listening_socket
 
     def state(self) -> dict[str, object]:
         """What the next process should know."""
@@ -296,22 +298,24 @@
         self.log.event("taken_over", "another process takes over")
         if self.peers is not None:
             self.peers.stop()  # the next process speaks in our name
-        self.callers.retire()
+        self.callers.stop_accepting()
         self._tell(interface.TakeoverChanged(True))
 
     def return_to_work(self) -> None:
         """The next process has died."""
         self.log.event("returned", "the process that took over is gone")
-        self.callers.return_to_work()
+        self.callers.resume_accepting()
         self._join_peers()
-        self.upstreams.cap = self._caps[1]
+        self.upstreams.max_connections = self._caps[1]
         self._tell(interface.TakeoverChanged(False))
 
     def holds(self) -> dict[str, int]:
         """What we keep to from now on: callers only leave, and upstreams are called for them alone."""
-        callers = self.callers.count()
-        self.upstreams.cap = min(self.upstreams.cap, max(self.upstreams.open, callers + 4))
-        return {"callers": callers, "upstreams": self.upstreams.cap}
+        callers = self.callers.connection_count()
+        self.upstreams.max_connections = min(
+            self.upstreams.max_connections, max(self.upstreams.open_connections, callers + 4)
+        )
+        return {"callers": callers, "upstreams": self.upstreams.max_connections}
 
     def figures(self) -> dict[str, object]:
         """What operators read."""
@@ -353,9 +357,9 @@
         self._loop.call_later(CORDONS_S, self._follow_cordons)
 
     def _apply_cordons(self) -> None:
-        cordons, held = self._cordons.cordons, self.upstreams.held
+        cordons, held = self._cordons.cordons, self.upstreams.cordoned
         for server in sorted(cordons.out - held):
-            self.upstreams.hold(server)
+            self.upstreams.cordon(server)
             self._tell(interface.CordonChanged(server, is_cordoned=True))
         for server in sorted(held - cordons.out):
             held.discard(server)
@@ -398,7 +402,7 @@
 
     def _sweep(self) -> None:
         self._loop.call_later(SWEEP_S, self._sweep)
-        self.upstreams.close_old()
+        self.upstreams.close_expired()
 
     # ---- events -------------------------------------------------------------------------------
 
@@ -441,22 +445,22 @@
     def _forget_if_over(self, request: _Request) -> None:
         if not (request.open or request.out or request.queued):
             self._requests.pop(request.id, None)
-            request.taken.body.drop()
+            request.taken.body.discard()
 
-    def arrived(self, taken: DownstreamRequest) -> None:
+    def on_request_arrived(self, taken: DownstreamRequest) -> None:
         """A caller's request is here, whole or with the rest of its body to come."""
         if self._closed:
-            taken.body.drop()
-            taken.answer(503)
+            taken.body.discard()
+            taken.send_response(503)
             return
         self._last += 1
-        waited = (time.monotonic() - taken.arrived) * 1000 if taken.body.whole else 0.0
+        waited = (time.monotonic() - taken.arrived_at_s) * 1000 if taken.body.is_complete else 0.0
         left = taken.deadline_ms - waited
         request = _Request(self._last, taken, self.clock.now() + left - ANSWER_MS)
-        taken.request = request.id
+        taken.request_id = request.id
         self._requests[request.id] = request
         self._figures.taken()
-        if taken.body.whole:
+        if taken.body.is_complete:
             self._spread_net(request, left)
         self._tell(
             interface.RequestArrived(
@@ -464,9 +468,9 @@
                 taken.class_name,
                 max(left - ANSWER_MS, 0.0),
                 taken.tenant,
-                taken.is_repeat,
-                taken.hint_ms,
-                taken.body.whole,
+                taken.is_retry,
+                taken.cost_hint_ms,
+                taken.body.is_complete,
             ),
             request,
         )
@@ -474,32 +478,32 @@
     def _spread_net(self, request: _Request, left_ms: float) -> None:
         request.net = self._loop.call_later(max(left_ms - NET_MS, 0.0) / 1000, self._rescue, request.id)
 
-    def whole(self, taken: DownstreamRequest) -> None:
+    def on_request_completed(self, taken: DownstreamRequest) -> None:
         """The rest of its body is here: its time runs from now."""
-        request = self._requests.get(taken.request)
+        request = self._requests.get(taken.request_id)
         if request is not None and request.open:
             request.ends = self.clock.now() + taken.deadline_ms - ANSWER_MS
             if request.passed_on is None:
                 self._spread_net(request, taken.deadline_ms)
             self._tell(interface.RequestCompleted(request.id), request)
 
-    def broke(self, taken: DownstreamRequest, status: int) -> None:
+    def on_request_failed(self, taken: DownstreamRequest, status: int) -> None:
         """The rest of its body will not come."""
-        request = self._requests.get(taken.request)
+        request = self._requests.get(taken.request_id)
         if request is not None and request.open:
             self._end(request, status)
             self._tell(interface.ClientDisconnected(request.id), request)
 
-    def left(self, taken: DownstreamRequest) -> None:
+    def on_client_disconnected(self, taken: DownstreamRequest) -> None:
         """The caller has gone."""
-        request = self._requests.get(taken.request)
+        request = self._requests.get(taken.request_id)
         if request is not None and request.open:
             self._close(request, None)
             if request.passed_on is not None:
                 request.passed_on.cancel()  # there is nobody to pass it on to
             self._tell(interface.ClientDisconnected(request.id), request)
 
-    def close(self) -> None:
+    def on_shutdown_deadline(self) -> None:
         """The time after SIGTERM is up: answer all but those whose answer is going out, refuse the rest."""
         self._closed = True
         for number, request in list(self._requests.items()):
@@ -525,9 +529,9 @@
         """Give the final answer, or break off the one that is being passed on."""
         self._close(request, status)
         if request.passed_on is None:
-            request.taken.answer(status, headers)
+            request.taken.send_response(status, headers)
             return
-        request.taken.break_off()
+        request.taken.abort_response()
         request.passed_on.cancel()
 
     def forwarded(self) -> None:
@@ -543,8 +547,8 @@
         request.passed_on = attempt
         if request.net is not None:
             request.net.cancel()
-        request.taken.begin(attempt, end_to_end(answer.headers), answer.length)
-        request.taken.pass_on(answer.body)
+        request.taken.start_response(attempt, end_to_end_headers(answer.headers), answer.length)
+        request.taken.send_body_part(answer.body)
         self._tell(interface.ResponseStarted(request.id, index), request)
         return request.taken
 
@@ -559,14 +563,18 @@
         if request.open and request.passed_on is not None and request.passed_on is request.attempts[index]:
             if outcome is Outcome.SERVED:
                 self._close(request, 200)
-                request.taken.finish()
+                request.taken.end_response()
             else:
                 self._end(request, 502)
         elif request.open and outcome is Outcome.SERVED and answer is not None and request.passed_on is None:
             self._close(request, 200)
-            request.taken.answer(200, end_to_end(answer.headers), answer.body)
-        gone, attempt = request.taken.body.dropped, request.attempts[index]
-        took_ms = None if attempt is None or attempt.connect_s is None else attempt.connect_s * 1000
+            request.taken.send_response(200, end_to_end_headers(answer.headers), answer.body)
+        gone, attempt = request.taken.body.is_discarded, request.attempts[index]
+        took_ms = (
+            None
+            if attempt is None or attempt.connect_duration_s is None
+            else attempt.connect_duration_s * 1000
+        )
         self._tell(
             interface.AttemptEnded(
                 request.id,
@@ -598,7 +606,7 @@
             news = replace(
                 news, endpoints=tuple([AddressedEndpoint(m, at[m.server]) for m in update.endpoints])
             )
-        self.upstreams.listed(news)
+        self.upstreams.update_endpoints(news)
         self._index = news.index
         if news.whole:
             self._list.clear()
@@ -659,7 +667,7 @@
         request.out += 1
         attempt: Attempt | None = None
         outcome = Outcome.NOT_SENT  # for a send whose request is over, or whose body is
-        if request.open and not request.taken.body.dropped and request.taken.is_awaited():
+        if request.open and not request.taken.body.is_discarded and request.taken.is_client_connected():
             call = _Call(self, request, action, index)
             times = (
                 call.timeout_ms / 1000,
@@ -667,14 +675,14 @@
                 action.write_within_ms / 1000,
                 action.connect_within_ms / 1000,
             )
-            attempt = self.upstreams.attempt(server, *times)
+            attempt = self.upstreams.start_attempt(server, *times)
             outcome = Outcome.CONNECT_FAILED  # for a server that no list names any more
         request.attempts.append(attempt)
         if attempt is None:
             self.attempt_ended(request, index, server, outcome, None)
 
     def _probe(self, server: str) -> None:
-        if self.upstreams.attempt(server, PROBE_MS / 1000, _HealthCheck(self, server)) is None:
+        if self.upstreams.start_attempt(server, PROBE_MS / 1000, _HealthCheck(self, server)) is None:
             self._tell(interface.HealthCheckEnded(server, Outcome.NOT_SENT))
 
 
--- a/loadbalancer/net/upstream.py
+++ b/loadbalancer/net/upstream.py
@@ -17,12 +17,12 @@
 
 from loadbalancer.interface import Outcome, Readiness
 from loadbalancer.net.config import Address, Config, ServerList
-from loadbalancer.net.descriptors import side_cap
+from loadbalancer.net.descriptors import max_connections_per_side
 from loadbalancer.net.http_framing import (
-    BODY_MAX,
-    HEAD_MAX,
-    KEPT_MAX,
     LAST_CHUNK,
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_HEAD_BYTES,
     AmbiguousLengthError,
     Body,
     BufferBudget,
@@ -30,17 +30,19 @@
     Headers,
     MessageTooLargeError,
     body_length,
-    chunk,
-    peek,
+    encode_chunk,
+    peek_socket,
     set_no_delay,
 )
 
-IDLE_PART = 0.8  # of the upstream's idle limit: a request that crosses its closing would end as a reset
-REST_S = 0.006  # after an answer, until the next request: second answers were seen up to 4 ms late
-HOLD_S = 0.05  # an answer of unknown length is waited for so long before its first bytes are passed on
-STALL_S = 20.0  # with no byte moved for so long, whoever should read or write has gone
-DRAIN_PART = 0.5  # of the grace: the news may have waited in our buffer before it was read
-UNREADABLE = (
+# Of the upstream's idle limit: a request that crosses its closing would end as a reset.
+IDLE_LIMIT_FRACTION = 0.8
+REUSE_DELAY_S = 0.006  # after an answer, until the next request: second answers were seen up to 4 ms late
+# A response of unknown length is buffered for so long before its first bytes are passed on.
+MAX_RESPONSE_BUFFERING_S = 0.05
+STALL_TIMEOUT_S = 20.0  # with no byte moved for so long, whoever should read or write has gone
+DRAIN_GRACE_FRACTION = 0.5  # of the grace: the news may have waited in our buffer before it was read
+RESPONSE_ERRORS = (
     httptools.HttpParserError,
     httptools.HttpParserUpgrade,
     MessageTooLargeError,
@@ -62,21 +64,21 @@
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        self.next()
+        self.reset()
 
-    def next(self) -> None:
+    def reset(self) -> None:
         """Look for the next response."""
-        self.may_reuse = False  # whether the connection may carry a further request
-        self.has_head = self.whole = False
+        self.is_reusable = False  # whether the connection may carry a further request
+        self.has_head = self.is_complete = False
         self.status = 0
         self.length: int | None = -1  # None where chunks tell it, -1 where only the end does
         self._headers: Headers = []
         self._pieces: list[bytes] = []
-        self.held = self._head = self._left = self._size = 0
+        self.buffered_bytes = self._head = self._left = self._size = 0
 
     def feed(self, data: bytes | memoryview) -> bool:
-        """Take bytes; whether the response is whole. Raises what `UNREADABLE` names."""
-        if not self.has_head and self._head > HEAD_MAX:
+        """Take bytes; whether the response is whole. Raises what `RESPONSE_ERRORS` names."""
+        if not self.has_head and self._head > MAX_HEAD_BYTES:
             raise MessageTooLargeError("headers too large")
         try:
             self._parser.feed_data(data)
@@ -84,72 +86,72 @@
             raise error.__context__ or error from None
         if not self.has_head:
             self._head += len(data)
-        return self.whole
+        return self.is_complete
 
-    def end(self) -> bool:
+    def feed_eof(self) -> bool:
         """The connection has ended; whether that was the proper end of the response."""
-        if self.has_head and not self.whole and self.length == -1:
-            self.whole = True
+        if self.has_head and not self.is_complete and self.length == -1:
+            self.is_complete = True
             return True
         return False
 
-    def answer(self) -> UpstreamResponse:
+    def response(self) -> UpstreamResponse:
         """The response as far as it is here."""
         length = None if self.length == -1 else self.length
-        return UpstreamResponse(self.status, self._headers, length, self.take())
+        return UpstreamResponse(self.status, self._headers, length, self.take_body())
 
-    def take(self) -> bytes:
+    def take_body(self) -> bytes:
         """The part of the body that has come since it was last taken."""
         data = self._pieces[0] if len(self._pieces) == 1 else b"".join(self._pieces)
-        self._pieces, self.held = [], 0
+        self._pieces, self.buffered_bytes = [], 0
         return data
 
     def on_message_begin(self) -> None:
         """Forget an interim response; what comes behind a whole one is for no request of ours."""
-        if self.whole:
-            self.may_reuse = False
+        if self.is_complete:
+            self.is_reusable = False
         else:
             self._headers = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Keep a header; trailers are passed over."""
-        if self.whole or self.has_head:
+        if self.is_complete or self.has_head:
             return
         self._left += len(name) + len(value)
-        if self._left > HEAD_MAX:
+        if self._left > MAX_HEAD_BYTES:
             raise MessageTooLargeError("headers too large")
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
         """The head is whole; an interim one (100 and the like) is passed over."""
         status = self._parser.get_status_code()
-        if self.whole or status < 200:
+        if self.is_complete or status < 200:
             return
         self.has_head, self.status, self.length = True, status, body_length(self._headers)
-        if (self.length or 0) > BODY_MAX:
+        if (self.length or 0) > MAX_BODY_BYTES:
             raise MessageTooLargeError("it would never end")
 
     def on_body(self, data: bytes) -> None:
         """Keep a part of the body until it is taken."""
-        if not self.whole:
+        if not self.is_complete:
             self._pieces.append(data)
-            self.held += len(data)
+            self.buffered_bytes += len(data)
             self._size += len(data)
-            if self._size > BODY_MAX:
+            if self._size > MAX_BODY_BYTES:
                 raise MessageTooLargeError("it does not end")
 
     def on_message_complete(self) -> None:
         """The message is whole."""
-        if self.has_head and not self.whole:
+        if self.has_head and not self.is_complete:
             # Asked here and not later: the parser forgets its flags once the message is over.
-            self.may_reuse = self._parser.should_keep_alive()
-            self.whole = True
+            self.is_reusable = self._parser.should_keep_alive()
+            self.is_complete = True
 
 
-class Caller(Protocol):
+class ResponseSink(Protocol):
     """Whom an answer is passed on to as it comes."""
 
-    def pass_on(self, data: bytes) -> None:
+    def send_body_part(self, data: bytes) -> None:
         """Take a piece of the body; `pause` and `resume` of the attempt tell when more should come."""
 
 
@@ -158,22 +160,22 @@
 
     body: Body | None = None  # where it is passed on behind the head, as it comes
 
-    def is_wanted(self) -> bool:
+    def is_needed(self) -> bool:
         """Whether it may still begin, asked in the instant in which it would."""
         return True
 
-    def compose(self) -> bytes:
+    def build_request(self) -> bytes:
         """The request, or its head if the body follows; asked for when the connection is there."""
         raise NotImplementedError
 
-    def written(self) -> None:
+    def on_request_written(self) -> None:
         """The last byte has left."""
 
-    def started(self, attempt: Attempt, answer: UpstreamResponse) -> Caller | None:
+    def on_response_started(self, attempt: Attempt, answer: UpstreamResponse) -> ResponseSink | None:
         """A long answer has begun; whoever takes it, or None if nobody wants it any more."""
         return None
 
-    def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
+    def on_attempt_ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
         """The attempt is over; the answer is there if it came whole and was not passed on before."""
 
 
@@ -189,8 +191,20 @@
     """One attempt at a server; its exchange hears of its end exactly once, whatever crosses what."""
 
     __slots__ = (
-        *"_caller _coming _connection _dialled _exchange _limit _moved".split(),
-        *"_over _pool _task _timeout_s _timer _write_by connect_s".split(),
+        "_caller",
+        "_coming",
+        "_connection",
+        "_dialled",
+        "_exchange",
+        "_limit",
+        "_moved",
+        "_over",
+        "_pool",
+        "_task",
+        "_timeout_s",
+        "_timer",
+        "_write_by",
+        "connect_duration_s",
     )
 
     def __init__(self, pool: ConnectionPool, exchange: AttemptHandler) -> None:
@@ -204,8 +218,8 @@
         self._limit: asyncio.TimerHandle | None = None
         self._timeout_s = self._moved = 0.0
         self._write_by = math.inf
-        self.connect_s: float | None = None  # that its connection took to come up, if it opened one
-        self._caller: Caller | None = None
+        self.connect_duration_s: float | None = None  # that its connection took to come up, if it opened one
+        self._caller: ResponseSink | None = None
 
     def start(self, timeout_s: float, within_s: float = math.inf, connect_s: float = math.inf) -> None:
         """Begin on an idle connection, or open one; nothing is reported before this returns.
@@ -213,19 +227,19 @@
         The time runs from here, or, where the body is still coming, from its last byte on. That byte leaves
         within `within_s`, or never; a connection that is opened comes up within `connect_s`, or never.
         """
-        loop = self._pool.upstreams.loop
+        loop = self._pool.pools.loop
         self._timeout_s = timeout_s
         if within_s < math.inf:
             self._write_by = time.monotonic() + within_s
-            self._limit = loop.call_later(within_s, self.withdraw, Outcome.CONNECT_FAILED)
+            self._limit = loop.call_later(within_s, self.cancel_if_unwritten, Outcome.CONNECT_FAILED)
         if not self._coming:
-            self._timer = loop.call_later(timeout_s, self._timed_out)
+            self._timer = loop.call_later(timeout_s, self._on_timeout)
         else:
             self._watch()
-        connection = self._pool.take()
+        connection = self._pool.take_idle()
         if connection is not None:
             self._begin(connection)
-        elif self._pool.upstreams.has_room():
+        elif self._pool.pools.ensure_capacity():
             self._dialled = UpstreamConnection(self._pool)
             self._task = loop.create_task(self._connect(self._dialled, connect_s))
         else:
@@ -235,7 +249,7 @@
         """Stop waiting: the connection is closed, which tells the upstream."""
         self._finish(Outcome.CANCELLED)
 
-    def withdraw(self, outcome: Outcome = Outcome.NOT_SENT) -> None:
+    def cancel_if_unwritten(self, outcome: Outcome = Outcome.NOT_SENT) -> None:
         """End it unless its last byte has left: then it can't have begun, and never will."""
         if not self._is_written():
             self._finish(outcome)
@@ -249,50 +263,50 @@
 
     # ---- what its connection tells ----------------------------------------------------------
 
-    def written(self) -> None:
+    def on_request_written(self) -> None:
         """The last byte has left: from now on the answer is waited for."""
-        self._exchange.written()
+        self._exchange.on_request_written()
         if self._coming and not self._over:
-            self._set_timer(self._timeout_s, self._timed_out)
+            self._set_timer(self._timeout_s, self._on_timeout)
 
-    def moved(self) -> None:
+    def on_progress(self) -> None:
         """Bytes have gone one way or the other."""
         self._moved = time.monotonic()
 
-    def is_passed_on(self) -> bool:
+    def is_streaming(self) -> bool:
         """Whether the answer goes on as it comes: there is no way back."""
         return self._caller is not None
 
-    def begin_passing_on(self, reader: ResponseReader) -> None:
+    def start_streaming(self, reader: ResponseReader) -> None:
         """The answer is long: let whoever waits for it have it as it comes."""
         if not self._is_written():
-            self.broken()
+            self.on_connection_failed()
             return
-        self._caller = self._exchange.started(self, reader.answer())
+        self._caller = self._exchange.on_response_started(self, reader.response())
         if self._caller is None:
             self.cancel()
         else:
             self._watch()
 
-    def pass_on(self, data: bytes) -> None:
+    def stream(self, data: bytes) -> None:
         """Pass a piece on."""
         if self._caller is not None and data:
-            self._caller.pass_on(data)
+            self._caller.send_body_part(data)
 
-    def answered(self, reader: ResponseReader) -> None:
+    def on_response_completed(self, reader: ResponseReader) -> None:
         """The response is whole."""
         if self._caller is not None:
             self._finish(Outcome.SERVED, clean=True)
         else:
-            answer = reader.answer()
+            answer = reader.response()
             outcome = _meaning(answer.status, answer.headers)
             if outcome is Outcome.SERVED and not self._is_written():
                 # Guards against an answer to what was asked before: nobody begins before the last byte.
-                self.broken()
+                self.on_connection_failed()
             else:
                 self._finish(outcome, answer, clean=True)
 
-    def broken(self) -> None:
+    def on_connection_failed(self) -> None:
         """The connection ended or carried what can't be passed on."""
         self._finish(Outcome.RESET)
 
@@ -306,7 +320,7 @@
     def resume(self) -> None:
         """The caller has caught up."""
         if self._connection is not None:
-            self.moved()
+            self.on_progress()
             self._connection.resume()
 
     # ---- times and ends ----------------------------------------------------------------------
@@ -314,15 +328,15 @@
     def _set_timer(self, after_s: float, then: Callable[[], None]) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._pool.upstreams.loop.call_later(after_s, then)
+        self._timer = self._pool.pools.loop.call_later(after_s, then)
 
     def _watch(self) -> None:
         """Time what moves, not the whole: long bodies take as long as they take."""
-        self.moved()
-        self._set_timer(STALL_S, self._look)
+        self.on_progress()
+        self._set_timer(STALL_TIMEOUT_S, self._look)
 
     def _look(self) -> None:
-        left_s = self._moved + STALL_S - time.monotonic()
+        left_s = self._moved + STALL_TIMEOUT_S - time.monotonic()
         if left_s > 0:
             self._set_timer(left_s, self._look)
         else:
@@ -331,20 +345,20 @@
     async def _connect(self, connection: UpstreamConnection, within_s: float) -> None:
         begun = time.monotonic()
         try:
-            async with asyncio.timeout(min(within_s, self._pool.upstreams.config.connect_timeout_ms / 1000)):
+            async with asyncio.timeout(min(within_s, self._pool.pools.config.connect_timeout_ms / 1000)):
                 await self._pool.connect(connection)
-                self.connect_s = time.monotonic() - begun
+                self.connect_duration_s = time.monotonic() - begun
         except (OSError, TimeoutError):
             self._task = None
             self._finish(Outcome.CONNECT_FAILED)
             return
         self._task = None
-        wanted = not self._over and self._exchange.is_wanted()  # its own end may follow from the answer
+        wanted = not self._over and self._exchange.is_needed()  # its own end may follow from the answer
         if self._over:  # cancelled while the connection came up
             connection.close()
         elif not wanted:
             self._finish(Outcome.NOT_SENT)
-        elif not self._pool.may_begin() or time.monotonic() >= self._write_by:
+        elif not self._pool.can_start_attempt() or time.monotonic() >= self._write_by:
             # Guards against a send that begins late: while we connected the server was told to drain, or
             # started anew, or what it remembers of an earlier attempt ran out.
             self._finish(Outcome.CONNECT_FAILED)
@@ -353,9 +367,9 @@
 
     def _begin(self, connection: UpstreamConnection) -> None:
         self._connection = connection
-        connection.carry(self, self._exchange.compose(), self._exchange.body)
+        connection.send_request(self, self._exchange.build_request(), self._exchange.body)
 
-    def _timed_out(self) -> None:
+    def _on_timeout(self) -> None:
         # Nothing written means that it never ran, whatever kept it from being written.
         self._finish(Outcome.TIMED_OUT if self._connection else Outcome.CONNECT_FAILED)
 
@@ -375,7 +389,7 @@
             if unwritten and outcome in (Outcome.RESET, Outcome.TIMED_OUT, Outcome.ERROR):
                 outcome = Outcome.CONNECT_FAILED  # the last byte never left: it can't have begun
             self._connection.release(reuse=clean)
-        self._exchange.ended(outcome, answer)
+        self._exchange.on_attempt_ended(outcome, answer)
 
 
 class UpstreamConnection(asyncio.BufferedProtocol):
@@ -384,9 +398,9 @@
     def __init__(self, pool: ConnectionPool) -> None:
         """It counts as open from now on, until it is closed."""
         self.pool = pool
-        pool.upstreams.open += 1
-        self.idle_since = 0.0
-        self._buffers = pool.upstreams.buffers
+        pool.pools.open_connections += 1
+        self.idle_since_s = 0.0
+        self._buffers = pool.pools.buffers
         self._unsent, self._unread = BufferReservation(self._buffers), BufferReservation(self._buffers)
         self._attempt: Attempt | None = None
         self._body: Body | None = None  # that is passed on behind the head
@@ -403,25 +417,25 @@
 
     # ---- the request ---------------------------------------------------------------------------
 
-    def carry(self, attempt: Attempt, request: bytes, body: Body | None) -> None:
+    def send_request(self, attempt: Attempt, request: bytes, body: Body | None) -> None:
         """Send a request, with the body behind it if that is still coming, and wait for its response."""
         assert self._transport is not None
         self._attempt, self._body, self._written = attempt, body, False
         self._reader = self._reader or ResponseReader()
-        self._reader.next()
+        self._reader.reset()
         self._ended = body is None
         self._transport.write(request)
         if body is None:
             self._look_if_written()
         else:
-            body.pass_to(self)
+            body.stream_to(self)
 
     def write(self, data: bytes) -> None:
         """Pass a piece of the body on."""
         assert self._transport is not None and self._body is not None
-        self._transport.write(data if self._body.length is not None else chunk(data))
+        self._transport.write(data if self._body.length is not None else encode_chunk(data))
         if self._attempt is not None:
-            self._attempt.moved()
+            self._attempt.on_progress()
 
     def end(self) -> None:
         """The body is whole."""
@@ -439,25 +453,25 @@
         """Bytes are still with us."""
         assert self._transport is not None
         self._choked = True
-        self._unsent.set(self._transport.get_write_buffer_size())
+        self._unsent.resize(self._transport.get_write_buffer_size())
 
     def resume_writing(self) -> None:
         """The last byte has left our buffer."""
         self._choked = False
-        self._unsent.set(0)
+        self._unsent.resize(0)
         if self._attempt is None:
             return
-        self._attempt.moved()
+        self._attempt.on_progress()
         self._look_if_written()
         if self._body is not None and not self._ended:
-            self._body.flow()
+            self._body.on_sink_ready()
 
     def _look_if_written(self) -> None:
         assert self._transport is not None
         is_out = self._transport.get_write_buffer_size() == 0 and not self._transport.is_closing()
         if self._attempt is not None and self._ended and is_out and not self._written:
             self._written = True
-            self._attempt.written()
+            self._attempt.on_request_written()
 
     def is_written(self) -> bool:
         """Whether the last byte of the request has left."""
@@ -467,13 +481,13 @@
         """Look at the socket itself: the end may have come since the loop last looked."""
         if self._closed or self._transport is None or self._transport.is_closing():
             return False
-        return peek(self._transport) is None  # neither the end, nor bytes that nobody asked for
+        return peek_socket(self._transport) is None  # neither the end, nor bytes that nobody asked for
 
     # ---- the response --------------------------------------------------------------------------
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Where to read to."""
-        return self._buffers.space()
+        return self._buffers.receive_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
         """Read on; anything that is no proper response ends the connection."""
@@ -481,37 +495,37 @@
         if attempt is None or reader is None:
             self.close()
             return
-        attempt.moved()
+        attempt.on_progress()
         try:
-            reader.feed(self._buffers.read(nbytes))
-        except UNREADABLE:
-            attempt.broken()
+            reader.feed(self._buffers.received(nbytes))
+        except RESPONSE_ERRORS:
+            attempt.on_connection_failed()
             return
         self._look_at(attempt, reader)
 
     def _look_at(self, attempt: Attempt, reader: ResponseReader) -> None:
         """Do with a response what can be done as far as it is here."""
-        if attempt.is_passed_on():
-            attempt.pass_on(reader.take())
-        elif not reader.whole and reader.has_head:
-            held = max(reader.held, reader.length or 0)
+        if attempt.is_streaming():
+            attempt.stream(reader.take_body())
+        elif not reader.is_complete and reader.has_head:
+            held = max(reader.buffered_bytes, reader.length or 0)
             if reader.status != 200:
-                if held > KEPT_MAX:
-                    attempt.answered(reader)  # nobody needs the rest of it
+                if held > MAX_BUFFERED_BODY_BYTES:
+                    attempt.on_response_completed(reader)  # nobody needs the rest of it
                     return
-            elif held > KEPT_MAX or (reader.held and self._buffers.is_full()):
-                attempt.begin_passing_on(reader)
+            elif held > MAX_BUFFERED_BODY_BYTES or (reader.buffered_bytes and self._buffers.is_full()):
+                attempt.start_streaming(reader)
             elif reader.length in (None, -1) and self._hold is None:
-                self._hold = self.pool.upstreams.loop.call_later(HOLD_S, self._held_long_enough)
-        self._unread.set(reader.held)
-        if reader.whole and self._attempt is attempt:
-            attempt.answered(reader)
+                self._hold = self.pool.pools.loop.call_later(MAX_RESPONSE_BUFFERING_S, self._held_long_enough)
+        self._unread.resize(reader.buffered_bytes)
+        if reader.is_complete and self._attempt is attempt:
+            attempt.on_response_completed(reader)
 
     def _held_long_enough(self) -> None:
         attempt, reader, self._hold = self._attempt, self._reader, None
-        if attempt is not None and reader is not None and reader.held:
-            attempt.begin_passing_on(reader)
-            self._unread.set(reader.held)
+        if attempt is not None and reader is not None and reader.buffered_bytes:
+            attempt.start_streaming(reader)
+            self._unread.resize(reader.buffered_bytes)
 
     def pause(self) -> None:
         """Read no more for now."""
@@ -528,33 +542,33 @@
     def eof_received(self) -> None:
         """The upstream ends, which may be the end of its response; the transport closes by itself."""
         if self._attempt is not None and self._reader is not None:
-            if self._reader.end():
+            if self._reader.feed_eof():
                 self._look_at(self._attempt, self._reader)
             else:
-                self._attempt.broken()
+                self._attempt.on_connection_failed()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Leave the books, and tell the attempt that was out."""
         self._leave()
         if self._attempt is not None:
-            self._attempt.broken()
+            self._attempt.on_connection_failed()
 
     # ---- its pool ------------------------------------------------------------------------------
 
     def release(self, reuse: bool) -> None:
         """The attempt is over: keep the connection if its end was clean, else close it."""
         self._attempt = None
-        if self._body is not None and not self._body.whole:
-            self._body.drop()
-            self._body.flow()
+        if self._body is not None and not self._body.is_complete:
+            self._body.discard()
+            self._body.on_sink_ready()
         self._body = None
         if self._hold is not None:
             self._hold.cancel()
             self._hold = None
-        self._unread.set(0)
-        if reuse and self._written and self._reader is not None and self._reader.may_reuse:
+        self._unread.resize(0)
+        if reuse and self._written and self._reader is not None and self._reader.is_reusable:
             self.resume()
-            self.pool.keep(self)
+            self.pool.return_idle(self)
         else:
             self.close()
 
@@ -565,35 +579,35 @@
             self._transport.abort()
 
     def _leave(self) -> None:
-        self._unsent.set(0)
+        self._unsent.resize(0)
         if not self._closed:
             self._closed = True
-            self.pool.forget(self)
+            self.pool.on_connection_closed(self)
 
 
 class ConnectionPool:
     """The connections to one server at one address since one start."""
 
     def __init__(self, upstreams: UpstreamPools, name: str, address: Address, since_ms: float) -> None:
-        self.upstreams, self.name, self.address, self.since_ms = upstreams, name, address, since_ms
-        self.idle: list[UpstreamConnection] = []  # the newest last
-        self.drains_since: float | None = None
-        self.current = True
+        self.pools, self.server, self.address, self.started_at_ms = upstreams, name, address, since_ms
+        self.idle_connections: list[UpstreamConnection] = []  # the newest last
+        self.draining_since_s: float | None = None
+        self.is_current = True
 
-    def may_begin(self) -> bool:
+    def can_start_attempt(self) -> bool:
         """Whether the list, operators and the drain grace if it runs leave room for a send only now ready."""
-        if not self.current or self.name in self.upstreams.held:
+        if not self.is_current or self.server in self.pools.cordoned:
             return False
-        grace_s = DRAIN_PART * self.upstreams.config.drain_grace_ms / 1000
-        return self.drains_since is None or time.monotonic() < self.drains_since + grace_s
+        grace_s = DRAIN_GRACE_FRACTION * self.pools.config.drain_grace_ms / 1000
+        return self.draining_since_s is None or time.monotonic() < self.draining_since_s + grace_s
 
-    def take(self) -> UpstreamConnection | None:
+    def take_idle(self) -> UpstreamConnection | None:
         """The newest idle connection that lives and has rested; the dead ones go."""
-        place = bisect_right(self.idle, time.monotonic() - REST_S, key=_idle_since)
+        place = bisect_right(self.idle_connections, time.monotonic() - REUSE_DELAY_S, key=_idle_since)
         while place:
             place -= 1
-            connection = self.idle.pop(place)
-            if time.monotonic() - connection.idle_since < self.upstreams.idle_s and connection.is_alive():
+            connection = self.idle_connections.pop(place)
+            if time.monotonic() - connection.idle_since_s < self.pools.max_idle_s and connection.is_alive():
                 return connection
             connection.close()
         return None
@@ -601,28 +615,28 @@
     async def connect(self, connection: UpstreamConnection) -> None:
         """Open a connection; one that does not come up is closed."""
         try:
-            await self.upstreams.loop.create_connection(lambda: connection, *self.address)
+            await self.pools.loop.create_connection(lambda: connection, *self.address)
         except BaseException:
             connection.close()
             raise
 
-    def keep(self, connection: UpstreamConnection) -> None:
+    def return_idle(self, connection: UpstreamConnection) -> None:
         """Back to the idle ones, unless the server has changed meanwhile."""
-        if not self.current or self.drains_since is not None or self.name in self.upstreams.held:
+        if not self.is_current or self.draining_since_s is not None or self.server in self.pools.cordoned:
             connection.close()
             return
-        connection.idle_since = time.monotonic()
-        self.idle.append(connection)
+        connection.idle_since_s = time.monotonic()
+        self.idle_connections.append(connection)
 
-    def forget(self, connection: UpstreamConnection) -> None:
+    def on_connection_closed(self, connection: UpstreamConnection) -> None:
         """A connection has closed."""
-        self.upstreams.open -= 1
-        if connection in self.idle:
-            self.idle.remove(connection)
+        self.pools.open_connections -= 1
+        if connection in self.idle_connections:
+            self.idle_connections.remove(connection)
 
     def close_idle(self) -> None:
         """Close what nobody uses."""
-        for connection in self.idle[:]:
+        for connection in self.idle_connections[:]:
             connection.close()
 
 
@@ -631,13 +645,13 @@
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, buffers: BufferBudget) -> None:
         self.config, self.loop, self.buffers = config, loop, buffers
-        self.idle_s = IDLE_PART * config.idle_ms / 1000
-        self.open = 0
-        self.cap = side_cap(config.sockets)
-        self.held: set[str] = set()  # by operators: nothing begins there
+        self.max_idle_s = IDLE_LIMIT_FRACTION * config.idle_ms / 1000
+        self.open_connections = 0
+        self.max_connections = max_connections_per_side(config.sockets)
+        self.cordoned: set[str] = set()  # by operators: nothing begins there
         self._pools: dict[str, ConnectionPool] = {}
 
-    def listed(self, news: ServerList) -> None:
+    def update_endpoints(self, news: ServerList) -> None:
         """Follow the list: a server that is gone, moved or restarted loses its connections."""
         if news.whole:
             for name in self._pools.keys() - {e.endpoint.server for e in news.endpoints}:
@@ -648,7 +662,7 @@
                 self._drop(member.server)
                 continue
             pool = self._pools.get(member.server)
-            if pool and (pool.address, pool.since_ms) != (endpoint.address, member.started_at_ms):
+            if pool and (pool.address, pool.started_at_ms) != (endpoint.address, member.started_at_ms):
                 self._drop(member.server)
                 pool = None
             if pool is None:
@@ -656,19 +670,19 @@
                     self, member.server, endpoint.address, member.started_at_ms
                 )
             if member.readiness is Readiness.READY:
-                pool.drains_since = None
-            elif pool.drains_since is None:
-                pool.drains_since = time.monotonic()
+                pool.draining_since_s = None
+            elif pool.draining_since_s is None:
+                pool.draining_since_s = time.monotonic()
                 pool.close_idle()
 
     def _drop(self, name: str) -> None:
         pool = self._pools.pop(name, None)
         if pool is not None:
-            pool.current = False
-            pool.drains_since = pool.drains_since or time.monotonic()
+            pool.is_current = False
+            pool.draining_since_s = pool.draining_since_s or time.monotonic()
             pool.close_idle()
 
-    def attempt(
+    def start_attempt(
         self,
         server: str,
         timeout_s: float,
@@ -684,9 +698,9 @@
         attempt.start(timeout_s, within_s, connect_s)
         return attempt
 
-    def hold(self, server: str) -> None:
+    def cordon(self, server: str) -> None:
         """Begin nothing at a server from now on, not even on connections that are coming up."""
-        self.held.add(server)
+        self.cordoned.add(server)
         self.close_idle(server)
 
     def close_idle(self, server: str) -> None:
@@ -694,22 +708,26 @@
         if pool := self._pools.get(server):
             pool.close_idle()
 
-    def has_room(self) -> bool:
+    def ensure_capacity(self) -> bool:
         """Whether one more connection may be opened; the longest idle one makes way."""
-        if self.open < self.cap:
+        if self.open_connections < self.max_connections:
             return True
-        oldest = min((p.idle[0] for p in self._pools.values() if p.idle), key=_idle_since, default=None)
+        oldest = min(
+            (p.idle_connections[0] for p in self._pools.values() if p.idle_connections),
+            key=_idle_since,
+            default=None,
+        )
         if oldest is not None:
             oldest.close()
         return oldest is not None
 
-    def close_old(self) -> None:
+    def close_expired(self) -> None:
         """Close what stands idle for too long, before the upstreams do."""
-        limit = time.monotonic() - self.idle_s
+        limit = time.monotonic() - self.max_idle_s
         for pool in self._pools.values():
-            while pool.idle and pool.idle[0].idle_since < limit:
-                pool.idle[0].close()
+            while pool.idle_connections and pool.idle_connections[0].idle_since_s < limit:
+                pool.idle_connections[0].close()
 
 
 def _idle_since(connection: UpstreamConnection) -> float:
-    return connection.idle_since
+    return connection.idle_since_s
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -177,7 +177,7 @@
         connect = ConnectionPool.connect
 
         async def held(pool: ConnectionPool, connection: UpstreamConnection) -> None:
-            if server in ("", pool.name):
+            if server in ("", pool.server):
                 self.count += 1
                 self.begun.set()
                 await self._gate.wait()
@@ -210,10 +210,10 @@
         "requests": len(driver._requests),
         "the module's requests": len(driver.balancer._requests),
         "waiting": len(driver.balancer._queue),
-        "bytes": driver.buffers.held,
+        "bytes": driver.buffers.used_bytes,
         "calls in flight": sum(s.in_flight for s in driver.balancer._roster.servers.values()),
-        "connections in use": driver.upstreams.open
-        - sum(len(p.idle) for p in driver.upstreams._pools.values()),
+        "connections in use": driver.upstreams.open_connections
+        - sum(len(p.idle_connections) for p in driver.upstreams._pools.values()),
     }
     return [f"{count} {name}" for name, count in held.items() if count]
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -47,7 +47,7 @@
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
             assert status(await call(rig, "GET", "/admin/health")) == 200
-            ending = asyncio.create_task(rig.driver.callers.end())
+            ending = asyncio.create_task(rig.driver.callers.shut_down())
             await asyncio.sleep(0)
             assert status(await call(rig, "GET", "/admin/health")) == 503
             ending.cancel()
@@ -249,10 +249,10 @@
                 while (await figures(old))["ejected"] == 0:
                     await asyncio.sleep(0)
                 assert await cordon(old, "s0", out=False) == await cordon(old, "s1") == 200
-                while "s0" in new.driver.upstreams.held or "s1" not in new.driver.upstreams.held:
+                while "s0" in new.driver.upstreams.cordoned or "s1" not in new.driver.upstreams.cordoned:
                     await asyncio.sleep(0.01)
             async with Rig(Upstream(), Upstream(), folder=tmp_path) as third:
-                assert third.driver.upstreams.held == {"s1"}
+                assert third.driver.upstreams.cordoned == {"s1"}
 
     run(scenario())
 
@@ -262,7 +262,7 @@
     async def scenario() -> None:
         (tmp_path / "cordons.json").write_bytes(left)
         async with Rig(Upstream(), Upstream(), folder=tmp_path) as rig:
-            assert rig.driver.upstreams.held == set()
+            assert rig.driver.upstreams.cordoned == set()
             assert await cordon(rig, "s0") == 200
             assert json.loads((tmp_path / "cordons.json").read_text())["out"] == ["s0"]
 
@@ -273,6 +273,6 @@
     async def scenario() -> None:
         async with Rig(Upstream(), Upstream(), folder=tmp_path / "nosuch") as rig:
             assert await cordon(rig, "s0") == 200
-            assert rig.driver.upstreams.held == {"s0"}
+            assert rig.driver.upstreams.cordoned == {"s0"}
 
     run(scenario())
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -20,7 +20,14 @@
 
 from loadbalancer.drill.fleet import free_port
 from loadbalancer.net import descriptors, downstream
-from loadbalancer.net.descriptors import EVICT_MOST, EVICT_S, FRESH_S, IDLE_S, IdleEviction, side_cap
+from loadbalancer.net.descriptors import (
+    EVICTION_INTERVAL_S,
+    MAX_EVICTIONS_PER_PASS,
+    MIN_EVICTABLE_IDLE_S,
+    NEW_CONNECTION_GRACE_S,
+    IdleEviction,
+    max_connections_per_side,
+)
 from tests.loopback import (
     Asked,
     ListServer,
@@ -56,7 +63,7 @@
     sockets: int, own: int, wanted: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda kind: (own, own))
-    assert side_cap(sockets) == wanted
+    assert max_connections_per_side(sockets) == wanted
 
 
 def test_an_accept_for_which_there_is_no_descriptor_is_not_tried_again_at_once() -> None:
@@ -73,15 +80,15 @@
         async with Rig(Upstream()) as rig:
             ours = rig.driver.callers
             ours._pause()
-            ours.listener = Full(fileno=ours.listener.detach())
+            ours.listening_socket = Full(fileno=ours.listening_socket.detach())
             ours._resume()
             with socket.create_connection(ours.address):
                 await until(lambda: Full.tries > 0)
                 for _ in range(1_000):
                     await asyncio.sleep(0)
                 assert Full.tries <= 2
-                ours.listener = socket.socket(fileno=ours.listener.detach())
-                await until(lambda: ours.count() == 1)
+                ours.listening_socket = socket.socket(fileno=ours.listening_socket.detach())
+                await until(lambda: ours.connection_count() == 1)
 
     run(scenario())
 
@@ -93,32 +100,37 @@
     """A connection that has been idle since some moment."""
 
     def __init__(self, idle_since: float, asked: bool, may_end: bool = True) -> None:
-        self.idle_since, self._asked, self._may_end = idle_since, asked, may_end
+        self.idle_since_s, self._asked, self._may_end = idle_since, asked, may_end
         self.ended = False
 
-    def has_asked(self) -> bool:
+    def has_received_request(self) -> bool:
         return self._asked
 
-    def may_end(self) -> bool:
+    def can_close(self) -> bool:
         return self._may_end and not self.ended
 
-    def make_way(self) -> None:
-        self.idle_since, self.ended = float("inf"), True
+    def evict(self) -> None:
+        self.idle_since_s, self.ended = float("inf"), True
 
 
 def test_who_never_asked_makes_way_before_the_longest_idle_and_who_asks_does_not() -> None:
     now = 100.0
     asking = Idle(now - 50.0, asked=True, may_end=False)
-    long_idle, idle, busy = (Idle(now - s, asked=True) for s in (9.0, 2 * IDLE_S, IDLE_S / 2))
-    stranger, fresh = Idle(now - 2 * FRESH_S, asked=False), Idle(now - FRESH_S / 2, asked=False)
+    long_idle, idle, busy = (
+        Idle(now - s, asked=True) for s in (9.0, 2 * MIN_EVICTABLE_IDLE_S, MIN_EVICTABLE_IDLE_S / 2)
+    )
+    stranger, fresh = (
+        Idle(now - 2 * NEW_CONNECTION_GRACE_S, asked=False),
+        Idle(now - NEW_CONNECTION_GRACE_S / 2, asked=False),
+    )
     everyone = [asking, busy, idle, long_idle, fresh, stranger]
     eviction, order = IdleEviction(), list[Idle]()
     for _ in range(4):
-        eviction.relax()  # one at a time
-        eviction.make_room(everyone, now)
+        eviction.reset()  # one at a time
+        eviction.evict_idle(everyone, now)
         order += [c for c in everyone if c.ended and c not in order]
-        now += EVICT_S / 4
-        eviction.make_room(everyone, now)  # too soon
+        now += EVICTION_INTERVAL_S / 4
+        eviction.evict_idle(everyone, now)  # too soon
         assert len([c for c in everyone if c.ended]) == len(order)
         eviction._next = 0.0
         now = 100.0
@@ -130,13 +142,13 @@
     crowd = [Idle(0.0, asked=False) for _ in range(200)]
     for _ in range(7):
         before = sum(c.ended for c in crowd)
-        eviction.make_room(crowd, now)
+        eviction.evict_idle(crowd, now)
         counts.append(sum(c.ended for c in crowd) - before)
-        now += 2 * EVICT_S
-    assert counts == [1, 2, 4, 8, EVICT_MOST, EVICT_MOST, EVICT_MOST]
-    eviction.relax()
+        now += 2 * EVICTION_INTERVAL_S
+    assert counts == [1, 2, 4, 8, MAX_EVICTIONS_PER_PASS, MAX_EVICTIONS_PER_PASS, MAX_EVICTIONS_PER_PASS]
+    eviction.reset()
     before = sum(c.ended for c in crowd)
-    eviction.make_room(crowd, now)
+    eviction.evict_idle(crowd, now)
     assert sum(c.ended for c in crowd) - before == 1
 
 
@@ -144,24 +156,24 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What it had not taken of its answer was waited for without an end."""
-    monkeypatch.setattr(downstream, "STALL_S", 0.05)
-    monkeypatch.setattr(downstream, "LINGER_S", 0.01)
-    monkeypatch.setattr(descriptors, "IDLE_S", 0.0)
+    monkeypatch.setattr(downstream, "STALL_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(downstream, "LINGERING_CLOSE_S", 0.01)
+    monkeypatch.setattr(descriptors, "MIN_EVICTABLE_IDLE_S", 0.0)
 
     async def scenario() -> None:
         async with Rig(Upstream(response(200, b"x" * 60_000), response())) as rig:
-            rig.driver.callers.cap = 1
+            rig.driver.callers.max_connections = 1
             with socket.socket() as deaf:
                 deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
                 deaf.connect(rig.driver.callers.address)
-                await until(lambda: rig.driver.callers.count() == 1)
+                await until(lambda: rig.driver.callers.connection_count() == 1)
                 (connection,) = rig.driver.callers._connections
                 await until(lambda: connection._transport is not None)
                 assert connection._transport is not None
                 ours = connection._transport.get_extra_info("socket")
                 ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
                 deaf.sendall(HEAD)
-                await until(lambda: connection._unsent.count > 0 and connection.is_idle())
+                await until(lambda: connection._unsent.size_bytes > 0 and connection.is_idle())
                 assert status(await rig.ask()) == 200
 
     run(scenario())
--- a/tests/test_endings_callers.py
+++ b/tests/test_endings_callers.py
@@ -58,9 +58,9 @@
             caller.send("/pay/x", b"x" * 70_000)
             await dials.begun.wait()
             (connection,) = rig.driver.callers._connections
-            await until(lambda: connection._paused)
+            await until(lambda: connection._is_reading_paused)
             caller.writer.close()
-            await until(lambda: rig.driver.callers.count() == 0)
+            await until(lambda: rig.driver.callers.connection_count() == 0)
             assert not left_behind(rig.driver)
             dials.let_up()
             assert status(await rig.ask()) == 200
@@ -74,7 +74,7 @@
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each was sent on as the one before it was answered, to a caller that had gone long ago."""
-    monkeypatch.setattr(downstream, "LOOK_S", 0.005)
+    monkeypatch.setattr(downstream, "DISCONNECT_POLL_INTERVAL_S", 0.005)
 
     async def scenario() -> None:
         upstream = Upstream(silent)
@@ -82,11 +82,11 @@
             caller = await rig.caller()
             caller.writer.write(HEAD * 40)
             (connection,) = rig.driver.callers._connections
-            await until(lambda: connection._paused)
+            await until(lambda: connection._is_reading_paused)
             await upstream.seen.wait()
             await at_least(0.02)  # some looks that see a caller that is there
             caller.writer.close()
-            await until(lambda: rig.driver.callers.count() == 0)
+            await until(lambda: rig.driver.callers.connection_count() == 0)
             upstream.writers[0].write(response())
             await until(lambda: not left_behind(rig.driver))
             assert len(upstream.asked) == 1
@@ -100,7 +100,7 @@
     async def scenario() -> None:
         upstream = Upstream()
         async with Rig(upstream) as rig:
-            rig.driver.callers.cap = 1
+            rig.driver.callers.max_connections = 1
             first, late = await rig.caller(), await rig.caller()
             first.send()
             assert (
@@ -133,11 +133,11 @@
                 deaf.sendall(HEAD * 2)
                 await upstream.seen.wait()
                 (connection,) = rig.driver.callers._connections
-                await until(lambda: connection._passing and connection._unsent.count > 0)
+                await until(lambda: connection._is_streaming and connection._unsent.size_bytes > 0)
                 deaf.shutdown(socket.SHUT_WR)
                 await until(lambda: not rig.driver._requests)
                 assert len(upstream.asked) == 1
-            await until(lambda: rig.driver.callers.count() == 0)
+            await until(lambda: rig.driver.callers.connection_count() == 0)
             assert not left_behind(rig.driver)
 
     run(scenario())
@@ -158,7 +158,7 @@
             for caller in everyone[25:]:
                 assert status(await caller.answer()) >= 400
                 caller.writer.close()
-            await until(lambda: rig.driver.callers.count() == 0)
+            await until(lambda: rig.driver.callers.connection_count() == 0)
             assert not left_behind(rig.driver)
 
     run(scenario())
@@ -191,7 +191,7 @@
             await until(lambda: len(rig.driver.balancer._queue) == 100)
             for caller in everyone:
                 caller.writer.close()
-            await until(lambda: rig.driver.callers.count() == 0)
+            await until(lambda: rig.driver.callers.connection_count() == 0)
             await until(lambda: not left_behind(rig.driver))
             assert len(upstream.asked) <= 100
             seen = len(upstream.asked)
@@ -212,7 +212,7 @@
     async def scenario() -> None:
         dials, upstream = Dials(monkeypatch), Upstream()
         async with Rig(upstream, classes=[PATIENT], limits=LIMITS | {"mayCancel": cancel}) as rig:
-            rig.driver.callers.cap = rig.driver.upstreams.cap = 1_100
+            rig.driver.callers.max_connections = rig.driver.upstreams.max_connections = 1_100
             rig.driver._listed(
                 UpdateKind.FULL_SNAPSHOT, told_list(rig.entries[0] | {"weight": 1_000.0}, whole=True)
             )
@@ -222,7 +222,7 @@
             await until(lambda: dials.count == 1_000)
             for caller in everyone:
                 caller.writer.close()
-            await until(lambda: rig.driver.callers.count() == 0)
+            await until(lambda: rig.driver.callers.connection_count() == 0)
             assert not left_behind(rig.driver)
             dials.let_up()
             assert status(await rig.ask()) == 200
@@ -240,11 +240,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It lay in the kernel, unread, when its connection was ended as one that asks for nothing."""
-    monkeypatch.setattr(downstream, "REQUEST_S", 0.0)
+    monkeypatch.setattr(downstream, "REQUEST_TIMEOUT_S", 0.0)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            look, crossed = downstream.DownstreamConnection._look_for_more, list[int]()
+            look, crossed = downstream.DownstreamConnection._on_request_timeout, list[int]()
             caller = Caller()
 
             def crossing(connection: downstream.DownstreamConnection) -> None:
@@ -254,7 +254,7 @@
                 look(connection)
 
             caller.writer = None  # type: ignore[assignment]
-            monkeypatch.setattr(downstream.DownstreamConnection, "_look_for_more", crossing)
+            monkeypatch.setattr(downstream.DownstreamConnection, "_on_request_timeout", crossing)
             pending = socket.create_connection(rig.driver.callers.address)
             caller.reader, caller.writer = await asyncio.open_connection(sock=pending)
             answer = await caller.answer()
@@ -290,7 +290,7 @@
             assert (status(answer), answer.body) == ((502, b"") if first == "deadline" else (200, b"first"))
             assert (await caller.answer()).body == b"second"
             caller.writer.close()
-            await until(lambda: rig.driver.callers.count() == 0)
+            await until(lambda: rig.driver.callers.connection_count() == 0)
             assert not left_behind(driver)
 
     run(scenario())
@@ -310,7 +310,7 @@
             else:
                 upstream.writers[0].write(response())
                 caller.writer.transport.abort()
-            await until(lambda: rig.driver.callers.count() == 0)
+            await until(lambda: rig.driver.callers.connection_count() == 0)
             await until(lambda: not left_behind(rig.driver))
 
     run(scenario())
@@ -338,7 +338,7 @@
 
 def end_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """The time to stay is over as soon as it begins."""
-    for name in ("TERM_ACCEPT_S", "TERM_LONGEST_S", "TERM_LAST_S"):
+    for name in ("SHUTDOWN_ACCEPT_S", "MAX_SHUTDOWN_S", "SHUTDOWN_FINAL_S"):
         monkeypatch.setattr(downstream, name, 0.0)
 
 
@@ -352,7 +352,7 @@
             caller = await rig.caller()
             caller.writer.write(HEAD * 3)
             await upstream.seen.wait()
-            await rig.driver.callers.end()
+            await rig.driver.callers.shut_down()
             assert [status(await caller.answer()) for _ in range(3)] == [502, 503, 503]
             assert await caller.reader.read() == b""
             assert len(upstream.asked) == 1
@@ -373,8 +373,8 @@
             caller = await rig.caller()
             caller.send()
             (connection,) = rig.driver.callers._connections
-            await until(lambda: connection._passing)
-            ending = asyncio.ensure_future(rig.driver.callers.end())
+            await until(lambda: connection._is_streaming)
+            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
             await until(lambda: rig.driver._closed)
             await at_least(0.05)
             assert not ending.done()
@@ -389,7 +389,7 @@
 
 def test_an_answer_that_is_cut_off_by_the_end_is_not_taken_for_whole(monkeypatch: pytest.MonkeyPatch) -> None:
     end_at_once(monkeypatch)
-    monkeypatch.setattr(downstream, "TERM_UNREAD_S", 0.0)
+    monkeypatch.setattr(downstream, "SHUTDOWN_UNREAD_S", 0.0)
 
     async def scenario() -> None:
         async def part(asked: Asked, writer: asyncio.StreamWriter) -> None:
@@ -399,7 +399,7 @@
             caller = await rig.caller()
             caller.writer.write(HEAD.replace(b"HTTP/1.1", b"HTTP/1.0"))
             assert b"part" in await caller.reader.readuntil(b"part")
-            await rig.driver.callers.end()
+            await rig.driver.callers.shut_down()
             with pytest.raises(ConnectionResetError):
                 await caller.reader.read()
 
@@ -413,11 +413,11 @@
 ) -> None:
     """A close over unread bytes resets the connection, and takes the answer before them with it."""
     end_at_once(monkeypatch)
-    monkeypatch.setattr(downstream, "TERM_LAST_S", 5.0)
+    monkeypatch.setattr(downstream, "SHUTDOWN_FINAL_S", 5.0)
     if at == "while there is time":
-        monkeypatch.setattr(downstream, "TERM_LONGEST_S", 5.0)
-        monkeypatch.setattr(downstream, "TERM_STAY_PART", 0.0)
-    monkeypatch.setattr(downstream, "FRESH_S", 0.0)
+        monkeypatch.setattr(downstream, "MAX_SHUTDOWN_S", 5.0)
+        monkeypatch.setattr(downstream, "SHUTDOWN_KEEP_ALIVE_FRACTION", 0.0)
+    monkeypatch.setattr(downstream, "NEW_CONNECTION_GRACE_S", 0.0)
 
     async def scenario() -> None:
         upstream = Upstream()
@@ -434,7 +434,7 @@
 
             monkeypatch.setattr(connection, "half_close", crossing)
             await until(lambda: not rig.driver._requests)
-            ending = asyncio.ensure_future(rig.driver.callers.end())
+            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
             answer = await caller.answer()
             assert status(answer) == 200 and answer.body == b"tile"
             assert await caller.reader.read() == b""
@@ -450,7 +450,7 @@
 ) -> None:
     """It lay in the kernel when its connection was ended, and had no answer."""
     end_at_once(monkeypatch)
-    monkeypatch.setattr(downstream, "TERM_LAST_S", 5.0)
+    monkeypatch.setattr(downstream, "SHUTDOWN_FINAL_S", 5.0)
 
     async def scenario() -> None:
         upstream = Upstream()
@@ -458,14 +458,14 @@
             caller = await rig.caller()
             caller.send()
             assert status(await caller.answer()) == 200
-            close = rig.driver.close
+            close = rig.driver.on_shutdown_deadline
 
             def crossing() -> None:
                 at_once(caller, HEAD)
                 close()
 
-            monkeypatch.setattr(rig.driver, "close", crossing)
-            ending = asyncio.ensure_future(rig.driver.callers.end())
+            monkeypatch.setattr(rig.driver, "on_shutdown_deadline", crossing)
+            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
             assert status(await caller.answer()) == 503
             assert await caller.reader.read() == b""
             caller.writer.close()
@@ -479,19 +479,19 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """All places were taken: it was reset with the listener, though the machine had accepted it."""
-    monkeypatch.setattr(downstream, "TERM_ACCEPT_S", 0.0)
+    monkeypatch.setattr(downstream, "SHUTDOWN_ACCEPT_S", 0.0)
 
     async def scenario() -> None:
         upstream = Upstream(silent, response())
         async with Rig(upstream) as rig:
-            rig.driver.callers.cap = 1
+            rig.driver.callers.max_connections = 1
             first, late = await rig.caller(), await rig.caller()
             first.send()
             await upstream.seen.wait()
             late.send()
             await late.writer.drain()
-            ending = asyncio.ensure_future(rig.driver.callers.end())
-            await until(lambda: rig.driver.callers.ending)
+            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
+            await until(lambda: rig.driver.callers.is_shutting_down)
             await at_least(0.05)
             upstream.writers[0].write(response())
             assert status(await first.answer()) == 200
@@ -507,7 +507,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     end_at_once(monkeypatch)
-    monkeypatch.setattr(downstream, "TERM_LAST_S", 5.0)
+    monkeypatch.setattr(downstream, "SHUTDOWN_FINAL_S", 5.0)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
@@ -515,12 +515,12 @@
             whole = HEAD.replace(b"GET /read", b"POST /pay").replace(b": read", b": pay")
             caller.writer.write(whole[:-2] + b"Content-Length: 400000\r\n\r\n" + b"x" * 100_000)
             await until(lambda: bool(rig.driver._requests))
-            ending = asyncio.ensure_future(rig.driver.callers.end())
+            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
             await until(lambda: rig.driver._closed)
             (connection,) = rig.driver.callers._connections
             at_once(caller, b"x" * 1_000)  # more of it is there each time we look
-            connection.end_at_last()
-            assert connection._half_closed
+            connection.close_at_shutdown()
+            assert connection._is_half_closed
             caller.writer.write(b"x" * 299_000)
             assert status(await caller.answer()) >= 500
             assert await caller.reader.read() == b""
--- a/tests/test_endings_upstreams.py
+++ b/tests/test_endings_upstreams.py
@@ -44,23 +44,28 @@
 Ending = Callable[[UpstreamPools, str, Try], Any]
 ENDINGS: dict[str, tuple[Ending, Outcome]] = {
     "cancelled": (lambda upstreams, address, attempt: attempt.attempt.cancel(), Outcome.CANCELLED),
-    "withdrawn": (lambda upstreams, address, attempt: attempt.attempt.withdraw(), Outcome.NOT_SENT),
-    "timed out": (lambda upstreams, address, attempt: attempt.attempt._timed_out(), Outcome.CONNECT_FAILED),
+    "withdrawn": (
+        lambda upstreams, address, attempt: attempt.attempt.cancel_if_unwritten(),
+        Outcome.NOT_SENT,
+    ),
+    "timed out": (lambda upstreams, address, attempt: attempt.attempt._on_timeout(), Outcome.CONNECT_FAILED),
     "drained": (
-        lambda upstreams, address, attempt: upstreams.listed(
+        lambda upstreams, address, attempt: upstreams.update_endpoints(
             told_list(entry("s0", address, status="terminating"))
         ),
         Outcome.CONNECT_FAILED,
     ),
     "removed": (
-        lambda upstreams, address, attempt: upstreams.listed(told_list(whole=True)),
+        lambda upstreams, address, attempt: upstreams.update_endpoints(told_list(whole=True)),
         Outcome.CONNECT_FAILED,
     ),
     "restarted": (
-        lambda upstreams, address, attempt: upstreams.listed(told_list(entry("s0", address, since_ms=9))),
+        lambda upstreams, address, attempt: upstreams.update_endpoints(
+            told_list(entry("s0", address, since_ms=9))
+        ),
         Outcome.CONNECT_FAILED,
     ),
-    "held": (lambda upstreams, address, attempt: upstreams.hold("s0"), Outcome.CONNECT_FAILED),
+    "held": (lambda upstreams, address, attempt: upstreams.cordon("s0"), Outcome.CONNECT_FAILED),
 }
 
 
@@ -78,7 +83,7 @@
         grace_ms = 0.0 if ending == "drained" else 60_000.0
         upstreams = make(address, connectTimeout=60_000.0, contract={"drainGrace": grace_ms})
         attempt = Try(upstreams)
-        assert upstreams.open == 1, "it counts from the dial on"
+        assert upstreams.open_connections == 1, "it counts from the dial on"
         await dials.begun.wait()
         if order == "before it is up":
             end(upstreams, address, attempt)
@@ -90,7 +95,7 @@
         if upstream.connections:
             await upstream.ended.wait()
         assert not upstream.asked
-        assert upstreams.open == 0
+        assert upstreams.open_connections == 0
 
     run(scenario())
 
@@ -101,9 +106,9 @@
     async def scenario() -> None:
         dials = Dials(monkeypatch)
         upstreams = make(await Upstream().start())
-        upstreams.cap = 3
+        upstreams.max_connections = 3
         tries = [Try(upstreams) for _ in range(10)]
-        assert upstreams.open == 3
+        assert upstreams.open_connections == 3
         await until(lambda: sum(t.over.is_set() for t in tries) == 7)
         assert dials.count == 3
         dials.let_up()
@@ -120,10 +125,10 @@
         dials, upstream = Dials(monkeypatch), Upstream()
         upstreams = make(await upstream.start(), connectTimeout=1.0)
         attempt = Try(upstreams)
-        dials.then = lambda: attempt.attempt._timed_out()
+        dials.then = lambda: attempt.attempt._on_timeout()
         dials.let_up()
         assert await attempt.outcome() is Outcome.CONNECT_FAILED
-        await until(lambda: upstreams.open == 0)
+        await until(lambda: upstreams.open_connections == 0)
         assert not upstream.asked
 
     run(scenario())
@@ -147,7 +152,7 @@
                 caller.send(path, b"debit")
                 await dials.begun.wait()
                 caller.writer.close()
-            await until(lambda: rig.driver.callers.count() == 0)
+            await until(lambda: rig.driver.callers.connection_count() == 0)
             assert not left_behind(rig.driver)
             dials.let_up()
             assert status(await rig.ask()) == 200
@@ -269,7 +274,7 @@
         attempt = Try(upstreams, b"x" * 50_000_000, timeout_s=60.0, within_s=0.05)
         await begun.wait()
         assert await attempt.outcome() is Outcome.CONNECT_FAILED, "it can't have run"
-        assert upstreams.open == 0
+        assert upstreams.open_connections == 0
         ended.set()
 
     run(scenario())
@@ -305,14 +310,14 @@
         upstreams = make(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
         attempt = Try(upstreams, b"x" * 50_000_000)
         assert await attempt.outcome() is Outcome.CONNECT_FAILED
-        assert upstreams.open == 0
+        assert upstreams.open_connections == 0
 
     run(scenario())
 
 
 def test_a_second_answer_that_comes_late_meets_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """It came when its connection had just been taken again, and was passed on as the next one's answer."""
-    monkeypatch.setattr(upstreams_module, "REST_S", 3_600.0)  # however slow the machine is
+    monkeypatch.setattr(upstreams_module, "REUSE_DELAY_S", 3_600.0)  # however slow the machine is
 
     async def scenario() -> None:
         async def late(asked: Asked, writer: asyncio.StreamWriter) -> None:
@@ -327,7 +332,7 @@
             for _ in range(5):
                 assert (await rig.ask()).body == b"mine"
             assert upstream.connections == 5, "none is taken again before it has rested"
-            await until(lambda: rig.driver.upstreams.open == 1)
+            await until(lambda: rig.driver.upstreams.open_connections == 1)
 
     run(scenario())
 
@@ -341,12 +346,12 @@
         for _ in range(3):
             await Try(upstreams).outcome()
         pool = upstreams._pools["s0"]
-        assert len(pool.idle) == upstream.connections == 3
-        pool.idle[0].idle_since -= 1.0
-        pool.idle[1].idle_since -= 0.5
-        rested = pool.idle[1]
-        assert pool.take() is rested
-        assert len(pool.idle) == 2
+        assert len(pool.idle_connections) == upstream.connections == 3
+        pool.idle_connections[0].idle_since_s -= 1.0
+        pool.idle_connections[1].idle_since_s -= 0.5
+        rested = pool.idle_connections[1]
+        assert pool.take_idle() is rested
+        assert len(pool.idle_connections) == 2
         rested.close()
 
     run(scenario())
@@ -446,7 +451,7 @@
 
 
 def test_an_answer_that_grows_past_all_bounds_is_broken_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstreams_module, "BODY_MAX", 200_000)
+    monkeypatch.setattr(upstreams_module, "MAX_BODY_BYTES", 200_000)
 
     async def scenario() -> None:
         async def endless(asked: Asked, writer: asyncio.StreamWriter) -> None:
@@ -495,8 +500,8 @@
         upstream = Upstream()
         upstreams = make(await upstream.start())
         assert await Try(upstreams).outcome() is Outcome.SERVED
-        (connection,) = upstreams._pools["s0"].idle
-        connection.idle_since -= 1.0  # rested
+        (connection,) = upstreams._pools["s0"].idle_connections
+        connection.idle_since_s -= 1.0  # rested
         writer = upstream.writers[0]
         if what:
             os.write(writer.get_extra_info("socket").fileno(), what)
@@ -504,10 +509,10 @@
             shut = writer.get_extra_info("socket")
             socket.socket(fileno=os.dup(shut.fileno())).shutdown(socket.SHUT_WR)
         if read == "before its reuse":
-            await until(lambda: upstreams.open == 0)
+            await until(lambda: upstreams.open_connections == 0)
         assert await Try(upstreams).outcome() is Outcome.SERVED
         assert upstream.connections == 2
-        assert upstreams.open == 1
+        assert upstreams.open_connections == 1
 
     run(scenario())
 
@@ -518,12 +523,12 @@
         upstream = Upstream()
         upstreams = make(await upstream.start(), connIdle=1_000.0)
         assert await Try(upstreams).outcome() is Outcome.SERVED
-        upstreams._pools["s0"].idle[0].idle_since -= 10.0
-        ends: list[Callable[[], object]] = [upstreams.close_old, upstream.writers[0].transport.abort]
+        upstreams._pools["s0"].idle_connections[0].idle_since_s -= 10.0
+        ends: list[Callable[[], object]] = [upstreams.close_expired, upstream.writers[0].transport.abort]
         for end in ends if first == "we" else reversed(ends):
             end()
         assert await Try(upstreams).outcome() is Outcome.SERVED
-        await until(lambda: upstreams.open == 1)
+        await until(lambda: upstreams.open_connections == 1)
         assert upstream.connections == 2
 
     run(scenario())
@@ -533,9 +538,9 @@
     async def scenario() -> None:
         upstream = Upstream()
         upstreams = make(await upstream.start())
-        assert upstreams.attempt("s0", 1.0, Quiet()) is not None
-        await until(lambda: bool(upstreams._pools["s0"].idle))
-        upstreams.listed(told_list(whole=True))
-        assert upstreams.open == 0
+        assert upstreams.start_attempt("s0", 1.0, Quiet()) is not None
+        await until(lambda: bool(upstreams._pools["s0"].idle_connections))
+        upstreams.update_endpoints(told_list(whole=True))
+        assert upstreams.open_connections == 0
 
     run(scenario())
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -36,7 +36,7 @@
 from tests.test_upstreams import told_list
 
 ALLOWED_S = 0.1  # after the close, for what is on its way
-LOOKS_EVERY_S = downstream.LOOK_S
+LOOKS_EVERY_S = downstream.DISCONNECT_POLL_INTERVAL_S
 LIMITS = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 5_000.0, "mayDuplicate": True}
 HEAD = b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 4000m\r\n\r\n"
 may_cancel = pytest.mark.parametrize("cancel", [True, False])
@@ -68,19 +68,19 @@
     known = set(rig.driver.callers._connections)
     caller = await rig.caller()
     caller.writer.write(HEAD * 40)
-    await until(lambda: any(c._paused for c in rig.driver.callers._connections - known))
+    await until(lambda: any(c._is_reading_paused for c in rig.driver.callers._connections - known))
     (connection,) = rig.driver.callers._connections - known
     return Unseen(caller, connection)
 
 
 @pytest.fixture(autouse=True)
 def _nobody_looks(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(downstream, "LOOK_S", 3_600.0)
+    monkeypatch.setattr(downstream, "DISCONNECT_POLL_INTERVAL_S", 3_600.0)
 
 
 async def all_let_go(rig: Rig) -> None:
     """Wait until nothing is kept for who has gone."""
-    await until(lambda: rig.driver.callers.count() == 0)
+    await until(lambda: rig.driver.callers.connection_count() == 0)
     await until(lambda: not left_behind(rig.driver))
 
 
@@ -222,10 +222,10 @@
         upstream = Upstream()
         async with Rig(upstream) as rig:
             assert status(await rig.ask()) == 200  # its connection idles: no dial delays the next
-            await until(lambda: rig.driver.callers.count() == 0)
+            await until(lambda: rig.driver.callers.connection_count() == 0)
             await at_least(0.01)
             with socket.create_connection(rig.driver.callers.address) as caller:
-                await until(lambda: rig.driver.callers.count() == 1)
+                await until(lambda: rig.driver.callers.connection_count() == 1)
                 caller.sendall(HEAD)
             time.sleep(0.3)
             await all_let_go(rig)
@@ -265,7 +265,7 @@
             caller.send("/pay/x", b"x" * size, deadline="60000m")
             await begun.wait()
             (connection,) = rig.driver.callers._connections
-            await until(lambda: connection._paused)
+            await until(lambda: connection._is_reading_paused)
             caller.writer.close()  # the kernel sends on what we still hold for it
             await at_least(ALLOWED_S)
             go_on.set()
@@ -327,11 +327,13 @@
             caller.send("/pay/x", b"debit")
             await upstream.seen.wait()
             caller.writer.close()
-            await until(lambda: rig.driver.callers.count() == 0)
+            await until(lambda: rig.driver.callers.connection_count() == 0)
             assert not upstream.ended.is_set()
             upstream.writers[0].write(response())
             await all_let_go(rig)
             (pool,) = rig.driver.upstreams._pools.values()
-            assert len(pool.idle) == 1 and isinstance(pool.idle[0], UpstreamConnection)
+            assert len(pool.idle_connections) == 1 and isinstance(
+                pool.idle_connections[0], UpstreamConnection
+            )
 
     run(scenario())
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -146,7 +146,7 @@
             upstreams = make(address, connectTimeout=60_000.0)
             attempt = Try(upstreams, timeout_s=60.0, connect_s=0.02)
             assert await attempt.outcome() is Outcome.CONNECT_FAILED
-            assert attempt.attempt.connect_s is None and upstreams.open == 0
+            assert attempt.attempt.connect_duration_s is None and upstreams.open_connections == 0
 
     run(scenario())
 
@@ -156,11 +156,11 @@
         upstreams = make(await Upstream().start())
         first = Try(upstreams)
         assert await first.outcome() is Outcome.SERVED
-        assert first.attempt.connect_s is not None and 0.0 <= first.attempt.connect_s < 10.0
-        upstreams._pools["s0"].idle[0].idle_since -= 1.0  # it has rested
+        assert first.attempt.connect_duration_s is not None and 0.0 <= first.attempt.connect_duration_s < 10.0
+        upstreams._pools["s0"].idle_connections[0].idle_since_s -= 1.0  # it has rested
         second = Try(upstreams, connect_s=0.0)
         assert await second.outcome() is Outcome.SERVED, "nothing is opened: nothing can be late"
-        assert second.attempt.connect_s is None
+        assert second.attempt.connect_duration_s is None
 
     run(scenario())
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -251,7 +251,7 @@
     raw: bytes, wanted: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each held its place for ever, and callers with requests waited in the queue for one."""
-    monkeypatch.setattr(downstream, "REQUEST_S", 0.01)
+    monkeypatch.setattr(downstream, "REQUEST_TIMEOUT_S", 0.01)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
@@ -300,7 +300,7 @@
 
 
 def test_connections_are_used_again_but_never_a_dead_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "REST_S", 0.0)  # else the next request is too soon for it
+    monkeypatch.setattr(upstream, "REUSE_DELAY_S", 0.0)  # else the next request is too soon for it
 
     async def scenario() -> None:
         upstream = Upstream()
@@ -325,7 +325,10 @@
             caller.send()
             await caller.answer()
             (taken,) = rig.driver.callers._connections
-            for transport in (rig.driver.upstreams._pools["s0"].idle[0]._transport, taken._transport):
+            for transport in (
+                rig.driver.upstreams._pools["s0"].idle_connections[0]._transport,
+                taken._transport,
+            ):
                 assert transport is not None
                 sock = transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -371,8 +374,8 @@
 
 def test_the_end_answers_what_was_taken_and_takes_what_still_comes(monkeypatch: pytest.MonkeyPatch) -> None:
     """Callers were sent away at once, and found the other balancer restarting as well."""
-    monkeypatch.setattr(downstream, "TERM_STAY_PART", 0.0)
-    monkeypatch.setattr(downstream, "TERM_ACCEPT_S", 1.0)
+    monkeypatch.setattr(downstream, "SHUTDOWN_KEEP_ALIVE_FRACTION", 0.0)
+    monkeypatch.setattr(downstream, "SHUTDOWN_ACCEPT_S", 1.0)
 
     async def scenario() -> None:
         upstream = Upstream(response(), silent, response())
@@ -383,7 +386,7 @@
             upstream.seen.clear()
             busy.send("/pay/x", b"debit")
             await upstream.seen.wait()
-            ending = asyncio.ensure_future(rig.driver.callers.end())
+            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
             await asyncio.sleep(0)
             late = await rig.ask()
             assert status(late) == 200 and "connection" not in late.headers
@@ -435,7 +438,7 @@
     """It was taken with its last byte, though nobody had accepted its connection yet."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.downstream.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.downstream.SHUTDOWN_ACCEPT_S", 0.0)
         async with Rig(Upstream()) as rig:
             listener = rig.driver.callers
             clients: list[socket.socket] = []
@@ -449,7 +452,7 @@
                 return accept()
 
             monkeypatch.setattr(listener, "_accept", at_the_last_moment)
-            ending = asyncio.ensure_future(listener.end())
+            ending = asyncio.ensure_future(listener.shut_down())
             while not clients:
                 await asyncio.sleep(0)
             clients[0].setblocking(False)
@@ -465,15 +468,15 @@
     """What is still open when the time is up gets its answer, before the platform kills us."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.downstream.TERM_ACCEPT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.net.downstream.TERM_LONGEST_S", 0.2)
+        monkeypatch.setattr("loadbalancer.net.downstream.SHUTDOWN_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.downstream.MAX_SHUTDOWN_S", 0.2)
         upstream = Upstream(silent)
         async with Rig(upstream) as rig:
             caller = await rig.caller()
             caller.send("/pay/x", b"debit")
             await upstream.seen.wait()
             told = listen_to(rig)
-            ending = asyncio.ensure_future(rig.driver.callers.end())
+            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
             assert status(await caller.answer()) == 502
             await ending
             assert outcomes(told) == [Outcome.CANCELLED]  # its own time-out had not come
@@ -486,7 +489,7 @@
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            rig.driver.callers.cap = 2
+            rig.driver.callers.max_connections = 2
             first, second = await rig.caller(), await rig.caller()
             for caller in (first, second):
                 caller.send()
@@ -549,7 +552,7 @@
     """It lay in the kernel, unread, when the connection was ended as an idle one."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.downstream.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.downstream.SHUTDOWN_ACCEPT_S", 0.0)
         async with Rig(Upstream()) as rig:
             caller = await rig.caller()
             caller.send()
@@ -564,7 +567,7 @@
                 return is_idle()
 
             monkeypatch.setattr(connection, "is_idle", crossing)
-            ending = asyncio.ensure_future(rig.driver.callers.end())
+            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
             answer = await caller.answer()
             assert status(answer) == 200 and answer.headers["connection"] == "close"
             caller.writer.close()
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -38,7 +38,7 @@
 
     async def _look(self) -> None:
         while True:
-            self.most = max(self.most, self._buffers.held)
+            self.most = max(self.most, self._buffers.used_bytes)
             await asyncio.sleep(0)
 
 
@@ -63,12 +63,12 @@
             watch = Watch(rig)
             caller = await rig.caller()
             caller.send()
-            while not rig.driver.buffers.held:  # until it waits for us to read
+            while not rig.driver.buffers.used_bytes:  # until it waits for us to read
                 await asyncio.sleep(0)
             answer = await caller.answer()
             assert (status(answer), answer.body == data) == (200, True)
-            assert 0 < watch.most <= rig.driver.buffers.bound
-            assert rig.driver.buffers.held == 0
+            assert 0 < watch.most <= rig.driver.buffers.max_bytes
+            assert rig.driver.buffers.used_bytes == 0
 
     run(scenario())
 
@@ -92,7 +92,7 @@
             (asked,) = upstream.asked
             assert asked.body == data
             assert asked.headers["x-class"] == "pay"  # a trailer is no header
-            assert watch.most <= rig.driver.buffers.bound + http_framing.PIECE_MAX
+            assert watch.most <= rig.driver.buffers.max_bytes + http_framing.MAX_READ_BYTES
             caller.send()  # the connection goes on
             assert status(await caller.answer()) == 200
 
@@ -109,7 +109,7 @@
             crowd = [await rig.caller() for _ in range(60)]
             for caller in crowd:
                 caller.writer.write(head(more="Content-Length: 60000\r\n") + data[:59_000])
-            while rig.driver.buffers.held < rig.driver.buffers.bound:
+            while rig.driver.buffers.used_bytes < rig.driver.buffers.max_bytes:
                 await asyncio.sleep(0)
             for caller in crowd:
                 caller.writer.write(data[59_000:])
@@ -118,9 +118,11 @@
             assert all(asked.body == data for asked in upstream.asked)
             assert (
                 watch.most
-                <= rig.driver.buffers.bound + len(crowd) * http_framing.PIECE_MIN + http_framing.PIECE_MAX
+                <= rig.driver.buffers.max_bytes
+                + len(crowd) * http_framing.MIN_READ_BYTES
+                + http_framing.MAX_READ_BYTES
             )
-            assert rig.driver.buffers.held == 0
+            assert rig.driver.buffers.used_bytes == 0
 
     run(scenario())
 
@@ -233,7 +235,7 @@
             caller.writer.transport.abort()
             await upstream.ended.wait()
             assert rig.driver.figures()["outstanding"] == 0
-            assert rig.driver.buffers.held == 0
+            assert rig.driver.buffers.used_bytes == 0
 
     run(scenario())
 
@@ -242,7 +244,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What waited in our buffer for half a second after the last byte had come was cut off."""
-    monkeypatch.setattr(downstream, "LINGER_S", 0.01)
+    monkeypatch.setattr(downstream, "LINGERING_CLOSE_S", 0.01)
     data = LONG * 2
 
     async def scenario() -> None:
@@ -262,7 +264,9 @@
             caller.send(connection="close")
             await caller.reader.readuntil(b"\r\n\r\n")
             got = b""
-            while not connection._deaf:  # until the last piece waits in our buffer, and the end behind it
+            while (
+                not connection._ignores_input
+            ):  # until the last piece waits in our buffer, and the end behind it
                 got += await caller.reader.read(2_000)
             await asyncio.sleep(0.2)
             assert got + await caller.reader.read() == data
@@ -287,7 +291,7 @@
             await asyncio.sleep(0.5)  # past its deadline
             gate.set()
             assert first + await caller.reader.readexactly(len(LONG) - 100_000) == LONG
-            monkeypatch.setattr(upstream, "STALL_S", 0.05)
+            monkeypatch.setattr(upstream, "STALL_TIMEOUT_S", 0.05)
             gate.clear()
             stalled = await rig.caller()
             stalled.send()
@@ -476,8 +480,8 @@
 def test_a_body_may_take_as_long_as_its_part_that_has_come_buys(
     pace: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(downstream, "REQUEST_S", 0.05)
-    monkeypatch.setattr(downstream, "PACE", pace)
+    monkeypatch.setattr(downstream, "REQUEST_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(downstream, "MIN_BODY_BYTES_PER_S", pace)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -30,14 +30,14 @@
     upstreams = UpstreamPools(
         read_config(text, lambda note: None), asyncio.get_running_loop(), BufferBudget(1_000_000)
     )
-    upstreams.listed(told_list(entry("s0", address)))
+    upstreams.update_endpoints(told_list(entry("s0", address)))
     return upstreams
 
 
 class Quiet(AttemptHandler):
     """An exchange whose end nobody waits for."""
 
-    def compose(self) -> bytes:
+    def build_request(self) -> bytes:
         return REQUEST
 
 
@@ -55,14 +55,14 @@
         self.ends: list[Outcome] = []
         self.over = asyncio.Event()
         self._request = request
-        attempt = upstreams.attempt("s0", timeout_s, self, within_s, connect_s)
+        attempt = upstreams.start_attempt("s0", timeout_s, self, within_s, connect_s)
         assert attempt is not None
         self.attempt: Attempt = attempt
 
-    def compose(self) -> bytes:
+    def build_request(self) -> bytes:
         return self._request
 
-    def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
+    def on_attempt_ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
         self.ends.append(outcome)
         self.over.set()
 
@@ -90,7 +90,7 @@
         async with full_backlog() as address:
             upstreams = make(address)
             assert await Try(upstreams).outcome() is Outcome.CONNECT_FAILED
-            assert upstreams.open == 0
+            assert upstreams.open_connections == 0
 
     run(scenario())
 
@@ -135,7 +135,7 @@
         attempt.attempt.cancel()
         await upstream.ended.wait()
         assert attempt.ends == [Outcome.CANCELLED]
-        assert upstreams.open == 0
+        assert upstreams.open_connections == 0
 
     run(scenario())
 
@@ -147,9 +147,9 @@
         upstreams = make(address)
         attempt = Try(upstreams)  # begins to connect
         pool = upstreams._pools["s0"]
-        upstreams.listed(told_list(entry("s0", address, status="terminating")))
-        assert pool.drains_since is not None
-        pool.drains_since -= 0.5  # the grace has passed while it connected
+        upstreams.update_endpoints(told_list(entry("s0", address, status="terminating")))
+        assert pool.draining_since_s is not None
+        pool.draining_since_s -= 0.5  # the grace has passed while it connected
         assert await attempt.outcome() is Outcome.CONNECT_FAILED
         assert not upstream.asked
 
@@ -164,26 +164,26 @@
 
         async def serve() -> None:
             assert await Try(upstreams).outcome() is Outcome.SERVED
-            assert upstreams.open == 1
+            assert upstreams.open_connections == 1
 
         await serve()
         upstreams.close_idle("s0")
-        assert upstreams.open == 0
+        assert upstreams.open_connections == 0
         await serve()
-        upstreams._pools["s0"].idle[0].idle_since -= 0.9 * 60  # not yet the upstream's limit
+        upstreams._pools["s0"].idle_connections[0].idle_since_s -= 0.9 * 60  # not yet the upstream's limit
         await serve()
         assert upstream.connections == 3
-        upstreams._pools["s0"].idle[0].idle_since -= 0.9 * 60
-        upstreams.close_old()
-        assert upstreams.open == 0
+        upstreams._pools["s0"].idle_connections[0].idle_since_s -= 0.9 * 60
+        upstreams.close_expired()
+        assert upstreams.open_connections == 0
         await serve()
-        upstreams.listed(told_list(entry("s0", await moved.start())))
-        assert upstreams.open == 0
+        upstreams.update_endpoints(told_list(entry("s0", await moved.start())))
+        assert upstreams.open_connections == 0
         await serve()
         assert len(moved.asked) == 1
-        upstreams.listed(told_list(whole=True))
-        assert upstreams.open == 0
-        assert upstreams.attempt("s0", 1.0, Quiet()) is None
+        upstreams.update_endpoints(told_list(whole=True))
+        assert upstreams.open_connections == 0
+        assert upstreams.start_attempt("s0", 1.0, Quiet()) is None
 
     run(scenario())
 
@@ -205,13 +205,13 @@
     async def scenario() -> None:
         upstream, other = Upstream(response(), silent), Upstream(silent)
         upstreams = make(await upstream.start())
-        upstreams.listed(told_list(entry("s1", await other.start())))
-        upstreams.cap = 1
+        upstreams.update_endpoints(told_list(entry("s1", await other.start())))
+        upstreams.max_connections = 1
         assert await Try(upstreams).outcome() is Outcome.SERVED
-        attempt = upstreams.attempt("s1", 5.0, Quiet())
+        attempt = upstreams.start_attempt("s1", 5.0, Quiet())
         assert attempt is not None
         await other.seen.wait()
-        assert upstreams.open == 1
+        assert upstreams.open_connections == 1
         assert await Try(upstreams).outcome() is Outcome.CONNECT_FAILED
         attempt.cancel()
 
