--- a/benchmarks/capacity_added.py
+++ b/benchmarks/capacity_added.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from benchmarks.capacity_balancer import HOST, SINCE_MS, Instances, balancer, config, cpu_ms, entry, settled
-from loadbalancer.drill.fleet import free_port
+from loadbalancer.drill.processes.placement import free_port
 
 RATE = 770_000 / 18_000  # calls a second of one balancer
 STEP_S = 12.0
--- a/benchmarks/capacity_balancer.py
+++ b/benchmarks/capacity_balancer.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from loadbalancer.drill.fleet import free_port
+from loadbalancer.drill.processes.placement import free_port
 
 HOST = "127.0.0.1"
 CHANGES = 60  # told one after another, of which the first WARM are not counted
--- a/benchmarks/capacity_service.py
+++ b/benchmarks/capacity_service.py
@@ -20,7 +20,7 @@
 
 from benchmarks.capacity_balancer import HOST, SINCE_MS, cpu_ms, entry, memory_mb
 from benchmarks.directory import SERVE
-from loadbalancer.drill.fleet import free_port
+from loadbalancer.drill.processes.placement import free_port
 
 WRITERS, WHOLE_CALLS, ROUNDS, QUIET_S = 64, 12, 4, 2.0
 LEASE_MS = 86_400_000.0
--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -25,7 +25,7 @@
 import aiohttp
 import typer
 
-from loadbalancer.drill.fleet import free_port
+from loadbalancer.drill.processes.placement import free_port
 
 SERVERS, ROUNDS, WRITERS = 1_000, 5, 128
 EACH = """
--- a/loadbalancer/cli/demo.py
+++ b/loadbalancer/cli/demo.py
@@ -18,9 +18,11 @@
 
 from loadbalancer.cli.operate import reports, table_of
 from loadbalancer.cli.screen import screen
-from loadbalancer.drill import checks, history, load, script
-from loadbalancer.drill.drive import Drive
-from loadbalancer.drill.fleet import FIRST, Fleet
+from loadbalancer.drill import history, open_load
+from loadbalancer.drill.checks import judgement
+from loadbalancer.drill.execution.player import Drive
+from loadbalancer.drill.processes.placement import FIRST, Fleet
+from loadbalancer.drill.scenario import definition
 
 LOOK_S = 0.5
 NOT_HELD = 1
@@ -71,7 +73,7 @@
         self._before: dict[str, dict[str, Any]] = {}
         self._asked = 0
 
-    async def play(self, drill: script.Script, seed: int, out: Path) -> None:
+    async def play(self, drill: definition.Script, seed: int, out: Path) -> None:
         """Play the story with a live table; with `keep`, stay up until Ctrl-C."""
         drive = Drive(drill, seed, out, on_progress=self._progress, on_over=self._stay)
         playing = asyncio.create_task(drive.run())
@@ -91,7 +93,7 @@
     def _progress(self, line: dict[str, Any]) -> None:
         self._asked = line["asked"]
 
-    async def _look(self, drive: Drive, drill: script.Script) -> Group:
+    async def _look(self, drive: Drive, drill: definition.Script) -> Group:
         names = {spot.console: spot.name for spot in drive.fleet.balancers(FIRST)}
         told, _ = await asyncio.to_thread(reports, list(names), "/admin/stats")
         found = {names[console]: figures for console, figures in told.items()}
@@ -135,12 +137,12 @@
     Example: irondrum demo --keep
     """
     console, began = screen(), time.monotonic()
-    drill = script.parse(STORY, "demo")
+    drill = definition.parse(STORY, "demo")
     with tempfile.TemporaryDirectory() as folder:
         out = Path(folder) / "demo"
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(Demo(keep, console).play(drill, seed, out))
-        found = checks.judge(drill, history.read(out))
+        found = judgement.judge(drill, history.read(out))
     for check in found:
         mark = "[green]held[/green]" if check.held else f"[red]broken: {check.first}[/red]"
         console.print(
@@ -165,9 +167,9 @@
 
     Example: irondrum load http://127.0.0.1:8080 --class map:3:500 --class unlock:1:4000:unsafe --rate 100
     """
-    load.check(url, rate, seconds, anywhere)
-    kinds = [load.read_kind(text) for text in kind]
-    tallies = asyncio.run(load.run(url, kinds, rate, seconds, seed))
+    open_load.check(url, rate, seconds, anywhere)
+    kinds = [open_load.read_kind(text) for text in kind]
+    tallies = asyncio.run(open_load.run(url, kinds, rate, seconds, seed))
     if as_json:
         told = {
             name: {"endings": dict(t.endings), "ms": {f"p{p:g}": t.percentile_ms(p) for p in PARTS}}
--- a/loadbalancer/cli/drill.py
+++ b/loadbalancer/cli/drill.py
@@ -15,9 +15,11 @@
 
 from loadbalancer.cli.misuse import Misuse, find_file
 from loadbalancer.cli.screen import screen
-from loadbalancer.drill import checks, history, plants, script
-from loadbalancer.drill.drive import Drive
-from loadbalancer.drill.story import Check
+from loadbalancer.drill import history, seeded_defects
+from loadbalancer.drill.checks import judgement
+from loadbalancer.drill.checks.timeline import Check
+from loadbalancer.drill.execution.player import Drive
+from loadbalancer.drill.scenario import definition
 
 app = typer.Typer(no_args_is_help=True, help="A fleet of real processes on this machine, with faults.")
 FOLDER = Path("drills")
@@ -25,12 +27,12 @@
 TOLD = ("name", "held", "measured", "bound")  # of each check, by `--json`
 
 
-def play(path: Path, drill: script.Script, seed: int, out: Path, plant: str = "") -> list[Check]:
+def play(path: Path, drill: definition.Script, seed: int, out: Path, plant: str = "") -> list[Check]:
     """Play a drill from its file in an empty folder, and judge it; DriveError if it can't be played."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(Drive(drill, seed, out, plant).run())
     (out / "drill.toml").write_bytes(path.read_bytes())
-    found = checks.judge(drill, history.read(out))
+    found = judgement.judge(drill, history.read(out))
     verdict = {"seed": seed, "plant": plant} | verdict_of(path.stem, found, Check.__struct_fields__)
     (out / "verdict.json").write_text(json.dumps(verdict) + "\n", encoding="utf-8")
     return found
@@ -41,9 +43,9 @@
     """Tell the drills in `drills/`, and the defects that can be planted."""
     table = Table("drill", "what happens")
     for path in sorted(FOLDER.glob("*.toml")):
-        table.add_row(path.stem, script.load(path).title)
+        table.add_row(path.stem, definition.load(path).title)
     screen().print(table)
-    screen().print(f"--plant: {', '.join(plants.DEFECTS)}", highlight=False)
+    screen().print(f"--plant: {', '.join(seeded_defects.DEFECTS)}", highlight=False)
 
 
 @app.command()
@@ -58,10 +60,10 @@
 
     Example: irondrum drill run calm server-killed --seed 2 --out found/drills
     """
-    if plant and plant not in plants.DEFECTS:
-        raise Misuse(f"no defect {plant!r}; there are {', '.join(plants.DEFECTS)}")
+    if plant and plant not in seeded_defects.DEFECTS:
+        raise Misuse(f"no defect {plant!r}; there are {', '.join(seeded_defects.DEFECTS)}")
     paths = [find_file(FOLDER, "drill", name) for name in names]
-    drills = [(path, script.load(path)) for path in paths]  # all are sound before the first is played
+    drills = [(path, definition.load(path)) for path in paths]  # all are sound before the first is played
     held = True
     with tempfile.TemporaryDirectory() as spare:
         for path, drill in drills:
--- a/loadbalancer/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -11,9 +11,9 @@
 from loadbalancer.cli import demo, directory, drill, lab, operate, scale, serve, zone
 from loadbalancer.cli.misuse import Misuse
 from loadbalancer.configuration import ConfigurationError
-from loadbalancer.drill.crew import DriveError
-from loadbalancer.drill.load import LoadError
-from loadbalancer.drill.script import ScriptError
+from loadbalancer.drill.open_load import LoadError
+from loadbalancer.drill.processes.supervisor import DriveError
+from loadbalancer.drill.scenario.definition import ScriptError
 from loadbalancer.lab.policies import PolicyError
 from loadbalancer.registry.client import RegistryCallError
 from loadbalancer.registry.server import RegistryServerError
--- a/loadbalancer/drill/__init__.py
+++ b/loadbalancer/drill/__init__.py
@@ -1,8 +1,8 @@
 """A fleet of real processes on one machine, with faults between them, judged by its history alone.
 
-    drill = script.load(Path("drills/server-killed.toml"))
+    drill = definition.load(Path("drills/server-killed.toml"))
     asyncio.run(Drive(drill, seed=1, out=Path("out")).run())
-    for check in checks.judge(drill, history.read(Path("out"))):
+    for check in judgement.judge(drill, history.read(Path("out"))):
         print(check.name, check.held, check.measured, check.bound)
 
 `script` reads what a drill is; `drive` plays it: its `crew` starts `processes` (balancers, and the stand-ins
--- a/loadbalancer/drill/listchecks.py
+++ b/loadbalancer/drill/checks/endpoint_lists.py
@@ -4,9 +4,9 @@
 
 from collections import defaultdict
 
+from loadbalancer.drill.checks.timeline import SECOND, Check, Story, most, states
 from loadbalancer.drill.history import Event
-from loadbalancer.drill.script import Script
-from loadbalancer.drill.story import SECOND, Check, Story, most, states
+from loadbalancer.drill.scenario.definition import Script
 
 ODD = "odd list"  # the fault of a service that tells what is not so
 EXCUSED = ("kill", "stop", "term", "list")  # what is done to a server that may end its place on the list
--- a/loadbalancer/drill/checks.py
+++ b/loadbalancer/drill/checks/judgement.py
@@ -10,11 +10,11 @@
 from collections import defaultdict
 from collections.abc import Callable
 
+from loadbalancer.drill.checks.endpoint_lists import asked, heard, kept, undone, versions
+from loadbalancer.drill.checks.timeline import SECOND, Check, Story, most, newer, states
+from loadbalancer.drill.checks.zones import left, ramps, swings
 from loadbalancer.drill.history import Event
-from loadbalancer.drill.listchecks import asked, heard, kept, undone, versions
-from loadbalancer.drill.script import Script
-from loadbalancer.drill.story import SECOND, Check, Story, most, newer, states
-from loadbalancer.drill.zonechecks import left, ramps, swings
+from loadbalancer.drill.scenario.definition import Script
 
 LEAST_IN_SECOND = 5  # first tries, below which a second's share says nothing
 BLAMELESS = ("kill", "stop")  # what is done to a balancer that excuses the loss of what it held
--- a/loadbalancer/drill/zonechecks.py
+++ b/loadbalancer/drill/checks/zones.py
@@ -5,9 +5,9 @@
 from collections import Counter
 from collections.abc import Iterator
 
+from loadbalancer.drill.checks.timeline import SECOND, Check, Story, most
 from loadbalancer.drill.history import Event
-from loadbalancer.drill.script import Script
-from loadbalancer.drill.story import SECOND, Check, Story, most
+from loadbalancer.drill.scenario.definition import Script
 from loadbalancer.simulation.direction_changes import turns
 
 LEAST = 15  # calls in a span, below which a zone's part says nothing
--- a/loadbalancer/drill/drive.py
+++ b/loadbalancer/drill/execution/player.py
@@ -9,13 +9,13 @@
 
 import aiohttp
 
-from loadbalancer.drill import script as steps
 from loadbalancer.drill.clock import RealClock, offset_ms
-from loadbalancer.drill.crew import READY_S, Crew, DriveError
-from loadbalancer.drill.deeds import Deeds
-from loadbalancer.drill.fleet import FIRST, Fleet
+from loadbalancer.drill.execution.step_execution import Deeds
 from loadbalancer.drill.history import Writer
-from loadbalancer.drill.papers import Papers
+from loadbalancer.drill.processes.placement import FIRST, Fleet
+from loadbalancer.drill.processes.process_files import Papers
+from loadbalancer.drill.processes.supervisor import READY_S, Crew, DriveError
+from loadbalancer.drill.scenario import definition as steps
 from loadbalancer.registry.client import RegistryCallError
 
 PATIENCE_S = 120.0  # past the load's own length, after which a drill is given up
--- a/loadbalancer/drill/deeds.py
+++ b/loadbalancer/drill/execution/step_execution.py
@@ -11,13 +11,13 @@
 from pathlib import Path
 from typing import Any
 
-from loadbalancer.drill import script as steps
 from loadbalancer.drill.clock import RealClock
-from loadbalancer.drill.crew import NEW, READY_S, Crew, DriveError
-from loadbalancer.drill.fleet import FIRST, Fleet
 from loadbalancer.drill.history import Writer
-from loadbalancer.drill.links import DatagramLink, Fault, Link
-from loadbalancer.drill.papers import Papers
+from loadbalancer.drill.links.tcp import DatagramLink, Fault, Link
+from loadbalancer.drill.processes.placement import FIRST, Fleet
+from loadbalancer.drill.processes.process_files import Papers
+from loadbalancer.drill.processes.supervisor import NEW, READY_S, Crew, DriveError
+from loadbalancer.drill.scenario import definition as steps
 
 DOWN = "list down"
 
--- a/loadbalancer/drill/load.py
+++ b/loadbalancer/drill/open_load.py
@@ -16,7 +16,7 @@
 import aiohttp
 from hdrh.histogram import HdrHistogram
 
-from loadbalancer.drill.standin import request_of
+from loadbalancer.drill.servers.specification import request_of
 from loadbalancer.net.request_counters import REJECTIONS
 
 MOST_RATE, MOST_SECONDS = 5_000.0, 600.0
--- a/loadbalancer/drill/fleet.py
+++ b/loadbalancer/drill/processes/placement.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from fnmatch import fnmatchcase
 
-from loadbalancer.drill.links import Address, DatagramLink, Link
-from loadbalancer.drill.script import Script, services
+from loadbalancer.drill.links.tcp import Address, DatagramLink, Link
+from loadbalancer.drill.scenario.definition import Script, services
 
 FIRST, INNER = "first", "inner"
 MOST_PLACES = 200 * 250
--- a/loadbalancer/drill/papers.py
+++ b/loadbalancer/drill/processes/process_files.py
@@ -13,16 +13,16 @@
 
 import msgspec
 
-from loadbalancer.drill import clients, lists, server
-from loadbalancer.drill.fleet import FIRST, INNER, Fleet, Spot
-from loadbalancer.drill.links import Address
-from loadbalancer.drill.script import Version
+from loadbalancer.drill.links.tcp import Address
+from loadbalancer.drill.processes.placement import FIRST, INNER, Fleet, Spot
+from loadbalancer.drill.scenario.definition import Version
+from loadbalancer.drill.servers import clients, endpoint_list, upstream
 
 SNAPSHOT_MS = 500.0
 SERVICE_DEFECTS = (  # those of the list service: see `plants`
     "believes-lapses", "reuses-versions", "lapses-unheard", "takes-drains-back", "keeps-old-starts",
 )  # fmt: skip
-ROOT = Path(__file__).parent.parent.parent
+ROOT = Path(__file__).parents[3]
 WORK_OF_INNER = 0.5  # of a class's work, for each call
 
 
@@ -53,7 +53,7 @@
         if spot.kind == "server":
             beside = self._fleet.links.get(f"{spot.name}>{spot.name}.b")
             part = WORK_OF_INNER if spot.tier == INNER else 1.0
-            told = server.Spec(
+            told = upstream.Spec(
                 **place, zone=spot.zone, model=self._fleet.script.server, since_ms=spot.since_ms,
                 version=self._fleet.script.versions.get(spot.version, Version()),
                 work_ms={c.name: c.work_ms * part for c in self._fleet.script.load.classes},
@@ -64,7 +64,7 @@
             tiers = {t: [self.entry(s) for s in self._fleet.servers(t)] for t in (FIRST, INNER)}
             askers = {b.host: b.tier for b in self._fleet.balancers()}
             ways = {b.host: self._ways(b) for b in self._fleet.balancers()}
-            told = lists.Spec(
+            told = endpoint_list.Spec(
                 **place, askers=askers, tiers=tiers, addresses=ways, service=self._services(spot.name)
             )
         else:
@@ -172,7 +172,7 @@
     Where it was not, the same module is run by this interpreter, as in a checkout without `.venv`.
     """
     if plant and plant not in SERVICE_DEFECTS:
-        return [sys.executable, "-m", "loadbalancer.drill.plants", plant]
+        return [sys.executable, "-m", "loadbalancer.drill.seeded_defects", plant]
     root = folder or ROOT
     deploy = root / "deploy" / "balancer.toml"
     if deploy.exists():
@@ -185,7 +185,7 @@
 def directory_argv(plant: str) -> list[str]:
     """How the real list service's command is started."""
     if plant in SERVICE_DEFECTS:
-        return [sys.executable, "-m", "loadbalancer.drill.plants", plant]
+        return [sys.executable, "-m", "loadbalancer.drill.seeded_defects", plant]
     return [sys.executable, "-c", "from loadbalancer.cli import main; main()", "directory"]
 
 
--- a/loadbalancer/drill/listing.py
+++ b/loadbalancer/drill/processes/registry_control.py
@@ -9,8 +9,8 @@
 
 import aiohttp
 
-from loadbalancer.drill.fleet import Fleet, Spot
-from loadbalancer.drill.papers import Papers
+from loadbalancer.drill.processes.placement import Fleet, Spot
+from loadbalancer.drill.processes.process_files import Papers
 from loadbalancer.registry.client import RegistryCallError, RegistryClient
 
 LOOK_S = 0.02
--- a/loadbalancer/drill/crew.py
+++ b/loadbalancer/drill/processes/supervisor.py
@@ -10,11 +10,11 @@
 
 import aiohttp
 
-from loadbalancer.drill.fleet import FIRST, Fleet, Spot
 from loadbalancer.drill.history import Writer
-from loadbalancer.drill.listing import Listing
-from loadbalancer.drill.papers import Papers, directory_argv, environment, run_argv
-from loadbalancer.drill.processes import Process
+from loadbalancer.drill.processes.placement import FIRST, Fleet, Spot
+from loadbalancer.drill.processes.process import Process
+from loadbalancer.drill.processes.process_files import Papers, directory_argv, environment, run_argv
+from loadbalancer.drill.processes.registry_control import Listing
 
 READY_S = 60.0  # for a process to be ready, on a machine that is busy
 NEW = " (new)"
@@ -72,8 +72,8 @@
             await asyncio.gather(*(process.finish() for process in some))
 
     async def _start_stand_in(self, spot: Spot) -> None:
-        module = {"server": "server", "list": "lists", "clients": "clients"}[spot.kind]
-        argv = [sys.executable, "-m", f"loadbalancer.drill.{module}", str(self._papers.spec(spot))]
+        module = {"server": "upstream", "list": "endpoint_list", "clients": "clients"}[spot.kind]
+        argv = [sys.executable, "-m", f"loadbalancer.drill.servers.{module}", str(self._papers.spec(spot))]
         ready = asyncio.Event()
 
         def heard(line: dict[str, Any]) -> None:
--- a/loadbalancer/drill/report.py
+++ b/loadbalancer/drill/report.py
@@ -13,7 +13,7 @@
 from matplotlib.figure import Figure
 
 from loadbalancer.drill import history
-from loadbalancer.drill.story import SECOND, Story
+from loadbalancer.drill.checks.timeline import SECOND, Story
 
 ENDINGS = {
     "served": "#2a7f62",
--- a/loadbalancer/drill/script.py
+++ b/loadbalancer/drill/scenario/definition.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from loadbalancer.drill.links import Fault
+from loadbalancer.drill.links.tcp import Fault
 
 EFFECTS = ("safe", "unsafe")
 STATES = ("alive", "gone", "left")
@@ -296,7 +296,7 @@
     kind: Any = Script
     for name in [s for s in re.split(r"[.\[\]]+", where.removeprefix("$")) if s and s != "..."]:
         if kind is Script and name == "step":
-            return "do, after and the keys of that step: see loadbalancer/drill/script.py"
+            return "do, after and the keys of that step: see loadbalancer/drill/scenario/definition.py"
         if not hasattr(kind, "__struct_fields__"):
             break
         kind = next((f.type for f in msgspec.structs.fields(kind) if f.name == name), kind)
--- a/loadbalancer/drill/plants.py
+++ b/loadbalancer/drill/seeded_defects.py
@@ -1,6 +1,6 @@
 """Balancers with a known defect, for drills that must find it: the real program, made worse in one place.
 
-LB_CONFIG=config.json python -m loadbalancer.drill.plants sends-twice
+LB_CONFIG=config.json python -m loadbalancer.drill.seeded_defects sends-twice
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from typing import Any
 
 from loadbalancer import interface
-from loadbalancer.drill.papers import SERVICE_DEFECTS
+from loadbalancer.drill.processes.process_files import SERVICE_DEFECTS
 from loadbalancer.interface import Outcome, Readiness
 from loadbalancer.net import discovery, proxy
 from loadbalancer.net.config import ServerList
--- a/loadbalancer/drill/clients.py
+++ b/loadbalancer/drill/servers/clients.py
@@ -1,6 +1,6 @@
 """The clients and their front as a process: an open load on balancers, and what each request came to.
 
-    python -m loadbalancer.drill.clients SPEC.json
+    python -m loadbalancer.drill.servers.clients SPEC.json
 
 First tries come at random at a rate, whether or not earlier ones were answered. The front deals them out in
 turn among the balancers that answer `GET /healthz`, and notices only after some checks that one has died.
@@ -18,8 +18,8 @@
 import msgspec
 
 from loadbalancer.drill.clock import RealClock
-from loadbalancer.drill.script import Class, Load
-from loadbalancer.drill.standin import Place, follow, read_spec, request_of, say
+from loadbalancer.drill.scenario.definition import Class, Load
+from loadbalancer.drill.servers.specification import Place, follow, read_spec, request_of, say
 from loadbalancer.net.request_counters import REJECTIONS
 
 CHECK_S, CHECK_PATIENCE_S, FAILS_TO_LEAVE = 0.3, 1.0, 2
--- a/loadbalancer/drill/lists.py
+++ b/loadbalancer/drill/servers/endpoint_list.py
@@ -1,6 +1,6 @@
 """A stand-in for discovery as a process: PROTOCOL's list and watches, and what may be wrong with them.
 
-python -m loadbalancer.drill.lists SPEC.json
+python -m loadbalancer.drill.servers.endpoint_list SPEC.json
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import aiohttp
 from aiohttp import web
 
-from loadbalancer.drill.standin import Place, follow, read_spec, say
+from loadbalancer.drill.servers.specification import Place, follow, read_spec, say
 
 Entry = dict[str, Any]
 WAIT_MOST_MS = 60_000.0
--- a/loadbalancer/drill/server.py
+++ b/loadbalancer/drill/servers/upstream.py
@@ -1,6 +1,6 @@
 """A stand-in server as a process: the model of `loadbalancer.simulation.servers` on real sockets.
 
-python -m loadbalancer.drill.server SPEC.json
+python -m loadbalancer.drill.servers.upstream SPEC.json
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from aiohttp import web
 
 from loadbalancer.drill.clock import RealClock
-from loadbalancer.drill.script import Model, Version
-from loadbalancer.drill.standin import Place, follow, read_spec, request_of, say
+from loadbalancer.drill.scenario.definition import Model, Version
+from loadbalancer.drill.servers.specification import Place, follow, read_spec, request_of, say
 from loadbalancer.net.downstream import parse_duration_ms
 from loadbalancer.registry.client import RegistryCallError, RegistryClient
 from loadbalancer.registry.entries import Registration
--- a/loadbalancer/scale/counting.py
+++ b/loadbalancer/scale/counting.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from loadbalancer.drill.standin import say
+from loadbalancer.drill.servers.specification import say
 
 
 class Tally:
--- a/loadbalancer/scale/figures.py
+++ b/loadbalancer/scale/figures.py
@@ -8,7 +8,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from loadbalancer.scale.crew import Crew, One
+from loadbalancer.scale.supervisor import Crew, One
 
 MOST_MS = 600_000
 TEN = 10  # seconds of the letter's worst spell
--- a/loadbalancer/scale/hollow.py
+++ b/loadbalancer/scale/hollow.py
@@ -20,7 +20,7 @@
 
 from loadbalancer import interface
 from loadbalancer.drill.clock import RealClock
-from loadbalancer.drill.standin import Place, follow, read_spec, say
+from loadbalancer.drill.servers.specification import Place, follow, read_spec, say
 from loadbalancer.interface import Readiness, UpdateKind
 from loadbalancer.net import discovery
 from loadbalancer.net.config import AddressedEndpoint, Config, ServerList, read_config, read_list
--- a/loadbalancer/scale/play.py
+++ b/loadbalancer/scale/play.py
@@ -12,11 +12,11 @@
 
 import aiohttp
 
-from loadbalancer.drill.crew import DriveError
-from loadbalancer.scale import figures, looking
-from loadbalancer.scale.crew import Crew
+from loadbalancer.drill.processes.supervisor import DriveError
+from loadbalancer.scale import figures, resource_usage
 from loadbalancer.scale.plan import MEMORY_PART, Plan, PlanError
 from loadbalancer.scale.steps import START_S, Changes, Steps
+from loadbalancer.scale.supervisor import Crew
 
 PAIR_KB, HOST_MB, REAL_MB = 1.15, 60.0, 60.0  # of a listed server in a hollow balancer; of processes
 SPARE_FILES = 500
@@ -27,7 +27,7 @@
 def guard(plan: Plan) -> None:
     """PlanError if this machine should not hold it: half of its memory, 20,000 descriptors a process."""
     plan.check()
-    all_mb, _ = looking.memory_mb()
+    all_mb, _ = resource_usage.memory_mb()
     own_mb = plan.hosts * HOST_MB + plan.real * REAL_MB + plan.instances * 2 * HOST_MB
     held = plan.held()
     pairs_mb = plan.hollow * held * PAIR_KB / 1_024
@@ -115,12 +115,12 @@
     async def _do(self, step: str, work: Callable[[], Awaitable[Changes]]) -> None:
         """One step: its work, time to settle, then what it cost and who is stale."""
         self._crew.tell_hosts(do="begin")
-        begin, before = int(time.time()), looking.machine_s()
+        begin, before = int(time.time()), resource_usage.machine_s()
         changes = await work()
         await asyncio.sleep(self._plan.settle_s)
-        end, after = int(time.time()) + 1, looking.machine_s()
+        end, after = int(time.time()) + 1, resource_usage.machine_s()
         await asyncio.sleep(1.1)  # the last second's lines are still on their way
-        memory = looking.memory_by_name({n: one.process.pid for n, one in self._crew.ones.items()})
+        memory = resource_usage.memory_by_name({n: one.process.pid for n, one in self._crew.ones.items()})
         reports = await self._settled(changes)
         self._steps[step] = told = self._measured(step, begin, end, changes, reports, memory)
         told["machine_cores"] = {
@@ -186,12 +186,12 @@
 
     async def _tick(self) -> None:
         """At each second's end look at all, and guard the memory."""
-        all_mb, _ = looking.memory_mb()
+        all_mb, _ = resource_usage.memory_mb()
         while True:
             now = time.time()
             await asyncio.sleep(int(now) + 1 - now)
             self._crew.look(int(now))
-            used = sum(looking.resident_mb(one.process.pid) for one in self._crew.ones.values())
+            used = sum(resource_usage.resident_mb(one.process.pid) for one in self._crew.ones.values())
             self._memory_most = max(self._memory_most, used)
             if used > MEMORY_PART * all_mb:
                 self._crew.troubles.append(f"memory: {used:,.0f} MB in use, over {MEMORY_PART:.0%} of all")
--- a/loadbalancer/scale/registrar.py
+++ b/loadbalancer/scale/registrar.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from loadbalancer.drill.clock import RealClock
-from loadbalancer.drill.standin import Place, follow, read_spec, say
+from loadbalancer.drill.servers.specification import Place, follow, read_spec, say
 from loadbalancer.net import discovery
 from loadbalancer.net.config import read_address
 from loadbalancer.registry.lease import RENEW_PART
--- a/loadbalancer/scale/plants.py
+++ b/loadbalancer/scale/seeded_defects.py
@@ -1,6 +1,6 @@
 """Defects that a scale run must flag by a figure over its allowance: the real parts, made worse in one place.
 
-python -m loadbalancer.scale.plants polls hollow SPEC.json
+python -m loadbalancer.scale.seeded_defects polls hollow SPEC.json
 """
 
 from __future__ import annotations
@@ -72,11 +72,11 @@
         told = server.read_file(Path(path))
         server.serve(told, server.open_service(told))
         return
-    from loadbalancer.scale import edge, hollow, registrar
+    from loadbalancer.scale import hollow, registrar, upstream_stub
     from loadbalancer.scale.counting import run
 
     sys.argv = [kind, path]  # the specification is the first argument there
-    run({"hollow": hollow, "registrar": registrar, "edge": edge}[kind].serve())
+    run({"hollow": hollow, "registrar": registrar, "edge": upstream_stub}[kind].serve())
 
 
 if __name__ == "__main__":
--- a/loadbalancer/scale/steps.py
+++ b/loadbalancer/scale/steps.py
@@ -10,9 +10,9 @@
 
 import aiohttp
 
-from loadbalancer.drill.crew import DriveError
-from loadbalancer.scale.crew import Crew
+from loadbalancer.drill.processes.supervisor import DriveError
 from loadbalancer.scale.plan import Plan, number_of
+from loadbalancer.scale.supervisor import Crew
 
 START_S = 120.0  # until all hollow balancers have their first list
 LAPSE_S = 30.0  # until leases that ran out are off the list
--- a/loadbalancer/scale/crew.py
+++ b/loadbalancer/scale/supervisor.py
@@ -15,18 +15,18 @@
 import msgspec
 
 from loadbalancer.drill.clock import offset_ms
-from loadbalancer.drill.crew import DriveError
-from loadbalancer.drill.fleet import free_port
-from loadbalancer.drill.papers import directory_argv, environment, run_argv
-from loadbalancer.drill.processes import Line, Process
-from loadbalancer.scale import edge, hollow, looking, registrar
+from loadbalancer.drill.processes.placement import free_port
+from loadbalancer.drill.processes.process import Line, Process
+from loadbalancer.drill.processes.process_files import directory_argv, environment, run_argv
+from loadbalancer.drill.processes.supervisor import DriveError
+from loadbalancer.scale import hollow, registrar, resource_usage, upstream_stub
+from loadbalancer.scale.counted_relays import Ways
 from loadbalancer.scale.plan import Plan, balancer_config
-from loadbalancer.scale.ways import Ways
 
 HOST = "127.0.0.1"
 READY_S = 60.0
 DONE_S = 180.0  # for what the driver has asked of a stand-in
-MODULES = {"hollow": hollow, "registrar": registrar, "edge": edge}
+MODULES = {"hollow": hollow, "registrar": registrar, "edge": upstream_stub}
 
 
 @dataclass
@@ -78,7 +78,7 @@
         path = self._out / f"{name}.spec.json"
         path.write_bytes(msgspec.json.encode(spec))
         defect = self._plan.plant
-        module = ["loadbalancer.scale.plants", defect, kind] if defect else [f"loadbalancer.scale.{kind}"]
+        module = ["loadbalancer.scale.seeded_defects", defect, kind] if defect else [MODULES[kind].__name__]
         return self.launch(name, kind, [sys.executable, "-m", *module, str(path)])
 
     async def start_instances(self) -> None:
@@ -98,7 +98,7 @@
         file.write_text("\n".join(lines) + "\n", encoding="utf-8")
         argv = [*directory_argv(""), "serve"]
         if self._plan.plant:
-            argv = [sys.executable, "-m", "loadbalancer.scale.plants", self._plan.plant, "instance"]
+            argv = [sys.executable, "-m", "loadbalancer.scale.seeded_defects", self._plan.plant, "instance"]
         self.launch(f"list{number}", "instance", [*argv, str(file)], hears=False)
 
     async def wait_reached(self, numbers: Any) -> float:
@@ -200,7 +200,7 @@
     def look(self, second: int) -> None:
         """Once a second: each process's processor time; and what passed on the ways of real ones."""
         for one in self.ones.values():
-            now, cpu_s = time.monotonic(), looking.processor_s(one.process.pid)
+            now, cpu_s = time.monotonic(), resource_usage.processor_s(one.process.pid)
             if cpu_s is None or one.process.ended.is_set():
                 one.seen_s = 0.0
                 continue
--- a/loadbalancer/scale/edge.py
+++ b/loadbalancer/scale/upstream_stub.py
@@ -1,6 +1,6 @@
 """All upstreams in one socket, which answers anything, and the light load on the real balancers.
 
-python -m loadbalancer.scale.edge SPEC.json
+python -m loadbalancer.scale.upstream_stub SPEC.json
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 import aiohttp
 
-from loadbalancer.drill.standin import Place, follow, read_spec, request_of, say
+from loadbalancer.drill.servers.specification import Place, follow, read_spec, request_of, say
 from loadbalancer.scale.counting import in_background, run, tell_each_second
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 3\r\n\r\nok\n"
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from loadbalancer.drill.fleet import free_port
+from loadbalancer.drill.processes.placement import free_port
 from loadbalancer.net import descriptors, downstream
 from loadbalancer.net.descriptors import EVICT_MOST, EVICT_S, FRESH_S, IDLE_S, IdleEviction, side_cap
 from tests.loopback import (
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -21,7 +21,7 @@
 import pytest
 from aiohttp import web
 
-from loadbalancer.drill.fleet import free_port
+from loadbalancer.drill.processes.placement import free_port
 from loadbalancer.net.config import read_list
 from loadbalancer.registry import (
     Catalog,
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -17,9 +17,9 @@
 
 import pytest
 
-from loadbalancer.drill.deeds import Deeds
-from loadbalancer.drill.links import Fault
-from loadbalancer.drill.script import Break, Lift, ScriptError, load, parse
+from loadbalancer.drill.execution.step_execution import Deeds
+from loadbalancer.drill.links.tcp import Fault
+from loadbalancer.drill.scenario.definition import Break, Lift, ScriptError, load, parse
 
 ROOT = Path(__file__).parent.parent
 PATIENCE_S = 300
--- a/tests/test_drill_checks.py
+++ b/tests/test_drill_checks.py
@@ -8,10 +8,11 @@
 
 import pytest
 
-from loadbalancer.drill import checks, history
+from loadbalancer.drill import history
+from loadbalancer.drill.checks import judgement
 from loadbalancer.drill.clock import RealClock
 from loadbalancer.drill.history import Event
-from loadbalancer.drill.script import Bounds, Load, Script
+from loadbalancer.drill.scenario.definition import Bounds, Load, Script
 
 SCRIPT = Script(load=Load(requests=20), bounds=Bounds(served=0.95, back_s=1.0, asked=5, heard_s=1.0, turns=2))
 START = 1_000_000.0
@@ -50,7 +51,7 @@
 
 def judged(events: list[Event]) -> dict[str, bool]:
     ordered = sorted(events, key=lambda e: e["t"])
-    return {check.name: check.held for check in checks.judge(SCRIPT, ordered)}
+    return {check.name: check.held for check in judgement.judge(SCRIPT, ordered)}
 
 
 def without(events: list[Event], what: str, number: str) -> list[Event]:
--- a/tests/test_drill_links.py
+++ b/tests/test_drill_links.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from loadbalancer.drill.links import DatagramLink, Fault, Link
+from loadbalancer.drill.links.tcp import DatagramLink, Fault, Link
 from tests.loopback import run
 
 HOST = "127.0.0.1"
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -14,8 +14,8 @@
 import pytest
 
 from loadbalancer.cli import operate
-from loadbalancer.drill.fleet import free_port
-from loadbalancer.drill.load import LoadError, check, read_kind
+from loadbalancer.drill.open_load import LoadError, check, read_kind
+from loadbalancer.drill.processes.placement import free_port
 
 ROOT = Path(__file__).parent.parent
 HOST = "127.0.0.1"
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -14,7 +14,7 @@
 import pytest
 import uvloop
 
-from loadbalancer.drill.fleet import free_port
+from loadbalancer.drill.processes.placement import free_port
 from loadbalancer.net.config import read_config
 from loadbalancer.net.proxy import Proxy
 from tests.loopback import config_text, entry, program, response, run
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,7 +18,7 @@
 import pytest
 
 from loadbalancer.net.config import read_address
-from loadbalancer.scale import plants
+from loadbalancer.scale import seeded_defects
 from loadbalancer.scale.allowances import Allowances, over
 from loadbalancer.scale.figures import kept
 from loadbalancer.scale.plan import DEFECTS, Plan, PlanError
@@ -131,7 +131,7 @@
 
 
 def test_every_defect_is_played(planted: dict[str, Future[dict[str, Any]]]) -> None:
-    assert set(PLANTS) == set(DEFECTS) == set(plants.DEFECTS)
+    assert set(PLANTS) == set(DEFECTS) == set(seeded_defects.DEFECTS)
 
 
 def test_the_page_tells_of_each_step_and_compares_hollow_with_real(
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from loadbalancer.drill.fleet import free_port
+from loadbalancer.drill.processes.placement import free_port
 from loadbalancer.interface import Endpoint, TakeoverChanged
 from loadbalancer.net import hot_restart
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
