--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from loadbalancer.drill.fleet import free_port
+from loadbalancer.drill.processes.placement import free_port
 from loadbalancer.net import descriptors, downstream
 from loadbalancer.net.descriptors import (
     EVICTION_INTERVAL_S,
