--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -12,7 +12,9 @@
 import msgspec
 import pytest
 
-from loadbalancer.drill import checks, history, script
+from loadbalancer.drill import history
+from loadbalancer.drill.checks import judgement
+from loadbalancer.drill.scenario import definition
 from loadbalancer.scale.figures import kept
 from loadbalancer.scale.report import write
 from tests.golden import replay
@@ -38,7 +40,7 @@
 
 
 def test_history_of_a_drill_is_judged_as_recorded() -> None:
-    found = checks.judge(script.load(DRILL / "drill.toml"), history.read(DRILL))
+    found = judgement.judge(definition.load(DRILL / "drill.toml"), history.read(DRILL))
     verdict = json.loads((DRILL / "verdict.json").read_text(encoding="utf-8"))
     assert json.loads(msgspec.json.encode(found)) == verdict["checks"]
     assert list(json.loads(msgspec.json.encode(found[0]))) == list(verdict["checks"][0])
