--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,27 +15,27 @@
 import pytest
 import uvloop
 
-from loadbalancer.net.config import read_config
+from loadbalancer.net.config import ServerList, read_config, read_list
 from loadbalancer.net.proxy import Proxy
 from loadbalancer.net.upstream import ConnectionPool, UpstreamConnection
 
 T = TypeVar("T")
-PATIENCE_S = 10.0  # for what must happen; reached only when a test fails
-Script = Callable[["Asked", asyncio.StreamWriter], Awaitable[None]]
+SCENARIO_TIMEOUT_S = 10.0  # for what must happen; reached only when a test fails
+ResponseScript = Callable[["HttpMessage", asyncio.StreamWriter], Awaitable[None]]
 
 
-class Asked:
+class HttpMessage:
     """A request as an upstream saw it."""
 
     def __init__(self, head: bytes, body: bytes) -> None:
-        self.line, *rest = head.decode("latin-1").split("\r\n")
+        self.start_line, *rest = head.decode("latin-1").split("\r\n")
         self.headers = {n.lower(): v for n, _, v in (line.partition(": ") for line in rest if line)}
         self.body = body
 
 
-async def read_message(reader: asyncio.StreamReader) -> Asked:
+async def read_message(reader: asyncio.StreamReader) -> HttpMessage:
     head = await reader.readuntil(b"\r\n\r\n")
-    asked = Asked(head[:-4], b"")
+    asked = HttpMessage(head[:-4], b"")
     if asked.headers.get("transfer-encoding") == "chunked":
         while size := int((await reader.readuntil(b"\r\n")).split(b";")[0], 16):
             asked.body += (await reader.readexactly(size + 2))[:-2]
@@ -45,7 +45,7 @@
     return asked
 
 
-def response(status: int = 200, body: bytes = b"tile", *headers: str) -> bytes:
+def http_response(status: int = 200, body: bytes = b"tile", *headers: str) -> bytes:
     lines = [f"HTTP/1.1 {status} Any", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
@@ -53,13 +53,13 @@
 class Upstream:
     """Answers the nth request by the nth script, the last one again from then on."""
 
-    def __init__(self, *scripts: Script | bytes) -> None:
-        self._scripts = scripts or (response(),)
-        self.asked: list[Asked] = []
-        self.connections = 0
+    def __init__(self, *scripts: ResponseScript | bytes) -> None:
+        self._scripts = scripts or (http_response(),)
+        self.requests: list[HttpMessage] = []
+        self.connection_count = 0
         self.writers: list[asyncio.StreamWriter] = []
-        self.seen = asyncio.Event()
-        self.ended = asyncio.Event()  # a connection was ended by the balancer
+        self.request_received = asyncio.Event()
+        self.connection_ended = asyncio.Event()  # a connection was ended by the balancer
 
     async def start(self) -> str:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -67,28 +67,28 @@
         return f"{host}:{port}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
+        self.connection_count += 1
         self.writers.append(writer)
         try:
             while True:
                 asked = await read_message(reader)
-                script = self._scripts[min(len(self.asked), len(self._scripts) - 1)]
-                self.asked.append(asked)
-                self.seen.set()
+                script = self._scripts[min(len(self.requests), len(self._scripts) - 1)]
+                self.requests.append(asked)
+                self.request_received.set()
                 if isinstance(script, bytes):
                     writer.write(script)
                 else:
                     await script(asked, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.ended.set()
+            self.connection_ended.set()
             writer.close()
 
 
-async def silent(asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def never_answer(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
     """Never answer."""
 
 
-async def reset(asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def reset_connection(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
     """Drop the connection instead of an answer."""
     writer.transport.abort()
 
@@ -97,8 +97,8 @@
     """Discovery: each call takes the next answer put in; with none there it waits, as a watch does."""
 
     def __init__(self) -> None:
-        self.answers: asyncio.Queue[bytes] = asyncio.Queue()
-        self.calls: asyncio.Queue[str] = asyncio.Queue()
+        self.responses: asyncio.Queue[bytes] = asyncio.Queue()
+        self.request_lines: asyncio.Queue[str] = asyncio.Queue()
 
     async def start(self) -> str:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -109,22 +109,27 @@
         try:
             while True:
                 asked = await read_message(reader)
-                self.calls.put_nowait(asked.line)
-                writer.write(await self.answers.get())
+                self.request_lines.put_nowait(asked.start_line)
+                writer.write(await self.responses.get())
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    def tell(self, index: int, *entries: dict[str, Any], snapshot: bool = False) -> None:
+    def publish(self, index: int, *entries: dict[str, Any], snapshot: bool = False) -> None:
         body = json.dumps({"index": index, "snapshot": snapshot, "endpoints": entries}).encode()
-        self.answers.put_nowait(response(200, body))
+        self.responses.put_nowait(http_response(200, body))
 
 
-def entry(name: str, address: str, **more: Any) -> dict[str, Any]:
+def endpoint_entry(name: str, address: str, **more: Any) -> dict[str, Any]:
     # Large, so that what these tests hold at once fits in one server.
     base = {"name": name, "address": address, "zone": "a", "type": "m", "group": 0, "weight": 40.0}
     return base | {"status": "in_service", "since_ms": 0} | more
 
 
+def endpoint_list(*entries: dict[str, Any], is_full_snapshot: bool = False) -> ServerList:
+    """Return an endpoint list of these entries, as it is read from an answer of the list service."""
+    return read_list({"index": 1, "snapshot": is_full_snapshot, "endpoints": list(entries)})
+
+
 def config_text(
     address: str,
     entries: list[dict[str, Any]],
@@ -167,44 +172,44 @@
     )
 
 
-class Dials:
+class PausedConnects:
     """Connections to upstreams, or to one, come up when the test says so; then `then` is done at once."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, server: str = "") -> None:
-        self.begun, self._gate = asyncio.Event(), asyncio.Event()
-        self.then: Callable[[], object] = lambda: None
+        self.started, self._gate = asyncio.Event(), asyncio.Event()
+        self.on_connected: Callable[[], object] = lambda: None
         self.count = 0
         connect = ConnectionPool.connect
 
         async def held(pool: ConnectionPool, connection: UpstreamConnection) -> None:
             if server in ("", pool.server):
                 self.count += 1
-                self.begun.set()
+                self.started.set()
                 await self._gate.wait()
             await connect(pool, connection)
-            self.then()
+            self.on_connected()
 
         monkeypatch.setattr(ConnectionPool, "connect", held)
 
-    def let_up(self) -> None:
+    def release(self) -> None:
         """Let them come up from now on."""
         self._gate.set()
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Let the loop turn until something holds; the scenario's own time bounds it."""
     while not condition():
         await asyncio.sleep(0)
 
 
-async def at_least(span_s: float) -> None:
+async def wait_at_least(span_s: float) -> None:
     """Wait for a timer: a slow machine only makes it later, and what comes after it with it."""
     over = asyncio.Event()
     asyncio.get_running_loop().call_later(span_s, over.set)
     await over.wait()
 
 
-def left_behind(driver: Proxy) -> list[str]:
+def unreleased_resources(driver: Proxy) -> list[str]:
     """What a balancer that has nothing to do still holds: nothing, if all that ended let go."""
     held = {
         "requests": len(driver._requests),
@@ -218,7 +223,7 @@
     return [f"{count} {name}" for name, count in held.items() if count]
 
 
-class Rig:
+class ProxyHarness:
     """A balancer in this process, with its upstreams and discovery."""
 
     def __init__(
@@ -233,40 +238,40 @@
         self._console, self._folder = console, folder
         self.discovery = ListServer()
         self.entries: list[dict[str, Any]] = []
-        self.driver: Proxy
+        self.proxy: Proxy
 
-    async def __aenter__(self) -> Rig:
+    async def __aenter__(self) -> ProxyHarness:
         for i, upstream in enumerate(self.upstreams):
-            self.entries.append(entry(f"s{i}", await upstream.start()))
+            self.entries.append(endpoint_entry(f"s{i}", await upstream.start()))
         text = config_text(await self.discovery.start(), self.entries, self._console, **self._settings)
         config = replace(read_config(text, lambda note: None), memory_mb=self._memory_mb)
-        self.driver = Proxy(config, asyncio.get_running_loop(), self._folder)
-        self.driver.start()
+        self.proxy = Proxy(config, asyncio.get_running_loop(), self._folder)
+        self.proxy.start()
         return self
 
     async def __aexit__(self, *_: object) -> None:
         return
 
-    async def caller(self) -> Caller:
-        caller = Caller()
-        caller.reader, caller.writer = await asyncio.open_connection(*self.driver.callers.address[:2])
+    async def connect(self) -> HttpClient:
+        caller = HttpClient()
+        caller.reader, caller.writer = await asyncio.open_connection(*self.proxy.callers.address[:2])
         return caller
 
-    async def ask(self, *args: Any, **more: Any) -> Asked:
-        caller = await self.caller()
-        caller.send(*args, **more)
-        answer = await caller.answer()
+    async def request(self, *args: Any, **more: Any) -> HttpMessage:
+        caller = await self.connect()
+        caller.send_request(*args, **more)
+        answer = await caller.read_response()
         caller.writer.close()
         return answer
 
 
-class Caller:
+class HttpClient:
     """A client on one connection."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
-    def send(
+    def send_request(
         self,
         path: str = "/read/x?y=1",
         body: bytes = b"",
@@ -280,12 +285,12 @@
         lines.append(f"Content-Length: {len(body)}")
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
-    async def answer(self) -> Asked:
+    async def read_response(self) -> HttpMessage:
         return await read_message(self.reader)
 
 
 @asynccontextmanager
-async def program(config: Path) -> AsyncIterator[asyncio.subprocess.Process]:
+async def running_program(config: Path) -> AsyncIterator[asyncio.subprocess.Process]:
     """The program itself, as the platform starts it; it is killed if it has not ended by then."""
     started = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "loadbalancer", env=os.environ | {"LB_CONFIG": str(config)}
@@ -298,15 +303,15 @@
             await started.wait()
 
 
-def run(scenario: Coroutine[Any, Any, T]) -> T:
+def run_scenario(scenario: Coroutine[Any, Any, T]) -> T:
     """Run a scenario on the loop that the program uses."""
 
     async def bounded() -> T:
-        return await asyncio.wait_for(scenario, PATIENCE_S)
+        return await asyncio.wait_for(scenario, SCENARIO_TIMEOUT_S)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(bounded())
 
 
-def status(answer: Asked) -> int:
-    return int(answer.line.split(" ")[1])
+def status_of(answer: HttpMessage) -> int:
+    return int(answer.start_line.split(" ")[1])
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -13,7 +13,7 @@
 from loadbalancer import configuration
 from loadbalancer.configuration.reader import duration_ms
 from loadbalancer.net.config import read_config
-from tests.loopback import config_text, entry
+from tests.loopback import config_text, endpoint_entry
 
 ROOT = Path(__file__).parent.parent
 
@@ -37,7 +37,7 @@
 
 
 def test_the_platforms_json_means_the_same_here_as_to_run() -> None:
-    text = config_text("127.0.0.1:9", [entry("s0", "127.0.0.1:5000")])
+    text = config_text("127.0.0.1:9", [endpoint_entry("s0", "127.0.0.1:5000")])
     assert configuration.validation_errors(json.loads(text)) == []
     ours = configuration.parse(json.loads(text), pytest.fail)
     assert ours == replace(read_config(text, pytest.fail))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -29,18 +29,18 @@
     max_connections_per_side,
 )
 from tests.loopback import (
-    Asked,
+    HttpMessage,
     ListServer,
-    Rig,
+    ProxyHarness,
     Upstream,
-    at_least,
     config_text,
-    entry,
+    endpoint_entry,
+    http_response,
     read_message,
-    response,
-    run,
-    status,
-    until,
+    run_scenario,
+    status_of,
+    wait_at_least,
+    wait_until,
 )
 
 HOST = "127.0.0.1"
@@ -77,20 +77,20 @@
             raise OSError(errno.EMFILE, "no descriptor")
 
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            ours = rig.driver.callers
+        async with ProxyHarness(Upstream()) as rig:
+            ours = rig.proxy.callers
             ours._pause()
             ours.listening_socket = Full(fileno=ours.listening_socket.detach())
             ours._resume()
             with socket.create_connection(ours.address):
-                await until(lambda: Full.tries > 0)
+                await wait_until(lambda: Full.tries > 0)
                 for _ in range(1_000):
                     await asyncio.sleep(0)
                 assert Full.tries <= 2
                 ours.listening_socket = socket.socket(fileno=ours.listening_socket.detach())
-                await until(lambda: ours.connection_count() == 1)
+                await wait_until(lambda: ours.connection_count() == 1)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 # ---- who makes way ------------------------------------------------------------------------------
@@ -161,22 +161,22 @@
     monkeypatch.setattr(descriptors, "MIN_EVICTABLE_IDLE_S", 0.0)
 
     async def scenario() -> None:
-        async with Rig(Upstream(response(200, b"x" * 60_000), response())) as rig:
-            rig.driver.callers.max_connections = 1
+        async with ProxyHarness(Upstream(http_response(200, b"x" * 60_000), http_response())) as rig:
+            rig.proxy.callers.max_connections = 1
             with socket.socket() as deaf:
                 deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-                deaf.connect(rig.driver.callers.address)
-                await until(lambda: rig.driver.callers.connection_count() == 1)
-                (connection,) = rig.driver.callers._connections
-                await until(lambda: connection._transport is not None)
+                deaf.connect(rig.proxy.callers.address)
+                await wait_until(lambda: rig.proxy.callers.connection_count() == 1)
+                (connection,) = rig.proxy.callers._connections
+                await wait_until(lambda: connection._transport is not None)
                 assert connection._transport is not None
                 ours = connection._transport.get_extra_info("socket")
                 ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
                 deaf.sendall(HEAD)
-                await until(lambda: connection._unsent.size_bytes > 0 and connection.is_idle())
-                assert status(await rig.ask()) == 200
+                await wait_until(lambda: connection._unsent.size_bytes > 0 and connection.is_idle())
+                assert status_of(await rig.request()) == 200
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 # ---- a process ----------------------------------------------------------------------------------
@@ -201,7 +201,7 @@
                         await read_message(reader)
                     await reader.read()
                     if self._kind == "that never close":
-                        await at_least(WELL_S)
+                        await wait_at_least(WELL_S)
                 finally:
                     writer.transport.abort()
             await asyncio.sleep(0)
@@ -225,15 +225,15 @@
     def open_descriptors(self) -> int:
         return len(os.listdir(f"/proc/{self.pid}/fd"))
 
-    async def call(self, path: str) -> Asked:
+    async def call(self, path: str) -> HttpMessage:
         """One call of an operator."""
         return await self._ask(self._console, f"GET {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
 
-    async def ask(self) -> Asked:
+    async def ask(self) -> HttpMessage:
         """One request on a new connection, both in the same instant."""
         return await self._ask(self.port, HEAD)
 
-    async def _ask(self, port: int, data: bytes) -> Asked:
+    async def _ask(self, port: int, data: bytes) -> HttpMessage:
         with socket.create_connection((HOST, port)) as sock:
             sock.sendall(data)
             reader, writer = await asyncio.open_connection(sock=sock.dup())
@@ -261,10 +261,10 @@
     try:
         while True:
             with contextlib.suppress(OSError):
-                if status(await balancer.call("/admin/health")) == 200:
+                if status_of(await balancer.call("/admin/health")) == 200:
                     break
             assert process.returncode is None
-            await at_least(0.01)
+            await wait_at_least(0.01)
         yield balancer
     finally:
         if process.returncode is None:
@@ -300,38 +300,40 @@
 ) -> None:
     async def scenario() -> None:
         old, new, discovery = Upstream(), Upstream(), Discovery()
-        entries = [entry("old", await old.start()), entry("new", await new.start())]
+        entries = [endpoint_entry("old", await old.start()), endpoint_entry("new", await new.start())]
         address = await discovery.start()
         async with small_process(tmp_path, address, entries[:1], sockets) as balancer:
             await discovery.go(away)
             async with Crowd(balancer.port, kind) as crowd:
                 console = asyncio.create_task(watch_console(balancer))
                 while crowd.connected < CROWD:
-                    await at_least(0.01)
-                await at_least(DOWN_S)
+                    await wait_at_least(0.01)
+                await wait_at_least(DOWN_S)
                 await discovery.come_back(address)
                 draining = entries[0] | {"status": "terminating"}
-                for _ in range(discovery.calls.qsize() + 3):  # calls that were given up take theirs, too
-                    discovery.tell(9, draining, entries[1], snapshot=True)
+                for _ in range(
+                    discovery.request_lines.qsize() + 3
+                ):  # calls that were given up take theirs, too
+                    discovery.publish(9, draining, entries[1], snapshot=True)
                 answers = list[int]()
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(WELL_S):
                         while json.loads((await balancer.call("/admin/list")).body)["index"] != 9:
-                            await at_least(0.02)
-                        await at_least(DRAIN_GRACE_S)
-                        before = len(old.asked)
-                        answers += map(status, await asyncio.gather(*[balancer.ask() for _ in range(20)]))
+                            await wait_at_least(0.02)
+                        await wait_at_least(DRAIN_GRACE_S)
+                        before = len(old.requests)
+                        answers += map(status_of, await asyncio.gather(*[balancer.ask() for _ in range(20)]))
                 assert answers == [200] * 20, "the list is in force, and requests are answered"
-                assert new.asked and len(old.asked) == before
+                assert new.requests and len(old.requests) == before
                 assert not console.done(), "the console answers throughout"
                 console.cancel()
 
     async def watch_console(balancer: Balancer) -> None:
         while True:
             async with asyncio.timeout(2.0):
-                assert status(await balancer.call("/admin/stats")) == 200
+                assert status_of(await balancer.call("/admin/stats")) == 200
             assert balancer.open_descriptors() < LEAST - 32
-            await at_least(0.05)
+            await wait_at_least(0.05)
 
     async def bounded() -> None:
         async with asyncio.timeout(40.0):
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -37,7 +37,7 @@
 from loadbalancer.registry.rate_limiter import ANSWER_S, WAKES_PART, WakeRateLimiter
 from loadbalancer.registry.service import Service
 from loadbalancer.registry.store import CatalogStore, CatalogStoreError
-from tests.loopback import Rig, Upstream, run, status
+from tests.loopback import ProxyHarness, Upstream, run_scenario, status_of
 
 ROOT = Path(__file__).parent.parent
 HOST = "127.0.0.1"
@@ -306,7 +306,7 @@
                 told = await answer.json()
             assert len(told["endpoints"]) == 3, "all of them at once"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_rewound_entry_and_a_lost_version_are_found(tmp_path: Path) -> None:
@@ -380,7 +380,7 @@
                     assert "\n" not in said["error"]
             assert service.catalog.index == index and not service.catalog.entries
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_service_without_memory_tells_those_who_saw_a_list_to_keep_it_for_a_while() -> None:
@@ -397,7 +397,7 @@
             async with http.get(f"http://{at}/v1/servers?after={seen}&wait_ms=1") as answer:
                 assert answer.status == 200, "and so is the watch that follows"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_one_change_wakes_all_watches_with_one_serialization() -> None:
@@ -424,7 +424,7 @@
             assert service.reads.serialized == 1 and service.reads.told == 200
             assert read_list(news[0]).index == service.catalog.index
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_reader_of_a_long_list_that_takes_nothing_is_cut_off_and_holds_little() -> None:
@@ -443,7 +443,7 @@
             async with http.get(f"http://{at}/v1/servers") as answer:
                 assert len((await answer.json())["endpoints"]) == 20_000, "who reads gets all of it"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_full_disk_refuses_writes_in_a_line_and_reads_go_on(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -462,7 +462,7 @@
             async with http.get(f"http://{at}/v1/servers") as answer:
                 assert len((await answer.json())["endpoints"]) == 1 + kept
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_balancer_follows_the_service_through_its_restart_and_its_loss_of_memory(tmp_path: Path) -> None:
@@ -477,17 +477,17 @@
             await web.TCPSite(runner, HOST, port).start()
             return runner
 
-        async with aiohttp.ClientSession() as http, Rig(console="") as rig:
-            rig.driver._discovery.move((HOST, port))
+        async with aiohttp.ClientSession() as http, ProxyHarness(console="") as rig:
+            rig.proxy._discovery.move((HOST, port))
 
             async def put(name: str, address: str) -> None:
                 async with http.put(f"http://{HOST}:{port}/v1/servers/{name}", json=entry(address)) as answer:
                     assert answer.status == 200
 
             async def until_listed(*names: str) -> None:
-                while sorted(rig.driver._list) != sorted(names):
+                while sorted(rig.proxy._list) != sorted(names):
                     await asyncio.sleep(0.01)
-                assert status(await rig.ask()) == 200
+                assert status_of(await rig.request()) == 200
 
             one = await service("a")
             await put("s0", addresses[0])
@@ -502,7 +502,7 @@
             await until_listed("s1")
             await one.cleanup()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 # ---- the process --------------------------------------------------------------------------------
--- a/tests/test_drill_links.py
+++ b/tests/test_drill_links.py
@@ -11,7 +11,7 @@
 import pytest
 
 from loadbalancer.drill.links import DatagramLink, Fault, Link
-from tests.loopback import run
+from tests.loopback import run_scenario
 
 HOST = "127.0.0.1"
 
@@ -54,7 +54,7 @@
             assert await reader.read(-1) == data
             writer.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_delay_holds_every_piece_in_order_and_ends_when_it_is_lifted() -> None:
@@ -73,7 +73,7 @@
             assert not list(link.directions["back"].faults)
             writer.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_cut_is_silent_for_open_and_new_connections_and_heals() -> None:
@@ -93,7 +93,7 @@
             assert await said(link, b"again") == b"again"
             writer.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_refused_reset_and_short_are_three_things_to_a_caller() -> None:
@@ -116,7 +116,7 @@
             assert await reader.read(-1) == b"abc"
             writer.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_process_that_is_down_is_refused_and_a_removed_one_trips_the_wire() -> None:
@@ -136,7 +136,7 @@
             link.put(up=True, barred=False)
             assert await said(link, b"back") == b"back"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_reset_at_one_end_is_one_at_the_other_but_not_through_a_cut() -> None:
@@ -155,7 +155,7 @@
             with pytest.raises(ConnectionResetError):
                 await reader.read(1)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_datagrams_are_lost_doubled_and_disordered_as_told() -> None:
@@ -193,4 +193,4 @@
         sender.close()
         sock.close()
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_endings_callers.py
+++ b/tests/test_endings_callers.py
@@ -17,24 +17,24 @@
 from loadbalancer.net import downstream
 from loadbalancer.net.http_framing import has_peer_closed
 from tests.loopback import (
-    Asked,
-    Caller,
-    Dials,
+    HttpClient,
+    HttpMessage,
     ListServer,
-    Rig,
+    PausedConnects,
+    ProxyHarness,
     Upstream,
-    at_least,
     config_text,
-    entry,
-    left_behind,
-    program,
-    response,
-    run,
-    silent,
-    status,
-    until,
+    endpoint_entry,
+    endpoint_list,
+    http_response,
+    never_answer,
+    run_scenario,
+    running_program,
+    status_of,
+    unreleased_resources,
+    wait_at_least,
+    wait_until,
 )
-from tests.test_upstreams import told_list
 
 HEAD = b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 4000m\r\n\r\n"
 LIMITS = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 5_000.0}
@@ -52,21 +52,21 @@
     """Reading was paused, so nobody saw its end, and its request was sent when the connection was up."""
 
     async def scenario() -> None:
-        dials, upstream = Dials(monkeypatch), Upstream()
-        async with Rig(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
-            caller = await rig.caller()
-            caller.send("/pay/x", b"x" * 70_000)
-            await dials.begun.wait()
-            (connection,) = rig.driver.callers._connections
-            await until(lambda: connection._is_reading_paused)
+        dials, upstream = PausedConnects(monkeypatch), Upstream()
+        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
+            caller = await rig.connect()
+            caller.send_request("/pay/x", b"x" * 70_000)
+            await dials.started.wait()
+            (connection,) = rig.proxy.callers._connections
+            await wait_until(lambda: connection._is_reading_paused)
             caller.writer.close()
-            await until(lambda: rig.driver.callers.connection_count() == 0)
-            assert not left_behind(rig.driver)
-            dials.let_up()
-            assert status(await rig.ask()) == 200
-            assert len(upstream.asked) == 1
+            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            assert not unreleased_resources(rig.proxy)
+            dials.release()
+            assert status_of(await rig.request()) == 200
+            assert len(upstream.requests) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @may_cancel
@@ -77,21 +77,21 @@
     monkeypatch.setattr(downstream, "DISCONNECT_POLL_INTERVAL_S", 0.005)
 
     async def scenario() -> None:
-        upstream = Upstream(silent)
-        async with Rig(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
-            caller = await rig.caller()
+        upstream = Upstream(never_answer)
+        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
+            caller = await rig.connect()
             caller.writer.write(HEAD * 40)
-            (connection,) = rig.driver.callers._connections
-            await until(lambda: connection._is_reading_paused)
-            await upstream.seen.wait()
-            await at_least(0.02)  # some looks that see a caller that is there
+            (connection,) = rig.proxy.callers._connections
+            await wait_until(lambda: connection._is_reading_paused)
+            await upstream.request_received.wait()
+            await wait_at_least(0.02)  # some looks that see a caller that is there
             caller.writer.close()
-            await until(lambda: rig.driver.callers.connection_count() == 0)
-            upstream.writers[0].write(response())
-            await until(lambda: not left_behind(rig.driver))
-            assert len(upstream.asked) == 1
+            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            upstream.writers[0].write(http_response())
+            await wait_until(lambda: not unreleased_resources(rig.proxy))
+            assert len(upstream.requests) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_request_that_lay_in_the_kernel_until_its_caller_had_gone_is_not_sent_on() -> None:
@@ -99,48 +99,48 @@
 
     async def scenario() -> None:
         upstream = Upstream()
-        async with Rig(upstream) as rig:
-            rig.driver.callers.max_connections = 1
-            first, late = await rig.caller(), await rig.caller()
-            first.send()
+        async with ProxyHarness(upstream) as rig:
+            rig.proxy.callers.max_connections = 1
+            first, late = await rig.connect(), await rig.connect()
+            first.send_request()
             assert (
-                status(await first.answer()) == 200
+                status_of(await first.read_response()) == 200
             )  # its upstream connection idles: no dial delays the next
-            late.send("/pay/x", b"debit")
+            late.send_request("/pay/x", b"debit")
             await late.writer.drain()
             late.writer.close()
             await late.writer.wait_closed()
             first.writer.close()
-            last = await rig.caller()  # behind it in the kernel's queue
-            last.send("/pay/last")
-            assert status(await last.answer()) == 200
-            assert [a.line.split()[1] for a in upstream.asked] == ["/read/x?y=1", "/pay/last"]
+            last = await rig.connect()  # behind it in the kernel's queue
+            last.send_request("/pay/last")
+            assert status_of(await last.read_response()) == 200
+            assert [a.start_line.split()[1] for a in upstream.requests] == ["/read/x?y=1", "/pay/last"]
             last.writer.close()
-            await until(lambda: not left_behind(rig.driver))
+            await wait_until(lambda: not unreleased_resources(rig.proxy))
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_caller_that_ends_its_sending_and_reads_no_more_frees_all_at_once() -> None:
     """While its answer could not leave it was not seen to have gone, and all it had asked for went on."""
 
     async def scenario() -> None:
-        upstream = Upstream(response(200, b"x" * 30_000_000), response())
-        async with Rig(upstream) as rig:
+        upstream = Upstream(http_response(200, b"x" * 30_000_000), http_response())
+        async with ProxyHarness(upstream) as rig:
             with socket.socket() as deaf:
                 deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-                deaf.connect(rig.driver.callers.address)
+                deaf.connect(rig.proxy.callers.address)
                 deaf.sendall(HEAD * 2)
-                await upstream.seen.wait()
-                (connection,) = rig.driver.callers._connections
-                await until(lambda: connection._is_streaming and connection._unsent.size_bytes > 0)
+                await upstream.request_received.wait()
+                (connection,) = rig.proxy.callers._connections
+                await wait_until(lambda: connection._is_streaming and connection._unsent.size_bytes > 0)
                 deaf.shutdown(socket.SHUT_WR)
-                await until(lambda: not rig.driver._requests)
-                assert len(upstream.asked) == 1
-            await until(lambda: rig.driver.callers.connection_count() == 0)
-            assert not left_behind(rig.driver)
+                await wait_until(lambda: not rig.proxy._requests)
+                assert len(upstream.requests) == 1
+            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            assert not unreleased_resources(rig.proxy)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("path", ["/nosuch/x", "/healthz", "/read/x"])
@@ -148,61 +148,61 @@
     """The bytes of bodies that were turned away counted as held for good, till nobody might send any."""
 
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            everyone = [await rig.caller() for _ in range(50)]
+        async with ProxyHarness(Upstream()) as rig:
+            everyone = [await rig.connect() for _ in range(50)]
             for caller in everyone:
-                caller.send(path, b"x" * 60_000, x_class="other")
+                caller.send_request(path, b"x" * 60_000, x_class="other")
                 caller.writer.write(b"GET /read/x HTTP/1.1\r\n")  # and part of another behind it
             for caller in everyone[:25]:
                 caller.writer.transport.abort()
             for caller in everyone[25:]:
-                assert status(await caller.answer()) >= 400
+                assert status_of(await caller.read_response()) >= 400
                 caller.writer.close()
-            await until(lambda: rig.driver.callers.connection_count() == 0)
-            assert not left_behind(rig.driver)
+            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            assert not unreleased_resources(rig.proxy)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_connection_that_we_have_aborted_has_nobody_at_its_other_end() -> None:
     """Its descriptor may be another's by now: it is not asked."""
 
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            caller = await rig.caller()
-            caller.send()
-            assert status(await caller.answer()) == 200
-            (connection,) = rig.driver.callers._connections
+        async with ProxyHarness(Upstream()) as rig:
+            caller = await rig.connect()
+            caller.send_request()
+            assert status_of(await caller.read_response()) == 200
+            (connection,) = rig.proxy.callers._connections
             transport = connection._transport
             assert transport is not None and not has_peer_closed(transport)
             transport.abort()
             assert has_peer_closed(transport)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_hundreds_that_wait_for_room_and_leave_at_once_free_all_they_held() -> None:
     async def scenario() -> None:
-        upstream = Upstream(silent)
-        async with Rig(upstream, classes=[PATIENT]) as rig:
-            everyone = [await rig.caller() for _ in range(200)]
+        upstream = Upstream(never_answer)
+        async with ProxyHarness(upstream, classes=[PATIENT]) as rig:
+            everyone = [await rig.connect() for _ in range(200)]
             for caller in everyone:
-                caller.send(deadline="90000m")
-            await until(lambda: len(rig.driver.balancer._queue) == 100)
+                caller.send_request(deadline="90000m")
+            await wait_until(lambda: len(rig.proxy.balancer._queue) == 100)
             for caller in everyone:
                 caller.writer.close()
-            await until(lambda: rig.driver.callers.connection_count() == 0)
-            await until(lambda: not left_behind(rig.driver))
-            assert len(upstream.asked) <= 100
-            seen = len(upstream.asked)
-            upstream.seen.clear()
-            last = await rig.caller()
-            last.send()
-            await upstream.seen.wait()
-            assert len(upstream.asked) == seen + 1
+            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            await wait_until(lambda: not unreleased_resources(rig.proxy))
+            assert len(upstream.requests) <= 100
+            seen = len(upstream.requests)
+            upstream.request_received.clear()
+            last = await rig.connect()
+            last.send_request()
+            await upstream.request_received.wait()
+            assert len(upstream.requests) == seen + 1
             last.writer.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @may_cancel
@@ -210,28 +210,29 @@
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        dials, upstream = Dials(monkeypatch), Upstream()
-        async with Rig(upstream, classes=[PATIENT], limits=LIMITS | {"mayCancel": cancel}) as rig:
-            rig.driver.callers.max_connections = rig.driver.upstreams.max_connections = 1_100
-            rig.driver._listed(
-                UpdateKind.FULL_SNAPSHOT, told_list(rig.entries[0] | {"weight": 1_000.0}, whole=True)
+        dials, upstream = PausedConnects(monkeypatch), Upstream()
+        async with ProxyHarness(upstream, classes=[PATIENT], limits=LIMITS | {"mayCancel": cancel}) as rig:
+            rig.proxy.callers.max_connections = rig.proxy.upstreams.max_connections = 1_100
+            rig.proxy._listed(
+                UpdateKind.FULL_SNAPSHOT,
+                endpoint_list(rig.entries[0] | {"weight": 1_000.0}, is_full_snapshot=True),
             )
-            everyone = [await rig.caller() for _ in range(1_000)]
+            everyone = [await rig.connect() for _ in range(1_000)]
             for caller in everyone:
-                caller.send(deadline="90000m")
-            await until(lambda: dials.count == 1_000)
+                caller.send_request(deadline="90000m")
+            await wait_until(lambda: dials.count == 1_000)
             for caller in everyone:
                 caller.writer.close()
-            await until(lambda: rig.driver.callers.connection_count() == 0)
-            assert not left_behind(rig.driver)
-            dials.let_up()
-            assert status(await rig.ask()) == 200
-            assert len(upstream.asked) == 1
+            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            assert not unreleased_resources(rig.proxy)
+            dials.release()
+            assert status_of(await rig.request()) == 200
+            assert len(upstream.requests) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
-def at_once(caller: Caller, data: bytes) -> None:
+def at_once(caller: HttpClient, data: bytes) -> None:
     """Put bytes into the kernel in this very instant."""
     os.write(caller.writer.get_extra_info("socket").fileno(), data)
 
@@ -243,9 +244,9 @@
     monkeypatch.setattr(downstream, "REQUEST_TIMEOUT_S", 0.0)
 
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
+        async with ProxyHarness(Upstream()) as rig:
             look, crossed = downstream.DownstreamConnection._on_request_timeout, list[int]()
-            caller = Caller()
+            caller = HttpClient()
 
             def crossing(connection: downstream.DownstreamConnection) -> None:
                 if not crossed and caller.writer is not None:
@@ -255,24 +256,24 @@
 
             caller.writer = None  # type: ignore[assignment]
             monkeypatch.setattr(downstream.DownstreamConnection, "_on_request_timeout", crossing)
-            pending = socket.create_connection(rig.driver.callers.address)
+            pending = socket.create_connection(rig.proxy.callers.address)
             caller.reader, caller.writer = await asyncio.open_connection(sock=pending)
-            answer = await caller.answer()
-            assert crossed and status(answer) == 200
+            answer = await caller.read_response()
+            assert crossed and status_of(answer) == 200
             caller.writer.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("first", ["deadline", "answer"])
 def test_the_deadline_and_the_answer_in_one_turn_give_one_final_answer(first: str) -> None:
     async def scenario() -> None:
-        upstream = Upstream(silent, response(200, b"second"))
-        async with Rig(upstream) as rig:
-            caller = await rig.caller()
+        upstream = Upstream(never_answer, http_response(200, b"second"))
+        async with ProxyHarness(upstream) as rig:
+            caller = await rig.connect()
             caller.writer.write(HEAD * 2)
-            await upstream.seen.wait()
-            driver = rig.driver
+            await upstream.request_received.wait()
+            driver = rig.proxy
             ((number, _),) = driver._requests.items()
             ended = driver.attempt_ended
 
@@ -285,52 +286,54 @@
                     driver._rescue(number)
 
             driver.attempt_ended = crossing  # type: ignore[method-assign, assignment]
-            upstream.writers[0].write(response(200, b"first"))
-            answer = await caller.answer()
-            assert (status(answer), answer.body) == ((502, b"") if first == "deadline" else (200, b"first"))
-            assert (await caller.answer()).body == b"second"
+            upstream.writers[0].write(http_response(200, b"first"))
+            answer = await caller.read_response()
+            assert (status_of(answer), answer.body) == (
+                (502, b"") if first == "deadline" else (200, b"first")
+            )
+            assert (await caller.read_response()).body == b"second"
             caller.writer.close()
-            await until(lambda: rig.driver.callers.connection_count() == 0)
-            assert not left_behind(driver)
+            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            assert not unreleased_resources(driver)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("first", ["leaves", "answer"])
 def test_a_caller_that_leaves_as_its_answer_comes_leaves_nothing_behind(first: str) -> None:
     async def scenario() -> None:
-        upstream = Upstream(silent)
-        async with Rig(upstream) as rig:
-            caller = await rig.caller()
-            caller.send("/pay/x", b"debit")
-            await upstream.seen.wait()
+        upstream = Upstream(never_answer)
+        async with ProxyHarness(upstream) as rig:
+            caller = await rig.connect()
+            caller.send_request("/pay/x", b"debit")
+            await upstream.request_received.wait()
             if first == "leaves":
                 caller.writer.transport.abort()
-                upstream.writers[0].write(response())
+                upstream.writers[0].write(http_response())
             else:
-                upstream.writers[0].write(response())
+                upstream.writers[0].write(http_response())
                 caller.writer.transport.abort()
-            await until(lambda: rig.driver.callers.connection_count() == 0)
-            await until(lambda: not left_behind(rig.driver))
+            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            await wait_until(lambda: not unreleased_resources(rig.proxy))
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_what_was_never_written_is_refused_at_its_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     """It was answered as failed, though its connection had never come up: nobody might ask again."""
 
     async def scenario() -> None:
-        dials = Dials(monkeypatch)
-        async with Rig(Upstream(), limits=LIMITS) as rig:
-            caller = await rig.caller()
-            caller.send("/pay/x", b"debit", deadline="60000m")
-            await dials.begun.wait()
-            ((number, _),) = rig.driver._requests.items()
-            rig.driver._rescue(number)
-            assert status(await caller.answer()) == 503
-            await until(lambda: not left_behind(rig.driver))
+        dials = PausedConnects(monkeypatch)
+        async with ProxyHarness(Upstream(), limits=LIMITS) as rig:
+            caller = await rig.connect()
+            caller.send_request("/pay/x", b"debit", deadline="60000m")
+            await dials.started.wait()
+            ((number, _),) = rig.proxy._requests.items()
+            rig.proxy._rescue(number)
+            assert status_of(await caller.read_response()) == 503
+            await wait_until(lambda: not unreleased_resources(rig.proxy))
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 # ---- the process ends ---------------------------------------------------------------------------
@@ -347,18 +350,18 @@
     end_at_once(monkeypatch)
 
     async def scenario() -> None:
-        upstream = Upstream(silent)
-        async with Rig(upstream) as rig:
-            caller = await rig.caller()
+        upstream = Upstream(never_answer)
+        async with ProxyHarness(upstream) as rig:
+            caller = await rig.connect()
             caller.writer.write(HEAD * 3)
-            await upstream.seen.wait()
-            await rig.driver.callers.shut_down()
-            assert [status(await caller.answer()) for _ in range(3)] == [502, 503, 503]
+            await upstream.request_received.wait()
+            await rig.proxy.callers.shut_down()
+            assert [status_of(await caller.read_response()) for _ in range(3)] == [502, 503, 503]
             assert await caller.reader.read() == b""
-            assert len(upstream.asked) == 1
-            assert not left_behind(rig.driver)
+            assert len(upstream.requests) == 1
+            assert not unreleased_resources(rig.proxy)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_slow_reader_gets_the_rest_of_its_answer_before_the_process_goes(
@@ -369,22 +372,22 @@
 
     async def scenario() -> None:
         large = b"x" * 8_000_000
-        async with Rig(Upstream(response(200, large))) as rig:
-            caller = await rig.caller()
-            caller.send()
-            (connection,) = rig.driver.callers._connections
-            await until(lambda: connection._is_streaming)
-            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
-            await until(lambda: rig.driver._closed)
-            await at_least(0.05)
+        async with ProxyHarness(Upstream(http_response(200, large))) as rig:
+            caller = await rig.connect()
+            caller.send_request()
+            (connection,) = rig.proxy.callers._connections
+            await wait_until(lambda: connection._is_streaming)
+            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
+            await wait_until(lambda: rig.proxy._closed)
+            await wait_at_least(0.05)
             assert not ending.done()
-            assert (await caller.answer()).body == large
+            assert (await caller.read_response()).body == large
             assert await caller.reader.read() == b""
             caller.writer.close()
             await ending
-            assert not left_behind(rig.driver)
+            assert not unreleased_resources(rig.proxy)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_an_answer_that_is_cut_off_by_the_end_is_not_taken_for_whole(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -392,18 +395,18 @@
     monkeypatch.setattr(downstream, "SHUTDOWN_UNREAD_S", 0.0)
 
     async def scenario() -> None:
-        async def part(asked: Asked, writer: asyncio.StreamWriter) -> None:
+        async def part(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\n\r\npart")
 
-        async with Rig(Upstream(part)) as rig:
-            caller = await rig.caller()
+        async with ProxyHarness(Upstream(part)) as rig:
+            caller = await rig.connect()
             caller.writer.write(HEAD.replace(b"HTTP/1.1", b"HTTP/1.0"))
             assert b"part" in await caller.reader.readuntil(b"part")
-            await rig.driver.callers.shut_down()
+            await rig.proxy.callers.shut_down()
             with pytest.raises(ConnectionResetError):
                 await caller.reader.read()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("at", ["while there is time", "when the time is up"])
@@ -421,11 +424,11 @@
 
     async def scenario() -> None:
         upstream = Upstream()
-        async with Rig(upstream) as rig:
-            caller = await rig.caller()
-            caller.send()
-            await upstream.seen.wait()
-            (connection,) = rig.driver.callers._connections
+        async with ProxyHarness(upstream) as rig:
+            caller = await rig.connect()
+            caller.send_request()
+            await upstream.request_received.wait()
+            (connection,) = rig.proxy.callers._connections
             half_close = connection.half_close
 
             def crossing() -> None:
@@ -433,16 +436,16 @@
                 at_once(caller, sent)  # in our kernel, unread, right after the half-close
 
             monkeypatch.setattr(connection, "half_close", crossing)
-            await until(lambda: not rig.driver._requests)
-            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
-            answer = await caller.answer()
-            assert status(answer) == 200 and answer.body == b"tile"
+            await wait_until(lambda: not rig.proxy._requests)
+            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
+            answer = await caller.read_response()
+            assert status_of(answer) == 200 and answer.body == b"tile"
             assert await caller.reader.read() == b""
             caller.writer.close()
             await ending
-            assert len(upstream.asked) == 1
+            assert len(upstream.requests) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_request_that_comes_as_the_time_is_up_is_refused_with_an_answer(
@@ -454,25 +457,25 @@
 
     async def scenario() -> None:
         upstream = Upstream()
-        async with Rig(upstream) as rig:
-            caller = await rig.caller()
-            caller.send()
-            assert status(await caller.answer()) == 200
-            close = rig.driver.on_shutdown_deadline
+        async with ProxyHarness(upstream) as rig:
+            caller = await rig.connect()
+            caller.send_request()
+            assert status_of(await caller.read_response()) == 200
+            close = rig.proxy.on_shutdown_deadline
 
             def crossing() -> None:
                 at_once(caller, HEAD)
                 close()
 
-            monkeypatch.setattr(rig.driver, "on_shutdown_deadline", crossing)
-            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
-            assert status(await caller.answer()) == 503
+            monkeypatch.setattr(rig.proxy, "on_shutdown_deadline", crossing)
+            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
+            assert status_of(await caller.read_response()) == 503
             assert await caller.reader.read() == b""
             caller.writer.close()
             await ending
-            assert len(upstream.asked) == 1
+            assert len(upstream.requests) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_what_waits_for_a_place_when_the_process_is_told_to_end_is_answered(
@@ -482,25 +485,25 @@
     monkeypatch.setattr(downstream, "SHUTDOWN_ACCEPT_S", 0.0)
 
     async def scenario() -> None:
-        upstream = Upstream(silent, response())
-        async with Rig(upstream) as rig:
-            rig.driver.callers.max_connections = 1
-            first, late = await rig.caller(), await rig.caller()
-            first.send()
-            await upstream.seen.wait()
-            late.send()
+        upstream = Upstream(never_answer, http_response())
+        async with ProxyHarness(upstream) as rig:
+            rig.proxy.callers.max_connections = 1
+            first, late = await rig.connect(), await rig.connect()
+            first.send_request()
+            await upstream.request_received.wait()
+            late.send_request()
             await late.writer.drain()
-            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
-            await until(lambda: rig.driver.callers.is_shutting_down)
-            await at_least(0.05)
-            upstream.writers[0].write(response())
-            assert status(await first.answer()) == 200
+            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
+            await wait_until(lambda: rig.proxy.callers.is_shutting_down)
+            await wait_at_least(0.05)
+            upstream.writers[0].write(http_response())
+            assert status_of(await first.read_response()) == 200
             first.writer.close()
-            assert status(await late.answer()) == 200
+            assert status_of(await late.read_response()) == 200
             late.writer.close()
             await ending
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_body_that_comes_in_as_the_time_is_up_is_answered_and_read_to_its_end(
@@ -510,58 +513,58 @@
     monkeypatch.setattr(downstream, "SHUTDOWN_FINAL_S", 5.0)
 
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            caller = await rig.caller()
+        async with ProxyHarness(Upstream()) as rig:
+            caller = await rig.connect()
             whole = HEAD.replace(b"GET /read", b"POST /pay").replace(b": read", b": pay")
             caller.writer.write(whole[:-2] + b"Content-Length: 400000\r\n\r\n" + b"x" * 100_000)
-            await until(lambda: bool(rig.driver._requests))
-            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
-            await until(lambda: rig.driver._closed)
-            (connection,) = rig.driver.callers._connections
+            await wait_until(lambda: bool(rig.proxy._requests))
+            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
+            await wait_until(lambda: rig.proxy._closed)
+            (connection,) = rig.proxy.callers._connections
             at_once(caller, b"x" * 1_000)  # more of it is there each time we look
             connection.close_at_shutdown()
             assert connection._is_half_closed
             caller.writer.write(b"x" * 299_000)
-            assert status(await caller.answer()) >= 500
+            assert status_of(await caller.read_response()) >= 500
             assert await caller.reader.read() == b""
             caller.writer.close()
             await ending
-            assert not left_behind(rig.driver)
+            assert not unreleased_resources(rig.proxy)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_the_program_ends_with_every_answer_out_whatever_signals_come(tmp_path: Path) -> None:
     """In flight past its deadline, half a request, idle, pipelined; a second SIGTERM and SIGHUP meanwhile."""
 
     async def scenario() -> None:
-        upstream, lists, path = Upstream(silent), ListServer(), tmp_path / "config.json"
+        upstream, lists, path = Upstream(never_answer), ListServer(), tmp_path / "config.json"
         classes = [{"name": "read", "target": 200.0, "deadline": 400.0, "effect": "fragile", "worth": 1.0}]
         port = free_port()
-        entries = [entry("s0", await upstream.start())]
+        entries = [endpoint_entry("s0", await upstream.start())]
         config = json.loads(config_text(await lists.start(), entries, classes=classes))
         path.write_text(json.dumps(config | {"listen": f"127.0.0.1:{port}", "console": ""}))
-        async with program(path) as process:
+        async with running_program(path) as process:
             flight, half, idle = [await connected(port) for _ in range(3)]
             flight.writer.write(HEAD.replace(b"4000m", b"60000m") * 2)
-            await upstream.seen.wait()
+            await upstream.request_received.wait()
             half.writer.write(HEAD[:50])
             for number in (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP):
                 process.send_signal(number)
             half.writer.write(HEAD[50:].replace(b"4000m", b"60000m"))
             assert await idle.reader.read() == b""
             idle.writer.write(HEAD.replace(b"Id: 1", b"Id: 9"))  # crosses the end of its connection
-            assert status(await flight.answer()) in (502, 503)
-            assert status(await flight.answer()) in (502, 503)
-            assert status(await half.answer()) in (502, 503)
+            assert status_of(await flight.read_response()) in (502, 503)
+            assert status_of(await flight.read_response()) in (502, 503)
+            assert status_of(await half.read_response()) in (502, 503)
             for caller in (flight, half):
                 assert await caller.reader.read() == b"", "no reset"
                 caller.writer.close()
             idle.writer.close()
             assert await process.wait() == 0
-            assert {a.headers["x-request-id"] for a in upstream.asked} == {"1"}, "nothing that crossed"
+            assert {a.headers["x-request-id"] for a in upstream.requests} == {"1"}, "nothing that crossed"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_flood_of_peers_that_send_much_and_go_leaves_the_program_as_it_was(tmp_path: Path) -> None:
@@ -569,27 +572,27 @@
 
     async def scenario() -> None:
         upstream, lists, path, port = Upstream(), ListServer(), tmp_path / "config.json", free_port()
-        config = json.loads(config_text(await lists.start(), [entry("s0", await upstream.start())]))
+        config = json.loads(config_text(await lists.start(), [endpoint_entry("s0", await upstream.start())]))
         limits = {"cores": 1.0, "memory_mb": 64, "sockets": 256}
         path.write_text(json.dumps(config | {"listen": f"127.0.0.1:{port}", "console": "", "limits": limits}))
-        async with program(path) as process:
+        async with running_program(path) as process:
             first = await connected(port)
-            first.send()
-            assert status(await first.answer()) == 200
+            first.send_request()
+            assert status_of(await first.read_response()) == 200
             first.writer.close()
             status_files = Path("/proc", str(process.pid))
             before = len(list((status_files / "fd").iterdir())), resident_mb(status_files)
             for kind in FLOODS:
                 await asyncio.gather(*[send_and_go(port, kind) for _ in range(150)])
             last = await connected(port)
-            last.send()
-            assert status(await last.answer()) == 200
+            last.send_request()
+            assert status_of(await last.read_response()) == 200
             last.writer.close()
             while len(list((status_files / "fd").iterdir())) > before[0]:
                 await asyncio.sleep(0.01)
             assert resident_mb(status_files) < before[1] + 20
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 FLOODS = (
@@ -619,9 +622,9 @@
         return int(probe.getsockname()[1])
 
 
-async def connected(port: int) -> Caller:
+async def connected(port: int) -> HttpClient:
     """A caller of a program that is starting."""
-    caller = Caller()
+    caller = HttpClient()
     while True:
         try:
             caller.reader, caller.writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/test_endings_list.py
+++ b/tests/test_endings_list.py
@@ -13,7 +13,17 @@
 from loadbalancer.net import discovery
 from loadbalancer.net.config import read_config
 from loadbalancer.policy import endpoints
-from tests.loopback import ListServer, Rig, Upstream, at_least, config_text, entry, run, status, until
+from tests.loopback import (
+    ListServer,
+    ProxyHarness,
+    Upstream,
+    config_text,
+    endpoint_entry,
+    run_scenario,
+    status_of,
+    wait_at_least,
+    wait_until,
+)
 from tests.test_net import listen_to
 from tests.test_upstreams import full_backlog
 
@@ -34,19 +44,19 @@
 
     async def scenario() -> None:
         upstream, contract = Upstream(), {"drainGrace": 500.0, "askWithin": NEVER * 1_000}
-        async with Rig(upstream, discovery=how, contract=contract) as rig:
-            assert status(await rig.ask()) == 200
+        async with ProxyHarness(upstream, discovery=how, contract=contract) as rig:
+            assert status_of(await rig.request()) == 200
             told = listen_to(rig)
-            await rig.discovery.calls.get()  # it stays silent
-            assert "after=7&" in await rig.discovery.calls.get()
-            drains = entry("s0", rig.entries[0]["address"], status="terminating")
-            rig.discovery.tell(8, drains)  # for the silent call: nobody hears it any more
-            rig.discovery.tell(8, drains)
-            await upstream.ended.wait()
-            assert status(await rig.ask("/pay/x", b"debit")) == 503
+            await rig.discovery.request_lines.get()  # it stays silent
+            assert "after=7&" in await rig.discovery.request_lines.get()
+            drains = endpoint_entry("s0", rig.entries[0]["address"], status="terminating")
+            rig.discovery.publish(8, drains)  # for the silent call: nobody hears it any more
+            rig.discovery.publish(8, drains)
+            await upstream.connection_ended.wait()
+            assert status_of(await rig.request("/pay/x", b"debit")) == 503
             assert list_kinds(told) == [UpdateKind.FAILED] * (how == "ask") + [UpdateKind.DELTA]
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_pushed_watch_that_is_reset_is_opened_anew_at_once_but_not_again_and_again(
@@ -69,13 +79,13 @@
         found = discovery.Discovery(config, lambda news: True, failed.set)
         found._watch.index = 7
         found.start()
-        await until(lambda: len(calls) == 2)
-        await at_least(0.05)
+        await wait_until(lambda: len(calls) == 2)
+        await wait_at_least(0.05)
         assert len(calls) == 2, "the second failure in a row waits"
         assert found._task is not None and not found._task.done()
         found._task.cancel()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("how", ["ask", "push"])
@@ -106,11 +116,11 @@
             if how == "ask":
                 await failed.wait()
             else:
-                await until(lambda: len(dials) > 2)
+                await wait_until(lambda: len(dials) > 2)
                 assert found._task is not None
                 found._task.cancel()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_what_the_old_address_answers_after_the_move_is_not_taken() -> None:
@@ -118,20 +128,20 @@
 
     async def scenario() -> None:
         upstream, elsewhere = Upstream(), ListServer()
-        async with Rig(upstream) as rig:
-            await rig.discovery.calls.get()
+        async with ProxyHarness(upstream) as rig:
+            await rig.discovery.request_lines.get()
             told = listen_to(rig)
             text = config_text(await elsewhere.start(), rig.entries)
-            rig.discovery.tell(99, snapshot=True)  # its answer and the signal cross
-            rig.driver.replace(read_config(text, lambda note: None))
-            assert "after" not in await elsewhere.calls.get()
-            drains = entry("s0", rig.entries[0]["address"], status="terminating")
-            elsewhere.tell(8, drains, snapshot=True)
-            assert "after=8&" in await elsewhere.calls.get()
+            rig.discovery.publish(99, snapshot=True)  # its answer and the signal cross
+            rig.proxy.replace(read_config(text, lambda note: None))
+            assert "after" not in await elsewhere.request_lines.get()
+            drains = endpoint_entry("s0", rig.entries[0]["address"], status="terminating")
+            elsewhere.publish(8, drains, snapshot=True)
+            assert "after=8&" in await elsewhere.request_lines.get()
             assert list_kinds(told) == [UpdateKind.FULL_SNAPSHOT]
-            assert status(await rig.ask("/pay/x", b"debit")) == 503
+            assert status_of(await rig.request("/pay/x", b"debit")) == 503
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("first", ["drain", "loss"])
@@ -140,21 +150,21 @@
 ) -> None:
     async def scenario() -> None:
         going, staying = Upstream(), Upstream()
-        async with Rig(going, staying) as rig:
-            drains = entry("s0", rig.entries[0]["address"], status="terminating")
+        async with ProxyHarness(going, staying) as rig:
+            drains = endpoint_entry("s0", rig.entries[0]["address"], status="terminating")
             whole = rig.entries[1]
-            await rig.discovery.calls.get()
+            await rig.discovery.request_lines.get()
             for index, what in enumerate(("drain", "loss") if first == "drain" else ("loss", "drain"), 8):
                 if what == "drain":
-                    rig.discovery.tell(index, drains)
+                    rig.discovery.publish(index, drains)
                 else:
-                    rig.discovery.tell(index, whole, snapshot=True)
-                await rig.discovery.calls.get()
+                    rig.discovery.publish(index, whole, snapshot=True)
+                await rig.discovery.request_lines.get()
             for _ in range(10):
-                assert status(await rig.ask()) == 200
-            assert not going.asked and len(staying.asked) == 10
+                assert status_of(await rig.request()) == 200
+            assert not going.requests and len(staying.requests) == 10
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_drain_in_the_first_answer_after_an_outage_is_heeded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -163,25 +173,25 @@
 
     async def scenario() -> None:
         upstream = Upstream()
-        async with Rig(upstream) as rig:
-            assert status(await rig.ask()) == 200
+        async with ProxyHarness(upstream) as rig:
+            assert status_of(await rig.request()) == 200
             for _ in range(3):
-                await rig.discovery.calls.get()
-                rig.discovery.answers.put_nowait(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
-            line = await rig.discovery.calls.get()
+                await rig.discovery.request_lines.get()
+                rig.discovery.responses.put_nowait(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
+            line = await rig.discovery.request_lines.get()
             assert "after=7&" in line
             body = json.dumps(
                 {
                     "index": 9,
                     "snapshot": True,
-                    "endpoints": [entry("s0", rig.entries[0]["address"], status="terminating")],
+                    "endpoints": [endpoint_entry("s0", rig.entries[0]["address"], status="terminating")],
                 },
                 indent=2,
             )
             head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n"
-            rig.discovery.answers.put_nowait(head.encode() + body.encode())
-            await upstream.ended.wait()
-            assert status(await rig.ask("/pay/x", b"debit")) == 503
-            assert len(upstream.asked) == 1
+            rig.discovery.responses.put_nowait(head.encode() + body.encode())
+            await upstream.connection_ended.wait()
+            assert status_of(await rig.request("/pay/x", b"debit")) == 503
+            assert len(upstream.requests) == 1
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -20,20 +20,20 @@
 from loadbalancer.net.http_framing import has_peer_closed
 from loadbalancer.net.upstream import UpstreamConnection
 from tests.loopback import (
-    Caller,
-    Dials,
-    Rig,
+    HttpClient,
+    PausedConnects,
+    ProxyHarness,
     Upstream,
-    at_least,
-    entry,
-    left_behind,
-    response,
-    run,
-    silent,
-    status,
-    until,
+    endpoint_entry,
+    endpoint_list,
+    http_response,
+    never_answer,
+    run_scenario,
+    status_of,
+    unreleased_resources,
+    wait_at_least,
+    wait_until,
 )
-from tests.test_upstreams import told_list
 
 ALLOWED_S = 0.1  # after the close, for what is on its way
 LOOKS_EVERY_S = downstream.DISCONNECT_POLL_INTERVAL_S
@@ -46,7 +46,7 @@
 class Unseen:
     """A caller whose end the loop does not see: it has sent more than is read."""
 
-    def __init__(self, caller: Caller, connection: DownstreamConnection) -> None:
+    def __init__(self, caller: HttpClient, connection: DownstreamConnection) -> None:
         self._caller, self._connection = caller, connection
 
     async def leave(self, how: str = "closes") -> None:
@@ -59,17 +59,17 @@
         else:
             writer.close()
         assert transport is not None
-        await until(lambda: has_peer_closed(transport))
-        await at_least(ALLOWED_S)
+        await wait_until(lambda: has_peer_closed(transport))
+        await wait_at_least(ALLOWED_S)
 
 
-async def ask_unseen(rig: Rig) -> Unseen:
+async def ask_unseen(rig: ProxyHarness) -> Unseen:
     """Send a request, and so many behind it that reading is paused."""
-    known = set(rig.driver.callers._connections)
-    caller = await rig.caller()
+    known = set(rig.proxy.callers._connections)
+    caller = await rig.connect()
     caller.writer.write(HEAD * 40)
-    await until(lambda: any(c._is_reading_paused for c in rig.driver.callers._connections - known))
-    (connection,) = rig.driver.callers._connections - known
+    await wait_until(lambda: any(c._is_reading_paused for c in rig.proxy.callers._connections - known))
+    (connection,) = rig.proxy.callers._connections - known
     return Unseen(caller, connection)
 
 
@@ -78,10 +78,10 @@
     monkeypatch.setattr(downstream, "DISCONNECT_POLL_INTERVAL_S", 3_600.0)
 
 
-async def all_let_go(rig: Rig) -> None:
+async def all_let_go(rig: ProxyHarness) -> None:
     """Wait until nothing is kept for who has gone."""
-    await until(lambda: rig.driver.callers.connection_count() == 0)
-    await until(lambda: not left_behind(rig.driver))
+    await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+    await wait_until(lambda: not unreleased_resources(rig.proxy))
 
 
 # ---- each way in which an attempt begins --------------------------------------------------------
@@ -93,36 +93,36 @@
     cancel: bool, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        dials, upstream = Dials(monkeypatch), Upstream()
-        async with Rig(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
+        dials, upstream = PausedConnects(monkeypatch), Upstream()
+        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
             caller = await ask_unseen(rig)
-            await dials.begun.wait()
+            await dials.started.wait()
             await caller.leave(how)
-            await at_least(0.4)
-            dials.let_up()
+            await wait_at_least(0.4)
+            dials.release()
             await all_let_go(rig)
-            assert not upstream.asked
-            assert status(await rig.ask()) == 200
-            assert len(upstream.asked) == 1
+            assert not upstream.requests
+            assert status_of(await rig.request()) == 200
+            assert len(upstream.requests) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @may_cancel
 def test_a_failed_attempt_is_not_repeated_for_a_caller_that_has_gone(cancel: bool) -> None:
     async def scenario() -> None:
-        upstreams = Upstream(silent), Upstream(silent)
-        async with Rig(*upstreams, limits=LIMITS | {"mayCancel": cancel}) as rig:
+        upstreams = Upstream(never_answer), Upstream(never_answer)
+        async with ProxyHarness(*upstreams, limits=LIMITS | {"mayCancel": cancel}) as rig:
             caller = await ask_unseen(rig)
-            await until(lambda: any(u.asked for u in upstreams))
+            await wait_until(lambda: any(u.requests for u in upstreams))
             await caller.leave()
             for upstream in upstreams:
                 for writer in upstream.writers:
                     writer.transport.abort()
             await all_let_go(rig)
-            assert sum(len(u.asked) for u in upstreams) == 1
+            assert sum(len(u.requests) for u in upstreams) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @may_cancel
@@ -130,9 +130,9 @@
     """The first server is silent, and the copy's time comes when nobody waits any more."""
 
     async def scenario() -> None:
-        first, second = Upstream(silent), Upstream(silent)
-        async with Rig(first, second, limits=LIMITS | {"mayCancel": cancel}) as rig:
-            handle, due = rig.driver.balancer.handle, list[str]()
+        first, second = Upstream(never_answer), Upstream(never_answer)
+        async with ProxyHarness(first, second, limits=LIMITS | {"mayCancel": cancel}) as rig:
+            handle, due = rig.proxy.balancer.handle, list[str]()
 
             def copying(event: interface.Event, now: float) -> list[interface.Action]:
                 if isinstance(event, interface.TimerExpired) and event.token == "copy":
@@ -146,17 +146,17 @@
                     else []
                 )
 
-            rig.driver.balancer.handle = copying  # type: ignore[method-assign]
+            rig.proxy.balancer.handle = copying  # type: ignore[method-assign]
             caller = await ask_unseen(rig)
-            await first.seen.wait()
+            await first.request_received.wait()
             await caller.leave()
-            rig.driver._tell(interface.TimerExpired("copy"))
-            assert due and not any(r.open for r in rig.driver._requests.values())
+            rig.proxy._tell(interface.TimerExpired("copy"))
+            assert due and not any(r.open for r in rig.proxy._requests.values())
             first.writers[0].transport.abort()
-            await until(lambda: not rig.driver._requests)
-            assert (len(first.asked), len(second.asked), second.connections) == (1, 0, 0)
+            await wait_until(lambda: not rig.proxy._requests)
+            assert (len(first.requests), len(second.requests), second.connection_count) == (1, 0, 0)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @may_cancel
@@ -164,31 +164,32 @@
     cancel: bool,
 ) -> None:
     async def scenario() -> None:
-        upstream = Upstream(silent)
-        async with Rig(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
-            rig.driver._listed(
-                UpdateKind.FULL_SNAPSHOT, told_list(rig.entries[0] | {"weight": 1.0}, whole=True)
+        upstream = Upstream(never_answer)
+        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
+            rig.proxy._listed(
+                UpdateKind.FULL_SNAPSHOT,
+                endpoint_list(rig.entries[0] | {"weight": 1.0}, is_full_snapshot=True),
             )
-            others = list[Caller]()
-            while not rig.driver.balancer._queue:
-                others.append(await rig.caller())
-                others[-1].send()
-                await until(lambda: len(rig.driver._requests) == len(others))
+            others = list[HttpClient]()
+            while not rig.proxy.balancer._queue:
+                others.append(await rig.connect())
+                others[-1].send_request()
+                await wait_until(lambda: len(rig.proxy._requests) == len(others))
             others.pop().writer.close()
-            await until(lambda: not rig.driver.balancer._queue)
-            await until(lambda: len(upstream.asked) == len(others))
+            await wait_until(lambda: not rig.proxy.balancer._queue)
+            await wait_until(lambda: len(upstream.requests) == len(others))
             caller = await ask_unseen(rig)
-            assert len(rig.driver.balancer._queue) == 1
+            assert len(rig.proxy.balancer._queue) == 1
             await caller.leave()
             for writer in upstream.writers:
-                writer.write(response())
+                writer.write(http_response())
             for other in others:
-                assert status(await other.answer()) == 200
+                assert status_of(await other.read_response()) == 200
                 other.writer.close()
             await all_let_go(rig)
-            assert len(upstream.asked) == len(others)
+            assert len(upstream.requests) == len(others)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @may_cancel
@@ -196,23 +197,23 @@
     """Its end is in the kernel by then; the loop would read it next, and the attempt comes first."""
 
     async def scenario() -> None:
-        upstream = Upstream(silent)
-        async with Rig(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
-            handle = rig.driver.balancer.handle
-            rig.driver.balancer.handle = lambda event, now: (  # type: ignore[method-assign]
+        upstream = Upstream(never_answer)
+        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
+            handle = rig.proxy.balancer.handle
+            rig.proxy.balancer.handle = lambda event, now: (  # type: ignore[method-assign]
                 [interface.SendAttempt(1, "s0", 1_000.0)] if isinstance(event, interface.TimerExpired) else []
             )
-            with socket.create_connection(rig.driver.callers.address) as caller:
+            with socket.create_connection(rig.proxy.callers.address) as caller:
                 caller.sendall(HEAD)
-                await until(lambda: bool(rig.driver._requests))
+                await wait_until(lambda: bool(rig.proxy._requests))
             time.sleep(0.3)  # the loop is busy: this is the scenario, and waits for nothing
-            rig.driver._tell(interface.TimerExpired("copy"))
-            assert not rig.driver._requests
-            rig.driver.balancer.handle = handle  # type: ignore[method-assign]
+            rig.proxy._tell(interface.TimerExpired("copy"))
+            assert not rig.proxy._requests
+            rig.proxy.balancer.handle = handle  # type: ignore[method-assign]
             await all_let_go(rig)
-            assert not upstream.connections
+            assert not upstream.connection_count
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_first_attempt_begins_for_nobody_when_request_and_end_are_read_late() -> None:
@@ -220,18 +221,18 @@
 
     async def scenario() -> None:
         upstream = Upstream()
-        async with Rig(upstream) as rig:
-            assert status(await rig.ask()) == 200  # its connection idles: no dial delays the next
-            await until(lambda: rig.driver.callers.connection_count() == 0)
-            await at_least(0.01)
-            with socket.create_connection(rig.driver.callers.address) as caller:
-                await until(lambda: rig.driver.callers.connection_count() == 1)
+        async with ProxyHarness(upstream) as rig:
+            assert status_of(await rig.request()) == 200  # its connection idles: no dial delays the next
+            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            await wait_at_least(0.01)
+            with socket.create_connection(rig.proxy.callers.address) as caller:
+                await wait_until(lambda: rig.proxy.callers.connection_count() == 1)
                 caller.sendall(HEAD)
             time.sleep(0.3)
             await all_let_go(rig)
-            assert len(upstream.asked) == 1
+            assert len(upstream.requests) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @may_cancel
@@ -256,24 +257,25 @@
             writer.close()
 
         server = await asyncio.start_server(slow, "127.0.0.1", 0, limit=4_096)
-        async with Rig(Upstream(), limits=LIMITS | {"mayCancel": cancel}) as rig:
+        async with ProxyHarness(Upstream(), limits=LIMITS | {"mayCancel": cancel}) as rig:
             port = server.sockets[0].getsockname()[1]
-            rig.driver._listed(
-                UpdateKind.FULL_SNAPSHOT, told_list(entry("s0", f"127.0.0.1:{port}"), whole=True)
+            rig.proxy._listed(
+                UpdateKind.FULL_SNAPSHOT,
+                endpoint_list(endpoint_entry("s0", f"127.0.0.1:{port}"), is_full_snapshot=True),
             )
-            caller = await rig.caller()
-            caller.send("/pay/x", b"x" * size, deadline="60000m")
+            caller = await rig.connect()
+            caller.send_request("/pay/x", b"x" * size, deadline="60000m")
             await begun.wait()
-            (connection,) = rig.driver.callers._connections
-            await until(lambda: connection._is_reading_paused)
+            (connection,) = rig.proxy.callers._connections
+            await wait_until(lambda: connection._is_reading_paused)
             caller.writer.close()  # the kernel sends on what we still hold for it
-            await at_least(ALLOWED_S)
+            await wait_at_least(ALLOWED_S)
             go_on.set()
             await over.wait()
             assert got[0] < size
             await all_let_go(rig)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 # ---- what must go on ----------------------------------------------------------------------------
@@ -288,52 +290,52 @@
     """Bytes that wait unread, and a connection that has long been idle, are no end."""
 
     async def scenario() -> None:
-        dials, upstream = Dials(monkeypatch), Upstream()
-        async with Rig(upstream) as rig:
-            caller = await rig.caller()
+        dials, upstream = PausedConnects(monkeypatch), Upstream()
+        async with ProxyHarness(upstream) as rig:
+            caller = await rig.connect()
             caller.writer.write(HEAD * 40)
-            await dials.begun.wait()
-            dials.let_up()
+            await dials.started.wait()
+            dials.release()
             for _ in range(40):
-                assert status(await caller.answer()) == 200
-            assert len(upstream.asked) == 40
+                assert status_of(await caller.read_response()) == 200
+            assert len(upstream.requests) == 40
             caller.writer.close()
             await all_let_go(rig)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_caller_that_was_answered_before_its_body_was_whole_may_end_its_sending_behind_it() -> None:
     """Its answer is out, and what still comes is dropped: to let go of it then would reset the answer."""
 
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            caller = await rig.caller()
-            caller.send("/nosuch/x", b"x" * 3_000_000)
+        async with ProxyHarness(Upstream()) as rig:
+            caller = await rig.connect()
+            caller.send_request("/nosuch/x", b"x" * 3_000_000)
             caller.writer.write_eof()
-            assert status(await caller.answer()) == 404
+            assert status_of(await caller.read_response()) == 404
             assert await caller.reader.read() == b""
             caller.writer.close()
             await all_let_go(rig)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_what_was_written_runs_on_for_a_caller_that_has_gone_where_cancelling_is_forbidden() -> None:
     async def scenario() -> None:
-        upstream = Upstream(silent)
-        async with Rig(upstream, limits=LIMITS | {"mayCancel": False}) as rig:
-            caller = await rig.caller()
-            caller.send("/pay/x", b"debit")
-            await upstream.seen.wait()
+        upstream = Upstream(never_answer)
+        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": False}) as rig:
+            caller = await rig.connect()
+            caller.send_request("/pay/x", b"debit")
+            await upstream.request_received.wait()
             caller.writer.close()
-            await until(lambda: rig.driver.callers.connection_count() == 0)
-            assert not upstream.ended.is_set()
-            upstream.writers[0].write(response())
+            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            assert not upstream.connection_ended.is_set()
+            upstream.writers[0].write(http_response())
             await all_let_go(rig)
-            (pool,) = rig.driver.upstreams._pools.values()
+            (pool,) = rig.proxy.upstreams._pools.values()
             assert len(pool.idle_connections) == 1 and isinstance(
                 pool.idle_connections[0], UpstreamConnection
             )
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_interest.py
+++ b/tests/test_interest.py
@@ -37,7 +37,7 @@
 from loadbalancer.registry.list_query import ListQuery, parse_list_query
 from loadbalancer.registry.query_evaluation import QueryEvaluator
 from loadbalancer.registry.store import CatalogStore
-from tests.loopback import Rig, Upstream, config_text, entry, run
+from tests.loopback import ProxyHarness, Upstream, config_text, endpoint_entry, run_scenario
 from tests.test_directory import serving
 
 RULES = Rules(settle_ms=0.0, learn_ms=0.0, tombstones=3)
@@ -279,7 +279,7 @@
                     assert not one.done() or may or view.key != before, "it was woken for nothing"
             assert not site.reads.waits, "no state is left of watches that have ended"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 # ---- versions, floors, moves --------------------------------------------------------------------
@@ -538,7 +538,7 @@
                 assert why in said["error"] and "\n" not in said["error"]
             assert not service.reads.watching
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @asynccontextmanager
@@ -587,7 +587,7 @@
             assert set(await answer.json()) == {"index", "snapshot", "endpoints"}
             assert not reads.waits
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_old_and_new_calls_stand_side_by_side_and_the_old_one_has_its_old_answer() -> None:
@@ -600,7 +600,7 @@
                 assert list(old["endpoints"][0]) == names
                 assert new["endpoints"] == [old["endpoints"][0] | {"service": "a"}]
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 # ---- balancers ----------------------------------------------------------------------------------
@@ -622,15 +622,15 @@
     assert "lists.services" in faults(services=["a b"])[0] and "lists.part" in faults(part=-1)[0]
 
 
-async def listed(rig: Rig, *names: str) -> None:
-    while sorted(rig.driver._list) != sorted(names):
+async def listed(rig: ProxyHarness, *names: str) -> None:
+    while sorted(rig.proxy._list) != sorted(names):
         await asyncio.sleep(0.01)
 
 
-def follow(rig: Rig, at: str, **lists: Any) -> tuple[list[str], list[str]]:
+def follow(rig: ProxyHarness, at: str, **lists: Any) -> tuple[list[str], list[str]]:
     """The configuration is replaced: what was taken, and what needs a restart."""
-    text = config_text(at, rig.entries, "", lists=lists, balancers=rig.driver._config.settings.balancer_count)
-    return rig.driver.replace(read_config(text, pytest.fail))
+    text = config_text(at, rig.entries, "", lists=lists, balancers=rig.proxy._config.settings.balancer_count)
+    return rig.proxy.replace(read_config(text, pytest.fail))
 
 
 def test_a_balancer_follows_an_interest_that_changes_while_its_watch_waits() -> None:
@@ -641,14 +641,14 @@
             for number in range(4):
                 await put(http, at, f"a{number}", "a")
                 await put(http, at, f"b{number}", "b")
-            async with Rig(console="", lists={"services": ["a"]}) as rig:
+            async with ProxyHarness(console="", lists={"services": ["a"]}) as rig:
                 follow(rig, at, services=["a"])
                 await listed(rig, "a0", "a1", "a2", "a3")
                 while not service.reads.waits:
                     await asyncio.sleep(0.01)
                 assert follow(rig, at, services=["b"]) == (["lists"], [])
                 await listed(rig, "b0", "b1", "b2", "b3")
-                assert rig.driver.list_report()["doubted"] == []
+                assert rig.proxy.list_report()["doubted"] == []
                 await put(http, at, "a4", "a")
                 await put(http, at, "b4", "b")
                 await listed(rig, "b0", "b1", "b2", "b3", "b4")
@@ -656,7 +656,7 @@
                 await listed(rig, *(f"{s}{n}" for s in "ab" for n in range(5)))
                 assert follow(rig, at, tier="a") == ([], ["lists"]), "that needs a restart"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_balancer_keeps_its_part_through_a_restart_of_the_service(tmp_path: Path) -> None:
@@ -665,7 +665,7 @@
     async def scenario() -> None:
         async with (
             aiohttp.ClientSession() as http,
-            Rig(console="", lists={"services": ["a"], "part": 3}, balancers=200) as rig,
+            ProxyHarness(console="", lists={"services": ["a"], "part": 3}, balancers=200) as rig,
         ):
             for life, file in enumerate(("one", "one", "other")):
                 async with serving(tmp_path / file) as (_, at):
@@ -673,50 +673,50 @@
                     for number in range(60):
                         await put(http, at, f"a{number}", "a")
                     await put(http, at, f"b{life}", "b")
-                    while len(rig.driver._list) > 45 or len(rig.driver._list) < 3:
+                    while len(rig.proxy._list) > 45 or len(rig.proxy._list) < 3:
                         await asyncio.sleep(0.01)
-                    held = set(rig.driver._list)
+                    held = set(rig.proxy._list)
                     for number in range(60):
                         if f"a{number}" not in held:
                             break
                     await http.delete(f"http://{at}/v1/servers/a{number}")
-                    assert f"a{number}" not in rig.driver._list
+                    assert f"a{number}" not in rig.proxy._list
                     gone = min(held)
                     await http.delete(f"http://{at}/v1/servers/{gone}")
-                    while gone in rig.driver._list:
+                    while gone in rig.proxy._list:
                         await asyncio.sleep(0.01)
-                assert not any(name.startswith("b") for name in rig.driver._list)
+                assert not any(name.startswith("b") for name in rig.proxy._list)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_service_that_knows_no_interests_is_taken_whole_for_one_and_has_failed_for_several() -> None:
     async def scenario() -> None:
         upstream = Upstream()
-        one = entry("s0", await upstream.start())
-        async with Rig(console="", lists={"services": ["a"], "part": 3}) as rig:
+        one = endpoint_entry("s0", await upstream.start())
+        async with ProxyHarness(console="", lists={"services": ["a"], "part": 3}) as rig:
             said: list[tuple[str, str]] = []
-            rig.driver.log.event = lambda kind, text, **_: said.append((kind, text))  # type: ignore[method-assign]
-            line = await rig.discovery.calls.get()
+            rig.proxy.log.event = lambda kind, text, **_: said.append((kind, text))  # type: ignore[method-assign]
+            line = await rig.discovery.request_lines.get()
             assert "services=a&tier=a&part=3&of=n1%2F0&balancers=2&zone=a" in line
-            rig.discovery.tell(8, one, snapshot=True)
-            line = await rig.discovery.calls.get()
+            rig.discovery.publish(8, one, snapshot=True)
+            line = await rig.discovery.request_lines.get()
             assert "held=%7B%22a%22:%7B%7D%7D&after=8" in line, "it holds the whole of it"
-            assert list(rig.driver._list) == ["s0"]
+            assert list(rig.proxy._list) == ["s0"]
             assert [kind for kind, text in said if "knows no interests" in text] == ["list_service"]
-            rig.discovery.tell(9)
-            await rig.discovery.calls.get()
+            rig.discovery.publish(9)
+            await rig.discovery.request_lines.get()
             assert len([kind for kind, _ in said if kind == "list_service"]) == 1, "it is said once"
-        async with Rig(console="", lists={"services": ["a", "b"]}) as rig:
+        async with ProxyHarness(console="", lists={"services": ["a", "b"]}) as rig:
             said.clear()
-            rig.driver.log.event = lambda kind, text, **_: said.append((kind, text))  # type: ignore[method-assign]
-            assert "tier=" not in await rig.discovery.calls.get()
-            rig.discovery.tell(8, one, snapshot=True)
+            rig.proxy.log.event = lambda kind, text, **_: said.append((kind, text))  # type: ignore[method-assign]
+            assert "tier=" not in await rig.discovery.request_lines.get()
+            rig.discovery.publish(8, one, snapshot=True)
             while not any("can't be asked for several services" in text for _, text in said):
                 await asyncio.sleep(0.01)
-            assert not rig.driver._list
+            assert not rig.proxy._list
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 # ---- the pace of a return -----------------------------------------------------------------------
@@ -778,7 +778,7 @@
                 async with http.get(f"http://{at}/v1/servers", params=params) as answer:
                     assert answer.status == 200
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def wanted() -> Subscription:
@@ -806,15 +806,15 @@
 
 def test_a_balancer_that_is_told_to_come_again_has_not_failed() -> None:
     async def scenario() -> None:
-        async with Rig(console="", lists={"services": ["a"]}) as rig:
+        async with ProxyHarness(console="", lists={"services": ["a"]}) as rig:
             failed: list[bool] = []
-            rig.driver._discovery._on_failed = lambda: failed.append(True)
-            await rig.discovery.calls.get()
+            rig.proxy._discovery._on_failed = lambda: failed.append(True)
+            await rig.discovery.request_lines.get()
             body = b'{"error": "x", "retry_ms": 20, "ticket": 77}'
-            rig.discovery.answers.put_nowait(
+            rig.discovery.responses.put_nowait(
                 b"HTTP/1.1 503 Busy\r\nContent-Length: %d\r\n\r\n" % len(body) + body
             )
-            assert "ticket=77" in await rig.discovery.calls.get()
+            assert "ticket=77" in await rig.discovery.request_lines.get()
             assert not failed
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -17,8 +17,16 @@
     UpdateKind,
 )
 from tests.helpers import PAY, Desk, members, of_kind, sent
-from tests.loopback import Dials, Rig, Upstream, run, silent, status, until
-from tests.test_upstreams import Try, full_backlog, make
+from tests.loopback import (
+    PausedConnects,
+    ProxyHarness,
+    Upstream,
+    never_answer,
+    run_scenario,
+    status_of,
+    wait_until,
+)
+from tests.test_upstreams import RecordedAttempt, full_backlog, make_pools
 
 PATIENCE_MS = 0.1 * PAY.latency_objective_ms  # the most that a request of the class waits before it is sent
 
@@ -143,26 +151,26 @@
 def test_a_connection_that_is_late_is_given_up_in_the_time_it_has() -> None:
     async def scenario() -> None:
         async with full_backlog() as address:
-            upstreams = make(address, connectTimeout=60_000.0)
-            attempt = Try(upstreams, timeout_s=60.0, connect_s=0.02)
+            upstreams = make_pools(address, connectTimeout=60_000.0)
+            attempt = RecordedAttempt(upstreams, timeout_s=60.0, connect_s=0.02)
             assert await attempt.outcome() is Outcome.CONNECT_FAILED
             assert attempt.attempt.connect_duration_s is None and upstreams.open_connections == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_an_attempt_tells_how_long_its_connection_took_if_it_opened_one() -> None:
     async def scenario() -> None:
-        upstreams = make(await Upstream().start())
-        first = Try(upstreams)
+        upstreams = make_pools(await Upstream().start())
+        first = RecordedAttempt(upstreams)
         assert await first.outcome() is Outcome.SERVED
         assert first.attempt.connect_duration_s is not None and 0.0 <= first.attempt.connect_duration_s < 10.0
         upstreams._pools["s0"].idle_connections[0].idle_since_s -= 1.0  # it has rested
-        second = Try(upstreams, connect_s=0.0)
+        second = RecordedAttempt(upstreams, connect_s=0.0)
         assert await second.outcome() is Outcome.SERVED, "nothing is opened: nothing can be late"
         assert second.attempt.connect_duration_s is None
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_requests_are_served_elsewhere_while_connections_to_one_server_hang(
@@ -171,21 +179,23 @@
     """They waited for it until their time was over, and were refused."""
 
     async def scenario() -> None:
-        dials = Dials(monkeypatch, "s1")
+        dials = PausedConnects(monkeypatch, "s1")
         limits = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 60_000.0}
         upstream = Upstream()
-        async with Rig(upstream, Upstream(silent), limits=limits) as rig:
-            callers = [await rig.caller() for _ in range(2)]
+        async with ProxyHarness(upstream, Upstream(never_answer), limits=limits) as rig:
+            callers = [await rig.connect() for _ in range(2)]
             for caller in callers:  # one for each server: from the first the usual time is known
-                caller.send("/pay/x", b"debit")
-            await upstream.seen.wait()
-            await dials.begun.wait()
+                caller.send_request("/pay/x", b"debit")
+            await upstream.request_received.wait()
+            await dials.started.wait()
             for caller in callers:
                 caller.writer.close()
-            await until(lambda: not rig.driver._requests)
+            await wait_until(lambda: not rig.proxy._requests)
             begun = dials.count
-            answers = await asyncio.gather(*[rig.ask("/pay/x", b"debit", deadline="1500m") for _ in range(4)])
-            assert [status(answer) for answer in answers] == [200] * 4
+            answers = await asyncio.gather(
+                *[rig.request("/pay/x", b"debit", deadline="1500m") for _ in range(4)]
+            )
+            assert [status_of(answer) for answer in answers] == [200] * 4
             assert dials.count > begun
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -17,32 +17,32 @@
 from loadbalancer.net import downstream, upstream
 from loadbalancer.policy import endpoints
 from tests.loopback import (
-    PATIENCE_S,
-    Asked,
+    SCENARIO_TIMEOUT_S,
+    HttpMessage,
     ListServer,
-    Rig,
+    ProxyHarness,
     Upstream,
     config_text,
-    entry,
-    program,
-    reset,
-    response,
-    run,
-    silent,
-    status,
+    endpoint_entry,
+    http_response,
+    never_answer,
+    reset_connection,
+    run_scenario,
+    running_program,
+    status_of,
 )
 
 
-def listen_to(rig: Rig) -> list[Any]:
+def listen_to(rig: ProxyHarness) -> list[Any]:
     """All events that the module is told from now on."""
     told: list[Any] = []
-    handle = rig.driver.balancer.handle
+    handle = rig.proxy.balancer.handle
 
     def spy(event: interface.Event, now: float) -> list[interface.Action]:
         told.append(event)
         return handle(event, now)
 
-    rig.driver.balancer.handle = spy  # type: ignore[method-assign]
+    rig.proxy.balancer.handle = spy  # type: ignore[method-assign]
     return told
 
 
@@ -52,46 +52,48 @@
 
 def test_a_request_goes_on_unchanged_and_the_answer_comes_back_unchanged() -> None:
     async def scenario() -> None:
-        upstream = Upstream(response(200, b"\x00tile", "Content-Type: image/x", "X-Load: inflight=7"))
-        async with Rig(upstream) as rig:
-            answer = await rig.ask("/pay/a?b=c", b"debit", idempotency_key="5c0f", connection="keep-alive")
-            assert (status(answer), answer.body) == (200, b"\x00tile")
+        upstream = Upstream(http_response(200, b"\x00tile", "Content-Type: image/x", "X-Load: inflight=7"))
+        async with ProxyHarness(upstream) as rig:
+            answer = await rig.request(
+                "/pay/a?b=c", b"debit", idempotency_key="5c0f", connection="keep-alive"
+            )
+            assert (status_of(answer), answer.body) == (200, b"\x00tile")
             assert answer.headers["content-type"] == "image/x"
-            asked = upstream.asked[0]
-            assert (asked.line, asked.body) == ("POST /pay/a?b=c HTTP/1.1", b"debit")
+            asked = upstream.requests[0]
+            assert (asked.start_line, asked.body) == ("POST /pay/a?b=c HTTP/1.1", b"debit")
             assert asked.headers["x-request-id"] == "9b1f03aa"
             assert asked.headers["idempotency-key"] == "5c0f"
             assert asked.headers["x-class"] == "pay"
             left = asked.headers["x-deadline"]
             assert left.endswith("u") and 0 < int(left[:-1]) <= 2_000_000  # its aim is 2 s
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_microseconds_are_read_as_such() -> None:
     async def scenario() -> None:
         upstream = Upstream()
-        async with Rig(upstream) as rig:
-            assert status(await rig.ask(deadline="900000u")) == 200
-            assert 0 < int(upstream.asked[0].headers["x-deadline"][:-1]) <= 900_000
+        async with ProxyHarness(upstream) as rig:
+            assert status_of(await rig.request(deadline="900000u")) == 200
+            assert 0 < int(upstream.requests[0].headers["x-deadline"][:-1]) <= 900_000
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
     ("script", "outcome", "final"),
     [
-        (response(503, b"", "X-Not-Run: 1"), Outcome.REJECTED, 503),
-        (response(504, b"", "X-Not-Run: 1"), Outcome.REJECTED, 503),
-        (response(503, b""), Outcome.ERROR, 502),
-        (response(500, b""), Outcome.ERROR, 502),
+        (http_response(503, b"", "X-Not-Run: 1"), Outcome.REJECTED, 503),
+        (http_response(504, b"", "X-Not-Run: 1"), Outcome.REJECTED, 503),
+        (http_response(503, b""), Outcome.ERROR, 502),
+        (http_response(500, b""), Outcome.ERROR, 502),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", Outcome.RESET, 502),
         (b"nonsense\r\n\r\n", Outcome.RESET, 502),
-        (reset, Outcome.RESET, 502),
+        (reset_connection, Outcome.RESET, 502),
     ],
 )
 def test_what_an_ending_means(script: Any, outcome: Outcome, final: int) -> None:
-    async def cut(asked: Asked, writer: asyncio.StreamWriter) -> None:
+    async def cut(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
         if isinstance(script, bytes):
             writer.write(script)
             if b"cut" in script:
@@ -101,112 +103,112 @@
 
     async def scenario() -> None:
         upstream = Upstream(cut)
-        async with Rig(upstream) as rig:
+        async with ProxyHarness(upstream) as rig:
             told = listen_to(rig)
-            assert status(await rig.ask("/pay/x", b"debit")) == final
+            assert status_of(await rig.request("/pay/x", b"debit")) == final
             # Turned away means never run, so the module may ask again; anything else must not.
             assert set(outcomes(told)) == {outcome}
-            assert len(upstream.asked) == (3 if outcome is Outcome.REJECTED else 1)
+            assert len(upstream.requests) == (3 if outcome is Outcome.REJECTED else 1)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_refused_connection_is_a_failed_connect_and_another_server_is_asked() -> None:
     async def scenario() -> None:
         gone, upstream = Upstream(), Upstream()
-        async with Rig(gone, upstream) as rig:
+        async with ProxyHarness(gone, upstream) as rig:
             gone.server.close()
             await gone.server.wait_closed()
             told = listen_to(rig)
-            answers = [await rig.ask("/pay/x", b"debit") for _ in range(8)]
-            assert {status(a) for a in answers} == {200}
+            answers = [await rig.request("/pay/x", b"debit") for _ in range(8)]
+            assert {status_of(a) for a in answers} == {200}
             assert Outcome.CONNECT_FAILED in outcomes(told)
-            assert outcomes(told).count(Outcome.SERVED) == len(upstream.asked) == 8
+            assert outcomes(told).count(Outcome.SERVED) == len(upstream.requests) == 8
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_silence_times_out_and_is_answered_before_the_deadline() -> None:
     async def scenario() -> None:
-        upstream = Upstream(silent)
-        async with Rig(upstream) as rig:
+        upstream = Upstream(never_answer)
+        async with ProxyHarness(upstream) as rig:
             told = listen_to(rig)
             loop = asyncio.get_running_loop()
             began = loop.time()
-            assert status(await rig.ask("/pay/x", b"debit", deadline="300m")) == 502
+            assert status_of(await rig.request("/pay/x", b"debit", deadline="300m")) == 502
             assert loop.time() - began < 0.3 + 0.05
             assert outcomes(told) == [Outcome.TIMED_OUT]
-            await upstream.ended.wait()  # giving up closes the connection
+            await upstream.connection_ended.wait()  # giving up closes the connection
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_served_answer_calls_off_the_copy_and_each_send_ends_once() -> None:
     async def scenario() -> None:
-        first, second = Upstream(silent), Upstream(silent)
-        async with Rig(first, second) as rig:
+        first, second = Upstream(never_answer), Upstream(never_answer)
+        async with ProxyHarness(first, second) as rig:
             told = listen_to(rig)
-            rig.driver.balancer._times.work["read"] = (
+            rig.proxy.balancer._times.work["read"] = (
                 100.0  # a usual answer, long overdue when the copy goes out
             )
-            caller = await rig.caller()
-            caller.send(deadline="1200m")
-            await asyncio.gather(first.seen.wait(), second.seen.wait())
-            second.writers[0].write(response(200, b"second"))
-            assert (await caller.answer()).body == b"second"
-            await first.ended.wait()
+            caller = await rig.connect()
+            caller.send_request(deadline="1200m")
+            await asyncio.gather(first.request_received.wait(), second.request_received.wait())
+            second.writers[0].write(http_response(200, b"second"))
+            assert (await caller.read_response()).body == b"second"
+            await first.connection_ended.wait()
             assert sorted(o.value for o in outcomes(told)) == ["cancelled", "served"]
-            assert not rig.driver._requests
+            assert not rig.proxy._requests
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_client_that_goes_is_told_and_its_attempt_called_off() -> None:
     async def scenario() -> None:
-        upstream = Upstream(silent)
-        async with Rig(upstream) as rig:
+        upstream = Upstream(never_answer)
+        async with ProxyHarness(upstream) as rig:
             told = listen_to(rig)
-            caller = await rig.caller()
-            caller.send()
-            await upstream.seen.wait()
+            caller = await rig.connect()
+            caller.send_request()
+            await upstream.request_received.wait()
             caller.writer.close()
-            await upstream.ended.wait()
+            await upstream.connection_ended.wait()
             assert any(isinstance(e, interface.ClientDisconnected) for e in told)
             assert outcomes(told) == [Outcome.CANCELLED]
-            assert not rig.driver._requests
+            assert not rig.proxy._requests
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_fault_in_the_module_fails_that_request_and_no_more(capsys: pytest.CaptureFixture[str]) -> None:
     async def scenario() -> None:
         upstream = Upstream()
-        async with Rig(upstream) as rig:
-            handle = rig.driver.balancer.handle
+        async with ProxyHarness(upstream) as rig:
+            handle = rig.proxy.balancer.handle
 
             def faulty(event: interface.Event, now: float) -> list[interface.Action]:
                 if isinstance(event, interface.RequestArrived) and event.request_id == 1:
                     raise RuntimeError("a fault of the module")
                 return handle(event, now)
 
-            rig.driver.balancer.handle = faulty  # type: ignore[method-assign]
-            assert status(await rig.ask()) == 503
-            assert status(await rig.ask()) == 200
+            rig.proxy.balancer.handle = faulty  # type: ignore[method-assign]
+            assert status_of(await rig.request()) == 503
+            assert status_of(await rig.request()) == 200
 
-    run(scenario())
+    run_scenario(scenario())
     assert "a fault of the module" in capsys.readouterr().err
 
 
 def test_a_module_that_says_nothing_is_answered_for_before_the_deadline() -> None:
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            rig.driver.balancer.handle = lambda event, now: []  # type: ignore[method-assign]
+        async with ProxyHarness(Upstream()) as rig:
+            rig.proxy.balancer.handle = lambda event, now: []  # type: ignore[method-assign]
             loop = asyncio.get_running_loop()
             began = loop.time()
-            assert status(await rig.ask(deadline="200m")) == 503
+            assert status_of(await rig.request(deadline="200m")) == 503
             assert 0.1 < loop.time() - began < 0.25
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -229,13 +231,13 @@
 def test_bad_input_is_turned_away_and_reaches_no_upstream(raw: bytes, wanted: int) -> None:
     async def scenario() -> None:
         upstream = Upstream()
-        async with Rig(upstream) as rig:
-            caller = await rig.caller()
+        async with ProxyHarness(upstream) as rig:
+            caller = await rig.connect()
             caller.writer.write(raw)
-            assert status(await caller.answer()) == wanted
-            assert not upstream.asked and upstream.connections == 0
+            assert status_of(await caller.read_response()) == wanted
+            assert not upstream.requests and upstream.connection_count == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -254,49 +256,49 @@
     monkeypatch.setattr(downstream, "REQUEST_TIMEOUT_S", 0.01)
 
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            caller = await rig.caller()
+        async with ProxyHarness(Upstream()) as rig:
+            caller = await rig.connect()
             caller.writer.write(raw)
             assert (await caller.reader.read()).partition(b"\r\n")[0] == wanted
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_caller_between_requests_is_not_sent_off() -> None:
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            caller = await rig.caller()
-            caller.send()
-            assert status(await caller.answer()) == 200
-            (connection,) = rig.driver.callers._connections
+        async with ProxyHarness(Upstream()) as rig:
+            caller = await rig.connect()
+            caller.send_request()
+            assert status_of(await caller.read_response()) == 200
+            (connection,) = rig.proxy.callers._connections
             assert connection._patience is None
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_health_is_answered_at_once() -> None:
     async def scenario() -> None:
-        async with Rig() as rig:
-            caller = await rig.caller()
+        async with ProxyHarness() as rig:
+            caller = await rig.connect()
             caller.writer.write(b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
-            assert status(await caller.answer()) == 200
+            assert status_of(await caller.read_response()) == 200
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_requests_sent_together_are_answered_in_turn() -> None:
-    async def echo(asked: Asked, writer: asyncio.StreamWriter) -> None:
-        writer.write(response(200, asked.line.encode()))
+    async def echo(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+        writer.write(http_response(200, asked.start_line.encode()))
 
     async def scenario() -> None:
-        async with Rig(Upstream(echo)) as rig:
-            caller = await rig.caller()
+        async with ProxyHarness(Upstream(echo)) as rig:
+            caller = await rig.connect()
             for i in range(40):
-                caller.send(f"/read/{i}")
+                caller.send_request(f"/read/{i}")
             for i in range(40):
-                assert (await caller.answer()).body == f"GET /read/{i} HTTP/1.1".encode()
+                assert (await caller.read_response()).body == f"GET /read/{i} HTTP/1.1".encode()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_connections_are_used_again_but_never_a_dead_one(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -304,72 +306,72 @@
 
     async def scenario() -> None:
         upstream = Upstream()
-        async with Rig(upstream) as rig:
+        async with ProxyHarness(upstream) as rig:
             for _ in range(3):
-                assert status(await rig.ask("/pay/x", b"debit")) == 200
-            assert upstream.connections == 1
+                assert status_of(await rig.request("/pay/x", b"debit")) == 200
+            assert upstream.connection_count == 1
             upstream.writers[0].close()
             await upstream.writers[0].wait_closed()
             told = listen_to(rig)
-            assert status(await rig.ask("/pay/x", b"debit")) == 200
+            assert status_of(await rig.request("/pay/x", b"debit")) == 200
             assert outcomes(told) == [Outcome.SERVED]
-            assert upstream.connections == 2
+            assert upstream.connection_count == 2
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_both_sides_send_small_messages_at_once() -> None:
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            caller = await rig.caller()
-            caller.send()
-            await caller.answer()
-            (taken,) = rig.driver.callers._connections
+        async with ProxyHarness(Upstream()) as rig:
+            caller = await rig.connect()
+            caller.send_request()
+            await caller.read_response()
+            (taken,) = rig.proxy.callers._connections
             for transport in (
-                rig.driver.upstreams._pools["s0"].idle_connections[0]._transport,
+                rig.proxy.upstreams._pools["s0"].idle_connections[0]._transport,
                 taken._transport,
             ):
                 assert transport is not None
                 sock = transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_the_list_is_watched_and_a_restart_drops_connections() -> None:
     async def scenario() -> None:
         upstream = Upstream()
-        async with Rig(upstream) as rig:
+        async with ProxyHarness(upstream) as rig:
             told = listen_to(rig)
-            assert status(await rig.ask()) == 200
-            line = await rig.discovery.calls.get()
+            assert status_of(await rig.request()) == 200
+            line = await rig.discovery.request_lines.get()
             assert line.startswith("GET /v1/servers?after=7&wait_ms=")
             address = rig.entries[0]["address"]
-            rig.discovery.tell(8, entry("s0", address, since_ms=5))
-            assert "after=8&" in await rig.discovery.calls.get()  # the watch goes on at once
-            await upstream.ended.wait()
-            rig.discovery.tell(9, entry("s0", address, since_ms=5), snapshot=True)
-            await rig.discovery.calls.get()
-            rig.discovery.answers.put_nowait(response(503, b""))
-            await rig.discovery.calls.get()  # asked again when the module's timer says so
+            rig.discovery.publish(8, endpoint_entry("s0", address, since_ms=5))
+            assert "after=8&" in await rig.discovery.request_lines.get()  # the watch goes on at once
+            await upstream.connection_ended.wait()
+            rig.discovery.publish(9, endpoint_entry("s0", address, since_ms=5), snapshot=True)
+            await rig.discovery.request_lines.get()
+            rig.discovery.responses.put_nowait(http_response(503, b""))
+            await rig.discovery.request_lines.get()  # asked again when the module's timer says so
             kinds = [e.kind for e in told if isinstance(e, interface.EndpointListUpdate)]
             assert kinds == [UpdateKind.DELTA, UpdateKind.FULL_SNAPSHOT, UpdateKind.FAILED]
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_nothing_new_goes_to_a_server_that_drains() -> None:
     async def scenario() -> None:
         upstream = Upstream()
-        async with Rig(upstream) as rig:
-            assert status(await rig.ask("/pay/x", b"debit")) == 200
-            await rig.discovery.calls.get()
-            rig.discovery.tell(8, entry("s0", rig.entries[0]["address"], status="terminating"))
-            await upstream.ended.wait()  # the idle connection goes
-            assert status(await rig.ask("/pay/x", b"debit")) == 503
-            assert len(upstream.asked) == 1
+        async with ProxyHarness(upstream) as rig:
+            assert status_of(await rig.request("/pay/x", b"debit")) == 200
+            await rig.discovery.request_lines.get()
+            rig.discovery.publish(8, endpoint_entry("s0", rig.entries[0]["address"], status="terminating"))
+            await upstream.connection_ended.wait()  # the idle connection goes
+            assert status_of(await rig.request("/pay/x", b"debit")) == 503
+            assert len(upstream.requests) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_the_end_answers_what_was_taken_and_takes_what_still_comes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -378,32 +380,32 @@
     monkeypatch.setattr(downstream, "SHUTDOWN_ACCEPT_S", 1.0)
 
     async def scenario() -> None:
-        upstream = Upstream(response(), silent, response())
-        async with Rig(upstream) as rig:
-            idle, busy = await rig.caller(), await rig.caller()
-            idle.send()
-            assert status(await idle.answer()) == 200
-            upstream.seen.clear()
-            busy.send("/pay/x", b"debit")
-            await upstream.seen.wait()
-            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
+        upstream = Upstream(http_response(), never_answer, http_response())
+        async with ProxyHarness(upstream) as rig:
+            idle, busy = await rig.connect(), await rig.connect()
+            idle.send_request()
+            assert status_of(await idle.read_response()) == 200
+            upstream.request_received.clear()
+            busy.send_request("/pay/x", b"debit")
+            await upstream.request_received.wait()
+            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
             await asyncio.sleep(0)
-            late = await rig.ask()
-            assert status(late) == 200 and "connection" not in late.headers
-            idle.send()
-            assert status(await idle.answer()) == 200  # it goes on with the connection it has
+            late = await rig.request()
+            assert status_of(late) == 200 and "connection" not in late.headers
+            idle.send_request()
+            assert status_of(await idle.read_response()) == 200  # it goes on with the connection it has
             assert await idle.reader.read() == b""  # then a clean end, no reset
             upstream.writers[-1].write(b"")
             for writer in upstream.writers:
-                writer.write(response(200, b"at last"))
-            answer = await busy.answer()
-            assert (status(answer), answer.body) == (200, b"at last")
+                writer.write(http_response(200, b"at last"))
+            answer = await busy.read_response()
+            assert (status_of(answer), answer.body) == (200, b"at last")
             assert answer.headers["connection"] == "close"
             busy.writer.close()
             idle.writer.close()
             await ending
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_the_clock_compares_with_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -439,8 +441,8 @@
 
     async def scenario() -> None:
         monkeypatch.setattr("loadbalancer.net.downstream.SHUTDOWN_ACCEPT_S", 0.0)
-        async with Rig(Upstream()) as rig:
-            listener = rig.driver.callers
+        async with ProxyHarness(Upstream()) as rig:
+            listener = rig.proxy.callers
             clients: list[socket.socket] = []
             accept = listener._accept
 
@@ -461,7 +463,7 @@
             clients[0].close()
             await ending
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_the_end_does_not_wait_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -470,34 +472,34 @@
     async def scenario() -> None:
         monkeypatch.setattr("loadbalancer.net.downstream.SHUTDOWN_ACCEPT_S", 0.0)
         monkeypatch.setattr("loadbalancer.net.downstream.MAX_SHUTDOWN_S", 0.2)
-        upstream = Upstream(silent)
-        async with Rig(upstream) as rig:
-            caller = await rig.caller()
-            caller.send("/pay/x", b"debit")
-            await upstream.seen.wait()
+        upstream = Upstream(never_answer)
+        async with ProxyHarness(upstream) as rig:
+            caller = await rig.connect()
+            caller.send_request("/pay/x", b"debit")
+            await upstream.request_received.wait()
             told = listen_to(rig)
-            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
-            assert status(await caller.answer()) == 502
+            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
+            assert status_of(await caller.read_response()) == 502
             await ending
             assert outcomes(told) == [Outcome.CANCELLED]  # its own time-out had not come
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_callers_past_the_cap_wait_and_idle_ones_make_way() -> None:
     """Idle callers held all places, and nobody looked again once they had become idle."""
 
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            rig.driver.callers.max_connections = 2
-            first, second = await rig.caller(), await rig.caller()
+        async with ProxyHarness(Upstream()) as rig:
+            rig.proxy.callers.max_connections = 2
+            first, second = await rig.connect(), await rig.connect()
             for caller in (first, second):
-                caller.send()
-                assert status(await caller.answer()) == 200
-            assert status(await rig.ask()) == 200  # once one has been idle for a second
+                caller.send_request()
+                assert status_of(await caller.read_response()) == 200
+            assert status_of(await rig.request()) == 200  # once one has been idle for a second
             assert await first.reader.read() == b""
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_running_out_of_sockets_is_survived(tmp_path: Any) -> None:
@@ -520,7 +522,7 @@
     )
 
     def health() -> int:
-        connection = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE_S)
+        connection = http.client.HTTPConnection("127.0.0.1", port, timeout=SCENARIO_TIMEOUT_S)
         try:
             connection.request("GET", "/healthz")
             return connection.getresponse().status
@@ -528,7 +530,7 @@
             connection.close()
 
     try:
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + SCENARIO_TIMEOUT_S
         while True:
             try:
                 assert health() == 200
@@ -541,7 +543,7 @@
             client.close()
         assert health() == 200
         node.send_signal(signal.SIGTERM)
-        assert node.wait(PATIENCE_S) == 0
+        assert node.wait(SCENARIO_TIMEOUT_S) == 0
     finally:
         node.kill()
 
@@ -553,27 +555,27 @@
 
     async def scenario() -> None:
         monkeypatch.setattr("loadbalancer.net.downstream.SHUTDOWN_ACCEPT_S", 0.0)
-        async with Rig(Upstream()) as rig:
-            caller = await rig.caller()
-            caller.send()
-            assert status(await caller.answer()) == 200
-            (connection,) = rig.driver.callers._connections
+        async with ProxyHarness(Upstream()) as rig:
+            caller = await rig.connect()
+            caller.send_request()
+            assert status_of(await caller.read_response()) == 200
+            (connection,) = rig.proxy.callers._connections
             is_idle, crossed = connection.is_idle, list[int]()
 
             def crossing() -> bool:
                 if not crossed:
                     crossed.append(1)
-                    caller.send()  # written at once, and not read before the question is answered
+                    caller.send_request()  # written at once, and not read before the question is answered
                 return is_idle()
 
             monkeypatch.setattr(connection, "is_idle", crossing)
-            ending = asyncio.ensure_future(rig.driver.callers.shut_down())
-            answer = await caller.answer()
-            assert status(answer) == 200 and answer.headers["connection"] == "close"
+            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
+            answer = await caller.read_response()
+            assert status_of(answer) == 200 and answer.headers["connection"] == "close"
             caller.writer.close()
             await ending
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_replaced_configuration_moves_the_watch_and_ends_nothing(tmp_path: Any) -> None:
@@ -582,16 +584,16 @@
     async def scenario() -> None:
         old, new, path = ListServer(), ListServer(), tmp_path / "config.json"
         path.write_text(config_text(await old.start(), []))
-        async with program(path) as process:
-            await old.calls.get()
+        async with running_program(path) as process:
+            await old.request_lines.get()
             for text in ("no configuration", config_text(await new.start(), [])):
                 path.write_text(text)
                 process.send_signal(signal.SIGHUP)
-            assert await new.calls.get() == "GET /v1/servers HTTP/1.1"
-            new.tell(9, snapshot=True)
-            assert (await new.calls.get()).startswith("GET /v1/servers?after=9&")
+            assert await new.request_lines.get() == "GET /v1/servers HTTP/1.1"
+            new.publish(9, snapshot=True)
+            assert (await new.request_lines.get()).startswith("GET /v1/servers?after=9&")
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_watch_with_no_answer_fails_before_its_news_counts_as_told(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -601,15 +603,15 @@
     monkeypatch.setattr(watch, "OVERDUE_S", 0.01)
 
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
+        async with ProxyHarness(Upstream()) as rig:
             told = listen_to(rig)
-            await rig.discovery.calls.get()
-            assert "after=7" in await rig.discovery.calls.get(), "asked anew"
+            await rig.discovery.request_lines.get()
+            assert "after=7" in await rig.discovery.request_lines.get(), "asked anew"
             assert any(
                 e.kind is UpdateKind.FAILED for e in told if isinstance(e, interface.EndpointListUpdate)
             )
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("balancers", [2, 40, 400])
@@ -618,13 +620,13 @@
     contract = {"drainGrace": 3_000.0, "askWithin": 10_000.0}
 
     async def scenario() -> None:
-        async with Rig(Upstream(), balancers=balancers, contract=contract) as rig:
-            line = await rig.discovery.calls.get()
+        async with ProxyHarness(Upstream(), balancers=balancers, contract=contract) as rig:
+            line = await rig.discovery.request_lines.get()
             waits = float(line.partition("wait_ms=")[2].split()[0])
             assert waits <= max(3_000, watch.CALL_MS * balancers)
             assert balancers / waits < 1.3 / watch.CALL_MS, "all together call too often"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_list_that_is_old_or_names_a_server_oddly_leaves_the_last_one_standing(
@@ -634,56 +636,61 @@
     monkeypatch.setattr(endpoints, "LIST_RETRY_MS", 1.0)
 
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
+        async with ProxyHarness(Upstream()) as rig:
             told = listen_to(rig)
             good = rig.entries[0]["address"]
-            nameless = entry("s9", good) | {"name": 7}
-            bad = [entry("", good), entry("a b", good), entry("s9", "no-such.host:1"), nameless]
+            nameless = endpoint_entry("s9", good) | {"name": 7}
+            bad = [
+                endpoint_entry("", good),
+                endpoint_entry("a b", good),
+                endpoint_entry("s9", "no-such.host:1"),
+                nameless,
+            ]
             for odd in bad:
-                await rig.discovery.calls.get()
-                rig.discovery.tell(9, odd, snapshot=True)
-            await rig.discovery.calls.get()
-            rig.discovery.tell(9, entry("s9", good), entry("s9", good), snapshot=True)
-            await rig.discovery.calls.get()
-            rig.discovery.tell(6, snapshot=True)  # older than the one the configuration brought
-            line = await rig.discovery.calls.get()
+                await rig.discovery.request_lines.get()
+                rig.discovery.publish(9, odd, snapshot=True)
+            await rig.discovery.request_lines.get()
+            rig.discovery.publish(9, endpoint_entry("s9", good), endpoint_entry("s9", good), snapshot=True)
+            await rig.discovery.request_lines.get()
+            rig.discovery.publish(6, snapshot=True)  # older than the one the configuration brought
+            line = await rig.discovery.request_lines.get()
             assert "after=7&" in line
             kinds = [e.kind for e in told if isinstance(e, interface.EndpointListUpdate)]
             assert kinds == [UpdateKind.FAILED] * 6
-            assert status(await rig.ask()) == 200
+            assert status_of(await rig.request()) == 200
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_the_watch_survives_any_answer() -> None:
     """An answer that broke the reader in an unforeseen way ended the watch, and nobody asked again."""
 
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
+        async with ProxyHarness(Upstream()) as rig:
             told = listen_to(rig)
-            assert status(await rig.ask()) == 200
+            assert status_of(await rig.request()) == 200
             for body in (b"[" * 100_000, b"[]"):
-                await rig.discovery.calls.get()
-                rig.discovery.answers.put_nowait(response(200, body))
-            await rig.discovery.calls.get()
+                await rig.discovery.request_lines.get()
+                rig.discovery.responses.put_nowait(http_response(200, body))
+            await rig.discovery.request_lines.get()
             kinds = [e.kind for e in told if isinstance(e, interface.EndpointListUpdate)]
             assert kinds == [UpdateKind.FAILED] * 2
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_whoever_asks_for_no_service_gets_a_close_with_the_answer() -> None:
     """Hundreds asked once and stayed, and callers with requests waited for their places."""
 
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
+        async with ProxyHarness(Upstream()) as rig:
             for path in (b"/healthz", b"/nosuch"):
-                caller = await rig.caller()
+                caller = await rig.connect()
                 caller.writer.write(b"GET %b HTTP/1.1\r\nHost: h\r\n\r\n" % path)
-                assert (await caller.answer()).headers["connection"] == "close"
+                assert (await caller.read_response()).headers["connection"] == "close"
                 assert await caller.reader.read() == b""
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_what_is_refused_with_a_timer_or_for_another_request_leaves_nothing_behind() -> None:
@@ -692,25 +699,25 @@
     async def scenario() -> None:
         gate = asyncio.Event()
 
-        async def gated(asked: Asked, writer: asyncio.StreamWriter) -> None:
+        async def gated(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
-            writer.write(response())
+            writer.write(http_response())
 
         upstream = Upstream(gated)
-        async with Rig(upstream) as rig:
+        async with ProxyHarness(upstream) as rig:
             address = rig.entries[0]["address"]
-            await rig.discovery.calls.get()
-            rig.discovery.tell(8, entry("s0", address, weight=0.4), snapshot=True)
-            while rig.driver.balancer._roster.size != 0.4:
+            await rig.discovery.request_lines.get()
+            rig.discovery.publish(8, endpoint_entry("s0", address, weight=0.4), snapshot=True)
+            while rig.proxy.balancer._roster.size != 0.4:
                 await asyncio.sleep(0)
-            callers = [await rig.caller() for _ in range(4)]
+            callers = [await rig.connect() for _ in range(4)]
             for caller in callers:
-                caller.send()
-            answers = [status(await caller.answer()) for caller in callers[1:]]
+                caller.send_request()
+            answers = [status_of(await caller.read_response()) for caller in callers[1:]]
             assert answers == [503, 503, 503], "one is with the server, one waits in vain, two find no place"
-            assert len(rig.driver._requests) == 1
+            assert len(rig.proxy._requests) == 1
             gate.set()
-            assert status(await callers[0].answer()) == 200
-            assert not rig.driver._requests
+            assert status_of(await callers[0].read_response()) == 200
+            assert not rig.proxy._requests
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_observed.py
+++ b/tests/test_observed.py
@@ -13,7 +13,7 @@
 from loadbalancer.net import log, metrics
 from loadbalancer.net.config import read_config
 from loadbalancer.net.request_counters import RequestCounters
-from tests.loopback import Rig, Upstream, config_text, run, status
+from tests.loopback import ProxyHarness, Upstream, config_text, run_scenario, status_of
 from tests.test_console import call, figures
 
 ROOT = Path(__file__).parent.parent
@@ -30,9 +30,9 @@
 
 def test_metrics_are_what_stats_tells() -> None:
     async def scenario() -> None:
-        async with Rig(Upstream(), Upstream()) as rig:
+        async with ProxyHarness(Upstream(), Upstream()) as rig:
             for _ in range(3):
-                assert status(await rig.ask()) == 200
+                assert status_of(await rig.request()) == 200
             stats = await figures(rig)
             answer = await call(rig, "GET", "/metrics")
             assert answer.headers["content-type"].startswith("text/plain; version=0.0.4")
@@ -43,9 +43,9 @@
             assert read["irondrum_requests_total", "read", "succeeded"] == 3
             assert read["irondrum_forwards_total", "", ""] == stats["forwards"] == 3
             assert read["irondrum_upstreams_discovered", "", ""] == stats["discovered"] == 2
-            assert status(await call(rig, "POST", "/metrics")) == 405
+            assert status_of(await call(rig, "POST", "/metrics")) == 405
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_class_may_have_any_name() -> None:
@@ -87,11 +87,11 @@
 
 def test_a_new_configuration_tells_what_was_taken_and_what_needs_a_restart() -> None:
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
+        async with ProxyHarness(Upstream()) as rig:
             old = read_config(config_text("127.0.0.1:9", []), print)
-            rig.driver.replace(old)
+            rig.proxy.replace(old)
             moved = replace(old, discovery=("127.0.0.1", 8), sockets=7, seed=old.seed + 1)
-            assert rig.driver.replace(moved) == (["discovery"], ["sockets"])
-            assert rig.driver.replace(moved) == ([], [])
+            assert rig.proxy.replace(moved) == (["discovery"], ["sockets"])
+            assert rig.proxy.replace(moved) == ([], [])
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_peers_net.py
+++ b/tests/test_peers_net.py
@@ -14,7 +14,7 @@
 from loadbalancer.membership import MemberState
 from loadbalancer.net.config import Config, ConfigError, read_config
 from loadbalancer.net.membership import MembershipHost
-from tests.loopback import Rig, Upstream, config_text, run, status
+from tests.loopback import ProxyHarness, Upstream, config_text, run_scenario, status_of
 from tests.test_console import call
 
 HOST = "127.0.0.1"
@@ -70,7 +70,7 @@
         for peers in tier:
             peers.stop()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_strangers_and_garbage_are_counted_and_change_nothing() -> None:
@@ -90,7 +90,7 @@
         assert isinstance(told, dict) and told["dropped"] == {"garbled": 1, "stranger": 1}
         one.stop()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_socket_that_cannot_be_had_is_a_line_and_no_end() -> None:
@@ -101,7 +101,7 @@
         assert "we take no part" in second.start()
         first.stop()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -127,18 +127,18 @@
 
 def test_operators_see_the_members_and_404_where_it_is_off() -> None:
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            assert status(await call(rig, "GET", "/admin/peers")) == 404
+        async with ProxyHarness(Upstream()) as rig:
+            assert status_of(await call(rig, "GET", "/admin/peers")) == 404
             (config,) = some(1)
-            rig.driver.peers = rig.driver._make_peers(config)
-            rig.driver._join_peers()
+            rig.proxy.peers = rig.proxy._make_peers(config)
+            rig.proxy._join_peers()
             told = json.loads((await call(rig, "GET", "/admin/peers")).body)
             assert (told["me"], told["present"], told["takes_part"]) == (0, 1, True)
             assert b'irondrum_peers{state="alive"} 1' in (await call(rig, "GET", "/metrics")).body
-            rig.driver.say_goodbye()
+            rig.proxy.say_goodbye()
             assert json.loads((await call(rig, "GET", "/admin/peers")).body)["takes_part"] is False
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_views_that_differ_are_marked() -> None:
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -17,12 +17,12 @@
 from loadbalancer.drill.fleet import free_port
 from loadbalancer.net.config import read_config
 from loadbalancer.net.proxy import Proxy
-from tests.loopback import config_text, entry, program, response, run
+from tests.loopback import config_text, endpoint_entry, http_response, run_scenario, running_program
 
 HOST = "127.0.0.1"
 READY_S = 10.0  # the operators' term, for nine in ten
 SLOW_S = 4.0
-KNOWN = [entry("s0", "127.0.0.1:5000")]
+KNOWN = [endpoint_entry("s0", "127.0.0.1:5000")]
 WAYS = ("refused", "silent", "slow", "503", "half")
 PATIENCE_S = 60.0
 
@@ -46,12 +46,12 @@
                 await reader.readuntil(b"\r\n\r\n")
                 self.calls += 1
                 if self._way == "503":
-                    writer.write(response(503, b""))
+                    writer.write(http_response(503, b""))
                 elif self._way == "half":
-                    writer.write(response(200, whole)[:-20])
+                    writer.write(http_response(200, whole)[:-20])
                 elif self._way in ("slow", "up"):
                     await asyncio.sleep(SLOW_S if self._way == "slow" else 0.0)
-                    writer.write(response(200, whole))
+                    writer.write(http_response(200, whole))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
@@ -76,7 +76,7 @@
     """One balancer as the platform starts it; gives the port that it listens on, and ends it."""
     port = free_port(HOST)
     path.write_text(json.dumps(config | {"listen": f"{HOST}:{port}"}))
-    async with program(path):
+    async with running_program(path):
         yield port
 
 
@@ -129,4 +129,4 @@
         driver.start()
         assert driver.is_serving()
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -22,7 +22,16 @@
 from loadbalancer.net import discovery
 from loadbalancer.net.config import read_config
 from loadbalancer.policy import endpoints
-from tests.loopback import ListServer, Rig, Upstream, config_text, entry, response, run, status
+from tests.loopback import (
+    ListServer,
+    ProxyHarness,
+    Upstream,
+    config_text,
+    endpoint_entry,
+    http_response,
+    run_scenario,
+    status_of,
+)
 from tests.test_net import listen_to
 
 A, B, C = (("127.0.0.1", port) for port in (1, 2, 3))
@@ -104,7 +113,7 @@
 
 
 def test_the_table_lists_turns_this_on_and_its_faults_are_told() -> None:
-    entries = [entry("s0", "127.0.0.1:5000")]
+    entries = [endpoint_entry("s0", "127.0.0.1:5000")]
     assert read_config(config_text("127.0.0.1:9", entries), pytest.fail).lists is None
     good: dict[str, Any] = {"others": ["127.0.0.1:10"], "tier": "second"}
     config = configuration.parse(json.loads(config_text("127.0.0.1:9", entries, lists=good)), pytest.fail)
@@ -137,9 +146,9 @@
     def __init__(self, upstreams: int = 1) -> None:
         self.one, self.other, self._upstreams = ListServer(), ListServer(), upstreams
 
-    async def rig(self) -> Rig:
+    async def rig(self) -> ProxyHarness:
         self.at = [await self.one.start(), await self.other.start()]
-        rig = Rig(*[Upstream() for _ in range(self._upstreams)], lists={"others": self.at[1:]})
+        rig = ProxyHarness(*[Upstream() for _ in range(self._upstreams)], lists={"others": self.at[1:]})
         rig.discovery = self.one
         return rig
 
@@ -157,68 +166,68 @@
         two = Two()
         async with await two.rig() as rig:
             told = listen_to(rig)
-            assert "after=7&" in await two.one.calls.get()
-            two.one.answers.put_nowait(response(503, b""))
-            assert await two.other.calls.get() == "GET /v1/servers HTTP/1.1"
-            two.other.tell(3, *rig.entries, snapshot=True)
-            assert "after=3&" in await two.other.calls.get(), "versions of instances do not compare"
+            assert "after=7&" in await two.one.request_lines.get()
+            two.one.responses.put_nowait(http_response(503, b""))
+            assert await two.other.request_lines.get() == "GET /v1/servers HTTP/1.1"
+            two.other.publish(3, *rig.entries, snapshot=True)
+            assert "after=3&" in await two.other.request_lines.get(), "versions of instances do not compare"
             assert indices(told) == [(UpdateKind.FULL_SNAPSHOT, 1)]
-            two.other.answers.put_nowait(response(503, b""))
-            await two.one.calls.get()
-            two.one.answers.put_nowait(response(503, b""))
-            await two.other.calls.get()
+            two.other.responses.put_nowait(http_response(503, b""))
+            await two.one.request_lines.get()
+            two.one.responses.put_nowait(http_response(503, b""))
+            await two.other.request_lines.get()
             assert indices(told)[1:] == [(UpdateKind.FAILED, 0)], "now all have failed in turn"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_the_tier_is_asked_for_where_one_is_named() -> None:
     async def scenario() -> None:
-        rig = Rig(Upstream(), lists={"tier": "second"})
+        rig = ProxyHarness(Upstream(), lists={"tier": "second"})
         async with rig:
-            assert "?tier=second&after=7&" in await rig.discovery.calls.get()
+            assert "?tier=second&after=7&" in await rig.discovery.request_lines.get()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_list_that_went_back_is_taken_when_there_is_no_other_and_undoes_no_drain() -> None:
     async def scenario() -> None:
-        rig = Rig(Upstream(), Upstream(), lists={})
+        rig = ProxyHarness(Upstream(), Upstream(), lists={})
         async with rig:
-            await rig.discovery.calls.get()
+            await rig.discovery.request_lines.get()
             draining = rig.entries[0] | {"status": "terminating"}
-            rig.discovery.tell(9, draining)
-            await rig.discovery.calls.get()
-            rig.discovery.tell(4, *rig.entries, snapshot=True)  # to a watch: refused
-            assert "after" not in await rig.discovery.calls.get()
-            rig.discovery.tell(4, *rig.entries, snapshot=True)  # to a whole look: a new beginning
-            assert "after=4&" in await rig.discovery.calls.get()
-            assert sorted(rig.driver.balancer._roster.ready) == ["s1"]
-            assert rig.driver.list_report()["rewound"] == 1
+            rig.discovery.publish(9, draining)
+            await rig.discovery.request_lines.get()
+            rig.discovery.publish(4, *rig.entries, snapshot=True)  # to a watch: refused
+            assert "after" not in await rig.discovery.request_lines.get()
+            rig.discovery.publish(4, *rig.entries, snapshot=True)  # to a whole look: a new beginning
+            assert "after=4&" in await rig.discovery.request_lines.get()
+            assert sorted(rig.proxy.balancer._roster.ready) == ["s1"]
+            assert rig.proxy.list_report()["rewound"] == 1
             for _ in range(4):
-                assert status(await rig.ask()) == 200
-            assert not rig.upstreams[0].asked
+                assert status_of(await rig.request()) == 200
+            assert not rig.upstreams[0].requests
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_an_emptied_list_leaves_servers_in_use_until_they_refuse() -> None:
     async def scenario() -> None:
-        rig = Rig(Upstream(), Upstream(), lists={})
+        rig = ProxyHarness(Upstream(), Upstream(), lists={})
         async with rig:
-            await rig.discovery.calls.get()
-            rig.discovery.tell(9, snapshot=True)
-            await rig.discovery.calls.get()
-            assert rig.driver.list_report()["doubted"] == ["s0", "s1"]
-            assert status(await rig.ask()) == 200
+            await rig.discovery.request_lines.get()
+            rig.discovery.publish(9, snapshot=True)
+            await rig.discovery.request_lines.get()
+            assert rig.proxy.list_report()["doubted"] == ["s0", "s1"]
+            assert status_of(await rig.request()) == 200
             gone = rig.upstreams[0]
             gone.server.close()
             for writer in gone.writers:
                 writer.transport.abort()
-            while rig.driver.list_report()["doubted"] != ["s1"]:
-                assert status(await rig.ask()) == 200
+            while rig.proxy.list_report()["doubted"] != ["s1"]:
+                assert status_of(await rig.request()) == 200
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_list_that_is_not_believed_is_asked_for_again_as_a_whole_elsewhere(
@@ -230,15 +239,15 @@
     async def scenario() -> None:
         two = Two(upstreams=4)
         async with await two.rig() as rig:
-            await two.one.calls.get()
-            two.one.tell(8, *rig.entries[:1], snapshot=True)
-            assert await two.other.calls.get() == "GET /v1/servers HTTP/1.1"
-            two.other.tell(3, *rig.entries, snapshot=True)
-            assert "after=3&" in await two.other.calls.get()
-            assert rig.driver.list_report()["doubted"] == []
-            assert len(rig.driver.balancer._roster.ready) == 4
+            await two.one.request_lines.get()
+            two.one.publish(8, *rig.entries[:1], snapshot=True)
+            assert await two.other.request_lines.get() == "GET /v1/servers HTTP/1.1"
+            two.other.publish(3, *rig.entries, snapshot=True)
+            assert "after=3&" in await two.other.request_lines.get()
+            assert rig.proxy.list_report()["doubted"] == []
+            assert len(rig.proxy.balancer._roster.ready) == 4
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_watch_moves_on_from_an_instance_that_answers_and_never_changes(
@@ -251,15 +260,15 @@
     async def scenario() -> None:
         two = Two(upstreams=2)
         async with await two.rig() as rig:
-            await two.one.calls.get()
-            two.one.tell(8, *rig.entries, snapshot=True)
-            await two.one.calls.get()  # a watch that nothing ends
+            await two.one.request_lines.get()
+            two.one.publish(8, *rig.entries, snapshot=True)
+            await two.one.request_lines.get()  # a watch that nothing ends
             for index in (50, 51):
-                await two.other.calls.get()
-                two.other.tell(index, rig.entries[0], snapshot=True)
-            assert await two.other.calls.get() == "GET /v1/servers HTTP/1.1"
-            two.other.tell(51, rig.entries[0], snapshot=True)
-            while not rig.driver.list_report()["stood_still"]:
+                await two.other.request_lines.get()
+                two.other.publish(index, rig.entries[0], snapshot=True)
+            assert await two.other.request_lines.get() == "GET /v1/servers HTTP/1.1"
+            two.other.publish(51, rig.entries[0], snapshot=True)
+            while not rig.proxy.list_report()["stood_still"]:
                 await asyncio.sleep(0.01)
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -19,7 +19,7 @@
 from loadbalancer.snapshots import SnapshotDecodeError, SnapshotStore, decode_snapshot, encode_snapshot
 from loadbalancer.snapshots.codec import FORMAT_VERSION
 from tests.helpers import Desk
-from tests.loopback import run
+from tests.loopback import run_scenario
 
 STATE = {"list": {"index": 3}, "learned": {"median": 1.5}}
 # In a child: save twice, and die at the nth call that touches the disk in the second save.
@@ -113,7 +113,7 @@
             await asyncio.sleep(0.001)
         keeper.end()
 
-    run(scenario())
+    run_scenario(scenario())
     assert capsys.readouterr().err.count("no snapshot is kept") == 1
 
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -38,11 +38,11 @@
 from loadbalancer.net.upstream import UpstreamResponse
 from loadbalancer.policy import Balancer
 from loadbalancer.policy.endpoints import EndpointSet
-from tests.loopback import config_text, entry, response
+from tests.loopback import config_text, endpoint_entry, http_response
 from tests.test_upstreams import full_backlog
 
 BUDGET_S = CHANGE_DEADLINE_S - SLACK_S
-HERE = entry("s0", "127.0.0.1:5000")
+HERE = endpoint_entry("s0", "127.0.0.1:5000")
 BEFORE, CHANGE = 7, 1_000
 WAYS = ("refused", "reset", "503", "silent", "half", "garbage", "no dial")
 
@@ -508,7 +508,7 @@
                 if not self.is_up:
                     self._spoil(writer)
                 elif f"after={CHANGE}&".encode() not in line:
-                    writer.write(response(200, list_body(CHANGE)))
+                    writer.write(http_response(200, list_body(CHANGE)))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
@@ -517,9 +517,9 @@
         if self._way == "reset":
             writer.transport.abort()
         elif self._way == "503":
-            writer.write(response(503, b""))
+            writer.write(http_response(503, b""))
         elif self._way == "half":
-            writer.write(response(200, list_body(CHANGE))[:-20])
+            writer.write(http_response(200, list_body(CHANGE))[:-20])
         elif self._way == "garbage":
             writer.write(b"no answer at all\r\n\r\n")
 
@@ -642,7 +642,7 @@
     """Over a slow link each call was given up just before its answer came, and what is written is told."""
 
     async def then(driver: Proxy, first: asyncio.StreamWriter, slow: Slow) -> None:
-        first.write(response(200, list_body(BEFORE + 2)))
+        first.write(http_response(200, list_body(BEFORE + 2)))
         await until_known(lambda: driver._index == BEFORE + 2)
         assert driver._discovery._watch.index == -1, "the watch stays where it was"
 
@@ -651,7 +651,7 @@
 
 def test_after_a_newer_answer_nothing_can_come_late() -> None:
     async def then(driver: Proxy, first: asyncio.StreamWriter, slow: Slow) -> None:
-        slow._held[1].write(response(200, list_body(BEFORE + 3)))
+        slow._held[1].write(http_response(200, list_body(BEFORE + 3)))
         await until_known(lambda: driver._index == BEFORE + 3)
         assert driver._discovery._late._link is None
         await until_known(first.transport.is_closing)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -21,16 +21,16 @@
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
 from tests.helpers import Desk, settings
 from tests.loopback import (
-    Asked,
-    Caller,
+    HttpClient,
+    HttpMessage,
     ListServer,
     Upstream,
     config_text,
-    entry,
+    endpoint_entry,
+    http_response,
     read_message,
-    response,
-    run,
-    status,
+    run_scenario,
+    status_of,
 )
 
 
@@ -49,7 +49,7 @@
 
     async def start(self) -> None:
         for i, upstream in enumerate(self.upstreams):
-            self.entries.append(entry(f"s{i}", await upstream.start()))
+            self.entries.append(endpoint_entry(f"s{i}", await upstream.start()))
         self._discovery = await self.discovery.start()
 
     @asynccontextmanager
@@ -73,8 +73,8 @@
                 child.kill()
             await child.wait()
 
-    async def caller(self) -> Caller:
-        caller = Caller()
+    async def caller(self) -> HttpClient:
+        caller = HttpClient()
         caller.reader, caller.writer = await asyncio.open_connection("127.0.0.1", self.port)
         return caller
 
@@ -83,7 +83,7 @@
     def __init__(self, child: asyncio.subprocess.Process, console: int) -> None:
         self.child, self._console = child, console
 
-    async def call(self, line: str, body: bytes = b"") -> Asked:
+    async def call(self, line: str, body: bytes = b"") -> HttpMessage:
         reader, writer = await asyncio.open_connection("127.0.0.1", self._console)
         writer.write(f"{line} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
         answer = await read_message(reader)
@@ -96,7 +96,7 @@
 
     async def is_serving(self) -> bool:
         try:
-            return status(await self.call("GET /admin/health")) == 200
+            return status_of(await self.call("GET /admin/health")) == 200
         except ConnectionRefusedError:
             return False
 
@@ -115,9 +115,9 @@
     served, caller = 0, None
     while not stop.is_set():
         caller = caller or await site.caller()
-        caller.send()
-        answer = await caller.answer()
-        assert status(answer) == 200
+        caller.send_request()
+        answer = await caller.read_response()
+        assert status_of(answer) == 200
         served += 1
         if not reuse or answer.headers.get("connection") == "close":
             caller.writer.close()
@@ -130,7 +130,7 @@
     async def scenario() -> None:
         site = Site(tmp_path, Upstream(), Upstream())
         await site.start()
-        site.discovery.tell(8, *site.entries, snapshot=True)
+        site.discovery.publish(8, *site.entries, snapshot=True)
         if link == "refused":
             (tmp_path / "shared" / "handover").mkdir()  # no socket can be laid there
         async with site.process() as old:
@@ -139,8 +139,8 @@
             load = [asyncio.ensure_future(keep_asking(site, stop, reuse=i % 2 == 0)) for i in range(6)]
             async with site.process() as new:
                 if link == "handed over":
-                    await site.discovery.calls.get()
-                    site.discovery.tell(8, *site.entries, snapshot=True)
+                    await site.discovery.request_lines.get()
+                    site.discovery.publish(8, *site.entries, snapshot=True)
                 await new.serves()
                 if link == "handed over":
                     await old.ends()
@@ -150,16 +150,16 @@
                 stop.set()
                 assert min(await asyncio.gather(*load)) > 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_callers_that_wait_in_the_queue_are_served_by_the_next_process(tmp_path: Path) -> None:
     async def scenario() -> None:
         gate = asyncio.Event()
 
-        async def gated(asked: Asked, writer: asyncio.StreamWriter) -> None:
+        async def gated(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
-            writer.write(response())
+            writer.write(http_response())
 
         # Room for four callers; they wait for a process to start, however long that takes on a busy machine.
         site = Site(tmp_path, Upstream(gated), sockets=100, deadline_ms=60_000.0)
@@ -168,20 +168,20 @@
             await old.serves()
             callers = [await site.caller() for _ in range(30)]
             for caller in callers:
-                caller.send(deadline="60000m")
+                caller.send_request(deadline="60000m")
             while (await old.figures())["outstanding"] < 4:
                 await asyncio.sleep(0.01)
             async with site.process() as new:
-                site.discovery.tell(8, *site.entries, snapshot=True)
-                site.discovery.tell(8, *site.entries, snapshot=True)
+                site.discovery.publish(8, *site.entries, snapshot=True)
+                site.discovery.publish(8, *site.entries, snapshot=True)
                 await new.serves()
                 gate.set()
                 await old.ends()
                 for caller in callers:
-                    assert status(await caller.answer()) == 200
+                    assert status_of(await caller.read_response()) == 200
                     caller.writer.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_an_older_process_accepts_again_when_the_next_one_dies(tmp_path: Path) -> None:
@@ -191,15 +191,15 @@
         async with site.process() as old:
             await old.serves()
             async with site.process() as new:
-                site.discovery.tell(8, *site.entries, snapshot=True)
-                site.discovery.tell(8, *site.entries, snapshot=True)
+                site.discovery.publish(8, *site.entries, snapshot=True)
+                site.discovery.publish(8, *site.entries, snapshot=True)
                 await new.serves()
             caller = await site.caller()
-            caller.send()
-            assert status(await caller.answer()) == 200
+            caller.send_request()
+            assert status_of(await caller.read_response()) == 200
             assert await old.is_serving()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_hold_outlasts_the_process_that_was_told(tmp_path: Path) -> None:
@@ -207,22 +207,22 @@
         first, second = Upstream(), Upstream()
         site = Site(tmp_path, first, second)
         await site.start()
-        site.discovery.tell(8, *site.entries, snapshot=True)
+        site.discovery.publish(8, *site.entries, snapshot=True)
         async with site.process() as old:
             await old.serves()
-            assert status(await old.call("POST /admin/cordon", b"s0")) == 200
-            site.discovery.tell(8, *site.entries, snapshot=True)
+            assert status_of(await old.call("POST /admin/cordon", b"s0")) == 200
+            site.discovery.publish(8, *site.entries, snapshot=True)
             async with site.process() as new:
                 await new.serves()
                 await old.ends()
                 for _ in range(10):
                     caller = await site.caller()
-                    caller.send()
-                    assert status(await caller.answer()) == 200
-                assert (len(first.asked), len(second.asked)) == (0, 10)
+                    caller.send_request()
+                    assert status_of(await caller.read_response()) == 200
+                assert (len(first.requests), len(second.requests)) == (0, 10)
                 assert (await new.figures())["ejected"] == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_hold_outlasts_the_process_that_could_not_write_it_down(tmp_path: Path) -> None:
@@ -232,20 +232,20 @@
         (site.folder / "shared" / "cordons.lock").mkdir()  # opening it fails, as on a full disk
         async with site.process() as old:
             await old.serves()
-            assert status(await old.call("POST /admin/cordon", b"s0")) == 200
+            assert status_of(await old.call("POST /admin/cordon", b"s0")) == 200
             async with site.process() as new:
                 await new.serves()
                 await old.ends()
                 assert (await new.figures())["ejected"] == 1
                 caller = await site.caller()
                 for _ in range(8):
-                    caller.send()
-                    assert status(await caller.answer()) == 200
-                assert len(site.upstreams[0].asked) == 0
-                assert status(await new.call("POST /admin/uncordon", b"s0")) == 200
+                    caller.send_request()
+                    assert status_of(await caller.read_response()) == 200
+                assert len(site.upstreams[0].requests) == 0
+                assert status_of(await new.call("POST /admin/uncordon", b"s0")) == 200
                 assert (await new.figures())["ejected"] == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_cordons_that_cannot_be_read_leave_those_of_the_file(tmp_path: Path) -> None:
@@ -274,7 +274,7 @@
         waiting = hot_restart.HotRestartListener(tmp_path, asyncio.get_running_loop(), estate=object())  # type: ignore[arg-type]
         assert waiting.start() == ""
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_process_that_hands_over_in_part_is_passed_over(
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -11,37 +11,43 @@
 
 from loadbalancer import interface
 from loadbalancer.interface import Outcome
-from loadbalancer.net.config import read_config, read_list
+from loadbalancer.net.config import read_config
 from loadbalancer.net.http_framing import BufferBudget
 from loadbalancer.net.upstream import Attempt, AttemptHandler, UpstreamPools, UpstreamResponse
-from tests.loopback import Rig, Upstream, config_text, entry, response, run, silent, status
+from tests.loopback import (
+    ProxyHarness,
+    Upstream,
+    config_text,
+    endpoint_entry,
+    endpoint_list,
+    http_response,
+    never_answer,
+    run_scenario,
+    status_of,
+)
 
 REQUEST = b"GET /read HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n"
 
 
-def told_list(*entries: dict[str, Any], whole: bool = False) -> Any:
-    return read_list({"index": 1, "snapshot": whole, "endpoints": list(entries)})
-
-
-def make(address: str, contract: dict[str, float] | None = None, **limits: Any) -> UpstreamPools:
+def make_pools(address: str, contract: dict[str, float] | None = None, **limits: Any) -> UpstreamPools:
     base = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 200.0}
     more: dict[str, Any] = {"contract": contract} if contract else {}
     text = config_text("127.0.0.1:9", [], limits=base | limits, **more)
     upstreams = UpstreamPools(
         read_config(text, lambda note: None), asyncio.get_running_loop(), BufferBudget(1_000_000)
     )
-    upstreams.update_endpoints(told_list(entry("s0", address)))
+    upstreams.update_endpoints(endpoint_list(endpoint_entry("s0", address)))
     return upstreams
 
 
-class Quiet(AttemptHandler):
+class IgnoredAttempt(AttemptHandler):
     """An exchange whose end nobody waits for."""
 
     def build_request(self) -> bytes:
         return REQUEST
 
 
-class Try(AttemptHandler):
+class RecordedAttempt(AttemptHandler):
     """One attempt and all that was told of its end."""
 
     def __init__(
@@ -52,8 +58,8 @@
         within_s: float = math.inf,
         connect_s: float = math.inf,
     ) -> None:
-        self.ends: list[Outcome] = []
-        self.over = asyncio.Event()
+        self.outcomes: list[Outcome] = []
+        self.ended = asyncio.Event()
         self._request = request
         attempt = upstreams.start_attempt("s0", timeout_s, self, within_s, connect_s)
         assert attempt is not None
@@ -63,12 +69,12 @@
         return self._request
 
     def on_attempt_ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
-        self.ends.append(outcome)
-        self.over.set()
+        self.outcomes.append(outcome)
+        self.ended.set()
 
     async def outcome(self) -> Outcome:
-        await self.over.wait()
-        (outcome,) = self.ends
+        await self.ended.wait()
+        (outcome,) = self.outcomes
         return outcome
 
 
@@ -88,20 +94,20 @@
 def test_a_connection_that_never_comes_up_is_a_failed_connect() -> None:
     async def scenario() -> None:
         async with full_backlog() as address:
-            upstreams = make(address)
-            assert await Try(upstreams).outcome() is Outcome.CONNECT_FAILED
+            upstreams = make_pools(address)
+            assert await RecordedAttempt(upstreams).outcome() is Outcome.CONNECT_FAILED
             assert upstreams.open_connections == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_time_out_before_anything_was_written_never_ran() -> None:
     async def scenario() -> None:
         async with full_backlog() as address:
-            upstreams = make(address, connectTimeout=60_000.0)
-            assert await Try(upstreams, timeout_s=0.05).outcome() is Outcome.CONNECT_FAILED
+            upstreams = make_pools(address, connectTimeout=60_000.0)
+            assert await RecordedAttempt(upstreams, timeout_s=0.05).outcome() is Outcome.CONNECT_FAILED
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_break_before_the_last_byte_left_never_ran() -> None:
@@ -117,53 +123,53 @@
 
         server = await asyncio.start_server(take, "127.0.0.1", 0, limit=1024)
         port = server.sockets[0].getsockname()[1]
-        attempt = Try(make(f"127.0.0.1:{port}"), REQUEST + b"x" * 50_000_000)
+        attempt = RecordedAttempt(make_pools(f"127.0.0.1:{port}"), REQUEST + b"x" * 50_000_000)
         await accepted.wait()
         assert await attempt.outcome() is Outcome.CONNECT_FAILED
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_an_attempt_ends_once_though_a_cancel_crosses_its_answer() -> None:
     async def scenario() -> None:
-        upstream = Upstream(silent)
-        upstreams = make(await upstream.start())
-        attempt = Try(upstreams)
-        await upstream.seen.wait()
-        upstream.writers[0].write(response())  # in the kernel by now, and not yet read
+        upstream = Upstream(never_answer)
+        upstreams = make_pools(await upstream.start())
+        attempt = RecordedAttempt(upstreams)
+        await upstream.request_received.wait()
+        upstream.writers[0].write(http_response())  # in the kernel by now, and not yet read
         attempt.attempt.cancel()
         attempt.attempt.cancel()
-        await upstream.ended.wait()
-        assert attempt.ends == [Outcome.CANCELLED]
+        await upstream.connection_ended.wait()
+        assert attempt.outcomes == [Outcome.CANCELLED]
         assert upstreams.open_connections == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_send_still_connecting_does_not_begin_after_the_grace() -> None:
     async def scenario() -> None:
         upstream = Upstream()
         address = await upstream.start()
-        upstreams = make(address)
-        attempt = Try(upstreams)  # begins to connect
+        upstreams = make_pools(address)
+        attempt = RecordedAttempt(upstreams)  # begins to connect
         pool = upstreams._pools["s0"]
-        upstreams.update_endpoints(told_list(entry("s0", address, status="terminating")))
+        upstreams.update_endpoints(endpoint_list(endpoint_entry("s0", address, status="terminating")))
         assert pool.draining_since_s is not None
         pool.draining_since_s -= 0.5  # the grace has passed while it connected
         assert await attempt.outcome() is Outcome.CONNECT_FAILED
-        assert not upstream.asked
+        assert not upstream.requests
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_idle_connections_go_when_asked_aged_moved_or_gone() -> None:
     async def scenario() -> None:
         upstream, moved = Upstream(), Upstream()
         address = await upstream.start()
-        upstreams = make(address)
+        upstreams = make_pools(address)
 
         async def serve() -> None:
-            assert await Try(upstreams).outcome() is Outcome.SERVED
+            assert await RecordedAttempt(upstreams).outcome() is Outcome.SERVED
             assert upstreams.open_connections == 1
 
         await serve()
@@ -172,57 +178,57 @@
         await serve()
         upstreams._pools["s0"].idle_connections[0].idle_since_s -= 0.9 * 60  # not yet the upstream's limit
         await serve()
-        assert upstream.connections == 3
+        assert upstream.connection_count == 3
         upstreams._pools["s0"].idle_connections[0].idle_since_s -= 0.9 * 60
         upstreams.close_expired()
         assert upstreams.open_connections == 0
         await serve()
-        upstreams.update_endpoints(told_list(entry("s0", await moved.start())))
+        upstreams.update_endpoints(endpoint_list(endpoint_entry("s0", await moved.start())))
         assert upstreams.open_connections == 0
         await serve()
-        assert len(moved.asked) == 1
-        upstreams.update_endpoints(told_list(whole=True))
+        assert len(moved.requests) == 1
+        upstreams.update_endpoints(endpoint_list(is_full_snapshot=True))
         assert upstreams.open_connections == 0
-        assert upstreams.start_attempt("s0", 1.0, Quiet()) is None
+        assert upstreams.start_attempt("s0", 1.0, IgnoredAttempt()) is None
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_second_response_behind_the_answer_is_dropped_with_its_connection() -> None:
     """It took the place of the answer, and a caller was given what was made for no request of its own."""
 
     async def scenario() -> None:
-        upstream = Upstream(response() + response(200, b"other"), response())
-        async with Rig(upstream) as rig:
-            assert (await rig.ask()).body == b"tile"
-            assert (await rig.ask()).body == b"tile"
-            assert upstream.connections == 2
+        upstream = Upstream(http_response() + http_response(200, b"other"), http_response())
+        async with ProxyHarness(upstream) as rig:
+            assert (await rig.request()).body == b"tile"
+            assert (await rig.request()).body == b"tile"
+            assert upstream.connection_count == 2
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_at_the_cap_the_longest_idle_makes_way_and_else_no_more_is_opened() -> None:
     async def scenario() -> None:
-        upstream, other = Upstream(response(), silent), Upstream(silent)
-        upstreams = make(await upstream.start())
-        upstreams.update_endpoints(told_list(entry("s1", await other.start())))
+        upstream, other = Upstream(http_response(), never_answer), Upstream(never_answer)
+        upstreams = make_pools(await upstream.start())
+        upstreams.update_endpoints(endpoint_list(endpoint_entry("s1", await other.start())))
         upstreams.max_connections = 1
-        assert await Try(upstreams).outcome() is Outcome.SERVED
-        attempt = upstreams.start_attempt("s1", 5.0, Quiet())
+        assert await RecordedAttempt(upstreams).outcome() is Outcome.SERVED
+        attempt = upstreams.start_attempt("s1", 5.0, IgnoredAttempt())
         assert attempt is not None
-        await other.seen.wait()
+        await other.request_received.wait()
         assert upstreams.open_connections == 1
-        assert await Try(upstreams).outcome() is Outcome.CONNECT_FAILED
+        assert await RecordedAttempt(upstreams).outcome() is Outcome.CONNECT_FAILED
         attempt.cancel()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_the_known_list_comes_first_and_a_late_send_is_not_sent() -> None:
     async def scenario() -> None:
         upstream = Upstream()
-        async with Rig(upstream) as rig:
-            driver, events = rig.driver, list[interface.Event]()
+        async with ProxyHarness(upstream) as rig:
+            driver, events = rig.proxy, list[interface.Event]()
 
             def answer_then_send(event: interface.Event, now: float) -> list[interface.Action]:
                 events.append(event)
@@ -234,18 +240,18 @@
                 return []
 
             driver.balancer.handle = answer_then_send  # type: ignore[method-assign]
-            answer = await rig.ask()
-            assert (status(answer), answer.headers["retry-after"]) == (503, "0.250")
+            answer = await rig.request()
+            assert (status_of(answer), answer.headers["retry-after"]) == (503, "0.250")
             assert events[1:] == [interface.AttemptEnded(1, 0, "s0", Outcome.NOT_SENT, True)]
-            assert not upstream.asked and not driver._requests
+            assert not upstream.requests and not driver._requests
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_what_was_known_is_told_before_all_else() -> None:
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            assert rig.driver.balancer._roster.ready  # before a single turn of the loop
-            assert rig.discovery.calls.empty()
+        async with ProxyHarness(Upstream()) as rig:
+            assert rig.proxy.balancer._roster.ready  # before a single turn of the loop
+            assert rig.discovery.request_lines.empty()
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -15,7 +15,7 @@
 from loadbalancer.net.hot_restart import CordonFile
 from loadbalancer.policy.zones import ZoneEvacuations, zone_parts
 from tests.helpers import Desk, sent
-from tests.loopback import Rig, Upstream, read_message, run
+from tests.loopback import ProxyHarness, Upstream, read_message, run_scenario
 
 
 def drawn_zones(desk: Desk, count: int = 400) -> Counter[str]:
@@ -110,36 +110,36 @@
     assert drawn_zones(desk, 50).keys() == {"z0"}
 
 
-async def call(rig: Rig, method: str, path: str, body: str = "") -> tuple[int, str]:
+async def call(rig: ProxyHarness, method: str, path: str, body: str = "") -> tuple[int, str]:
     """One operators' call."""
-    assert rig.driver.console is not None
-    reader, writer = await asyncio.open_connection(*rig.driver.console.address[:2])
+    assert rig.proxy.console is not None
+    reader, writer = await asyncio.open_connection(*rig.proxy.console.address[:2])
     data = body.encode()
     writer.write(
         f"{method} {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
     )
     answer = await read_message(reader)
     writer.close()
-    return int(answer.line.split(" ")[1]), answer.body.decode().strip()
+    return int(answer.start_line.split(" ")[1]), answer.body.decode().strip()
 
 
 def test_operators_leave_a_zone_and_are_told_what_is_wrong() -> None:
     async def scenario() -> None:
-        async with Rig(Upstream(), Upstream()) as rig:
+        async with ProxyHarness(Upstream(), Upstream()) as rig:
             entries = [rig.entries[0], rig.entries[1] | {"zone": "b"}]
-            rig.discovery.tell(9, *entries)
-            await rig.discovery.calls.get()
-            await rig.discovery.calls.get()
+            rig.discovery.publish(9, *entries)
+            await rig.discovery.request_lines.get()
+            await rig.discovery.request_lines.get()
             for body, wanted in (
                 ("", 400), ("a over=x", 400), ("a later", 400), ("a over=-1", 400), ("a over=1e9", 400),
                 ("nowhere", 404),
             ):  # fmt: skip
                 assert (await call(rig, "POST", "/admin/zone/leave", body))[0] == wanted, body
             assert await call(rig, "POST", "/admin/zone/leave", "a") == (200, "ok")
-            before = len(rig.upstreams[0].asked)
+            before = len(rig.upstreams[0].requests)
             for _ in range(5):
-                await rig.ask()
-            assert len(rig.upstreams[0].asked) == before
+                await rig.request()
+            assert len(rig.upstreams[0].requests) == before
             code, text = await call(rig, "POST", "/admin/zone/leave", "b")
             assert code == 409 and "no other zone" in text and "force" in text
             zones = json.loads((await call(rig, "GET", "/admin/zones"))[1])
@@ -149,23 +149,23 @@
             assert (await call(rig, "POST", "/admin/zone/return", "a over=0"))[0] == 200
             assert json.loads((await call(rig, "GET", "/admin/zones"))[1])["a"]["share"] == 1.0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_zone_is_not_left_where_the_rest_has_no_room_unless_forced() -> None:
     async def scenario() -> None:
-        async with Rig(Upstream(), Upstream()) as rig:
-            rig.discovery.tell(9, rig.entries[0], rig.entries[1] | {"zone": "b", "weight": 0.1})
-            await rig.discovery.calls.get()
-            await rig.discovery.calls.get()
-            server = rig.driver.balancer._roster.servers["s0"]
-            server.catch_up(rig.driver.clock.now())
+        async with ProxyHarness(Upstream(), Upstream()) as rig:
+            rig.discovery.publish(9, rig.entries[0], rig.entries[1] | {"zone": "b", "weight": 0.1})
+            await rig.discovery.request_lines.get()
+            await rig.discovery.request_lines.get()
+            server = rig.proxy.balancer._roster.servers["s0"]
+            server.catch_up(rig.proxy.clock.now())
             server.busy = 60_000.0  # ten calls out at any time
             code, text = await call(rig, "POST", "/admin/zone/leave", "a")
             assert code == 409 and "calls are out on average" in text
             assert (await call(rig, "POST", "/admin/zone/leave", "a force"))[0] == 200
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_what_was_said_of_zones_outlasts_the_process(tmp_path: Path) -> None:
