--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -45,8 +45,8 @@
     return asked
 
 
-def http_response(status: int = 200, body: bytes = b"tile", *headers: str) -> bytes:
-    lines = [f"HTTP/1.1 {status} Any", f"Content-Length: {len(body)}", *headers]
+def http_response(status_code: int = 200, body: bytes = b"tile", *headers: str) -> bytes:
+    lines = [f"HTTP/1.1 {status_code} Any", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
@@ -216,7 +216,7 @@
         "the module's requests": len(driver.balancer._requests),
         "waiting": len(driver.balancer._queue),
         "bytes": driver.buffers.used_bytes,
-        "calls in flight": sum(s.in_flight for s in driver.balancer._roster.servers.values()),
+        "calls in flight": sum(s.in_flight for s in driver.balancer._endpoints.servers.values()),
         "connections in use": driver.upstreams.open_connections
         - sum(len(p.idle_connections) for p in driver.upstreams._pools.values()),
     }
