--- a/Makefile
+++ b/Makefile
@@ -4,10 +4,11 @@
 
 .PHONY: demo test
 demo: $(READY)
-	$(VENV)/bin/irondrum demo
+	$(VENV)/bin/loadbalancer demo
 
+# Four workers at the most: with more, tests of timing disturb one another.
 test: $(READY)
-	$(VENV)/bin/python -m pytest
+	$(VENV)/bin/python -m pytest --numprocesses logical --maxprocesses 4 --dist worksteal
 
 $(READY): pyproject.toml
 	test -x $(VENV)/bin/python || python3 -m venv $(VENV)
