--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,7 +15,7 @@
 import pytest
 import uvloop
 
-from loadbalancer.net.config import ServerList, read_config, read_list
+from loadbalancer.net.config import EndpointList, decode_endpoint_list, read_config
 from loadbalancer.net.proxy import Proxy
 from loadbalancer.net.upstream import ConnectionPool, UpstreamConnection
 
@@ -125,9 +125,9 @@
     return base | {"status": "in_service", "since_ms": 0} | more
 
 
-def endpoint_list(*entries: dict[str, Any], is_full_snapshot: bool = False) -> ServerList:
+def endpoint_list(*entries: dict[str, Any], is_full_snapshot: bool = False) -> EndpointList:
     """Return an endpoint list of these entries, as it is read from an answer of the list service."""
-    return read_list({"index": 1, "snapshot": is_full_snapshot, "endpoints": list(entries)})
+    return decode_endpoint_list({"index": 1, "snapshot": is_full_snapshot, "endpoints": list(entries)})
 
 
 def config_text(
