--- a/loadbalancer/drill/seeded_defects.py
+++ b/loadbalancer/drill/seeded_defects.py
@@ -271,9 +271,9 @@
 
 def forgets_zones() -> None:
     """What operators said of zones is lost when the process is replaced."""
-    from loadbalancer.net.hot_restart import CordonFile
+    from loadbalancer.net import cordons
 
-    vars(sys.modules[CordonFile.__module__])["_read_zones"] = lambda raw: {}
+    vars(cordons)["_decode_evacuations"] = lambda raw: {}
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -23,9 +23,10 @@
     encode_endpoint_list,
 )
 from loadbalancer.net.console import Console
+from loadbalancer.net.cordon_file import CordonFile
 from loadbalancer.net.discovery import Discovery
 from loadbalancer.net.downstream import DownstreamListener, DownstreamRequest
-from loadbalancer.net.hot_restart import CordonFile, HotRestartListener, Predecessor
+from loadbalancer.net.hot_restart import DescriptorCounts, HotRestartListener, Predecessor
 from loadbalancer.net.http_framing import BufferBudget, end_to_end_headers
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
 from loadbalancer.net.log import Log, Sink, write_text
@@ -285,10 +286,10 @@
             self._serve()
         await legacy.follow_counts(self._share)
 
-    def _share(self, other: dict[str, int]) -> None:
+    def _share(self, other: DescriptorCounts) -> None:
         """Hold so much less as the other process holds."""
-        self.callers.max_connections = max(self._caps[0] - other.get("callers", 0), 4)
-        self.upstreams.max_connections = max(self._caps[1] - other.get("upstreams", 0), 4)
+        self.callers.max_connections = max(self._caps[0] - other.downstream, 4)
+        self.upstreams.max_connections = max(self._caps[1] - other.upstream, 4)
 
     def listening_socket(self) -> socket.socket:
         """Where callers wait."""
@@ -316,13 +317,13 @@
         self.upstreams.max_connections = self._caps[1]
         self._tell(interface.TakeoverChanged(False))
 
-    def descriptor_counts(self) -> dict[str, int]:
+    def descriptor_counts(self) -> DescriptorCounts:
         """What we keep to from now on: callers only leave, and upstreams are called for them alone."""
         callers = self.callers.connection_count()
         self.upstreams.max_connections = min(
             self.upstreams.max_connections, max(self.upstreams.open_connections, callers + 4)
         )
-        return {"callers": callers, "upstreams": self.upstreams.max_connections}
+        return DescriptorCounts(downstream=callers, upstream=self.upstreams.max_connections)
 
     def figures(self) -> dict[str, object]:
         """What operators read."""
@@ -352,7 +353,7 @@
         """Take a server out, or put it back; False if nobody has that ID."""
         if server not in self._ids and server not in self._cordons.cordons.servers:
             return False
-        if trouble := self._cordons.set_cordon(server, out):
+        if trouble := self._cordons.set_cordon(server, is_cordoned=out):
             self.log.event("cordons_not_kept", trouble)
         self._apply_cordons()
         return True
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -15,7 +15,7 @@
 from loadbalancer.interface import EndpointListUpdate, UpdateKind
 from loadbalancer.membership.messages import GossipMessage, decode_message, encode_message
 from loadbalancer.net.config import decode_endpoint_list, encode_endpoint_list, read_config
-from loadbalancer.net.hot_restart import CordonFile
+from loadbalancer.net.cordon_file import CordonFile
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
 from loadbalancer.net.membership import fleet_tag
 from loadbalancer.policy import Balancer
@@ -86,7 +86,7 @@
     assert file.refresh()
     assert json.dumps(file.encode()).encode() == data
     (tmp_path / "cordons.json").write_bytes(b"{}")  # unreadable: what is in memory is written in its place
-    assert file.set_cordon("s2", True) == ""  # cordoned already
+    assert file.set_cordon("s2", is_cordoned=True) == ""  # cordoned already
     assert (tmp_path / "cordons.json").read_bytes() == data
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,7 +17,10 @@
 
 from loadbalancer.drill.processes.placement import free_port
 from loadbalancer.interface import Endpoint, TakeoverChanged
-from loadbalancer.net import hot_restart
+from loadbalancer.net.cordon_file import CordonFile
+from loadbalancer.net.cordons import Cordons
+from loadbalancer.net.hot_restart import HotRestartListener, connect_to_predecessor, predecessor
+from loadbalancer.net.hot_restart.protocol import socket_path
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
 from tests.helpers import Desk, settings
 from tests.loopback import (
@@ -249,15 +252,15 @@
 
 
 def test_cordons_that_cannot_be_read_leave_those_of_the_file(tmp_path: Path) -> None:
-    file = hot_restart.CordonFile(tmp_path)
-    assert file.set_cordon("s0", True) == ""
+    file = CordonFile(tmp_path)
+    assert file.set_cordon("s0", is_cordoned=True) == ""
     unusable: tuple[object, ...] = (None, [], {"out": "s1", "back": {}}, {"out": ["s1"], "back": {"s": "x"}})
     for raw in unusable:
         with pytest.raises(ValueError, match="not "):
             file.adopt(raw)
     assert file.cordons.servers == {"s0"}
     file.adopt({"out": ["s1"], "back": {"s0": 1.0}})
-    assert file.cordons == hot_restart.Cordons(frozenset({"s1"}), {"s0": 1.0})
+    assert file.cordons == Cordons(frozenset({"s1"}), {"s0": 1.0})
 
 
 @pytest.mark.parametrize("left", ["nothing", "a file", "a dead socket"])
@@ -266,12 +269,12 @@
     if left == "a file":
         path.write_bytes(b"half")
     elif left == "a dead socket":
-        with socket.socket(socket.AF_UNIX) as dead, hot_restart._path_in(tmp_path) as short:
+        with socket.socket(socket.AF_UNIX) as dead, socket_path(tmp_path) as short:
             dead.bind(short)
-    assert hot_restart.connect_to_predecessor(tmp_path) is None
+    assert connect_to_predecessor(tmp_path) is None
 
     async def scenario() -> None:
-        waiting = hot_restart.HotRestartListener(tmp_path, asyncio.get_running_loop(), estate=object())  # type: ignore[arg-type]
+        waiting = HotRestartListener(tmp_path, asyncio.get_running_loop(), process=object())  # type: ignore[arg-type]
         assert waiting.start() == ""
 
     run_scenario(scenario())
@@ -280,11 +283,11 @@
 def test_a_process_that_hands_over_in_part_is_passed_over(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(hot_restart, "ANSWER_TIMEOUT_S", 0.05)
-    with socket.socket(socket.AF_UNIX) as listener, hot_restart._path_in(tmp_path) as path:
+    monkeypatch.setattr(predecessor, "ANSWER_TIMEOUT_S", 0.05)
+    with socket.socket(socket.AF_UNIX) as listener, socket_path(tmp_path) as path:
         listener.bind(path)
         listener.listen()
-        assert hot_restart.connect_to_predecessor(tmp_path) is None
+        assert connect_to_predecessor(tmp_path) is None
 
 
 def test_what_was_learned_passes_to_the_next_process() -> None:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -11,8 +11,8 @@
 import pytest
 
 from loadbalancer.interface import AttemptEnded, CordonChanged, Endpoint, Outcome, Readiness, ZoneEvacuation
-from loadbalancer.net import hot_restart
-from loadbalancer.net.hot_restart import CordonFile
+from loadbalancer.net.cordon_file import CordonFile
+from loadbalancer.net.cordons import RETURN_RETENTION_MS
 from loadbalancer.policy.zones import ZoneEvacuations, zone_fractions
 from tests.helpers import Desk, sent
 from tests.loopback import ProxyHarness, Upstream, read_message, run_scenario
@@ -173,9 +173,9 @@
     assert file.set_evacuation(held) == ""
     again = CordonFile(tmp_path)
     assert again.refresh() and again.cordons.evacuations == {"east": held}
-    assert again.set_cordon("s0", out=True) == ""
+    assert again.set_cordon("s0", is_cordoned=True) == ""
     assert again.cordons.evacuations == {"east": held}
-    later = held.started_at_ms + hot_restart.RETURN_RETENTION_MS + 1
+    later = held.started_at_ms + RETURN_RETENTION_MS + 1
     back = ZoneEvacuation("east", False, 2_000.0, 0.0, 0.5)
     assert again.cordons.with_evacuation(back).with_evacuation(
         ZoneEvacuation("west", True, later + 2_000.0)
