--- a/tests/test_conf.py
+++ b/tests/test_configuration.py
@@ -18,7 +18,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_the_annotated_example_can_be_used_and_means_what_it_says() -> None:
+def test_annotated_example_is_valid_and_means_what_it_says() -> None:
     config = configuration.read(ROOT / "docs" / "irondrum.toml", pytest.fail)
     unlock = config.settings.classes[1]
     assert (unlock.latency_objective_ms, unlock.deadline_ms, unlock.priority_weight) == (
@@ -31,19 +31,19 @@
     assert [e.endpoint.server for e in config.initial_list.endpoints] == ["s-1"]
 
 
-def test_the_schema_in_the_documents_is_the_one_that_is_generated() -> None:
+def test_schema_in_the_documents_is_the_generated_one() -> None:
     written = json.loads((ROOT / "docs" / "irondrum.schema.json").read_text(encoding="utf-8"))
     assert written == json.loads(json.dumps(configuration.schema()))
 
 
-def test_the_platforms_json_means_the_same_here_as_to_run() -> None:
+def test_platform_json_means_the_same_as_to_the_program() -> None:
     text = config_text("127.0.0.1:9", [endpoint_entry("s0", "127.0.0.1:5000")])
     assert configuration.validation_errors(json.loads(text)) == []
     ours = configuration.parse(json.loads(text), pytest.fail)
     assert ours == replace(read_config(text, pytest.fail))
 
 
-def test_every_fault_is_told_at_once_with_its_path_and_what_is_allowed() -> None:
+def test_all_validation_errors_are_reported_with_path_and_allowed_values() -> None:
     tables = {
         "listen": "localhost",
         "nme": "a",
@@ -68,7 +68,7 @@
     assert len(found) == 8 and not [f for f in found if "\n" in f]
 
 
-def test_what_only_the_whole_can_tell_is_told_too() -> None:
+def test_error_across_several_keys_is_reported() -> None:
     tables = json.loads(config_text("127.0.0.1:9", []))
     tables["settings"]["classes"] *= 2
     assert configuration.validation_errors(tables) == [
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("content", ["[", '{"a"', ""])
-def test_a_file_that_cannot_be_read_is_one_line(tmp_path: Path, content: str) -> None:
+def test_unreadable_file_is_one_error_line(tmp_path: Path, content: str) -> None:
     path = tmp_path / "x.json"
     path.write_text(content)
     with pytest.raises(configuration.ConfigurationError) as caught:
@@ -86,7 +86,7 @@
 
 
 @given(st.floats(0, 1e6), st.sampled_from([("ms", 1), ("s", 1_000), ("m", 60_000)]))
-def test_a_duration_is_its_number_times_its_unit(number: float, unit: tuple[str, int]) -> None:
+def test_duration_is_its_number_times_its_unit(number: float, unit: tuple[str, int]) -> None:
     text = f"{number:.3f}{unit[0]}"
     assert duration_ms(text) == pytest.approx(float(f"{number:.3f}") * unit[1])
 
@@ -96,7 +96,7 @@
         "listen discovery settings classes limits known name target".split()) | st.text(max_size=3), inner)
 ), max_leaves=12))  # fmt: skip
 @example({"\n": None})
-def test_whatever_a_file_holds_its_faults_are_lines(value: object) -> None:
+def test_errors_of_any_content_are_single_lines(value: object) -> None:
     tables = value if isinstance(value, dict) else {"settings": value}
     found = configuration.validation_errors(tables)
     assert found and not [line for line in found if "\n" in line]
--- a/tests/test_upgrade.py
+++ b/tests/test_hot_restart.py
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("link", ["handed over", "refused"])
-def test_nothing_is_lost_under_load_when_one_process_follows_another(tmp_path: Path, link: str) -> None:
+def test_no_request_is_lost_under_load_during_a_hot_restart(tmp_path: Path, link: str) -> None:
     async def scenario() -> None:
         site = Site(tmp_path, Upstream(), Upstream())
         await site.start()
@@ -156,7 +156,7 @@
     run_scenario(scenario())
 
 
-def test_callers_that_wait_in_the_queue_are_served_by_the_next_process(tmp_path: Path) -> None:
+def test_clients_in_the_accept_queue_are_served_by_the_successor(tmp_path: Path) -> None:
     async def scenario() -> None:
         gate = asyncio.Event()
 
@@ -187,7 +187,7 @@
     run_scenario(scenario())
 
 
-def test_an_older_process_accepts_again_when_the_next_one_dies(tmp_path: Path) -> None:
+def test_predecessor_accepts_again_when_its_successor_dies(tmp_path: Path) -> None:
     async def scenario() -> None:
         site = Site(tmp_path, Upstream())
         await site.start()
@@ -205,7 +205,7 @@
     run_scenario(scenario())
 
 
-def test_a_hold_outlasts_the_process_that_was_told(tmp_path: Path) -> None:
+def test_cordon_outlasts_the_process_that_took_it(tmp_path: Path) -> None:
     async def scenario() -> None:
         first, second = Upstream(), Upstream()
         site = Site(tmp_path, first, second)
@@ -228,7 +228,7 @@
     run_scenario(scenario())
 
 
-def test_a_hold_outlasts_the_process_that_could_not_write_it_down(tmp_path: Path) -> None:
+def test_cordon_outlasts_a_process_that_could_not_write_it(tmp_path: Path) -> None:
     async def scenario() -> None:
         site = Site(tmp_path, Upstream(), Upstream())
         await site.start()
@@ -251,7 +251,7 @@
     run_scenario(scenario())
 
 
-def test_cordons_that_cannot_be_read_leave_those_of_the_file(tmp_path: Path) -> None:
+def test_unreadable_cordons_of_the_predecessor_leave_those_of_the_file(tmp_path: Path) -> None:
     file = CordonFile(tmp_path)
     assert file.set_cordon("s0", is_cordoned=True) == ""
     unusable: tuple[object, ...] = (None, [], {"out": "s1", "back": {}}, {"out": ["s1"], "back": {"s": "x"}})
@@ -264,7 +264,7 @@
 
 
 @pytest.mark.parametrize("left", ["nothing", "a file", "a dead socket"])
-def test_what_a_killed_process_left_stops_no_start(tmp_path: Path, left: str) -> None:
+def test_leftovers_of_a_killed_process_prevent_no_start(tmp_path: Path, left: str) -> None:
     path = tmp_path / "handover"
     if left == "a file":
         path.write_bytes(b"half")
@@ -280,9 +280,7 @@
     run_scenario(scenario())
 
 
-def test_a_process_that_hands_over_in_part_is_passed_over(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_predecessor_that_sends_nothing_is_ignored(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(predecessor, "ANSWER_TIMEOUT_S", 0.05)
     with socket.socket(socket.AF_UNIX) as listener, socket_path(tmp_path) as path:
         listener.bind(path)
@@ -290,7 +288,7 @@
         assert connect_to_predecessor(tmp_path) is None
 
 
-def test_what_was_learned_passes_to_the_next_process() -> None:
+def test_learned_state_passes_to_the_successor() -> None:
     old, new = Desk(4), Desk(4, seed=2)
     for _ in range(300):
         old.serve(takes={"s0": 400.0, "s1": 20.0, "s2": 20.0, "s3": 20.0})
@@ -312,7 +310,7 @@
         {"pressure": [1.0]},
     ],
 )
-def test_what_is_no_legacy_changes_nothing(change: dict[str, Any]) -> None:
+def test_malformed_learned_state_changes_nothing(change: dict[str, Any]) -> None:
     old, new = Desk(4), Desk(4)
     for _ in range(50):
         old.serve()
@@ -323,7 +321,7 @@
     assert encode_learned_state(new.balancer.learned_state(new.now)) == before
 
 
-def test_a_process_that_leaves_sends_to_cold_servers_last() -> None:
+def test_retiring_process_sends_to_warming_servers_last() -> None:
 
     desk = Desk(2)
     for _ in range(100):
--- a/tests/test_peers.py
+++ b/tests/test_membership.py
@@ -32,7 +32,7 @@
     return encode_message(GossipMessage(**(base | {"target": -1, "updates": ()} | more)))
 
 
-def test_a_ping_is_answered_and_nothing_else_is_done() -> None:
+def test_ping_is_acknowledged_and_nothing_else_is_sent() -> None:
     told = [a for a in member().handle_message(1, note(), now=10.0) if isinstance(a, SendMessage)]
     assert [a.recipient for a in told] == [1] and len(told[0].payload) <= MAX_MESSAGE_BYTES
 
@@ -47,7 +47,7 @@
         (0, note(0), "forged"),
     ],
 )  # fmt: skip
-def test_notes_that_are_no_use_are_counted_and_change_nothing(sender: int, data: bytes, reason: str) -> None:
+def test_unusable_messages_are_counted_and_change_nothing(sender: int, data: bytes, reason: str) -> None:
     one = member()
     before = [(b.state, b.incarnation) for b in one.table.records]
     assert one.handle_message(sender, data, now=1.0) == []
@@ -56,11 +56,11 @@
 
 
 @given(st.binary(max_size=300), st.integers(0, 3))
-def test_whatever_comes_throws_nothing(data: bytes, sender: int) -> None:
+def test_no_datagram_raises(data: bytes, sender: int) -> None:
     member().handle_message(sender, data, now=1.0)
 
 
-def test_old_and_doubled_news_change_nothing() -> None:
+def test_old_and_duplicated_updates_change_nothing() -> None:
     one = member()
     one.handle_message(1, note(updates=((2, MemberState.DEAD, 3),)), now=1.0)
     assert one.table.state(2) is MemberState.DEAD
@@ -76,14 +76,14 @@
     assert one.table.state(2) is MemberState.ALIVE
 
 
-def test_what_is_said_of_us_is_overruled_by_a_higher_incarnation() -> None:
+def test_claim_about_ourselves_is_refuted_by_a_higher_incarnation() -> None:
     one = member()
     one.handle_message(1, note(updates=((0, MemberState.DEAD, 6),)), now=1.0)
     assert (one.table.state(0), one.table.incarnation) == (MemberState.ALIVE, 7)
 
 
 @pytest.mark.parametrize("count", [2, 3, 10, 200])
-def test_a_death_is_known_to_all_and_a_return_too(count: int) -> None:
+def test_death_and_return_become_known_to_all(count: int) -> None:
     tier = Tier(count, seed=1, loss=0.05)
     tier.run(3_000)
     assert tier.deaths == []
@@ -96,7 +96,7 @@
     assert tier.agree()
 
 
-def test_who_leaves_on_purpose_is_known_to_have_left_and_not_to_have_died() -> None:
+def test_member_that_leaves_is_left_and_not_dead() -> None:
     tier = Tier(12, seed=2)
     tier.run(1_000)
     tier.leave(3)
@@ -105,7 +105,7 @@
     assert tier.deaths == []
 
 
-def test_seven_in_ten_killed_at_once_are_known_and_come_back() -> None:
+def test_seven_in_ten_killed_at_once_become_known_and_return() -> None:
     tier = Tier(30, seed=3, loss=0.02)
     tier.run(2_000)
     dead = list(range(21))
@@ -119,7 +119,7 @@
     assert tier.agree()
 
 
-def test_a_stopped_member_is_missed_and_accuses_nobody_when_it_goes_on() -> None:
+def test_paused_member_is_missed_and_accuses_nobody_when_it_resumes() -> None:
     tier = Tier(12, seed=4)
     tier.run(2_000)
     tier.pause(5, 3_000)
@@ -130,14 +130,14 @@
     assert {dead for _, _, dead in tier.deaths} == {5}
 
 
-def test_a_one_way_cut_is_no_death_while_others_reach_it() -> None:
+def test_one_way_partition_is_no_death_while_others_reach_the_member() -> None:
     tier = Tier(12, seed=5)
     tier.cut = lambda one, other: (one, other) == (0, 1)
     tier.run(60_000)
     assert tier.deaths == []
 
 
-def test_a_zone_that_is_cut_off_and_healed_is_one_fleet_again() -> None:
+def test_partitioned_zone_rejoins_the_fleet_when_healed() -> None:
     tier = Tier(12, seed=6, loss=0.02)
     tier.cut = lambda one, other: (one < 4) != (other < 4)
     tier.run(15_000)
@@ -147,13 +147,13 @@
     assert tier.agree()
 
 
-def test_no_live_member_dies_in_five_minutes_of_loss_and_doubling() -> None:
+def test_no_live_member_is_declared_dead_in_five_minutes_of_loss_and_duplication() -> None:
     tier = Tier(40, seed=7, loss=0.05, doubled=0.1)
     tier.run(300_000)
     assert tier.deaths == [] and tier.agree()
 
 
-def test_notes_a_member_do_not_grow_with_the_fleet() -> None:
+def test_message_rate_of_a_member_does_not_grow_with_the_fleet() -> None:
     rates = []
     for count in (10, 100):
         tier = Tier(count, seed=8)
@@ -213,4 +213,4 @@
     max_examples=40, stateful_step_count=12, deadline=None, derandomize=True,
     suppress_health_check=list(HealthCheck),
 )  # fmt: skip
-test_views = Views.TestCase
+test_views_converge_after_any_faults = Views.TestCase
--- a/tests/test_peers_net.py
+++ b/tests/test_membership_udp.py
@@ -56,7 +56,7 @@
         await asyncio.sleep(0.01)
 
 
-def test_members_find_a_death_a_return_and_a_leave() -> None:
+def test_members_detect_a_death_a_return_and_a_leave() -> None:
     async def scenario() -> None:
         tier = hosts(some(4))
         assert [p.start() for p in tier] == [""] * 4
@@ -73,7 +73,7 @@
     run_scenario(scenario())
 
 
-def test_strangers_and_garbage_are_counted_and_change_nothing() -> None:
+def test_unknown_senders_and_garbage_are_counted_and_change_nothing() -> None:
     async def scenario() -> None:
         one, other = hosts(some(2))
         assert one.start() == ""
@@ -93,7 +93,7 @@
     run_scenario(scenario())
 
 
-def test_a_socket_that_cannot_be_had_is_a_line_and_no_end() -> None:
+def test_address_in_use_is_an_error_line_and_no_exception() -> None:
     async def scenario() -> None:
         (config,) = some(1)
         first, second = hosts([config, config])
@@ -107,25 +107,25 @@
 @pytest.mark.parametrize(
     "changes", [{}, {"membership": True}, {"peers": [f"{HOST}:1"], "peer_listen": f"{HOST}:1"}]
 )
-def test_membership_is_off_unless_it_is_wanted_allowed_and_possible(changes: dict[str, Any]) -> None:
+def test_membership_is_off_unless_enabled_allowed_and_possible(changes: dict[str, Any]) -> None:
     config = read_config(json.dumps(raw_config(**changes)), print)
     assert (config.peers, config.peer_listen) == ((), None)
 
 
-def test_it_is_off_where_the_settings_forbid_notes() -> None:
+def test_membership_is_off_where_the_settings_forbid_gossip() -> None:
     raw = raw_config(membership=True, peers=[f"{HOST}:1"], peer_listen=f"{HOST}:1")
     raw["settings"]["limits"]["peers"] = False
     assert read_config(json.dumps(raw), print).peers == ()
 
 
 @pytest.mark.parametrize("peers", [[f"{HOST}:1", f"{HOST}:1"], ["x"]])
-def test_addresses_that_cannot_be_are_told(peers: list[str]) -> None:
+def test_unusable_peer_addresses_are_a_configuration_error(peers: list[str]) -> None:
     raw = raw_config(membership=True, peers=peers, peer_listen=f"{HOST}:1")
     with pytest.raises(ConfigError):
         read_config(json.dumps(raw), print)
 
 
-def test_operators_see_the_members_and_404_where_it_is_off() -> None:
+def test_console_shows_the_members_and_404_where_membership_is_off() -> None:
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as rig:
             assert status_of(await call(rig, "GET", "/admin/peers")) == 404
@@ -141,14 +141,14 @@
     run_scenario(scenario())
 
 
-def test_views_that_differ_are_marked() -> None:
+def test_differing_views_are_no_agreement() -> None:
     alive, gone = ({"members": [{"state": s, "incarnation": 0}]} for s in ("alive", "gone"))
     assert views_of({"a": alive, "b": alive})[1]
     assert not views_of({"a": alive, "b": gone})[1]
     assert not views_of({"a": alive, "b": {"members": []}})[1]
 
 
-def test_a_fleet_of_another_kind_is_foreign() -> None:
+def test_fleet_tag_differs_by_tier() -> None:
     from loadbalancer.net.membership import fleet_tag
 
     (config,) = some(1)
--- a/tests/test_operate.py
+++ b/tests/test_operator_commands.py
@@ -61,7 +61,7 @@
             process.kill()
 
 
-def test_a_balancer_of_ones_own_is_served_watched_and_ended(served: Served) -> None:
+def test_served_balancer_is_loaded_watched_and_stopped(served: Served) -> None:
     assert irondrum("health", "--console", served.console).stdout == f"{served.console}  ok\n"
     loaded = irondrum(
         "load", f"http://{served.address}", "--class", "map", "--rate", "100", "--seconds", "0.3", "--json"
@@ -76,7 +76,7 @@
     assert served.process.wait(30) == 0
 
 
-def test_a_changed_file_is_followed_by_name_and_a_bad_one_changes_nothing(served: Served) -> None:
+def test_reload_names_what_changed_and_an_invalid_file_changes_nothing(served: Served) -> None:
     assert served.process.stderr is not None
 
     def next_event(wanted: str) -> dict[str, str]:
@@ -95,7 +95,7 @@
     assert (line["took"], line["needs_restart"]) == ("discovery", "listen")
 
 
-def test_a_call_to_several_balancers_tells_who_did_not_take_it(served: Served) -> None:
+def test_command_to_several_balancers_names_those_that_did_not_accept_it(served: Served) -> None:
     nobody = f"{HOST}:{free_port(HOST)}"
     done = irondrum("health", "--console", served.console, "--console", nobody)
     assert done.returncode == 1
@@ -115,13 +115,13 @@
         ("serve", "docs/irondrum.toml", "--log", "xml"),
     ],
 )
-def test_wrong_use_is_one_line_and_status_2(args: tuple[str, ...]) -> None:
+def test_usage_error_is_one_line_and_status_2(args: tuple[str, ...]) -> None:
     done = irondrum(*args)
     assert (done.returncode, done.stderr.count("\n")) == (2, 1), done.stderr
     assert done.stderr.startswith("irondrum: ")
 
 
-def test_a_load_stays_on_this_machine_and_within_its_bounds() -> None:
+def test_load_stays_on_loopback_and_within_its_bounds() -> None:
     check("http://127.0.0.1:1", 1, 1, anywhere=False)
     check("http://192.0.2.1", 1, 1, anywhere=True)
     for url, rate, seconds in (("http://192.0.2.1", 1, 1), ("http://[::1]", 0, 1), ("http://[::1]", 1, 601)):
@@ -135,7 +135,7 @@
             read_kind(text)
 
 
-def test_where_the_list_is_from_is_told_by_console(served: Served) -> None:
+def test_lists_command_shows_the_source_of_the_endpoint_list(served: Served) -> None:
     told = irondrum("lists", "--console", served.console)
     assert told.returncode == 0
     assert "configuration" in told.stdout
--- a/tests/test_sites.py
+++ b/tests/test_site_variants.py
@@ -59,7 +59,7 @@
     return {p.stem: tomllib.loads(p.read_text()) for p in paths}
 
 
-def test_variants_lie_over_the_given_site_and_keep_what_they_do_not_name(tmp_path: Path) -> None:
+def test_variants_overlay_the_given_site_and_keep_what_they_do_not_set(tmp_path: Path) -> None:
     laid = variants(tmp_path)
     assert len(laid) >= 2
     for name, site in laid.items():
@@ -69,7 +69,7 @@
         assert all(cls["work_ms"] in ([1, 2], [3, 4]) for cls in site["class"])
 
 
-def test_variants_differ_in_names_shares_limits_deadlines_and_costs(tmp_path: Path) -> None:
+def test_variants_differ_in_names_quotas_limits_deadlines_and_costs(tmp_path: Path) -> None:
     laid = list(variants(tmp_path).values())
     names = [cls["name"] for site in laid for cls in site["class"]]
     assert len(set(names)) == len(names) > 3
@@ -85,7 +85,7 @@
         assert {cls["effect"] for cls in site["class"]} == {"unsafe"}
 
 
-def test_a_given_file_that_is_none_gets_one_line_and_status_2(tmp_path: Path) -> None:
+def test_unreadable_site_file_is_one_error_line_and_status_2(tmp_path: Path) -> None:
     done = lay_out(tmp_path, "no = toml = at all")
     assert done.returncode == 2
     assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("lay_out.py: ")
--- a/tests/test_state.py
+++ b/tests/test_snapshots.py
@@ -44,7 +44,7 @@
 """
 
 
-def test_what_is_kept_is_what_was_saved_and_the_one_before_it(tmp_path: Path) -> None:
+def test_last_snapshot_and_the_one_before_it_are_kept(tmp_path: Path) -> None:
     store = SnapshotStore(tmp_path, "front/1")
     assert store.load().snapshot is None
     for number in (1, 2):
@@ -59,7 +59,9 @@
 
 
 @pytest.mark.parametrize("step", range(1, 8))
-def test_a_process_that_dies_at_any_step_of_a_save_leaves_a_whole_one(tmp_path: Path, step: int) -> None:
+def test_process_that_dies_at_any_step_of_a_save_leaves_a_complete_snapshot(
+    tmp_path: Path, step: int
+) -> None:
     done = subprocess.run([sys.executable, "-c", DIES, str(tmp_path), str(step)], check=False)
     assert done.returncode in (0, 9)
     found = SnapshotStore(tmp_path, "b").load()
@@ -73,7 +75,7 @@
 
 
 @given(st.integers(0, 400), st.integers(0, 255))
-def test_no_change_of_a_byte_and_no_cut_passes_unseen(place: int, byte: int) -> None:
+def test_changed_byte_or_truncation_is_detected(place: int, byte: int) -> None:
     data = encode_snapshot(STATE, 7.0)
     place %= len(data)
     with pytest.raises(SnapshotDecodeError):
@@ -85,7 +87,7 @@
         assert changed != data
 
 
-def test_a_newer_form_is_told_and_a_later_field_is_no_fault() -> None:
+def test_newer_format_version_is_rejected_and_an_unknown_header_field_is_not() -> None:
     first, _, body = encode_snapshot(STATE, 7.0).partition(b"\n")
     head = json.loads(first)
     assert decode_snapshot(json.dumps(head | {"more": 1}).encode() + b"\n" + body).state == STATE
@@ -95,7 +97,7 @@
         decode_snapshot(json.dumps(head | {"form": FORMAT_VERSION + 1}).encode() + b"\n" + body)
 
 
-def test_a_folder_that_cannot_be_written_is_told_once_and_stops_nothing(
+def test_unwritable_folder_is_logged_once_and_stops_nothing(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario() -> None:
@@ -117,7 +119,7 @@
     assert capsys.readouterr().err.count("no snapshot is kept") == 1
 
 
-def test_a_full_disk_keeps_both_generations(tmp_path: Path) -> None:
+def test_failed_save_keeps_the_earlier_generations(tmp_path: Path) -> None:
     store = SnapshotStore(tmp_path, "b")
     store.save(encode_snapshot({"save": 1}, 1.0))
     (tmp_path / "b.snapshot.draft").mkdir()  # nothing can be written there
@@ -128,7 +130,7 @@
     assert sorted(os.listdir(tmp_path)) == ["b.snapshot", "b.snapshot.draft"]
 
 
-def test_evidence_fades_by_its_age_and_a_server_that_started_anew_is_unknown() -> None:
+def test_evidence_decays_by_its_age_and_a_restarted_server_is_unknown() -> None:
     old = Desk(2)
     for _ in range(40):
         old.serve(takes={"s0": 50.0, "s1": 400.0})
