--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -18,11 +18,11 @@
 from loadbalancer.interface import Idempotency, RequestClass, SetTimer, Settings
 from loadbalancer.membership import Membership, SendMessage
 from loadbalancer.membership.messages import GossipMessage, MessageKind, encode_message
-from loadbalancer.membership.swim import PERIOD_MS
+from loadbalancer.membership.swim import PROBE_PERIOD_MS
 from loadbalancer.policy.endpoints import EndpointSet
 from loadbalancer.registry import Catalog, Registration, Rules, first_revision
 from loadbalancer.registry.service import LAPSE_S
-from loadbalancer.simulation.gossip import FLEET, Tier
+from loadbalancer.simulation.gossip import FLEET_TAG, SimulatedTier
 from loadbalancer.simulation.watches import Watched
 
 SETTLE_MS, LOOK_MS = 4_000.0, 4_000.0
@@ -39,7 +39,7 @@
     """One member of so many that all answer and ping it: its table's memory, processor time a second."""
     pid, chance = os.getpid(), random.Random(number)
     tracemalloc.start()
-    one = Membership(0, size, FLEET, seed=number)
+    one = Membership(0, size, FLEET_TAG, seed=number)
     memory = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     now, cpu = 0.0, cpu_ms(pid)
@@ -48,28 +48,30 @@
         now = max(now, max(action.at_ms for action in todo if isinstance(action, membership.SetTimer)))
         sender = chance.randrange(1, size)
         one.handle_message(
-            sender, encode_message(GossipMessage(FLEET, MessageKind.PING, 1, sender, 0, -1, ())), now
+            sender, encode_message(GossipMessage(FLEET_TAG, MessageKind.PING, 1, sender, 0, -1, ())), now
         )
         for action in one.handle_timer(now):
             if isinstance(action, SendMessage):
                 asked = _decoder.decode(action.payload)
-                answer = GossipMessage(FLEET, MessageKind.ACK, asked.sequence, action.recipient, 0, -1, ())
+                answer = GossipMessage(
+                    FLEET_TAG, MessageKind.ACK, asked.sequence, action.recipient, 0, -1, ()
+                )
                 todo = one.handle_message(action.recipient, encode_message(answer), now + 1.0)
-    spent = (cpu_ms(pid) - cpu) / (MEMBER_PERIODS * PERIOD_MS / 1_000)
+    spent = (cpu_ms(pid) - cpu) / (MEMBER_PERIODS * PROBE_PERIOD_MS / 1_000)
     return {"size": size, "play": number, "table_mb": memory, "member_ms_s": spent}
 
 
 def notes(size: int, number: int, loss: float = LOSS) -> dict[str, float]:
     """Bytes that a member sends a second, in virtual time."""
     pid = os.getpid()
-    tier = Tier(size, seed=number, loss=loss)
+    tier = SimulatedTier(size, seed=number, loss=loss)
     tier.run(SETTLE_MS)
-    sent, told, cpu = tier.bytes, tier.notes, cpu_ms(pid)
+    sent, told, cpu = tier.byte_count, tier.message_count, cpu_ms(pid)
     tier.run(LOOK_MS)
     each_s = size * LOOK_MS / 1e3
     return {
-        "size": size, "play": number, "loss": loss, "bytes_s": (tier.bytes - sent) / each_s,
-        "notes_s": (tier.notes - told) / each_s, "tier_ms_s": (cpu_ms(pid) - cpu) / each_s,
+        "size": size, "play": number, "loss": loss, "bytes_s": (tier.byte_count - sent) / each_s,
+        "notes_s": (tier.message_count - told) / each_s, "tier_ms_s": (cpu_ms(pid) - cpu) / each_s,
     }  # fmt: skip
 
 
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -15,7 +15,7 @@
 import typer
 from matplotlib.figure import Figure
 
-from loadbalancer.simulation.gossip import Tier
+from loadbalancer.simulation.gossip import SimulatedTier
 
 SIZES = {10: 40, 50: 30, 200: 12, 1_000: 2}  # members: deaths that are looked at
 SETTLE_MS, LOOK_MS, PATIENCE_MS = 5_000.0, 20.0, 30_000.0
@@ -46,32 +46,32 @@
     """Kill one member of each of so many tiers, and see when that is known."""
     found, notes, sizes, false = [], [], [], 0
     for seed in range(deaths):
-        tier = Tier(members, seed, loss=loss)
+        tier = SimulatedTier(members, seed, loss=loss)
         tier.run(SETTLE_MS)
-        before = tier.notes, tier.bytes
+        before = tier.message_count, tier.byte_count
         tier.run(SETTLE_MS)
-        notes.append((tier.notes - before[0]) / members / SETTLE_MS * 1_000)
-        sizes.append((tier.bytes - before[1]) / members / SETTLE_MS * 1_000)
+        notes.append((tier.message_count - before[0]) / members / SETTLE_MS * 1_000)
+        sizes.append((tier.byte_count - before[1]) / members / SETTLE_MS * 1_000)
         dead = seed % members
         tier.kill(dead)
         began, first = tier.clock.now, None
-        while (share := tier.knowing(dead)) < 1.0 and tier.clock.now - began < PATIENCE_MS:
+        while (share := tier.fraction_aware_of_death(dead)) < 1.0 and tier.clock.now - began < PATIENCE_MS:
             if share and first is None:
                 first = tier.clock.now - began
             tier.run(LOOK_MS)
         took = tier.clock.now - began
         found.append(Death(took if first is None else first, took))
-        false += sum(of != dead for _, _, of in tier.deaths)
+        false += sum(of != dead for _, _, of in tier.death_reports)
     return Row(members, loss, found, statistics.mean(notes), statistics.mean(sizes), false)
 
 
 def hour(members: int, loss: float, pauses: bool) -> int:
     """Deaths that an hour without any brings; with `pauses`, one member is stopped for 0.4 s each minute."""
-    tier = Tier(members, seed=members, loss=loss)
+    tier = SimulatedTier(members, seed=members, loss=loss)
     for minute in range(60 if pauses else 0):
         tier.clock.at(minute * 60_000.0, tier.pause, minute % members, 400.0)
     tier.run(HOUR_MS)
-    return len(tier.deaths)
+    return len(tier.death_reports)
 
 
 def draw(rows: list[Row]) -> Figure:
--- a/loadbalancer/membership/swim.py
+++ b/loadbalancer/membership/swim.py
@@ -20,17 +20,19 @@
 from loadbalancer.membership.member_table import MemberState, MemberTable
 from loadbalancer.membership.messages import GossipMessage, MessageKind
 
-PERIOD_MS = 250.0  # one probe of each member; 99 in 100 are probed by somebody within 4.6 of them
-ANSWER_MS = 100.0  # two ways of 35 ms at most, and a loop that is busy
-RELAYS = 3  # ask for us where a direct ping was not answered
-ROUNDS = 3  # of direct and relayed pings, after which a silent member is gone
-ROUND_MS = 200.0
-LATE_MS = 500.0  # so much late, a wake-up says that we were stopped
-HEALTH_MOST = 8  # our times are stretched by 1 + health, at the most by this
-TRIAL_EVERY = 4  # periods: one of the gone is pinged, so that a healed cut is seen
-LEAVING_NOTES = 6  # to so many members we say that we go
-RELAYED_MOST = 256  # probes that we carry for others at once
-TRUST_MS = 10_000.0  # after which a suspicion that nobody confirms or overrules is looked into again
+PROBE_PERIOD_MS = 250.0  # one probe of each member; 99 in 100 are probed by somebody within 4.6 of them
+ACK_TIMEOUT_MS = 100.0  # two ways of 35 ms at most, and a loop that is busy
+MAX_RELAYS_PER_PROBE = 3  # ask for us where a direct ping was not answered
+MAX_PROBE_ROUNDS = 3  # of direct and relayed pings, after which a silent member is gone
+ROUND_TIMEOUT_MS = 200.0
+PAUSE_DETECTION_MS = 500.0  # so much late, a wake-up says that we were stopped
+MAX_TIME_MULTIPLIER = 8  # our times are stretched by 1 + health, at the most by this
+DEAD_PROBE_INTERVAL_PERIODS = 4  # periods: one of the gone is pinged, so that a healed cut is seen
+MAX_LEAVE_MESSAGES = 6  # to so many members we say that we go
+MAX_RELAYED_PINGS = 256  # probes that we carry for others at once
+SUSPICION_RECHECK_MS = (
+    10_000.0  # after which a suspicion that nobody confirms or overrules is looked into again
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,14 +97,14 @@
 
     def start(self, now: float) -> list[Action]:
         """Begin, at a moment of the first period drawn by chance."""
-        self._next_period = now + self._random.random() * PERIOD_MS
+        self._next_period = now + self._random.random() * PROBE_PERIOD_MS
         return self._done(now)
 
     def handle_timer(self, now: float) -> list[Action]:
         """A wake-up, on time or late."""
         if self._left:
             return []
-        if now - self._wake_at > LATE_MS:
+        if now - self._wake_at > PAUSE_DETECTION_MS:
             self._were_stopped(now)
         for probe in list(self._probes.values()):
             if probe.next_step <= now:
@@ -129,7 +131,7 @@
             self._acked(note, now)
         elif note.kind == MessageKind.PING:
             self._tell(sender, MessageKind.ACK, note.sequence)
-        elif 0 <= note.target != self._number and len(self._carried) < RELAYED_MOST:
+        elif 0 <= note.target != self._number and len(self._carried) < MAX_RELAYED_PINGS:
             sequence = self._new_sequence()
             self._carried[sequence] = (sender, note.sequence)
             self._tell(note.target, MessageKind.PING, sequence)
@@ -139,7 +141,7 @@
         """Say to some that we go on purpose, and nothing more from then on."""
         self.table.leave(now)
         others = [n for n in self.table.active_members if n != self._number]
-        for to in self._random.sample(others, min(LEAVING_NOTES, len(others))):
+        for to in self._random.sample(others, min(MAX_LEAVE_MESSAGES, len(others))):
             self._tell(to, MessageKind.PING, self._new_sequence(), about_us=True)
         self._left = True
         out, self._out = self._out, []
@@ -149,9 +151,9 @@
 
     def _period(self, now: float) -> None:
         """Probe the next one, and now and then one of those that are gone."""
-        self._next_period = now + PERIOD_MS * self._stretch()
+        self._next_period = now + PROBE_PERIOD_MS * self._stretch()
         self._periods += 1
-        self._carried = dict(list(self._carried.items())[-RELAYED_MOST // 2 :])
+        self._carried = dict(list(self._carried.items())[-MAX_RELAYED_PINGS // 2 :])
         if not self._order:
             self._order = [n for n in self.table.active_members if n != self._number]
             self._random.shuffle(self._order)
@@ -160,14 +162,14 @@
             if self.table.state(target) <= MemberState.SUSPECTED and target not in self._probes:
                 self._probe(target, now)
                 break
-        if self._periods % TRIAL_EVERY == 0:
+        if self._periods % DEAD_PROBE_INTERVAL_PERIODS == 0:
             gone = [n for n, b in enumerate(self.table.records) if b.state is MemberState.DEAD]
             if gone:
                 self._tell(self._random.choice(gone), MessageKind.PING, self._new_sequence())
 
     def _probe(self, target: int, now: float) -> None:
         sequence = self._new_sequence()
-        self._probes[target] = Probe(target, sequence, now + ANSWER_MS * self._stretch())
+        self._probes[target] = Probe(target, sequence, now + ACK_TIMEOUT_MS * self._stretch())
         self._tell(target, MessageKind.PING, sequence)
 
     def _step(self, probe: Probe, now: float) -> None:
@@ -179,25 +181,25 @@
         if not probe.relayed:
             probe.relayed = True
             self._ask_others(probe)
-            probe.next_step = now + (ROUND_MS - ANSWER_MS) * self._stretch()
+            probe.next_step = now + (ROUND_TIMEOUT_MS - ACK_TIMEOUT_MS) * self._stretch()
             return
         probe.rounds += 1
-        if probe.rounds >= ROUNDS:
+        if probe.rounds >= MAX_PROBE_ROUNDS:
             del self._probes[target]
             self.table.declare_dead(target, now)
             return
         if probe.rounds == 1:
-            self.awareness_score = min(self.awareness_score + 1, HEALTH_MOST - 1)
+            self.awareness_score = min(self.awareness_score + 1, MAX_TIME_MULTIPLIER - 1)
             self.table.apply_update(
                 target, MemberState.SUSPECTED, self.table.records[target].incarnation, now
             )
         self._tell(target, MessageKind.PING, probe.sequence)
         self._ask_others(probe)
-        probe.next_step = now + ROUND_MS * self._stretch()
+        probe.next_step = now + ROUND_TIMEOUT_MS * self._stretch()
 
     def _ask_others(self, probe: Probe) -> None:
         others = [n for n in self.table.active_members if n not in (self._number, probe.target)]
-        for other in self._random.sample(others, min(RELAYS, len(others))):
+        for other in self._random.sample(others, min(MAX_RELAYS_PER_PROBE, len(others))):
             self._tell(other, MessageKind.PING_REQUEST, probe.sequence, probe.target)
 
     def _acked(self, note: GossipMessage, now: float) -> None:
@@ -216,7 +218,7 @@
         """We were not there: who did not answer meanwhile has not failed."""
         self._probes.clear()
         self._next_period = now
-        self.awareness_score = min(self.awareness_score + 2, HEALTH_MOST - 1)
+        self.awareness_score = min(self.awareness_score + 2, MAX_TIME_MULTIPLIER - 1)
 
     # ---- news -----------------------------------------------------------------------------------
 
@@ -235,7 +237,7 @@
         for number, belief in enumerate(self.table.records):
             if (
                 belief.state is MemberState.SUSPECTED
-                and now - belief.state_since_ms > TRUST_MS
+                and now - belief.state_since_ms > SUSPICION_RECHECK_MS
                 and number not in self._probes
             ):
                 belief.state_since_ms = now
--- a/loadbalancer/simulation/gossip.py
+++ b/loadbalancer/simulation/gossip.py
@@ -16,20 +16,20 @@
 from loadbalancer.membership import Action, Membership, MemberState, SendMessage, SetTimer
 from loadbalancer.simulation.clock import Clock, Due
 
-FLEET = b"lab0"
+FLEET_TAG = b"lab0"
 
 
 @dataclass
-class Seat:
+class Node:
     """One member's place: the process that holds it, or none."""
 
     member: Membership | None
-    due: Due | None = None
-    paused: bool = False
-    start: int = 0
+    timer: Due | None = None
+    is_paused: bool = False
+    start_count: int = 0
 
 
-class Tier:
+class SimulatedTier:
     """Members, and the datagrams between them: delayed, lost, doubled, cut."""
 
     def __init__(
@@ -38,13 +38,13 @@
     ) -> None:  # fmt: skip
         """All start at once; `delay_ms` is the least and the most that a datagram takes."""
         self.clock, self.count = Clock(), count
-        self.loss, self.doubled = loss, doubled
+        self.loss_rate, self.duplicate_rate = loss, doubled
         self._delay, self._seed = delay_ms, seed
         self._random = random.Random(f"{seed}/network")
-        self.cut: Callable[[int, int], bool] = lambda one, other: False
-        self.notes = self.bytes = 0
-        self.deaths: list[tuple[float, int, int]] = []  # when, who said so, of whom
-        self.seats = [Seat(None) for _ in range(count)]
+        self.is_link_cut: Callable[[int, int], bool] = lambda one, other: False
+        self.message_count = self.byte_count = 0
+        self.death_reports: list[tuple[float, int, int]] = []  # when, who said so, of whom
+        self.nodes = [Node(None) for _ in range(count)]
         for number in range(count):
             self.start(number)
 
@@ -52,34 +52,34 @@
 
     def start(self, number: int) -> None:
         """A process begins, and knows nothing."""
-        seat = self.seats[number]
-        seat.start += 1
-        seed = random.Random(f"{self._seed}/{number}/{seat.start}").getrandbits(32)
-        seat.member = Membership(number, self.count, FLEET, seed, self.clock.now)
+        seat = self.nodes[number]
+        seat.start_count += 1
+        seed = random.Random(f"{self._seed}/{number}/{seat.start_count}").getrandbits(32)
+        seat.member = Membership(number, self.count, FLEET_TAG, seed, self.clock.now)
         self._do(number, seat.member.start(self.clock.now))
 
     def kill(self, number: int) -> None:
         """A process is gone, at once and silently."""
-        seat = self.seats[number]
+        seat = self.nodes[number]
         seat.member = None
-        if seat.due is not None:
-            seat.due.cancel()
+        if seat.timer is not None:
+            seat.timer.cancel()
 
     def leave(self, number: int) -> None:
         """A process ends on purpose."""
-        seat = self.seats[number]
+        seat = self.nodes[number]
         if seat.member is not None:
             self._do(number, seat.member.leave(self.clock.now))
         self.kill(number)
 
     def pause(self, number: int, span_ms: float) -> None:
         """A process is there and does nothing for a while: what comes meanwhile waits for it."""
-        self.seats[number].paused = True
+        self.nodes[number].is_paused = True
         self.clock.after(span_ms, self._go_on, number)
 
     def _go_on(self, number: int) -> None:
-        seat = self.seats[number]
-        seat.paused = False
+        seat = self.nodes[number]
+        seat.is_paused = False
         if seat.member is not None:
             self._wake(number)
 
@@ -89,24 +89,24 @@
 
     # ---- what is seen ---------------------------------------------------------------------------
 
-    def living(self) -> list[int]:
+    def running_members(self) -> list[int]:
         """Members whose process is there."""
-        return [n for n, seat in enumerate(self.seats) if seat.member is not None]
+        return [n for n, seat in enumerate(self.nodes) if seat.member is not None]
 
     def view(self, number: int) -> tuple[MemberState, ...]:
         """What a living member believes of all."""
-        member = self.seats[number].member
+        member = self.nodes[number].member
         assert member is not None
         return tuple(b.state for b in member.table.records)
 
-    def knowing(self, dead: int) -> float:
+    def fraction_aware_of_death(self, dead: int) -> float:
         """The share of the living that hold a member for gone, or for one that has left."""
-        others = [n for n in self.living() if n != dead]
+        others = [n for n in self.running_members() if n != dead]
         return sum(self.view(n)[dead] >= MemberState.DEAD for n in others) / max(len(others), 1)
 
-    def agree(self) -> bool:
+    def has_converged(self) -> bool:
         """Whether all who live hold all who live for alive, and nobody else."""
-        living = set(self.living())
+        living = set(self.running_members())
         return all(
             (state is MemberState.ALIVE) == (n in living) and state is not MemberState.SUSPECTED
             for one in living
@@ -116,38 +116,38 @@
     # ---- notes ----------------------------------------------------------------------------------
 
     def _do(self, number: int, actions: Iterable[Action]) -> None:
-        seat = self.seats[number]
+        seat = self.nodes[number]
         for action in actions:
             if isinstance(action, SendMessage):
                 self._send(number, action)
             elif isinstance(action, SetTimer):
-                if seat.due is not None:
-                    seat.due.cancel()
-                seat.due = self.clock.at(action.at_ms, self._wake, number)
+                if seat.timer is not None:
+                    seat.timer.cancel()
+                seat.timer = self.clock.at(action.at_ms, self._wake, number)
 
     def _send(self, number: int, tell: SendMessage) -> None:
-        self.notes += 1
-        self.bytes += len(tell.payload)
-        for _ in range(2 if self._random.random() < self.doubled else 1):
-            if self._random.random() >= self.loss and not self.cut(number, tell.recipient):
+        self.message_count += 1
+        self.byte_count += len(tell.payload)
+        for _ in range(2 if self._random.random() < self.duplicate_rate else 1):
+            if self._random.random() >= self.loss_rate and not self.is_link_cut(number, tell.recipient):
                 delay = self._random.uniform(*self._delay)
                 self.clock.after(delay, self._arrive, number, tell.recipient, tell.payload)
 
     def _arrive(self, sender: int, to: int, data: bytes) -> None:
-        seat = self.seats[to]
-        if seat.paused:
+        seat = self.nodes[to]
+        if seat.is_paused:
             self.clock.after(10.0, self._arrive, sender, to, data)
         elif seat.member is not None:
             self._take(to, lambda member: member.handle_message(sender, data, self.clock.now))
 
     def _wake(self, number: int) -> None:
-        if self.seats[number].member is not None and not self.seats[number].paused:
+        if self.nodes[number].member is not None and not self.nodes[number].is_paused:
             self._take(number, lambda member: member.handle_timer(self.clock.now))
 
     def _take(self, number: int, event: Callable[[Membership], list[Action]]) -> None:
-        member = self.seats[number].member
+        member = self.nodes[number].member
         assert member is not None
         before = member.table.declared_dead_count
         self._do(number, event(member))
         if member.table.declared_dead_count > before:
-            self.deaths.append((self.clock.now, number, member.table.last_declared_dead))
+            self.death_reports.append((self.clock.now, number, member.table.last_declared_dead))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,18 +12,18 @@
 
 from loadbalancer.membership import MAX_MESSAGE_BYTES, Membership, MemberState, SendMessage
 from loadbalancer.membership.messages import GossipMessage, MessageKind, encode_message
-from loadbalancer.simulation.gossip import FLEET, Tier
+from loadbalancer.simulation.gossip import FLEET_TAG, SimulatedTier
 
 HEAL_MS = 20_000.0  # within which all views are one when nothing fails any more
 
 
 def member(count: int = 4, **more: Any) -> Membership:
-    return Membership(0, count, FLEET, seed=1, **more)
+    return Membership(0, count, FLEET_TAG, seed=1, **more)
 
 
 def note(sender: int = 1, **more: Any) -> bytes:
     base: dict[str, Any] = {
-        "fleet_tag": FLEET,
+        "fleet_tag": FLEET_TAG,
         "kind": MessageKind.PING,
         "sequence": 5,
         "sender": sender,
@@ -84,81 +84,81 @@
 
 @pytest.mark.parametrize("count", [2, 3, 10, 200])
 def test_death_and_return_become_known_to_all(count: int) -> None:
-    tier = Tier(count, seed=1, loss=0.05)
+    tier = SimulatedTier(count, seed=1, loss=0.05)
     tier.run(3_000)
-    assert tier.deaths == []
+    assert tier.death_reports == []
     tier.kill(1)
     tier.run(6_000)
-    assert tier.knowing(1) == 1.0
+    assert tier.fraction_aware_of_death(1) == 1.0
     tier.start(1)
-    tier.loss = 0.0  # with loss there is always somebody who is suspected for a moment
+    tier.loss_rate = 0.0  # with loss there is always somebody who is suspected for a moment
     tier.run(HEAL_MS)
-    assert tier.agree()
+    assert tier.has_converged()
 
 
 def test_member_that_leaves_is_left_and_not_dead() -> None:
-    tier = Tier(12, seed=2)
+    tier = SimulatedTier(12, seed=2)
     tier.run(1_000)
     tier.leave(3)
     tier.run(3_000)
-    assert {tier.view(n)[3] for n in tier.living()} == {MemberState.LEFT}
-    assert tier.deaths == []
+    assert {tier.view(n)[3] for n in tier.running_members()} == {MemberState.LEFT}
+    assert tier.death_reports == []
 
 
 def test_seven_in_ten_killed_at_once_become_known_and_return() -> None:
-    tier = Tier(30, seed=3, loss=0.02)
+    tier = SimulatedTier(30, seed=3, loss=0.02)
     tier.run(2_000)
     dead = list(range(21))
     for number in dead:
         tier.kill(number)
     tier.run(15_000)
-    assert tier.agree()
+    assert tier.has_converged()
     for number in dead:
         tier.start(number)
     tier.run(HEAL_MS)
-    assert tier.agree()
+    assert tier.has_converged()
 
 
 def test_paused_member_is_missed_and_accuses_nobody_when_it_resumes() -> None:
-    tier = Tier(12, seed=4)
+    tier = SimulatedTier(12, seed=4)
     tier.run(2_000)
     tier.pause(5, 3_000)
     tier.run(2_900)
-    assert tier.knowing(5) > 0.5
+    assert tier.fraction_aware_of_death(5) > 0.5
     tier.run(HEAL_MS)
-    assert tier.agree()
-    assert {dead for _, _, dead in tier.deaths} == {5}
+    assert tier.has_converged()
+    assert {dead for _, _, dead in tier.death_reports} == {5}
 
 
 def test_one_way_partition_is_no_death_while_others_reach_the_member() -> None:
-    tier = Tier(12, seed=5)
-    tier.cut = lambda one, other: (one, other) == (0, 1)
+    tier = SimulatedTier(12, seed=5)
+    tier.is_link_cut = lambda one, other: (one, other) == (0, 1)
     tier.run(60_000)
-    assert tier.deaths == []
+    assert tier.death_reports == []
 
 
 def test_partitioned_zone_rejoins_the_fleet_when_healed() -> None:
-    tier = Tier(12, seed=6, loss=0.02)
-    tier.cut = lambda one, other: (one < 4) != (other < 4)
+    tier = SimulatedTier(12, seed=6, loss=0.02)
+    tier.is_link_cut = lambda one, other: (one < 4) != (other < 4)
     tier.run(15_000)
     assert tier.view(0)[4:] == (MemberState.DEAD,) * 8 and tier.view(11)[:4] == (MemberState.DEAD,) * 4
-    tier.cut = lambda one, other: False
+    tier.is_link_cut = lambda one, other: False
     tier.run(HEAL_MS)
-    assert tier.agree()
+    assert tier.has_converged()
 
 
 def test_no_live_member_is_declared_dead_in_five_minutes_of_loss_and_duplication() -> None:
-    tier = Tier(40, seed=7, loss=0.05, doubled=0.1)
+    tier = SimulatedTier(40, seed=7, loss=0.05, doubled=0.1)
     tier.run(300_000)
-    assert tier.deaths == [] and tier.agree()
+    assert tier.death_reports == [] and tier.has_converged()
 
 
 def test_message_rate_of_a_member_does_not_grow_with_the_fleet() -> None:
     rates = []
     for count in (10, 100):
-        tier = Tier(count, seed=8)
+        tier = SimulatedTier(count, seed=8)
         tier.run(10_000)
-        rates.append(tier.notes / count / 10)
+        rates.append(tier.message_count / count / 10)
     assert rates[1] <= 1.1 * rates[0]
 
 
@@ -167,7 +167,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.tier = Tier(5, seed=9, loss=0.1, doubled=0.1)
+        self.tier = SimulatedTier(5, seed=9, loss=0.1, doubled=0.1)
 
     @rule(number=st.integers(0, 4), span=st.integers(50, 4_000))
     def pause(self, number: int, span: int) -> None:
@@ -175,24 +175,24 @@
 
     @rule(number=st.integers(0, 4))
     def kill(self, number: int) -> None:
-        if len(self.tier.living()) > 1:
+        if len(self.tier.running_members()) > 1:
             self.tier.kill(number)
 
     @rule(number=st.integers(0, 4))
     def start(self, number: int) -> None:
-        if self.tier.seats[number].member is None:
+        if self.tier.nodes[number].member is None:
             self.tier.start(number)
 
     @rule(number=st.integers(0, 4))
     def leave(self, number: int) -> None:
-        if len(self.tier.living()) > 1:
+        if len(self.tier.running_members()) > 1:
             self.tier.leave(number)
 
     @rule(seed=st.integers(0, 1 << 20))
     def cut_some_ways(self, seed: int) -> None:
         chance = random.Random(seed)
         ways = {(a, b) for a in range(5) for b in range(5) if chance.random() < 0.4}
-        self.tier.cut = lambda one, other: (one, other) in ways
+        self.tier.is_link_cut = lambda one, other: (one, other) in ways
 
     @rule(span=st.integers(1, 8_000))
     def wait(self, span: int) -> None:
@@ -200,13 +200,13 @@
 
     @invariant()
     def nobody_holds_itself_for_dead(self) -> None:
-        for number in self.tier.living():
+        for number in self.tier.running_members():
             assert self.tier.view(number)[number] is MemberState.ALIVE
 
     def teardown(self) -> None:
-        self.tier.cut, self.tier.loss = lambda one, other: False, 0.0
+        self.tier.is_link_cut, self.tier.loss_rate = lambda one, other: False, 0.0
         self.tier.run(4_000 + 3 * HEAL_MS)
-        assert self.tier.agree(), [(n, self.tier.view(n)) for n in self.tier.living()]
+        assert self.tier.has_converged(), [(n, self.tier.view(n)) for n in self.tier.running_members()]
 
 
 Views.TestCase.settings = settings(
