--- a/benchmarks/interest_balancer.py
+++ b/benchmarks/interest_balancer.py
@@ -30,12 +30,12 @@
     config = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": settings, "lists": {}}
 
     async def take() -> None:
-        driver = Proxy(read_config(json.dumps(config), print), asyncio.get_running_loop(), None)
+        proxy = Proxy(read_config(json.dumps(config), print), asyncio.get_running_loop(), None)
         gc.collect()
         idle, size = rss_mb(), len(body := Path(told["body"]).read_bytes())
         began = time.process_time()
-        driver._discovery._note(news := read_list(json.loads(body)), 0.0)
-        driver._news(news)
+        proxy._discovery._note(news := read_list(json.loads(body)), 0.0)
+        proxy._news(news)
         took = time.process_time() - began
         del news, body
         gc.collect()
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -27,17 +27,17 @@
         return read_config(file.read(), note, os.environ.get("LB_CONSOLE", ""))
 
 
-def reload(read: Reading, driver: Proxy) -> None:
+def reload(read: Reading, proxy: Proxy) -> None:
     """Follow the file after SIGHUP; one that can't be used changes nothing."""
     try:
-        config = read(lambda note: driver.log.event("setting_unknown", note))
+        config = read(lambda note: proxy.log.event("setting_unknown", note))
     except (OSError, ValueError) as error:
         why = " ".join(str(error).split())
-        driver.log.event("config_kept", f"the configuration stays as it was: {why}")
+        proxy.log.event("config_kept", f"the configuration stays as it was: {why}")
         return
-    taken, later = driver.replace(config)
+    taken, later = proxy.apply_configuration(config)
     text = "the configuration was replaced"
-    driver.log.event("config_replaced", text, took=_names(taken), needs_restart=_names(later))
+    proxy.log.event("config_replaced", text, took=_names(taken), needs_restart=_names(later))
 
 
 def _names(names: list[str]) -> str:
@@ -52,17 +52,17 @@
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    driver = Proxy(config, loop, folder, legacy, sink)
-    loop.add_signal_handler(signal.SIGHUP, reload, read, driver)
+    proxy = Proxy(config, loop, folder, legacy, sink)
+    loop.add_signal_handler(signal.SIGHUP, reload, read, proxy)
     loop.set_exception_handler(
-        lambda _, context: driver.log.event("loop_error", f"in the event loop: {context!r}"[:2000])
+        lambda _, context: proxy.log.event("loop_error", f"in the event loop: {context!r}"[:2000])
     )
-    driver.start()
+    proxy.start()
     gc.collect()
     gc.freeze()  # what start-up made stays: it need not be looked at again
     await stop.wait()
-    driver.say_goodbye()
-    await driver.callers.end()
+    proxy.announce_shutdown()
+    await proxy.downstream.end()
 
 
 def main() -> int:
--- a/loadbalancer/net/console.py
+++ b/loadbalancer/net/console.py
@@ -45,25 +45,25 @@
     def is_serving(self) -> bool:
         """Whether clients are taken."""
 
-    def figures(self) -> dict[str, object]:
+    def stats(self) -> dict[str, object]:
         """The figures as they stand."""
 
-    def metrics(self) -> str:
+    def prometheus_metrics(self) -> str:
         """The same figures in Prometheus' form."""
 
-    def membership(self) -> dict[str, object] | None:
+    def membership_report(self) -> dict[str, object] | None:
         """What is believed of the other balancers; None where membership is off."""
 
-    def list_report(self) -> dict[str, object]:
+    def endpoint_list_report(self) -> dict[str, object]:
         """Where the list of servers is from, and how old it is."""
 
     def zones(self) -> dict[str, dict[str, float]]:
         """How it stands with each zone."""
 
-    def move_zone(self, zone: str, out: bool, over_ms: float, force: bool) -> tuple[int, str]:
+    def evacuate_zone(self, zone: str, out: bool, over_ms: float, force: bool) -> tuple[int, str]:
         """Leave a zone, or come back to it; the answer's status and text."""
 
-    def cordon(self, server: str, out: bool) -> bool:
+    def set_cordon(self, server: str, out: bool) -> bool:
         """Leave a server out from now on, or let it serve again; False if nobody has that ID."""
 
 
@@ -190,7 +190,7 @@
     def _move_zone(self, out: bool, body: bytes) -> tuple[int, str]:
         if (told := _read_move(body)) is None:
             return 400, "the body must be a zone, then over=SECONDS and force at will"
-        return self._office.move_zone(told[0], out, *told[1:])
+        return self._office.evacuate_zone(told[0], out, *told[1:])
 
     def answer(self, method: str, target: bytes, body: bytes) -> tuple[int, str, Headers]:
         """Status, text and headers for one call."""
@@ -200,15 +200,15 @@
         if method != wanted:
             return 405, f"only {wanted}", [(b"Allow", wanted.encode()), *_TEXT]
         if path == "/admin/stats":
-            return 200, json.dumps(self._office.figures()), _JSON
+            return 200, json.dumps(self._office.stats()), _JSON
         if path == "/admin/peers":
-            if (members := self._office.membership()) is None:
+            if (members := self._office.membership_report()) is None:
                 return 404, "membership is off", _TEXT
             return 200, json.dumps(members), _JSON
         if path == "/admin/list":
-            return 200, json.dumps(self._office.list_report()), _JSON
+            return 200, json.dumps(self._office.endpoint_list_report()), _JSON
         if path == "/metrics":
-            return 200, self._office.metrics(), [(b"Content-Type", CONTENT_TYPE)]
+            return 200, self._office.prometheus_metrics(), [(b"Content-Type", CONTENT_TYPE)]
         if path == "/admin/health":
             return (200, "ok", _TEXT) if self._office.is_serving() else (503, "not serving", _TEXT)
         if path == "/admin/zones":
@@ -218,7 +218,7 @@
         server = _read_id(body)
         if not server:
             return 400, "the body must be the ID of one upstream", _TEXT
-        if not self._office.cordon(server, out=path == "/admin/cordon"):
+        if not self._office.set_cordon(server, out=path == "/admin/cordon"):
             return 404, "nobody has that ID", _TEXT
         return 200, "ok", _TEXT
 
--- a/loadbalancer/net/downstream.py
+++ b/loadbalancer/net/downstream.py
@@ -109,7 +109,7 @@
         self.is_repeat = False
         self.hint_ms = self.deadline_ms = 0.0
         self.head = b""
-        self.request = -1  # its number with the driver
+        self.request = -1  # its number with the proxy
         self.chunked = False  # whether the answer goes out in chunks
         self.source: Source | None = None  # of an answer that is passed on piece by piece
 
@@ -193,19 +193,19 @@
 class RequestHandler(Protocol):
     """Where whole requests go."""
 
-    def arrived(self, taken: DownstreamRequest) -> None:
+    def handle_request(self, taken: DownstreamRequest) -> None:
         """Take a request; the rest of a long body may still come."""
 
-    def whole(self, taken: DownstreamRequest) -> None:
+    def handle_request_completed(self, taken: DownstreamRequest) -> None:
         """The rest of a request that was taken has come."""
 
-    def broke(self, taken: DownstreamRequest, status: int) -> None:
+    def handle_body_failure(self, taken: DownstreamRequest, status: int) -> None:
         """The rest of a request that was taken will not come: it ends with this status."""
 
-    def left(self, taken: DownstreamRequest) -> None:
+    def handle_client_disconnect(self, taken: DownstreamRequest) -> None:
         """Hear that nobody waits for its answer any more."""
 
-    def close(self) -> None:
+    def end_open_requests(self) -> None:
         """Answer all that is still open, and refuse what still comes: there is no more time."""
 
 
@@ -297,7 +297,7 @@
         if self._ends_with_body:
             self.half_close()
         elif taken is self._current:
-            self._callers.handler.whole(taken)
+            self._callers.handler.handle_request_completed(taken)
         elif taken not in self._waiting:
             self._waiting.append(taken)
 
@@ -345,7 +345,7 @@
         taken, self._incoming = self._incoming, None
         if taken is not None and taken is self._current:
             self._bad = None
-            self._callers.handler.broke(taken, status)
+            self._callers.handler.handle_body_failure(taken, status)
             return
         if taken is not None:
             taken.body.drop()
@@ -472,7 +472,7 @@
         if (taken := self._current) is not None:
             self._current = None
             taken.open = False
-            self._callers.handler.left(taken)
+            self._callers.handler.handle_client_disconnect(taken)
 
     def pause_writing(self) -> None:
         """The caller is behind."""
@@ -535,7 +535,7 @@
             taken.body.drop()  # it lay unread until now, in the kernel or behind others
         else:
             try:
-                self._callers.handler.arrived(taken)
+                self._callers.handler.handle_request(taken)
             except Exception:  # whatever happens, the caller is owed an answer
                 self._callers.report("a request could not be taken up")
                 taken.body.drop()
@@ -793,7 +793,7 @@
                 if connection.idle_since < time.monotonic() - FRESH_S and connection.may_end():
                     connection.half_close()
             await asyncio.sleep(0.01)
-        self.handler.close()
+        self.handler.end_open_requests()
         last = time.monotonic() + TERM_LAST_S
         while self._connections and time.monotonic() < last + TERM_UNREAD_S:
             is_unread = [connection.end_at_last() for connection in list(self._connections)]
--- a/loadbalancer/net/hot_restart.py
+++ b/loadbalancer/net/hot_restart.py
@@ -256,16 +256,16 @@
     def listening_socket(self) -> socket.socket:
         """The one that callers wait at."""
 
-    def state(self) -> dict[str, Any]:
+    def exported_state(self) -> dict[str, Any]:
         """What the next process should know."""
 
-    def retire(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept no more: the next process does."""
 
-    def return_to_work(self) -> None:
+    def resume_accepting(self) -> None:
         """The next process has died."""
 
-    def holds(self) -> dict[str, int]:
+    def connection_limits(self) -> dict[str, int]:
         """Descriptors that are still held, by use."""
 
 
@@ -307,12 +307,12 @@
     async def _attend(self, link: socket.socket) -> None:
         try:
             socket.send_fds(link, [b" "], [self._estate.listening_socket().fileno()])
-            await self._loop.sock_sendall(link, json.dumps(self._estate.state()).encode() + b"\n")
+            await self._loop.sock_sendall(link, json.dumps(self._estate.exported_state()).encode() + b"\n")
             if await self._loop.sock_recv(link, len(READY)) == READY:
-                self._estate.retire()
+                self._estate.stop_accepting()
                 with suppress(OSError):
                     await self._tell_until_it_ends(link)
-                self._estate.return_to_work()
+                self._estate.resume_accepting()
         except OSError:
             return  # it died before it was ready
         finally:
@@ -321,7 +321,7 @@
     async def _tell_until_it_ends(self, link: socket.socket) -> None:
         told: dict[str, int] = {}
         while True:
-            if (holds := self._estate.holds()) != told:
+            if (holds := self._estate.connection_limits()) != told:
                 told = holds
                 await self._loop.sock_sendall(link, json.dumps(holds).encode() + b"\n")
             if not await self._is_there(link):
--- a/loadbalancer/net/log.py
+++ b/loadbalancer/net/log.py
@@ -43,7 +43,7 @@
     def __init__(self, name: str, sink: Sink = write_text) -> None:
         self._name, self._sink = name, sink
         self._span = self._lines = self._left = 0
-        self.left_out = 0  # since the start
+        self.dropped_lines = 0  # since the start
 
     def event(self, event: str, text: str, **fields: object) -> None:
         """Write an event unless the span is full."""
@@ -57,7 +57,7 @@
             self._write(event, text, fields)
         else:
             self._left += 1
-            self.left_out += 1
+            self.dropped_lines += 1
 
     def exception(self, what: str) -> None:
         """Write the exception being handled with its traceback."""
--- a/loadbalancer/net/metrics.py
+++ b/loadbalancer/net/metrics.py
@@ -31,13 +31,13 @@
     """All figures, one sample a line; those of membership where it is on."""
     requests = [
         (f'{{class="{_label(name)}",ending="{ending}"}}', count)
-        for ending, counts in figures.endings().items()
+        for ending, counts in figures.by_outcome().items()
         for name, count in counts.items()
     ]
     samples: dict[str, list[tuple[str, int]]] = {
         "irondrum_requests_total": requests,
-        "irondrum_forwards_total": [("", figures.forwards)],
-        "irondrum_outstanding": [("", figures.outstanding)],
+        "irondrum_forwards_total": [("", figures.attempts)],
+        "irondrum_outstanding": [("", figures.in_flight)],
         "irondrum_upstreams_discovered": [("", discovered)],
         "irondrum_upstreams_ejected": [("", ejected)],
         "irondrum_peers": [(f'{{state="{state}"}}', count) for state, count in members.items()],
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -54,7 +54,7 @@
         return self._offset + time.monotonic() * 1000
 
 
-class _Request:
+class OpenRequest:
     """A request that was taken: what it is owed and what is out for it."""
 
     __slots__ = ("attempts", "ends", "id", "net", "open", "out", "passed_on", "queued", "ran", "taken")
@@ -81,10 +81,10 @@
                 attempt.withdraw()
 
 
-class _Call(AttemptHandler):
+class RequestAttempt(AttemptHandler):
     """One attempt of a request."""
 
-    def __init__(self, driver: Proxy, request: _Request, send: interface.SendAttempt, index: int) -> None:
+    def __init__(self, driver: Proxy, request: OpenRequest, send: interface.SendAttempt, index: int) -> None:
         self._driver, self._request, self._server, self._index = driver, request, send.server, index
         taken = request.taken
         left_ms = request.ends - driver.clock.now() if taken.body.whole else taken.deadline_ms - ANSWER_MS
@@ -114,18 +114,18 @@
 
     def written(self) -> None:
         """Count it."""
-        self._driver.forwarded()
+        self._driver.on_attempt_written()
 
     def started(self, attempt: Attempt, answer: UpstreamResponse) -> DownstreamRequest | None:
         """Pass a long answer on as it comes."""
-        return self._driver.answer_started(self._request, self._index, attempt, answer)
+        return self._driver.on_response_started(self._request, self._index, attempt, answer)
 
     def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
         """Tell the end."""
-        self._driver.attempt_ended(self._request, self._index, self._server, outcome, answer)
+        self._driver.on_attempt_ended(self._request, self._index, self._server, outcome, answer)
 
 
-class _HealthCheck(AttemptHandler):
+class HealthCheck(AttemptHandler):
     """One probe of a server."""
 
     def __init__(self, driver: Proxy, server: str) -> None:
@@ -137,7 +137,7 @@
 
     def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
         """Tell the end."""
-        self._driver.probe_ended(self._server, outcome)
+        self._driver.on_health_check_ended(self._server, outcome)
 
 
 class Proxy:
@@ -159,7 +159,7 @@
         self.buffers = BufferBudget(int(config.memory_mb * BUFFERS_PART * 1_000_000))
         self.upstreams = UpstreamPools(config, loop, self.buffers)
         listener = legacy.listener if legacy else None
-        self.callers = DownstreamListener(config, loop, self, self.log.exception, self.buffers, listener)
+        self.downstream = DownstreamListener(config, loop, self, self.log.exception, self.buffers, listener)
         self.console = Console(config.console, loop, self) if config.console else None
         self._cordons = CordonFile(folder if config.console else None)
         self._back: dict[str, float] = {}  # the returns that the module has been told
@@ -172,18 +172,18 @@
         self._discovery = Discovery(
             config, self._news, self._list_failed, fresh, lambda text: self.log.event("list_service", text)
         )
-        self._requests: dict[int, _Request] = {}
+        self._requests: dict[int, OpenRequest] = {}
         self._last = 0
         self._events: deque[interface.Event] = deque()
         self._busy = self._closed = False
         self._known = config.known
         self._list: dict[str, AddressedEndpoint] = {}
         self._index = 0
-        self._caps = self.callers.cap, self.upstreams.cap
+        self._caps = self.downstream.cap, self.upstreams.cap
         self._asked = asyncio.Event()  # whether discovery has answered, or failed to
         self._handover = HotRestartListener(folder, loop, self) if folder and config.console else None
         self._tasks: set[asyncio.Task[None]] = set()
-        self.peers = self._make_peers(config)
+        self.membership = self._make_peers(config)
 
     def _make_keeper(self, config: Config) -> SnapshotWriter | None:
         """Snapshots, where a folder is named; what they need is loaded there alone."""
@@ -210,7 +210,7 @@
         elif self._kept is not None:
             self._take_state(self._kept.state, max(self.clock.now() - self._kept.written_ms, 0.0))
         if self._keeper is not None:
-            self._keeper.start(self.state)
+            self._keeper.start(self.exported_state)
         self._discovery.start()
         self._sweep()
         if self.console is not None:
@@ -223,25 +223,25 @@
             task.add_done_callback(self._tasks.discard)
 
     def _serve(self) -> None:
-        self.callers.start()
+        self.downstream.start()
         self._join_peers()
         if self._handover is not None and (trouble := self._handover.start()):
             self.log.event("no_handover", trouble)
 
     def _join_peers(self) -> None:
-        if self.peers is not None and (trouble := self.peers.start()):
+        if self.membership is not None and (trouble := self.membership.start()):
             self.log.event("no_peers", trouble)
 
-    def say_goodbye(self) -> None:
+    def announce_shutdown(self) -> None:
         """We end on purpose: the other balancers need not find out."""
-        if self.peers is not None:
-            self.peers.leave()
+        if self.membership is not None:
+            self.membership.leave()
         if self._keeper is not None:
             self._keeper.end()
 
     def is_serving(self) -> bool:
         """Whether clients are taken."""
-        return self.callers.serving and not self.callers.ending
+        return self.downstream.serving and not self.downstream.ending
 
     # ---- from one process to the next -----------------------------------------------------------
 
@@ -272,62 +272,62 @@
             async with asyncio.timeout(LIST_S):
                 await self._asked.wait()
         self._share(await legacy.relieve())
-        if not self.callers.ending:
+        if not self.downstream.ending:
             self._serve()
         await legacy.follow(self._share)
 
     def _share(self, other: dict[str, int]) -> None:
         """Hold so much less as the other process holds."""
-        self.callers.cap = max(self._caps[0] - other.get("callers", 0), 4)
+        self.downstream.cap = max(self._caps[0] - other.get("callers", 0), 4)
         self.upstreams.cap = max(self._caps[1] - other.get("upstreams", 0), 4)
 
     def listening_socket(self) -> socket.socket:
         """Where callers wait."""
-        return self.callers.listener
+        return self.downstream.listener
 
-    def state(self) -> dict[str, object]:
+    def exported_state(self) -> dict[str, object]:
         """What the next process should know."""
         known = ServerList(self._index, True, tuple(self._list.values()))
         learned = encode_learned_state(self.balancer.learned_state(self.clock.now()))
         return {"list": write_list(known), "learned": learned, "cordons": self._cordons.state()}
 
-    def retire(self) -> None:
+    def stop_accepting(self) -> None:
         """The next process is ready to accept in our place."""
         self.log.event("taken_over", "another process takes over")
-        if self.peers is not None:
-            self.peers.stop()  # the next process speaks in our name
-        self.callers.retire()
+        if self.membership is not None:
+            self.membership.stop()  # the next process speaks in our name
+        self.downstream.retire()
         self._tell(interface.TakeoverChanged(True))
 
-    def return_to_work(self) -> None:
+    def resume_accepting(self) -> None:
         """The next process has died."""
         self.log.event("returned", "the process that took over is gone")
-        self.callers.return_to_work()
+        self.downstream.return_to_work()
         self._join_peers()
         self.upstreams.cap = self._caps[1]
         self._tell(interface.TakeoverChanged(False))
 
-    def holds(self) -> dict[str, int]:
+    def connection_limits(self) -> dict[str, int]:
         """What we keep to from now on: callers only leave, and upstreams are called for them alone."""
-        callers = self.callers.count()
+        callers = self.downstream.count()
         self.upstreams.cap = min(self.upstreams.cap, max(self.upstreams.open, callers + 4))
         return {"callers": callers, "upstreams": self.upstreams.cap}
 
-    def figures(self) -> dict[str, object]:
+    def stats(self) -> dict[str, object]:
         """What operators read."""
         return self._figures.report(len(self._list), len(self.balancer.avoided(self.clock.now())))
 
-    def metrics(self) -> str:
+    def prometheus_metrics(self) -> str:
         """The same figures in Prometheus' form."""
         avoided = len(self.balancer.avoided(self.clock.now()))
-        members = self.peers.by_state() if self.peers else {}
-        return metrics.write(self._figures, len(self._list), avoided, self.log.left_out, members)
+        members = self.membership.by_state() if self.membership else {}
+        return metrics.write(self._figures, len(self._list), avoided, self.log.dropped_lines, members)
 
-    def membership(self) -> dict[str, object] | None:
+    def membership_report(self) -> dict[str, object] | None:
         """What we believe of the other balancers; None where membership is off."""
-        return self.peers.report() if self.peers else None
+        return self.membership.report() if self.membership else None
 
-    def list_report(self) -> dict[str, object]:
+    def endpoint_list_report(self) -> dict[str, object]:
         """Where the list is from, how old it is, and whom it left out that is in use all the same."""
         told = self._discovery.report()
         if told["heard_ms_ago"] is None and self._kept is not None:
@@ -337,7 +337,7 @@
             return told | {"from": "configuration", "doubted": []}
         return told | {"doubted": self.balancer.doubted()}
 
-    def cordon(self, server: str, out: bool) -> bool:
+    def set_cordon(self, server: str, out: bool) -> bool:
         """Take a server out, or put it back; False if nobody has that ID."""
         if server not in self._ids and server not in self._cordons.cordons.out:
             return False
@@ -374,7 +374,7 @@
         """How it stands with each zone."""
         return self.balancer.zones(self.clock.now())
 
-    def move_zone(self, zone: str, out: bool, over_ms: float, force: bool) -> tuple[int, str]:
+    def evacuate_zone(self, zone: str, out: bool, over_ms: float, force: bool) -> tuple[int, str]:
         """Leave a zone, or come back to it, over a time: status and text of the answer."""
         zones, now = self.zones(), self.clock.now()
         if zone not in zones and zone not in self._zones:
@@ -388,7 +388,7 @@
         self.log.event("zone", "operators have us leave it" if out else "operators have us back", zone=zone)
         return 200, "ok"
 
-    def replace(self, config: Config) -> tuple[list[str], list[str]]:
+    def apply_configuration(self, config: Config) -> tuple[list[str], list[str]]:
         """Follow a configuration that the platform has replaced: what was taken, and what needs a restart."""
         old, self._config = self._config, config
         changed = [f.name for f in fields(Config) if getattr(old, f.name) != getattr(config, f.name)]
@@ -402,7 +402,7 @@
 
     # ---- events -------------------------------------------------------------------------------
 
-    def _tell(self, event: interface.Event, request: _Request | None = None) -> None:
+    def _tell(self, event: interface.Event, request: OpenRequest | None = None) -> None:
         """Pass an event on. What actions bring about at once waits until they are all carried out."""
         if request is not None:
             request.queued += 1
@@ -438,12 +438,12 @@
                 request.withdraw()
             self._forget_if_over(request)
 
-    def _forget_if_over(self, request: _Request) -> None:
+    def _forget_if_over(self, request: OpenRequest) -> None:
         if not (request.open or request.out or request.queued):
             self._requests.pop(request.id, None)
             request.taken.body.drop()
 
-    def arrived(self, taken: DownstreamRequest) -> None:
+    def handle_request(self, taken: DownstreamRequest) -> None:
         """A caller's request is here, whole or with the rest of its body to come."""
         if self._closed:
             taken.body.drop()
@@ -452,10 +452,10 @@
         self._last += 1
         waited = (time.monotonic() - taken.arrived) * 1000 if taken.body.whole else 0.0
         left = taken.deadline_ms - waited
-        request = _Request(self._last, taken, self.clock.now() + left - ANSWER_MS)
+        request = OpenRequest(self._last, taken, self.clock.now() + left - ANSWER_MS)
         taken.request = request.id
         self._requests[request.id] = request
-        self._figures.taken()
+        self._figures.record_request()
         if taken.body.whole:
             self._spread_net(request, left)
         self._tell(
@@ -471,10 +471,10 @@
             request,
         )
 
-    def _spread_net(self, request: _Request, left_ms: float) -> None:
+    def _spread_net(self, request: OpenRequest, left_ms: float) -> None:
         request.net = self._loop.call_later(max(left_ms - NET_MS, 0.0) / 1000, self._rescue, request.id)
 
-    def whole(self, taken: DownstreamRequest) -> None:
+    def handle_request_completed(self, taken: DownstreamRequest) -> None:
         """The rest of its body is here: its time runs from now."""
         request = self._requests.get(taken.request)
         if request is not None and request.open:
@@ -483,14 +483,14 @@
                 self._spread_net(request, taken.deadline_ms)
             self._tell(interface.RequestCompleted(request.id), request)
 
-    def broke(self, taken: DownstreamRequest, status: int) -> None:
+    def handle_body_failure(self, taken: DownstreamRequest, status: int) -> None:
         """The rest of its body will not come."""
         request = self._requests.get(taken.request)
         if request is not None and request.open:
             self._end(request, status)
             self._tell(interface.ClientDisconnected(request.id), request)
 
-    def left(self, taken: DownstreamRequest) -> None:
+    def handle_client_disconnect(self, taken: DownstreamRequest) -> None:
         """The caller has gone."""
         request = self._requests.get(taken.request)
         if request is not None and request.open:
@@ -499,7 +499,7 @@
                 request.passed_on.cancel()  # there is nobody to pass it on to
             self._tell(interface.ClientDisconnected(request.id), request)
 
-    def close(self) -> None:
+    def end_open_requests(self) -> None:
         """The time after SIGTERM is up: answer all but those whose answer is going out, refuse the rest."""
         self._closed = True
         for number, request in list(self._requests.items()):
@@ -514,14 +514,16 @@
         self._end(request, 502 if request.may_have_run() else 503)
         self._tell(interface.ClientDisconnected(request.id), request)  # it calls off what is out
 
-    def _close(self, request: _Request, status: int | None) -> None:
+    def _close(self, request: OpenRequest, status: int | None) -> None:
         """The one place where a request ends: with its final answer, or None where its client has left."""
         request.open = False
-        self._figures.ended(request.taken.class_name, status)
+        self._figures.record_response(request.taken.class_name, status)
         if request.net is not None:
             request.net.cancel()
 
-    def _end(self, request: _Request, status: int, headers: list[tuple[bytes, bytes]] | None = None) -> None:
+    def _end(
+        self, request: OpenRequest, status: int, headers: list[tuple[bytes, bytes]] | None = None
+    ) -> None:
         """Give the final answer, or break off the one that is being passed on."""
         self._close(request, status)
         if request.passed_on is None:
@@ -530,12 +532,12 @@
         request.taken.break_off()
         request.passed_on.cancel()
 
-    def forwarded(self) -> None:
+    def on_attempt_written(self) -> None:
         """An attempt has been written whole."""
-        self._figures.forwarded()
+        self._figures.record_attempt()
 
-    def answer_started(
-        self, request: _Request, index: int, attempt: Attempt, answer: UpstreamResponse
+    def on_response_started(
+        self, request: OpenRequest, index: int, attempt: Attempt, answer: UpstreamResponse
     ) -> DownstreamRequest | None:
         """A long answer has begun; the first one of a request is passed on, and nothing else from then on."""
         if not request.open or request.passed_on is not None:
@@ -548,8 +550,8 @@
         self._tell(interface.ResponseStarted(request.id, index), request)
         return request.taken
 
-    def attempt_ended(
-        self, request: _Request, index: int, server: str, outcome: Outcome, answer: UpstreamResponse | None
+    def on_attempt_ended(
+        self, request: OpenRequest, index: int, server: str, outcome: Outcome, answer: UpstreamResponse | None
     ) -> None:
         """An attempt is over. The first served answer goes out before anything else is done."""
         request.out -= 1
@@ -580,7 +582,7 @@
             request,
         )
 
-    def probe_ended(self, server: str, outcome: Outcome) -> None:
+    def on_health_check_ended(self, server: str, outcome: Outcome) -> None:
         """A probe is over."""
         self._tell(interface.HealthCheckEnded(server, outcome))
 
@@ -660,7 +662,7 @@
         attempt: Attempt | None = None
         outcome = Outcome.NOT_SENT  # for a send whose request is over, or whose body is
         if request.open and not request.taken.body.dropped and request.taken.is_awaited():
-            call = _Call(self, request, action, index)
+            call = RequestAttempt(self, request, action, index)
             times = (
                 call.timeout_ms / 1000,
                 call,
@@ -671,10 +673,10 @@
             outcome = Outcome.CONNECT_FAILED  # for a server that no list names any more
         request.attempts.append(attempt)
         if attempt is None:
-            self.attempt_ended(request, index, server, outcome, None)
+            self.on_attempt_ended(request, index, server, outcome, None)
 
     def _probe(self, server: str) -> None:
-        if self.upstreams.attempt(server, PROBE_MS / 1000, _HealthCheck(self, server)) is None:
+        if self.upstreams.attempt(server, PROBE_MS / 1000, HealthCheck(self, server)) is None:
             self._tell(interface.HealthCheckEnded(server, Outcome.NOT_SENT))
 
 
