--- a/benchmarks/interest_balancer.py
+++ b/benchmarks/interest_balancer.py
@@ -34,8 +34,8 @@
         gc.collect()
         idle, size = rss_mb(), len(body := Path(told["body"]).read_bytes())
         began = time.process_time()
-        proxy._discovery._note(news := read_list(json.loads(body)), 0.0)
-        proxy._news(news)
+        proxy.endpoint_list.discovery._note(news := read_list(json.loads(body)), 0.0)
+        proxy.endpoint_list.on_watch_update(news)
         took = time.process_time() - began
         del news, body
         gc.collect()
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,4 +1,4 @@
-"""The balancer as a program: `python -m loadbalancer`, told all it needs by the file in `LB_CONFIG`."""
+"""The balancer as a program: `python -m loadbalancer`, configured by the file that `LB_CONFIG` names."""
 
 from __future__ import annotations
 
@@ -17,56 +17,64 @@
 from loadbalancer.net.log import SINKS, Sink, write_text
 from loadbalancer.net.proxy import Proxy
 
-Reading = Callable[[Callable[[str], None]], Config]
-"""Reads the configuration again, telling what it passes over."""
+ConfigurationReader = Callable[[Callable[[str], None]], Config]
+"""Reads the configuration again; its argument takes a line for each thing that it passes over."""
 
 
 def load(path: str, note: Callable[[str], None]) -> Config:
-    """The configuration as the file holds it now; OSError or ValueError if it can't be used."""
+    """Return the configuration as the file holds it now; OSError or ValueError if it can't be used."""
     with open(path, encoding="utf-8") as file:
         return read_config(file.read(), note, os.environ.get("LB_CONSOLE", ""))
 
 
-def reload(read: Reading, proxy: Proxy) -> None:
+def reload(read: ConfigurationReader, proxy: Proxy) -> None:
     """Follow the file after SIGHUP; one that can't be used changes nothing."""
     try:
         config = read(lambda note: proxy.log.event("setting_unknown", note))
     except (OSError, ValueError) as error:
-        why = " ".join(str(error).split())
-        proxy.log.event("config_kept", f"the configuration stays as it was: {why}")
+        reason = " ".join(str(error).split())
+        proxy.log.event("config_kept", f"the configuration stays as it was: {reason}")
         return
-    taken, later = proxy.apply_configuration(config)
-    text = "the configuration was replaced"
-    proxy.log.event("config_replaced", text, took=_names(taken), needs_restart=_names(later))
+    report = proxy.apply_configuration(config)
+    proxy.log.event(
+        "config_replaced",
+        "the configuration was replaced",
+        took=_join_names(report.applied),
+        needs_restart=_join_names(report.needs_restart),
+    )
 
 
-def _names(names: list[str]) -> str:
+def _join_names(names: list[str]) -> str:
     return ",".join(names) or "nothing"
 
 
 async def serve(
-    config: Config, read: Reading, folder: Path | None, legacy: Predecessor | None, sink: Sink = write_text
+    config: Config,
+    read: ConfigurationReader,
+    folder: Path | None,
+    predecessor: Predecessor | None,
+    sink: Sink = write_text,
 ) -> None:
-    """Balance until SIGTERM, then until all that was taken is answered; `read` is for SIGHUP."""
+    """Balance until SIGTERM, then until all requests are answered; `read` is for SIGHUP."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    proxy = Proxy(config, loop, folder, legacy, sink)
+    proxy = Proxy(config, loop, folder, predecessor, sink)
     loop.add_signal_handler(signal.SIGHUP, reload, read, proxy)
     loop.set_exception_handler(
         lambda _, context: proxy.log.event("loop_error", f"in the event loop: {context!r}"[:2000])
     )
     proxy.start()
     gc.collect()
-    gc.freeze()  # what start-up made stays: it need not be looked at again
+    gc.freeze()  # the objects of the start stay: collections need not visit them again
     await stop.wait()
     proxy.announce_shutdown()
     await proxy.downstream.end()
 
 
 def main() -> int:
-    """Read the configuration and serve; the result is the exit status."""
+    """Read the configuration and serve; return the exit status."""
     notes: list[str] = []
     path = os.environ.get("LB_CONFIG")
     try:
@@ -82,14 +90,14 @@
     return run(config, lambda note: load(path, note), sink)
 
 
-def run(config: Config, read: Reading, sink: Sink) -> int:
-    """Serve a configuration to the end; the result is the exit status."""
+def run(config: Config, read: ConfigurationReader, sink: Sink) -> int:
+    """Serve a configuration to the end; return the exit status."""
     folder = Path(os.environ["TMPDIR"]) if os.environ.get("TMPDIR") else None
-    # Processes are replaced by operators: where none can call, nothing of it is tried.
-    legacy = connect_to_predecessor(folder) if config.console else None
+    # Processes are replaced by operators: without a console there is no process to take over from.
+    predecessor = connect_to_predecessor(folder) if config.console else None
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(serve(config, read, folder, legacy, sink))
+            runner.run(serve(config, read, folder, predecessor, sink))
     except OSError as error:
         print(f"loadbalancer: can't serve on {config.listen}: {error}", file=sys.stderr)
         return 1
--- a/loadbalancer/drill/clients.py
+++ b/loadbalancer/drill/clients.py
@@ -20,7 +20,7 @@
 from loadbalancer.drill.clock import RealClock
 from loadbalancer.drill.script import Class, Load
 from loadbalancer.drill.standin import Place, follow, read_spec, request_of, say
-from loadbalancer.net.request_counters import REJECTIONS
+from loadbalancer.net.request_counters import REJECTION_STATUSES
 
 CHECK_S, CHECK_PATIENCE_S, FAILS_TO_LEAVE = 0.3, 1.0, 2
 PATIENCE_MS = 1_500.0  # past its time, in which a late answer is still seen
@@ -149,7 +149,7 @@
         self.history.write("answered", id=id_, status=status, took=took, run=_run_of(body, id_))
         if status == 200:
             return "served", 0.0
-        return ("refused" if status in REJECTIONS else "failed"), float(away)
+        return ("refused" if status in REJECTION_STATUSES else "failed"), float(away)
 
 
 def _run_of(body: bytes, id_: str) -> str:
--- a/loadbalancer/drill/load.py
+++ b/loadbalancer/drill/load.py
@@ -17,7 +17,7 @@
 from hdrh.histogram import HdrHistogram
 
 from loadbalancer.drill.standin import request_of
-from loadbalancer.net.request_counters import REJECTIONS
+from loadbalancer.net.request_counters import REJECTION_STATUSES
 
 MOST_RATE, MOST_SECONDS = 5_000.0, 600.0
 LONGEST_MS = 600_000
@@ -118,7 +118,7 @@
         async with session.request(url=f"{url.rstrip('/')}/{kind.name}", timeout=timeout, **asked) as answer:
             await answer.read()
             status = answer.status
-        ending = "served" if status == 200 else "refused" if status in REJECTIONS else "failed"
+        ending = "served" if status == 200 else "refused" if status in REJECTION_STATUSES else "failed"
     except TimeoutError:
         ending = "timed out"
     except (aiohttp.ClientError, OSError):
--- a/loadbalancer/drill/plants.py
+++ b/loadbalancer/drill/plants.py
@@ -14,16 +14,19 @@
 from loadbalancer import interface
 from loadbalancer.drill.papers import SERVICE_DEFECTS
 from loadbalancer.interface import Outcome, Readiness
-from loadbalancer.net import discovery, proxy
+from loadbalancer.net import discovery
+from loadbalancer.net.action_executor import ActionExecutor
 from loadbalancer.net.config import ServerList
 from loadbalancer.net.downstream import DownstreamRequest
-from loadbalancer.net.proxy import Proxy
+from loadbalancer.net.endpoint_list import EndpointList
+from loadbalancer.net.request_attempts import RequestAttempt
+from loadbalancer.net.request_intake import RequestIntake
 from loadbalancer.net.upstream import Attempt, UpstreamResponse
 
 NOWHERE_EVERY = 25  # requests, one of which is answered from nowhere
 
 
-class _Second(proxy.RequestAttempt):
+class _Second(RequestAttempt):
     """A second attempt that nobody asked for, and whose answer nobody hears."""
 
     def written(self) -> None:
@@ -39,33 +42,35 @@
 
 def sends_twice() -> None:
     """What is unsafe to repeat goes to two servers."""
-    real = Proxy._send
+    real = ActionExecutor.execute
 
-    def send(self: Proxy, action: interface.SendAttempt) -> None:
+    def execute(self: ActionExecutor, action: interface.Action) -> None:
         real(self, action)
-        request = self._requests.get(action.request_id)
-        others = [name for name in self._list if name != action.server]
-        if request is not None and request.taken.method == b"POST" and others:
-            call = _Second(self, request, action, 0)
-            self.upstreams.attempt(others[0], call.timeout_ms / 1_000, call)
+        if not isinstance(action, interface.SendAttempt):
+            return
+        request = self._requests.by_id.get(action.request_id)
+        others = [name for name in self._endpoint_list.endpoints if name != action.server]
+        if request is not None and request.downstream.method == b"POST" and others:
+            call = _Second(self._attempts, request, action, 0)
+            self._upstreams.attempt(others[0], call.timeout_ms / 1_000, call)
 
-    Proxy._send = send  # type: ignore[method-assign]
+    ActionExecutor.execute = execute  # type: ignore[method-assign]
 
 
 def _takes_for_ready(state: Readiness) -> None:
     """Whatever the list says is in that state passes for ready, in the module and at the sockets."""
-    real = Proxy._listed
+    real = EndpointList.apply
 
-    def listed(self: Proxy, kind: interface.UpdateKind, news: ServerList) -> bool:
+    def apply(self: EndpointList, kind: interface.UpdateKind, update: ServerList) -> bool:
         kept = tuple(
             replace(e, endpoint=replace(e.endpoint, readiness=Readiness.READY))
             if e.endpoint.readiness is state
             else e
-            for e in news.endpoints
+            for e in update.endpoints
         )
-        return real(self, kind, replace(news, endpoints=kept))
+        return real(self, kind, replace(update, endpoints=kept))
 
-    Proxy._listed = listed  # type: ignore[method-assign]
+    EndpointList.apply = apply  # type: ignore[method-assign]
 
 
 def forgets_drain() -> None:
@@ -80,16 +85,16 @@
 
 def answers_from_nowhere() -> None:
     """Some requests are answered with 200 though no server ever saw them."""
-    real, seen = Proxy.handle_request, [0]
+    real, seen = RequestIntake.handle_request, [0]
 
-    def arrived(self: Proxy, taken: DownstreamRequest) -> None:
+    def handle_request(self: RequestIntake, downstream: DownstreamRequest) -> None:
         seen[0] += 1
-        if seen[0] % NOWHERE_EVERY == 0 and taken.body.whole:
-            taken.answer(200, [], b'{"served": true}')
+        if seen[0] % NOWHERE_EVERY == 0 and downstream.body.whole:
+            downstream.answer(200, [], b'{"served": true}')
         else:
-            real(self, taken)
+            real(self, downstream)
 
-    Proxy.handle_request = arrived  # type: ignore[method-assign]
+    RequestIntake.handle_request = handle_request  # type: ignore[method-assign]
 
 
 def trusts_any_list() -> None:
@@ -241,13 +246,13 @@
 
 def forgets_list() -> None:
     """Servers are forgotten when the list does not answer."""
-    real = Proxy._list_failed
+    real = EndpointList.on_watch_failed
 
-    def failed(self: Proxy) -> None:
+    def on_watch_failed(self: EndpointList) -> None:
         real(self)
-        self._listed(interface.UpdateKind.FULL_SNAPSHOT, ServerList(self._index, True, ()))
+        self.apply(interface.UpdateKind.FULL_SNAPSHOT, ServerList(self.revision, True, ()))
 
-    Proxy._list_failed = failed  # type: ignore[method-assign]
+    EndpointList.on_watch_failed = on_watch_failed  # type: ignore[method-assign]
     obeys_lists()
 
 
--- /dev/null
+++ b/loadbalancer/net/cordon_controller.py
@@ -0,0 +1,150 @@
+"""What operators order: cordons of servers and evacuations of zones, applied here and in the module."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from loadbalancer import interface
+from loadbalancer.net.clock import Clock
+from loadbalancer.net.endpoint_list import EndpointList
+from loadbalancer.net.hot_restart import CordonFile
+from loadbalancer.net.log import Log
+from loadbalancer.net.upstream import UpstreamPools
+from loadbalancer.policy import Balancer
+
+CORDON_FILE_POLL_INTERVAL_S = 0.1  # operators may call the other process while two run
+
+
+class ZoneEvacuationError(Exception):
+    """An evacuation of a zone was not begun; the text says why, in one line."""
+
+
+class UnknownZoneError(ZoneEvacuationError):
+    """No server is of that zone."""
+
+
+class InsufficientCapacityError(ZoneEvacuationError):
+    """The other zones can't take the requests in flight."""
+
+
+class CordonController:
+    """Owns the operators' orders, and follows those that another process was given."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        clock: Clock,
+        balancer: Balancer,
+        upstreams: UpstreamPools,
+        endpoint_list: EndpointList,
+        cordon_file: CordonFile,
+        log: Log,
+        dispatch: Callable[[interface.Event], None],
+    ) -> None:
+        """Create a controller without orders; `start` reads those in the file."""
+        self._loop = loop
+        self._clock = clock
+        self._balancer = balancer
+        self._upstreams = upstreams
+        self._endpoint_list = endpoint_list
+        self._file = cordon_file
+        self._log = log
+        self._dispatch = dispatch
+        self._applied_returns: dict[str, float] = {}  # by server, Unix ms
+        self._applied_zones: dict[str, interface.ZoneEvacuation] = {}
+
+    def start(self) -> None:
+        """Apply the orders in the file, now and whenever it has changed."""
+        if self._file.refresh():
+            self._apply()
+        self._loop.call_later(CORDON_FILE_POLL_INTERVAL_S, self.start)
+
+    def inherit(self, cordons: object) -> None:
+        """Go on from the orders of the process before this one; ValueError if they can't be read.
+
+        The orders in the file apply then.
+        """
+        try:
+            self._file.inherit(cordons)
+        finally:
+            self._apply()
+
+    def exported_state(self) -> dict[str, object]:
+        """Return the orders in the form that the next process reads."""
+        return self._file.state()
+
+    def set_cordon(self, server: str, *, is_cordoned: bool) -> bool:
+        """Cordon a server or return it to use; return False if no list has named it."""
+        if not self._endpoint_list.was_ever_listed(server) and server not in self._file.cordons.out:
+            return False
+        if problem := self._file.change(server, is_cordoned):
+            self._report_unsaved(problem)
+        self._apply()
+        return True
+
+    def zones(self) -> dict[str, dict[str, float]]:
+        """Return the status of each zone."""
+        return self._balancer.zones(self._clock.now())
+
+    def evacuate_zone(self, zone: str, *, is_evacuating: bool, duration_ms: float, is_forced: bool) -> None:
+        """Evacuate a zone, or return to it, gradually over a time.
+
+        Raises UnknownZoneError, or InsufficientCapacityError where an evacuation is not forced and the
+        requests in flight do not fit into the other zones.
+        """
+        zones, now = self.zones(), self._clock.now()
+        if zone not in zones and zone not in self._applied_zones:
+            known = ", ".join(zones) or "none"
+            raise UnknownZoneError(f"no server is of that zone; there are {known}")
+        if is_evacuating and not is_forced:
+            _check_remaining_capacity(zone, zones)
+        initial_fraction = self._balancer.zone_share(zone, now)
+        evacuation = interface.ZoneEvacuation(zone, is_evacuating, now, duration_ms, initial_fraction)
+        if problem := self._file.move(evacuation):
+            self._report_unsaved(problem)
+        self._apply()
+        if is_evacuating:
+            self._log.event("zone_evacuation_started", "operators evacuate the zone", zone=zone)
+        else:
+            self._log.event("zone_return_started", "operators return to the zone", zone=zone)
+
+    def _report_unsaved(self, problem: str) -> None:
+        self._log.event("cordons_unsaved", problem)
+
+    def _apply(self) -> None:
+        """Apply what has changed since the last time."""
+        cordons = self._file.cordons
+        applied = self._upstreams.held
+        for server in sorted(cordons.out - applied):
+            self._upstreams.hold(server)
+            self._dispatch(interface.CordonChanged(server, is_cordoned=True))
+        for server in sorted(applied - cordons.out):
+            applied.discard(server)
+            self._dispatch_return(server, cordons.back.get(server, self._clock.now()))
+        for server, returned_at_ms in cordons.back.items():
+            if self._applied_returns.get(server, 0.0) < returned_at_ms:
+                self._dispatch_return(server, returned_at_ms)
+        self._applied_returns = cordons.back
+        for zone, evacuation in cordons.zones.items():
+            if self._applied_zones.get(zone) != evacuation:
+                self._dispatch(evacuation)
+        self._applied_zones = dict(cordons.zones)
+
+    def _dispatch_return(self, server: str, returned_at_ms: float) -> None:
+        self._dispatch(interface.CordonChanged(server, is_cordoned=False, returned_at_ms=returned_at_ms))
+
+
+def _check_remaining_capacity(zone: str, zones: dict[str, dict[str, float]]) -> None:
+    """Raise InsufficientCapacityError if the requests in flight do not fit into the other zones."""
+    if not any(name != zone and status["share"] > 0 for name, status in zones.items()):
+        raise InsufficientCapacityError(
+            f"there is no other zone to go to: {', '.join(zones)}; `force` goes on"
+        )
+    in_flight = sum(status["out"] for status in zones.values())
+    capacity = sum(status["room"] * status["share"] for name, status in zones.items() if name != zone)
+    if in_flight > capacity:
+        raise InsufficientCapacityError(
+            f"{in_flight:.1f} calls are out on average, and there is room for {capacity:.1f} elsewhere; "
+            "`force` goes on"
+        )
--- /dev/null
+++ b/loadbalancer/net/endpoint_list.py
@@ -0,0 +1,172 @@
+"""The endpoint list as this balancer has it: what was received, its revision, and where it is from."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import time
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Any
+
+from loadbalancer import interface
+from loadbalancer.interface import Outcome, Readiness, UpdateKind
+from loadbalancer.net.config import AddressedEndpoint, Config, ServerList
+from loadbalancer.net.discovery import Discovery
+from loadbalancer.net.log import Log
+from loadbalancer.net.reports import EndpointListReport
+from loadbalancer.net.upstream import UpstreamPools
+from loadbalancer.policy import Balancer
+
+MAX_REMEMBERED_SERVERS = 20_000  # that were ever listed: operators may cordon an ID that a list once named
+FIRST_RESPONSE_TIMEOUT_S = 1.5  # after a takeover; the list of the older process is used from then on
+
+
+class EndpointList:
+    """Owns the endpoints, and the watch that updates them."""
+
+    def __init__(
+        self,
+        config: Config,
+        balancer: Balancer,
+        upstreams: UpstreamPools,
+        log: Log,
+        dispatch: Callable[[interface.Event], None],
+        *,
+        needs_full_list: bool,
+        snapshot_written_ms: float | None,
+    ) -> None:
+        """Create an empty list.
+
+        `needs_full_list` has the watch begin with a full list, whatever the configuration holds;
+        `snapshot_written_ms` is the time of the snapshot that this process goes on from, if it does.
+        """
+        self._config = config
+        self._balancer = balancer
+        self._upstreams = upstreams
+        self._dispatch = dispatch
+        self._snapshot_written_ms = snapshot_written_ms
+        self.endpoints: dict[str, AddressedEndpoint] = {}
+        self.revision = 0
+        self._remembered_servers: dict[str, None] = {}  # that lists have named, the newest last
+        self._first_response = asyncio.Event()  # set once the watch has had a response, or failed
+        self.discovery = Discovery(
+            config,
+            self.on_watch_update,
+            self.on_watch_failed,
+            needs_full_list,
+            lambda text: log.event("list_service", text),
+        )
+
+    def start(self) -> None:
+        """Begin to watch the list, where it is pushed."""
+        self.discovery.start()
+
+    def watch(self) -> None:
+        """Begin to watch the list, or ask again after a failure."""
+        self.discovery.subscribe()
+
+    def apply_configuration(self, config: Config) -> None:
+        """Watch the list that a new configuration names."""
+        self._config = config
+        self.discovery.move(config.discovery, config.lists)
+
+    async def wait_for_first_response(self) -> None:
+        """Wait until the watch has had a response or has failed, for a bounded time."""
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(FIRST_RESPONSE_TIMEOUT_S):
+                await self._first_response.wait()
+
+    def on_watch_update(self, update: ServerList) -> bool:
+        """Handle an update of the watch; return whether it was accepted as it is."""
+        self._first_response.set()
+        return self.apply(UpdateKind.FULL_SNAPSHOT if update.whole else UpdateKind.DELTA, update)
+
+    def on_watch_failed(self) -> None:
+        """Handle that a request of the watch has failed."""
+        self._first_response.set()
+        self._dispatch(self.discovery.failure())
+
+    def apply_cached(self, known: ServerList) -> None:
+        """Go on from the list of another process or a snapshot, unless the configured one is newer."""
+        if known.endpoints and known.index >= self._config.known.index:
+            self.apply(UpdateKind.CACHED, known)
+
+    def apply(self, kind: UpdateKind, update: ServerList) -> bool:
+        """Apply an update here, at the connection pools and in the decision module.
+
+        Return False if it is suspected to be stale: the decision module then keeps servers that it omits.
+        """
+        event = self._balancer.validate(
+            interface.EndpointListUpdate(kind, tuple([e.endpoint for e in update.endpoints]), update.rewound)
+        )
+        if event.suspected_stale or update.rewound:
+            update = replace(update, endpoints=self._with_addresses(event, update))
+        self._upstreams.listed(update)
+        self.revision = update.index
+        if update.whole:
+            self.endpoints.clear()
+        for endpoint in update.endpoints:
+            server = endpoint.endpoint.server
+            self.endpoints[server] = endpoint
+            if endpoint.endpoint.readiness is Readiness.DEAD:
+                del self.endpoints[server]
+            self._remember(server)
+        while len(self._remembered_servers) > MAX_REMEMBERED_SERVERS:
+            del self._remembered_servers[next(iter(self._remembered_servers))]
+        self._dispatch(event)
+        return not event.suspected_stale
+
+    def _with_addresses(
+        self, event: interface.EndpointListUpdate, update: ServerList
+    ) -> tuple[AddressedEndpoint, ...]:
+        """Return the endpoints that the decision module made of an update, each with its address."""
+        addresses = {
+            endpoint.endpoint.server: endpoint.address
+            for endpoint in (*self.endpoints.values(), *update.endpoints)
+        }
+        return tuple(
+            [AddressedEndpoint(endpoint, addresses[endpoint.server]) for endpoint in event.endpoints]
+        )
+
+    def _remember(self, server: str) -> None:
+        self._remembered_servers.pop(server, None)
+        self._remembered_servers[server] = None
+
+    def was_ever_listed(self, server: str) -> bool:
+        """Return whether a list has named this server, as far back as is remembered."""
+        return server in self._remembered_servers
+
+    def current(self) -> ServerList:
+        """Return the list as a full one."""
+        return ServerList(self.revision, True, tuple(self.endpoints.values()))
+
+    def record_outcome(self, server: str, outcome: Outcome) -> None:
+        """Record the outcome of an attempt: it may contradict what the list says of the server."""
+        if self._config.lists is not None:
+            self.discovery.witnesses.note(server, outcome, asyncio.get_running_loop().time())
+
+    def report(self) -> EndpointListReport:
+        """Return where the list is from, how old it is, and which servers it omits that are in use."""
+        watch: dict[str, Any] = self.discovery.report()
+        source: str = watch["from"]
+        response_age_ms: float | None = watch["heard_ms_ago"]
+        suspected_servers: list[str] = []
+        if response_age_ms is not None:
+            suspected_servers = self._balancer.doubted()
+        elif self._snapshot_written_ms is not None:
+            source = "snapshot"
+            response_age_ms = round(max(time.time() * 1_000 - self._snapshot_written_ms, 0.0))
+        else:
+            source = "configuration"
+        return EndpointListReport(
+            source=source,
+            revision=watch["index"],
+            last_response_age_ms=response_age_ms,
+            last_change_age_ms=watch["changed_ms_ago"],
+            source_changes=watch["moves"],
+            rewinds=watch["rewound"],
+            stalls=watch["stood_still"],
+            contradicted_servers=watch["contradicted"],
+            suspected_servers=suspected_servers,
+        )
--- /dev/null
+++ b/loadbalancer/net/request_attempts.py
@@ -0,0 +1,178 @@
+"""The attempts of requests: each is composed and sent here, and its end goes back to the decision module."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+
+from loadbalancer import interface
+from loadbalancer.interface import OUTCOMES_WITHOUT_EFFECT, Outcome
+from loadbalancer.net.clock import Clock
+from loadbalancer.net.downstream import DownstreamRequest
+from loadbalancer.net.http_framing import end_to_end
+from loadbalancer.net.request_counters import RequestCounters
+from loadbalancer.net.request_table import RESPONSE_MARGIN_MS, RequestInFlight, RequestTable
+from loadbalancer.net.upstream import Attempt, AttemptHandler, UpstreamPools, UpstreamResponse
+
+
+class RequestAttempt(AttemptHandler):
+    """One attempt of a request: what it sends, and where its end is reported."""
+
+    def __init__(
+        self, attempts: RequestAttempts, request: RequestInFlight, send: interface.SendAttempt, index: int
+    ) -> None:
+        """Create the attempt that `send` asks for; `index` is its place among those of the request."""
+        self._attempts = attempts
+        self._request = request
+        self._server = send.server
+        self._index = index
+        downstream = request.downstream
+        if downstream.body.whole:
+            remaining_ms = request.respond_by_ms - attempts.clock.now()
+        else:
+            remaining_ms = downstream.deadline_ms - RESPONSE_MARGIN_MS
+        timeout_ms = min(send.timeout_ms, remaining_ms) if send.timeout_ms else remaining_ms
+        self.timeout_ms = max(timeout_ms, 0.0)
+        self._ends_at_s = time.monotonic() + self.timeout_ms / 1000
+        self.body = None if downstream.body.whole else downstream.body
+
+    def is_wanted(self) -> bool:
+        """Return whether the client is there: no attempt begins for one that has disconnected."""
+        return self._request.downstream.is_awaited()
+
+    def compose(self) -> bytes:
+        """Return the head with the time that remains, and the body if it is complete."""
+        downstream = self._request.downstream
+        remaining_s = self._ends_at_s - time.monotonic()
+        if self.body is not None:
+            remaining_s = self.timeout_ms / 1000  # it counts from the last byte
+            if downstream.body.whole:
+                self.body = None  # the rest came while we connected
+        data = downstream.body.data() if self.body is None else b""
+        length: int | None = len(data) if self.body is None else downstream.body.length
+        if length is None:
+            framing = b"Transfer-Encoding: chunked\r\n"
+        else:
+            framing = b"Content-Length: %d\r\n" % length if length or downstream.method != b"GET" else b""
+        remaining_us = max(remaining_s * 1_000_000, 1.0)
+        return b"%bX-Deadline: %du\r\n%b\r\n%b" % (downstream.head, remaining_us, framing, data)
+
+    def written(self) -> None:
+        """Count the attempt."""
+        self._attempts.on_attempt_written()
+
+    def started(self, attempt: Attempt, answer: UpstreamResponse) -> DownstreamRequest | None:
+        """Pass a long response on as it comes."""
+        return self._attempts.on_response_started(self._request, self._index, attempt, answer)
+
+    def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
+        """Report the end."""
+        self._attempts.on_attempt_ended(self._request, self._index, self._server, outcome, answer)
+
+
+class RequestAttempts:
+    """Sends and cancels attempts, and takes their responses to clients and their ends to the module."""
+
+    def __init__(
+        self,
+        requests: RequestTable,
+        upstreams: UpstreamPools,
+        clock: Clock,
+        counters: RequestCounters,
+        on_outcome: Callable[[str, Outcome], None],
+    ) -> None:
+        """Create the sender of attempts; `on_outcome` takes the server and the outcome of each."""
+        self._requests = requests
+        self._upstreams = upstreams
+        self.clock = clock
+        self._counters = counters
+        self._on_outcome = on_outcome
+
+    def send(self, action: interface.SendAttempt) -> None:
+        """Begin an attempt; one that can't begin ends at once."""
+        request = self._requests.by_id[action.request_id]
+        index = len(request.attempts)
+        request.attempts_in_flight += 1
+        attempt: Attempt | None = None
+        outcome = Outcome.NOT_SENT  # for a request that is over, or whose body is discarded
+        if request.is_open and not request.downstream.body.dropped and request.downstream.is_awaited():
+            handler = RequestAttempt(self, request, action, index)
+            attempt = self._upstreams.attempt(
+                action.server,
+                handler.timeout_ms / 1000,
+                handler,
+                action.write_within_ms / 1000,
+                action.connect_within_ms / 1000,
+            )
+            outcome = Outcome.CONNECT_FAILED  # for a server that no list names any more
+        request.attempts.append(attempt)
+        if attempt is None:
+            self.on_attempt_ended(request, index, action.server, outcome, None)
+
+    def cancel(self, action: interface.CancelAttempt) -> None:
+        """Cancel an attempt, if it is in flight."""
+        request = self._requests.by_id.get(action.request_id)
+        attempt = request.attempts[action.attempt_index] if request else None
+        if attempt is not None:
+            attempt.cancel()
+
+    def on_attempt_written(self) -> None:
+        """Handle that an attempt has been written in full."""
+        self._counters.record_attempt()
+
+    def on_response_started(
+        self, request: RequestInFlight, index: int, attempt: Attempt, answer: UpstreamResponse
+    ) -> DownstreamRequest | None:
+        """Handle the start of a long response: the first one of a request is passed on, and no other."""
+        if not request.is_open or request.streaming_attempt is not None:
+            return None
+        request.streaming_attempt = attempt
+        request.cancel_safety_timer()
+        request.downstream.begin(attempt, end_to_end(answer.headers), answer.length)
+        request.downstream.pass_on(answer.body)
+        self._requests.dispatch(request, interface.ResponseStarted(request.id, index))
+        return request.downstream
+
+    def on_attempt_ended(
+        self,
+        request: RequestInFlight,
+        index: int,
+        server: str,
+        outcome: Outcome,
+        answer: UpstreamResponse | None,
+    ) -> None:
+        """Handle the end of an attempt. The first served response goes out before anything else is done."""
+        request.attempts_in_flight -= 1
+        request.has_run = request.has_run or outcome not in OUTCOMES_WITHOUT_EFFECT
+        self._on_outcome(server, outcome)
+        self._respond(request, index, outcome, answer)
+        attempt = request.attempts[index]
+        connect_s = attempt.connect_s if attempt is not None else None
+        ending = interface.AttemptEnded(
+            request.id,
+            index,
+            server,
+            outcome,
+            not request.is_open,
+            is_body_discarded=request.downstream.body.dropped,
+            connect_duration_ms=None if connect_s is None else connect_s * 1000,
+        )
+        self._requests.dispatch(request, ending)
+
+    def _respond(
+        self, request: RequestInFlight, index: int, outcome: Outcome, answer: UpstreamResponse | None
+    ) -> None:
+        """Give an open request what the end of this attempt means for it."""
+        if not request.is_open:
+            return
+        if request.streaming_attempt is not None:
+            if request.streaming_attempt is not request.attempts[index]:
+                return
+            if outcome is Outcome.SERVED:
+                self._requests.close(request, 200)
+                request.downstream.finish()
+            else:
+                self._requests.respond(request, 502)
+        elif outcome is Outcome.SERVED and answer is not None:
+            self._requests.close(request, 200)
+            request.downstream.answer(200, end_to_end(answer.headers), answer.body)
--- a/loadbalancer/net/request_counters.py
+++ b/loadbalancer/net/request_counters.py
@@ -1,52 +1,54 @@
-"""The figures that operators read: what this process has done so far, counted from 0."""
+"""What this process has done so far, counted from 0: requests by class and outcome, and attempts."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-SERVED = 200
-REJECTIONS = frozenset({429, 503})
+from loadbalancer.net.reports import BalancerStats
+
+SUCCESS_STATUS = 200
+REJECTION_STATUSES = frozenset({429, 503})
 
 
 class RequestCounters:
-    """Counts of requests by class and ending, and of attempts; the proxy tells each ending once."""
+    """Counts requests by class and outcome; each request is recorded at its start and once at its end."""
 
-    def __init__(self, classes: Iterable[str]) -> None:
-        names = tuple(classes)
+    def __init__(self, class_names: Iterable[str]) -> None:
+        """Begin with 0 for each class."""
+        names = tuple(class_names)
         self._succeeded = dict.fromkeys(names, 0)
-        self._declined = dict.fromkeys(names, 0)
-        self._aborted = dict.fromkeys(names, 0)
-        self.attempts = self.in_flight = 0
+        self._rejected = dict.fromkeys(names, 0)
+        self._failed = dict.fromkeys(names, 0)
+        self._attempts = 0
+        self._requests_in_flight = 0
 
     def record_request(self) -> None:
-        """A request is here, and owed an answer."""
-        self.in_flight += 1
+        """Record a request that has arrived, and is owed a response."""
+        self._requests_in_flight += 1
 
     def record_response(self, class_name: str, status: int | None) -> None:
-        """A request has had its final answer; None where its client left before."""
-        self.in_flight -= 1
+        """Record the end of a request; its status is None where its client has disconnected before."""
+        self._requests_in_flight -= 1
         if status is None:
             return
-        if status == SERVED:
+        if status == SUCCESS_STATUS:
             counts = self._succeeded
         else:
-            counts = self._declined if status in REJECTIONS else self._aborted
+            counts = self._rejected if status in REJECTION_STATUSES else self._failed
         counts[class_name] += 1
 
     def record_attempt(self) -> None:
-        """An attempt has been written whole to an upstream."""
-        self.attempts += 1
-
-    def by_outcome(self) -> dict[str, dict[str, int]]:
-        """The requests that have ended: by ending, then by class."""
-        return {"succeeded": self._succeeded, "declined": self._declined, "aborted": self._aborted}
-
-    def report(self, discovered: int, ejected: int) -> dict[str, object]:
-        """All of it under the names that operators know."""
-        return {
-            **self.by_outcome(),
-            "forwards": self.attempts,
-            "outstanding": self.in_flight,
-            "discovered": discovered,
-            "ejected": ejected,
-        }
+        """Record an attempt that has been written in full to an upstream."""
+        self._attempts += 1
+
+    def stats(self, listed_servers: int, ejected_servers: int) -> BalancerStats:
+        """Return the counts, with those of servers that others know."""
+        return BalancerStats(
+            succeeded=self._succeeded,
+            rejected=self._rejected,
+            failed=self._failed,
+            attempts=self._attempts,
+            requests_in_flight=self._requests_in_flight,
+            listed_servers=listed_servers,
+            ejected_servers=ejected_servers,
+        )
--- /dev/null
+++ b/loadbalancer/net/request_intake.py
@@ -0,0 +1,73 @@
+"""What clients do becomes events: a request arrives, its body ends or breaks off, its client disconnects."""
+
+from __future__ import annotations
+
+import time
+
+from loadbalancer import interface
+from loadbalancer.net.clock import Clock
+from loadbalancer.net.downstream import DownstreamRequest
+from loadbalancer.net.request_table import RESPONSE_MARGIN_MS, RequestTable
+
+
+class RequestIntake:
+    """Handles the requests of the downstream listener."""
+
+    def __init__(self, requests: RequestTable, clock: Clock) -> None:
+        """Create an intake that adds to `requests`."""
+        self._requests = requests
+        self._clock = clock
+        self.is_closed = False
+
+    def handle_request(self, downstream: DownstreamRequest) -> None:
+        """Handle a request that has arrived, complete or with the rest of its body to come."""
+        if self.is_closed:
+            downstream.body.drop()
+            downstream.answer(503)
+            return
+        is_complete = downstream.body.whole
+        waited_ms = (time.monotonic() - downstream.arrived) * 1000 if is_complete else 0.0
+        remaining_ms = downstream.deadline_ms - waited_ms
+        request = self._requests.add(downstream, remaining_ms)
+        if is_complete:
+            self._requests.start_safety_timer(request, remaining_ms)
+        arrival = interface.RequestArrived(
+            request.id,
+            downstream.class_name,
+            max(remaining_ms - RESPONSE_MARGIN_MS, 0.0),
+            downstream.tenant,
+            downstream.is_repeat,
+            downstream.hint_ms,
+            is_complete,
+        )
+        self._requests.dispatch(request, arrival)
+
+    def handle_request_completed(self, downstream: DownstreamRequest) -> None:
+        """Handle that the rest of a body has come: the request's time runs from now."""
+        request = self._requests.get_open(downstream.request)
+        if request is not None:
+            request.respond_by_ms = self._clock.now() + downstream.deadline_ms - RESPONSE_MARGIN_MS
+            if request.streaming_attempt is None:
+                self._requests.start_safety_timer(request, downstream.deadline_ms)
+            self._requests.dispatch(request, interface.RequestCompleted(request.id))
+
+    def handle_body_failure(self, downstream: DownstreamRequest, status: int) -> None:
+        """Handle that the rest of a body will not come: the request ends with this status."""
+        request = self._requests.get_open(downstream.request)
+        if request is not None:
+            self._requests.respond(request, status)
+            self._requests.dispatch(request, interface.ClientDisconnected(request.id))
+
+    def handle_client_disconnect(self, downstream: DownstreamRequest) -> None:
+        """Handle that the client of a request has disconnected."""
+        request = self._requests.get_open(downstream.request)
+        if request is not None:
+            self._requests.close(request, None)
+            if request.streaming_attempt is not None:
+                request.streaming_attempt.cancel()  # there is nobody to pass it on to
+            self._requests.dispatch(request, interface.ClientDisconnected(request.id))
+
+    def end_open_requests(self) -> None:
+        """End the shutdown: answer all but those whose response is going out, and reject what still comes."""
+        self.is_closed = True
+        self._requests.rescue_all()
--- /dev/null
+++ b/loadbalancer/net/request_table.py
@@ -0,0 +1,151 @@
+"""The requests in flight: the state of each, and the one place where it gets its final response."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from loadbalancer import interface
+from loadbalancer.net.clock import Clock
+from loadbalancer.net.downstream import DownstreamRequest
+from loadbalancer.net.http_framing import Headers
+from loadbalancer.net.request_counters import RequestCounters
+from loadbalancer.net.upstream import Attempt
+
+RESPONSE_MARGIN_MS = 10.0  # the module gets so much less than the deadline: the response has to travel yet
+SAFETY_MARGIN_MS = 5.0  # so long before the deadline the safety net answers what is still open
+
+
+class RequestInFlight:
+    """The state of one request from its arrival until nothing of it is left to happen."""
+
+    __slots__ = (
+        "attempts",
+        "attempts_in_flight",
+        "downstream",
+        "has_run",
+        "id",
+        "is_open",
+        "pending_events",
+        "respond_by_ms",
+        "safety_timer",
+        "streaming_attempt",
+    )
+
+    def __init__(self, request_id: int, downstream: DownstreamRequest, respond_by_ms: float) -> None:
+        """Create an open request without attempts; `respond_by_ms` is in Unix milliseconds."""
+        self.id = request_id
+        self.downstream = downstream
+        self.respond_by_ms = respond_by_ms
+        self.attempts: list[Attempt | None] = []
+        self.is_open = True  # until its final response, or until its client has disconnected
+        self.has_run = False  # whether an attempt that has ended may have run
+        self.attempts_in_flight = 0
+        self.pending_events = 0  # that the decision module has yet to handle
+        self.safety_timer: asyncio.TimerHandle | None = None
+        self.streaming_attempt: Attempt | None = None  # whose response is passed on as it comes
+
+    def may_have_run(self) -> bool:
+        """Return whether any attempt has run, or may yet."""
+        unwritten = sum(attempt.is_unwritten() for attempt in self.attempts if attempt is not None)
+        return self.has_run or self.attempts_in_flight > unwritten
+
+    def withdraw(self) -> None:
+        """Withdraw the attempts that have not been written: nobody waits for their responses."""
+        for attempt in self.attempts:
+            if attempt is not None:
+                attempt.withdraw()
+
+    def cancel_safety_timer(self) -> None:
+        """Cancel the timer of the safety net, if it runs."""
+        if self.safety_timer is not None:
+            self.safety_timer.cancel()
+
+
+class RequestTable:
+    """All requests in flight, by ID."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        clock: Clock,
+        counters: RequestCounters,
+        dispatch: Callable[[interface.Event], None],
+    ) -> None:
+        """Create an empty table; `dispatch` takes events to the decision module."""
+        self._loop = loop
+        self._clock = clock
+        self._counters = counters
+        self._dispatch = dispatch
+        self._last_id = 0
+        self.by_id: dict[int, RequestInFlight] = {}
+
+    def add(self, downstream: DownstreamRequest, remaining_ms: float) -> RequestInFlight:
+        """Add a request that arrived with so much time remaining until its deadline."""
+        self._last_id += 1
+        respond_by_ms = self._clock.now() + remaining_ms - RESPONSE_MARGIN_MS
+        request = RequestInFlight(self._last_id, downstream, respond_by_ms)
+        downstream.request = request.id
+        self.by_id[request.id] = request
+        self._counters.record_request()
+        return request
+
+    def get_open(self, request_id: int | None) -> RequestInFlight | None:
+        """Return the request if it is owed a response still."""
+        request = self.by_id.get(request_id) if request_id is not None else None
+        return request if request is not None and request.is_open else None
+
+    def dispatch(self, request: RequestInFlight, event: interface.Event) -> None:
+        """Take an event of this request to the decision module."""
+        request.pending_events += 1
+        self._dispatch(event)
+
+    def on_event_handled(self, request_id: int | None) -> None:
+        """Handle that the decision module has handled an event of this request."""
+        request = self.by_id.get(request_id) if request_id is not None else None
+        if request is not None:
+            request.pending_events -= 1
+            if not request.is_open:
+                request.withdraw()
+            self.forget_if_finished(request)
+
+    def forget_if_finished(self, request: RequestInFlight) -> None:
+        """Remove a request once nothing of it is left to happen."""
+        if not (request.is_open or request.attempts_in_flight or request.pending_events):
+            self.by_id.pop(request.id, None)
+            request.downstream.body.drop()
+
+    def start_safety_timer(self, request: RequestInFlight, remaining_ms: float) -> None:
+        """Have the request answered shortly before its deadline, whatever happens until then."""
+        delay_s = max(remaining_ms - SAFETY_MARGIN_MS, 0.0) / 1000
+        request.safety_timer = self._loop.call_later(delay_s, self.rescue, request.id)
+
+    def rescue(self, request_id: int | None) -> None:
+        """Answer a request, whatever went wrong: 503 only if no attempt can have run, else 502."""
+        request = self.get_open(request_id)
+        if request is None:
+            return
+        self.respond(request, 502 if request.may_have_run() else 503)
+        # The decision module then cancels the attempts in flight.
+        self.dispatch(request, interface.ClientDisconnected(request.id))
+
+    def rescue_all(self) -> None:
+        """Answer all requests but those whose response is being passed on."""
+        for request_id, request in list(self.by_id.items()):
+            if request.streaming_attempt is None:
+                self.rescue(request_id)
+
+    def close(self, request: RequestInFlight, status: int | None) -> None:
+        """End a request: with the status of its final response, or None if its client has disconnected."""
+        request.is_open = False
+        self._counters.record_response(request.downstream.class_name, status)
+        request.cancel_safety_timer()
+
+    def respond(self, request: RequestInFlight, status: int, headers: Headers | None = None) -> None:
+        """Send the final response of an open request, or break off the one that is being passed on."""
+        self.close(request, status)
+        if request.streaming_attempt is None:
+            request.downstream.answer(status, headers)
+            return
+        request.downstream.break_off()
+        request.streaming_attempt.cancel()
--- /dev/null
+++ b/loadbalancer/net/state_transfer.py
@@ -0,0 +1,69 @@
+"""What this process has learned, for the next one or a snapshot, and back: list, evidence and cordons."""
+
+from __future__ import annotations
+
+from collections.abc import Collection
+from typing import Any
+
+from loadbalancer.net.clock import Clock
+from loadbalancer.net.config import read_list, write_list
+from loadbalancer.net.cordon_controller import CordonController
+from loadbalancer.net.endpoint_list import EndpointList
+from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
+from loadbalancer.net.log import Log
+from loadbalancer.policy import Balancer
+
+
+class StateTransfer:
+    """Exports the state of this process, and restores that of another."""
+
+    def __init__(
+        self,
+        balancer: Balancer,
+        endpoint_list: EndpointList,
+        cordons: CordonController,
+        clock: Clock,
+        class_names: Collection[str],
+        log: Log,
+    ) -> None:
+        """Create a transfer; evidence about other classes than `class_names` is not restored."""
+        self._balancer = balancer
+        self._endpoint_list = endpoint_list
+        self._cordons = cordons
+        self._clock = clock
+        self._class_names = class_names
+        self._log = log
+
+    def exported_state(self) -> dict[str, object]:
+        """Return what the next process should know, as values that JSON can hold."""
+        learned = self._balancer.learned_state(self._clock.now())
+        return {
+            "list": write_list(self._endpoint_list.current()),
+            "learned": encode_learned_state(learned),
+            "cordons": self._cordons.exported_state(),
+        }
+
+    def restore_predecessor(self, state: dict[str, Any]) -> None:
+        """Go on from the state of the process before this one, as far as it can be read."""
+        if "cordons" in state:  # a version before this one does not send them
+            try:
+                self._cordons.inherit(state["cordons"])
+            except ValueError as error:
+                self._log.event(
+                    "cordons_unreadable", "the cordons on file apply, not those sent", error=str(error)
+                )
+        self.restore(state, 0.0)
+
+    def restore(self, state: dict[str, Any], age_ms: float) -> None:
+        """Go on from an endpoint list and evidence of some age, as far as they can be read.
+
+        Evidence of servers that have restarted since is not restored.
+        """
+        try:
+            self._endpoint_list.apply_cached(read_list(state["list"]))
+            learned = decode_learned_state(state["learned"], self._class_names)
+            self._balancer.restore(learned, self._clock.now(), age_ms)
+        except (KeyError, ValueError) as error:
+            self._log.event(
+                "learned_state_unreadable", "this process starts without learned state", error=str(error)
+            )
--- /dev/null
+++ b/loadbalancer/net/takeover.py
@@ -0,0 +1,118 @@
+"""Hot restart as the proxy sees it: this process takes over from one, and another takes over from it."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from loadbalancer import interface
+from loadbalancer.net.downstream import DownstreamListener
+from loadbalancer.net.endpoint_list import EndpointList
+from loadbalancer.net.hot_restart import HotRestartListener, Predecessor
+from loadbalancer.net.log import Log
+from loadbalancer.net.state_transfer import StateTransfer
+from loadbalancer.net.upstream import UpstreamPools
+
+if TYPE_CHECKING:
+    from loadbalancer.net.membership import MembershipHost
+
+MIN_CONNECTIONS = 4  # on either side, however many the other process still holds
+
+
+class Takeover:
+    """Owns the part of this process in a hot restart: who accepts, and who may hold how many sockets."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        folder: Path | None,
+        downstream: DownstreamListener,
+        upstreams: UpstreamPools,
+        membership: MembershipHost | None,
+        transfer: StateTransfer,
+        log: Log,
+        dispatch: Callable[[interface.Event], None],
+    ) -> None:
+        """Create a takeover; without a folder no process can take over from this one."""
+        self._loop = loop
+        self._downstream = downstream
+        self._upstreams = upstreams
+        self._membership = membership
+        self._transfer = transfer
+        self._log = log
+        self._dispatch = dispatch
+        self._max_downstream_connections = downstream.cap
+        self._max_upstream_connections = upstreams.cap
+        self._listener = HotRestartListener(folder, loop, self) if folder else None
+        self._task: asyncio.Task[None] | None = None
+
+    def start(self, predecessor: Predecessor | None, endpoint_list: EndpointList) -> None:
+        """Accept connections, once the process before this one no longer does."""
+        if predecessor is None:
+            self._start_serving()
+        else:
+            self._task = self._loop.create_task(self._take_over(predecessor, endpoint_list))
+
+    def _start_serving(self) -> None:
+        self._downstream.start()
+        self._join_membership()
+        if self._listener is not None and (problem := self._listener.start()):
+            self._log.event("hot_restart_unavailable", problem)
+
+    def _join_membership(self) -> None:
+        if self._membership is not None and (problem := self._membership.start()):
+            self._log.event("membership_unavailable", problem)
+
+    async def _take_over(self, predecessor: Predecessor, endpoint_list: EndpointList) -> None:
+        """Read the endpoint list, have the older process accept no more, then accept in its place."""
+        await endpoint_list.wait_for_first_response()
+        self._limit_connections(await predecessor.relieve())
+        if not self._downstream.ending:
+            self._start_serving()
+        await predecessor.follow(self._limit_connections)
+
+    def _limit_connections(self, held_by_other: dict[str, int]) -> None:
+        """Hold fewer connections by so many as the other process holds."""
+        downstream = self._max_downstream_connections - held_by_other.get("callers", 0)
+        upstream = self._max_upstream_connections - held_by_other.get("upstreams", 0)
+        self._downstream.cap = max(downstream, MIN_CONNECTIONS)
+        self._upstreams.cap = max(upstream, MIN_CONNECTIONS)
+
+    # What the process that takes over from this one gets: `HotRestartListener` calls these.
+
+    def listening_socket(self) -> socket.socket:
+        """Return the socket at which clients wait."""
+        return self._downstream.listener
+
+    def exported_state(self) -> dict[str, object]:
+        """Return what the next process should know."""
+        return self._transfer.exported_state()
+
+    def stop_accepting(self) -> None:
+        """Accept no more: the next process does so in place of this one."""
+        self._log.event("takeover_started", "another process takes over")
+        if self._membership is not None:
+            self._membership.stop()  # the next process speaks for this balancer
+        self._downstream.retire()
+        self._dispatch(interface.TakeoverChanged(True))
+
+    def resume_accepting(self) -> None:
+        """Accept again: the next process has died."""
+        self._log.event("takeover_failed", "the process that took over has ended")
+        self._downstream.return_to_work()
+        self._join_membership()
+        self._upstreams.cap = self._max_upstream_connections
+        self._dispatch(interface.TakeoverChanged(False))
+
+    def connection_limits(self) -> dict[str, int]:
+        """Return how many connections this process holds at most from now on.
+
+        Clients only leave it, and upstream connections are opened for those clients alone.
+        """
+        clients = self._downstream.count()
+        upstreams = self._upstreams
+        upstreams.cap = min(upstreams.cap, max(upstreams.open, clients + MIN_CONNECTIONS))
+        return {"callers": clients, "upstreams": upstreams.cap}
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -207,7 +207,7 @@
 def left_behind(proxy: Proxy) -> list[str]:
     """What a balancer that has nothing to do still holds: nothing, if all that ended let go."""
     held = {
-        "requests": len(proxy._requests),
+        "requests": len(proxy.requests.by_id),
         "the module's requests": len(proxy.balancer._requests),
         "waiting": len(proxy.balancer._queue),
         "bytes": proxy.buffers.held,
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -138,13 +138,13 @@
 
 
 def test_stalled_callers_hold_up_neither_each_other_nor_a_whole_call(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(console, "CALL_S", 0.2)
+    monkeypatch.setattr(console, "CALL_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
             assert rig.proxy.console is not None
             address = rig.proxy.console.address[:2]
-            stalled = [await asyncio.open_connection(*address) for _ in range(3 * console.CALLERS_MAX)]
+            stalled = [await asyncio.open_connection(*address) for _ in range(3 * console.MAX_CONNECTIONS)]
             for _, writer in stalled:
                 writer.write(b"GET /admin/he")
             assert status(await call(rig, "GET", "/admin/health")) == 200
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -478,14 +478,14 @@
             return runner
 
         async with aiohttp.ClientSession() as http, Rig(console="") as rig:
-            rig.proxy._discovery.move((HOST, port))
+            rig.proxy.endpoint_list.discovery.move((HOST, port))
 
             async def put(name: str, address: str) -> None:
                 async with http.put(f"http://{HOST}:{port}/v1/servers/{name}", json=entry(address)) as answer:
                     assert answer.status == 200
 
             async def until_listed(*names: str) -> None:
-                while sorted(rig.proxy._list) != sorted(names):
+                while sorted(rig.proxy.endpoint_list.endpoints) != sorted(names):
                     await asyncio.sleep(0.01)
                 assert status(await rig.ask()) == 200
 
--- a/tests/test_endings_callers.py
+++ b/tests/test_endings_callers.py
@@ -135,7 +135,7 @@
                 (connection,) = rig.proxy.downstream._connections
                 await until(lambda: connection._passing and connection._unsent.count > 0)
                 deaf.shutdown(socket.SHUT_WR)
-                await until(lambda: not rig.proxy._requests)
+                await until(lambda: not rig.proxy.requests.by_id)
                 assert len(upstream.asked) == 1
             await until(lambda: rig.proxy.downstream.count() == 0)
             assert not left_behind(rig.proxy)
@@ -213,7 +213,7 @@
         dials, upstream = Dials(monkeypatch), Upstream()
         async with Rig(upstream, classes=[PATIENT], limits=LIMITS | {"mayCancel": cancel}) as rig:
             rig.proxy.downstream.cap = rig.proxy.upstreams.cap = 1_100
-            rig.proxy._listed(
+            rig.proxy.endpoint_list.apply(
                 UpdateKind.FULL_SNAPSHOT, told_list(rig.entries[0] | {"weight": 1_000.0}, whole=True)
             )
             everyone = [await rig.caller() for _ in range(1_000)]
@@ -273,18 +273,18 @@
             caller.writer.write(HEAD * 2)
             await upstream.seen.wait()
             proxy = rig.proxy
-            ((number, _),) = proxy._requests.items()
-            ended = proxy.on_attempt_ended
+            ((number, _),) = proxy.requests.by_id.items()
+            ended = proxy.attempts.on_attempt_ended
 
             def crossing(*args: Any) -> None:
-                proxy.on_attempt_ended = ended  # type: ignore[method-assign]
+                proxy.attempts.on_attempt_ended = ended  # type: ignore[method-assign]
                 if first == "deadline":
-                    proxy._rescue(number)
+                    proxy.requests.rescue(number)
                 ended(*args)
                 if first == "answer":
-                    proxy._rescue(number)
+                    proxy.requests.rescue(number)
 
-            proxy.on_attempt_ended = crossing  # type: ignore[method-assign, assignment]
+            proxy.attempts.on_attempt_ended = crossing  # type: ignore[method-assign, assignment]
             upstream.writers[0].write(response(200, b"first"))
             answer = await caller.answer()
             assert (status(answer), answer.body) == ((502, b"") if first == "deadline" else (200, b"first"))
@@ -325,8 +325,8 @@
             caller = await rig.caller()
             caller.send("/pay/x", b"debit", deadline="60000m")
             await dials.begun.wait()
-            ((number, _),) = rig.proxy._requests.items()
-            rig.proxy._rescue(number)
+            ((number, _),) = rig.proxy.requests.by_id.items()
+            rig.proxy.requests.rescue(number)
             assert status(await caller.answer()) == 503
             await until(lambda: not left_behind(rig.proxy))
 
@@ -375,7 +375,7 @@
             (connection,) = rig.proxy.downstream._connections
             await until(lambda: connection._passing)
             ending = asyncio.ensure_future(rig.proxy.downstream.end())
-            await until(lambda: rig.proxy._closed)
+            await until(lambda: rig.proxy.intake.is_closed)
             await at_least(0.05)
             assert not ending.done()
             assert (await caller.answer()).body == large
@@ -433,7 +433,7 @@
                 at_once(caller, sent)  # in our kernel, unread, right after the half-close
 
             monkeypatch.setattr(connection, "half_close", crossing)
-            await until(lambda: not rig.proxy._requests)
+            await until(lambda: not rig.proxy.requests.by_id)
             ending = asyncio.ensure_future(rig.proxy.downstream.end())
             answer = await caller.answer()
             assert status(answer) == 200 and answer.body == b"tile"
@@ -458,13 +458,13 @@
             caller = await rig.caller()
             caller.send()
             assert status(await caller.answer()) == 200
-            close = rig.proxy.end_open_requests
+            close = rig.proxy.intake.end_open_requests
 
             def crossing() -> None:
                 at_once(caller, HEAD)
                 close()
 
-            monkeypatch.setattr(rig.proxy, "close", crossing)
+            monkeypatch.setattr(rig.proxy.intake, "end_open_requests", crossing)
             ending = asyncio.ensure_future(rig.proxy.downstream.end())
             assert status(await caller.answer()) == 503
             assert await caller.reader.read() == b""
@@ -514,9 +514,9 @@
             caller = await rig.caller()
             whole = HEAD.replace(b"GET /read", b"POST /pay").replace(b": read", b": pay")
             caller.writer.write(whole[:-2] + b"Content-Length: 400000\r\n\r\n" + b"x" * 100_000)
-            await until(lambda: bool(rig.proxy._requests))
+            await until(lambda: bool(rig.proxy.requests.by_id))
             ending = asyncio.ensure_future(rig.proxy.downstream.end())
-            await until(lambda: rig.proxy._closed)
+            await until(lambda: rig.proxy.intake.is_closed)
             (connection,) = rig.proxy.downstream._connections
             at_once(caller, b"x" * 1_000)  # more of it is there each time we look
             connection.end_at_last()
--- a/tests/test_endings_upstreams.py
+++ b/tests/test_endings_upstreams.py
@@ -175,7 +175,7 @@
         server = await asyncio.start_server(take, "127.0.0.1", 0)
         async with Rig(Upstream(), limits=LIMITS | {"mayCancel": may_cancel}) as rig:
             port = server.sockets[0].getsockname()[1]
-            rig.proxy._listed(
+            rig.proxy.endpoint_list.apply(
                 UpdateKind.FULL_SNAPSHOT, told_list(entry("s0", f"127.0.0.1:{port}"), whole=True)
             )
             caller = await rig.caller()
@@ -214,7 +214,7 @@
             rig.proxy.balancer.handle = send_both  # type: ignore[method-assign]
             dials = Dials(monkeypatch, "s1")
             assert status(await rig.ask()) == 200
-            await until(lambda: not rig.proxy._requests)
+            await until(lambda: not rig.proxy.requests.by_id)
             dials.let_up()
             ends = [
                 (e.attempt_index, e.outcome, e.is_final)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -150,10 +150,10 @@
             caller = await ask_unseen(rig)
             await first.seen.wait()
             await caller.leave()
-            rig.proxy._tell(interface.TimerExpired("copy"))
-            assert due and not any(r.open for r in rig.proxy._requests.values())
+            rig.proxy._decisions.dispatch(interface.TimerExpired("copy"))
+            assert due and not any(r.is_open for r in rig.proxy.requests.by_id.values())
             first.writers[0].transport.abort()
-            await until(lambda: not rig.proxy._requests)
+            await until(lambda: not rig.proxy.requests.by_id)
             assert (len(first.asked), len(second.asked), second.connections) == (1, 0, 0)
 
     run(scenario())
@@ -166,14 +166,14 @@
     async def scenario() -> None:
         upstream = Upstream(silent)
         async with Rig(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
-            rig.proxy._listed(
+            rig.proxy.endpoint_list.apply(
                 UpdateKind.FULL_SNAPSHOT, told_list(rig.entries[0] | {"weight": 1.0}, whole=True)
             )
             others = list[Caller]()
             while not rig.proxy.balancer._queue:
                 others.append(await rig.caller())
                 others[-1].send()
-                await until(lambda: len(rig.proxy._requests) == len(others))
+                await until(lambda: len(rig.proxy.requests.by_id) == len(others))
             others.pop().writer.close()
             await until(lambda: not rig.proxy.balancer._queue)
             await until(lambda: len(upstream.asked) == len(others))
@@ -204,10 +204,10 @@
             )
             with socket.create_connection(rig.proxy.downstream.address) as caller:
                 caller.sendall(HEAD)
-                await until(lambda: bool(rig.proxy._requests))
+                await until(lambda: bool(rig.proxy.requests.by_id))
             time.sleep(0.3)  # the loop is busy: this is the scenario, and waits for nothing
-            rig.proxy._tell(interface.TimerExpired("copy"))
-            assert not rig.proxy._requests
+            rig.proxy._decisions.dispatch(interface.TimerExpired("copy"))
+            assert not rig.proxy.requests.by_id
             rig.proxy.balancer.handle = handle  # type: ignore[method-assign]
             await all_let_go(rig)
             assert not upstream.connections
@@ -258,7 +258,7 @@
         server = await asyncio.start_server(slow, "127.0.0.1", 0, limit=4_096)
         async with Rig(Upstream(), limits=LIMITS | {"mayCancel": cancel}) as rig:
             port = server.sockets[0].getsockname()[1]
-            rig.proxy._listed(
+            rig.proxy.endpoint_list.apply(
                 UpdateKind.FULL_SNAPSHOT, told_list(entry("s0", f"127.0.0.1:{port}"), whole=True)
             )
             caller = await rig.caller()
--- a/tests/test_interest.py
+++ b/tests/test_interest.py
@@ -21,6 +21,7 @@
 from loadbalancer import configuration
 from loadbalancer.endpoint_watch import RateLimitedError, Subscription
 from loadbalancer.net.config import read_config
+from loadbalancer.net.configuration_reload import ReloadReport
 from loadbalancer.registry import Catalog, Change, Registration, Rules, WriteRejectedError, first_revision
 from loadbalancer.registry.admission_queue import ALL_IN_S, BURST_S, EARLY_S, PART, AdmissionQueue
 from loadbalancer.registry.anti_entropy import MAX_INSTANCES, AntiEntropy
@@ -623,13 +624,13 @@
 
 
 async def listed(rig: Rig, *names: str) -> None:
-    while sorted(rig.proxy._list) != sorted(names):
+    while sorted(rig.proxy.endpoint_list.endpoints) != sorted(names):
         await asyncio.sleep(0.01)
 
 
-def follow(rig: Rig, at: str, **lists: Any) -> tuple[list[str], list[str]]:
+def follow(rig: Rig, at: str, **lists: Any) -> ReloadReport:
     """The configuration is replaced: what was taken, and what needs a restart."""
-    text = config_text(at, rig.entries, "", lists=lists, balancers=rig.proxy._config.settings.balancer_count)
+    text = config_text(at, rig.entries, "", lists=lists, balancers=rig.proxy.config.settings.balancer_count)
     return rig.proxy.apply_configuration(read_config(text, pytest.fail))
 
 
@@ -646,15 +647,17 @@
                 await listed(rig, "a0", "a1", "a2", "a3")
                 while not service.reads.waits:
                     await asyncio.sleep(0.01)
-                assert follow(rig, at, services=["b"]) == (["lists"], [])
+                assert follow(rig, at, services=["b"]) == ReloadReport(applied=["lists"], needs_restart=[])
                 await listed(rig, "b0", "b1", "b2", "b3")
-                assert rig.proxy.endpoint_list_report()["doubted"] == []
+                assert rig.proxy.endpoint_list_report().suspected_servers == []
                 await put(http, at, "a4", "a")
                 await put(http, at, "b4", "b")
                 await listed(rig, "b0", "b1", "b2", "b3", "b4")
-                assert follow(rig, at, services=["a", "b"])[0] == ["lists"]
+                assert follow(rig, at, services=["a", "b"]).applied == ["lists"]
                 await listed(rig, *(f"{s}{n}" for s in "ab" for n in range(5)))
-                assert follow(rig, at, tier="a") == ([], ["lists"]), "that needs a restart"
+                assert follow(rig, at, tier="a") == ReloadReport(applied=[], needs_restart=["lists"]), (
+                    "that needs a restart"
+                )
 
     run(scenario())
 
@@ -673,19 +676,19 @@
                     for number in range(60):
                         await put(http, at, f"a{number}", "a")
                     await put(http, at, f"b{life}", "b")
-                    while len(rig.proxy._list) > 45 or len(rig.proxy._list) < 3:
+                    while not 3 <= len(rig.proxy.endpoint_list.endpoints) <= 45:
                         await asyncio.sleep(0.01)
-                    held = set(rig.proxy._list)
+                    held = set(rig.proxy.endpoint_list.endpoints)
                     for number in range(60):
                         if f"a{number}" not in held:
                             break
                     await http.delete(f"http://{at}/v1/servers/a{number}")
-                    assert f"a{number}" not in rig.proxy._list
+                    assert f"a{number}" not in rig.proxy.endpoint_list.endpoints
                     gone = min(held)
                     await http.delete(f"http://{at}/v1/servers/{gone}")
-                    while gone in rig.proxy._list:
+                    while gone in rig.proxy.endpoint_list.endpoints:
                         await asyncio.sleep(0.01)
-                assert not any(name.startswith("b") for name in rig.proxy._list)
+                assert not any(name.startswith("b") for name in rig.proxy.endpoint_list.endpoints)
 
     run(scenario())
 
@@ -702,7 +705,7 @@
             rig.discovery.tell(8, one, snapshot=True)
             line = await rig.discovery.calls.get()
             assert "held=%7B%22a%22:%7B%7D%7D&after=8" in line, "it holds the whole of it"
-            assert list(rig.proxy._list) == ["s0"]
+            assert list(rig.proxy.endpoint_list.endpoints) == ["s0"]
             assert [kind for kind, text in said if "knows no interests" in text] == ["list_service"]
             rig.discovery.tell(9)
             await rig.discovery.calls.get()
@@ -714,7 +717,7 @@
             rig.discovery.tell(8, one, snapshot=True)
             while not any("can't be asked for several services" in text for _, text in said):
                 await asyncio.sleep(0.01)
-            assert not rig.proxy._list
+            assert not rig.proxy.endpoint_list.endpoints
 
     run(scenario())
 
@@ -808,7 +811,7 @@
     async def scenario() -> None:
         async with Rig(console="", lists={"services": ["a"]}) as rig:
             failed: list[bool] = []
-            rig.proxy._discovery._on_failed = lambda: failed.append(True)
+            rig.proxy.endpoint_list.discovery._on_failed = lambda: failed.append(True)
             await rig.discovery.calls.get()
             body = b'{"error": "x", "retry_ms": 20, "ticket": 77}'
             rig.discovery.answers.put_nowait(
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -182,7 +182,7 @@
             await dials.begun.wait()
             for caller in callers:
                 caller.writer.close()
-            await until(lambda: not rig.proxy._requests)
+            await until(lambda: not rig.proxy.requests.by_id)
             begun = dials.count
             answers = await asyncio.gather(*[rig.ask("/pay/x", b"debit", deadline="1500m") for _ in range(4)])
             assert [status(answer) for answer in answers] == [200] * 4
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -156,7 +156,7 @@
             assert (await caller.answer()).body == b"second"
             await first.ended.wait()
             assert sorted(o.value for o in outcomes(told)) == ["cancelled", "served"]
-            assert not rig.proxy._requests
+            assert not rig.proxy.requests.by_id
 
     run(scenario())
 
@@ -173,7 +173,7 @@
             await upstream.ended.wait()
             assert any(isinstance(e, interface.ClientDisconnected) for e in told)
             assert outcomes(told) == [Outcome.CANCELLED]
-            assert not rig.proxy._requests
+            assert not rig.proxy.requests.by_id
 
     run(scenario())
 
@@ -406,7 +406,7 @@
 def test_the_clock_compares_with_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
     import time
 
-    from loadbalancer.net.proxy import Clock
+    from loadbalancer.net.clock import Clock
 
     clock = Clock()
     first = clock.now()
@@ -705,9 +705,9 @@
                 caller.send()
             answers = [status(await caller.answer()) for caller in callers[1:]]
             assert answers == [503, 503, 503], "one is with the server, one waits in vain, two find no place"
-            assert len(rig.proxy._requests) == 1
+            assert len(rig.proxy.requests.by_id) == 1
             gate.set()
             assert status(await callers[0].answer()) == 200
-            assert not rig.proxy._requests
+            assert not rig.proxy.requests.by_id
 
     run(scenario())
--- a/tests/test_observed.py
+++ b/tests/test_observed.py
@@ -12,6 +12,7 @@
 
 from loadbalancer.net import log, metrics
 from loadbalancer.net.config import read_config
+from loadbalancer.net.configuration_reload import ReloadReport
 from loadbalancer.net.request_counters import RequestCounters
 from tests.loopback import Rig, Upstream, config_text, run, status
 from tests.test_console import call, figures
@@ -50,7 +51,7 @@
 
 def test_a_class_may_have_any_name() -> None:
     name = 'a"b\\c\nd'
-    read = samples(metrics.write(RequestCounters([name]), 0, 0, 7, {"alive": 2}))
+    read = samples(metrics.write(RequestCounters([name]).stats(0, 0), 7, {"alive": 2}))
     assert read["irondrum_requests_total", name, "aborted"] == 0
     assert read["irondrum_log_lines_left_out_total", "", ""] == 7
 
@@ -58,7 +59,7 @@
 def test_dashboard_and_alerts_name_only_metrics_that_there_are() -> None:
     for path in ((ROOT / "ops" / "dashboard.json"), (ROOT / "ops" / "alerts.yml")):
         named = set(re.findall(r"irondrum_\w+", path.read_text(encoding="utf-8")))
-        assert named and named <= metrics.HELP.keys(), path.name
+        assert named and named <= metrics.METRICS.keys(), path.name
     json.loads((ROOT / "ops" / "dashboard.json").read_text(encoding="utf-8"))
 
 
@@ -67,12 +68,12 @@
     monkeypatch.setattr("loadbalancer.net.log.time.monotonic", lambda: now)
     seen: list[str] = []
     told = log.Log("n1", lambda name, event, text, fields: seen.append(event))
-    for _ in range(log.LINES + 7):
+    for _ in range(log.MAX_LINES_PER_SPAN + 7):
         told.event("noise", "once more")
-    assert seen == ["noise"] * log.LINES and told.dropped_lines == 7
+    assert seen == ["noise"] * log.MAX_LINES_PER_SPAN and told.dropped_lines == 7
     now += log.SPAN_S
     told.event("later", "again")
-    assert seen[log.LINES :] == ["left_out", "later"] and told.dropped_lines == 7
+    assert seen[log.MAX_LINES_PER_SPAN :] == ["lines_dropped", "later"] and told.dropped_lines == 7
 
 
 def test_a_log_line_is_text_or_json_with_its_fields(capsys: pytest.CaptureFixture[str]) -> None:
@@ -91,7 +92,8 @@
             old = read_config(config_text("127.0.0.1:9", []), print)
             rig.proxy.apply_configuration(old)
             moved = replace(old, discovery=("127.0.0.1", 8), sockets=7, seed=old.seed + 1)
-            assert rig.proxy.apply_configuration(moved) == (["discovery"], ["sockets"])
-            assert rig.proxy.apply_configuration(moved) == ([], [])
+            report = rig.proxy.apply_configuration(moved)
+            assert report == ReloadReport(applied=["discovery"], needs_restart=["sockets"])
+            assert rig.proxy.apply_configuration(moved) == ReloadReport(applied=[], needs_restart=[])
 
     run(scenario())
--- a/tests/test_peers_net.py
+++ b/tests/test_peers_net.py
@@ -130,8 +130,10 @@
         async with Rig(Upstream()) as rig:
             assert status(await call(rig, "GET", "/admin/peers")) == 404
             (config,) = some(1)
-            rig.proxy.membership = rig.proxy._make_peers(config)
-            rig.proxy._join_peers()
+            assert config.peer_listen is not None
+            loop = asyncio.get_running_loop()
+            rig.proxy.membership = MembershipHost(config, config.peer_listen, loop, rig.proxy.clock.now)
+            assert not rig.proxy.membership.start()
             told = json.loads((await call(rig, "GET", "/admin/peers")).body)
             assert (told["me"], told["present"], told["takes_part"]) == (0, 1, True)
             assert b'irondrum_peers{state="alive"} 1' in (await call(rig, "GET", "/metrics")).body
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -194,7 +194,7 @@
             rig.discovery.tell(4, *rig.entries, snapshot=True)  # to a whole look: a new beginning
             assert "after=4&" in await rig.discovery.calls.get()
             assert sorted(rig.proxy.balancer._roster.ready) == ["s1"]
-            assert rig.proxy.endpoint_list_report()["rewound"] == 1
+            assert rig.proxy.endpoint_list_report().rewinds == 1
             for _ in range(4):
                 assert status(await rig.ask()) == 200
             assert not rig.upstreams[0].asked
@@ -209,13 +209,13 @@
             await rig.discovery.calls.get()
             rig.discovery.tell(9, snapshot=True)
             await rig.discovery.calls.get()
-            assert rig.proxy.endpoint_list_report()["doubted"] == ["s0", "s1"]
+            assert rig.proxy.endpoint_list_report().suspected_servers == ["s0", "s1"]
             assert status(await rig.ask()) == 200
             gone = rig.upstreams[0]
             gone.server.close()
             for writer in gone.writers:
                 writer.transport.abort()
-            while rig.proxy.endpoint_list_report()["doubted"] != ["s1"]:
+            while rig.proxy.endpoint_list_report().suspected_servers != ["s1"]:
                 assert status(await rig.ask()) == 200
 
     run(scenario())
@@ -235,7 +235,7 @@
             assert await two.other.calls.get() == "GET /v1/servers HTTP/1.1"
             two.other.tell(3, *rig.entries, snapshot=True)
             assert "after=3&" in await two.other.calls.get()
-            assert rig.proxy.endpoint_list_report()["doubted"] == []
+            assert rig.proxy.endpoint_list_report().suspected_servers == []
             assert len(rig.proxy.balancer._roster.ready) == 4
 
     run(scenario())
@@ -259,7 +259,7 @@
                 two.other.tell(index, rig.entries[0], snapshot=True)
             assert await two.other.calls.get() == "GET /v1/servers HTTP/1.1"
             two.other.tell(51, rig.entries[0], snapshot=True)
-            while not rig.proxy.endpoint_list_report()["stood_still"]:
+            while not rig.proxy.endpoint_list_report().stalls:
                 await asyncio.sleep(0.01)
 
     run(scenario())
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -154,7 +154,7 @@
                 await caller.answer()
             assert (len(upstream.asked), told) == (1, [Outcome.RESET])
             figures = rig.proxy.stats()
-            assert figures["aborted"] == {"read": 1, "pay": 0} and figures["outstanding"] == 0
+            assert figures.failed == {"read": 1, "pay": 0} and figures.requests_in_flight == 0
 
     run(scenario())
 
@@ -232,7 +232,7 @@
             await caller.reader.readexactly(1_000)
             caller.writer.transport.abort()
             await upstream.ended.wait()
-            assert rig.proxy.stats()["outstanding"] == 0
+            assert rig.proxy.stats().requests_in_flight == 0
             assert rig.proxy.buffers.held == 0
 
     run(scenario())
@@ -467,7 +467,7 @@
             assert status(await caller.answer()) == 400
             await upstream.ended.wait()
             assert not upstream.asked
-            assert rig.proxy.stats()["outstanding"] == 0
+            assert rig.proxy.stats().requests_in_flight == 0
 
     run(scenario())
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -535,7 +535,7 @@
         contract={"drainGrace": 300.0, "askWithin": 30_000.0},
     )  # fmt: skip
     proxy = Proxy(read_config(text, lambda note: None), asyncio.get_running_loop())
-    watch = proxy._discovery._watch
+    watch = proxy.endpoint_list.discovery._watch
     watch.index = -1  # the first call does not wait, whatever is known
     refused, failed = asyncio.Event(), watch.failed
 
@@ -552,9 +552,9 @@
     back = time.monotonic()
     for standin in standins:
         await standin.come_back()
-    await until_known(lambda: proxy._index == CHANGE)
+    await until_known(lambda: proxy.endpoint_list.revision == CHANGE)
     late = time.monotonic() - back
-    proxy._discovery._close_link()
+    proxy.endpoint_list.discovery._close_link()
     for standin in standins:
         standin.close()
     return late
@@ -626,11 +626,11 @@
         slow = Slow()
         config = read_config(config_text(await slow.start(), [HERE]), lambda note: None)
         proxy = Proxy(config, asyncio.get_running_loop())
-        proxy._discovery._watch._call_s = 0.05
-        proxy._discovery._watch.index = -1
+        proxy.endpoint_list.discovery._watch._call_s = 0.05
+        proxy.endpoint_list.discovery._watch.index = -1
         proxy.start()
         first = await slow.asked.get()
-        proxy._discovery._watch._call_s = 60.0
+        proxy.endpoint_list.discovery._watch._call_s = 60.0
         await slow.asked.get()
         await then(proxy, first, slow)
         slow.close()
@@ -643,8 +643,8 @@
 
     async def then(proxy: Proxy, first: asyncio.StreamWriter, slow: Slow) -> None:
         first.write(response(200, list_body(BEFORE + 2)))
-        await until_known(lambda: proxy._index == BEFORE + 2)
-        assert proxy._discovery._watch.index == -1, "the watch stays where it was"
+        await until_known(lambda: proxy.endpoint_list.revision == BEFORE + 2)
+        assert proxy.endpoint_list.discovery._watch.index == -1, "the watch stays where it was"
 
     slow_scenario(then)
 
@@ -652,9 +652,9 @@
 def test_after_a_newer_answer_nothing_can_come_late() -> None:
     async def then(proxy: Proxy, first: asyncio.StreamWriter, slow: Slow) -> None:
         slow._held[1].write(response(200, list_body(BEFORE + 3)))
-        await until_known(lambda: proxy._index == BEFORE + 3)
-        assert proxy._discovery._late._link is None
+        await until_known(lambda: proxy.endpoint_list.revision == BEFORE + 3)
+        assert proxy.endpoint_list.discovery._late._link is None
         await until_known(first.transport.is_closing)
-        assert proxy._index == BEFORE + 3
+        assert proxy.endpoint_list.revision == BEFORE + 3
 
     slow_scenario(then)
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -237,7 +237,7 @@
             answer = await rig.ask()
             assert (status(answer), answer.headers["retry-after"]) == (503, "0.250")
             assert events[1:] == [interface.AttemptEnded(1, 0, "s0", Outcome.NOT_SENT, True)]
-            assert not upstream.asked and not proxy._requests
+            assert not upstream.asked and not proxy.requests.by_id
 
     run(scenario())
 
