--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -70,7 +70,7 @@
     gc.freeze()  # the objects of the start stay: collections need not visit them again
     await stop.wait()
     proxy.announce_shutdown()
-    await proxy.downstream.end()
+    await proxy.downstream.shut_down()
 
 
 def main() -> int:
--- a/loadbalancer/net/action_executor.py
+++ b/loadbalancer/net/action_executor.py
@@ -27,11 +27,11 @@
         self._server = server
         self._dispatch = dispatch
 
-    def compose(self) -> bytes:
+    def build_request(self) -> bytes:
         """Return the request."""
         return b"GET /healthz HTTP/1.1\r\nHost: upstream\r\n\r\n"
 
-    def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
+    def on_attempt_ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
         """Report the end."""
         self._dispatch(interface.HealthCheckEnded(self._server, outcome))
 
@@ -95,5 +95,5 @@
 
     def _send_health_check(self, server: str) -> None:
         check = HealthCheck(server, self._dispatch)
-        if self._upstreams.attempt(server, HEALTH_CHECK_TIMEOUT_MS / 1000, check) is None:
+        if self._upstreams.start_attempt(server, HEALTH_CHECK_TIMEOUT_MS / 1000, check) is None:
             self._dispatch(interface.HealthCheckEnded(server, Outcome.NOT_SENT))
--- a/loadbalancer/net/console.py
+++ b/loadbalancer/net/console.py
@@ -14,7 +14,7 @@
 
 from loadbalancer.net.config import Address
 from loadbalancer.net.console_service import ConsoleBackend, ConsoleResponse, ConsoleService, text_response
-from loadbalancer.net.http_framing import response, set_no_delay
+from loadbalancer.net.http_framing import encode_response, set_no_delay
 
 MAX_CONNECTIONS = 16  # the spare sockets suffice for them; the oldest makes way for a further one
 CALL_TIMEOUT_S = 3.0  # until a call is complete: operators type, but their tools send it in one piece
@@ -81,7 +81,7 @@
             return
         self._is_answered = True
         body = answer.text.encode() + b"\n"
-        self._transport.write(response(answer.status, answer.headers, body, close=True))
+        self._transport.write(encode_response(answer.status, answer.headers, body, close=True))
         self._transport.write_eof()
         self._console.loop.call_later(CLOSE_TIMEOUT_S, self._transport.abort)
 
--- a/loadbalancer/net/console_service.py
+++ b/loadbalancer/net/console_service.py
@@ -92,6 +92,10 @@
             "/admin/uncordon": _Route("POST", lambda body: self._set_cordon(body, is_cordoned=False)),
         }
 
+    def methods(self) -> dict[str, str]:
+        """Return the paths of all calls, each with its method."""
+        return {path: route.method for path, route in self._routes.items()}
+
     def handle(self, method: str, target: bytes, body: bytes) -> ConsoleResponse:
         """Return the answer to one call."""
         path = target.partition(b"?")[0].decode("latin-1")
--- a/loadbalancer/net/cordon_controller.py
+++ b/loadbalancer/net/cordon_controller.py
@@ -85,7 +85,7 @@
 
     def zones(self) -> dict[str, dict[str, float]]:
         """Return the status of each zone."""
-        return self._balancer.zones(self._clock.now())
+        return self._balancer.zone_statuses(self._clock.now())
 
     def evacuate_zone(self, zone: str, *, is_evacuating: bool, duration_ms: float, is_forced: bool) -> None:
         """Evacuate a zone, or return to it, gradually over a time.
@@ -99,7 +99,7 @@
             raise UnknownZoneError(f"no server is of that zone; there are {known}")
         if is_evacuating and not is_forced:
             _check_remaining_capacity(zone, zones)
-        initial_fraction = self._balancer.zone_share(zone, now)
+        initial_fraction = self._balancer.zone_traffic_fraction(zone, now)
         evacuation = interface.ZoneEvacuation(zone, is_evacuating, now, duration_ms, initial_fraction)
         if problem := self._file.move(evacuation):
             self._report_unsaved(problem)
@@ -115,9 +115,9 @@
     def _apply(self) -> None:
         """Apply what has changed since the last time."""
         cordons = self._file.cordons
-        applied = self._upstreams.held
+        applied = self._upstreams.cordoned
         for server in sorted(cordons.out - applied):
-            self._upstreams.hold(server)
+            self._upstreams.cordon(server)
             self._dispatch(interface.CordonChanged(server, is_cordoned=True))
         for server in sorted(applied - cordons.out):
             applied.discard(server)
--- a/loadbalancer/net/endpoint_list.py
+++ b/loadbalancer/net/endpoint_list.py
@@ -102,7 +102,7 @@
         )
         if event.suspected_stale or update.rewound:
             update = replace(update, endpoints=self._with_addresses(event, update))
-        self._upstreams.listed(update)
+        self._upstreams.update_endpoints(update)
         self.revision = update.index
         if update.whole:
             self.endpoints.clear()
@@ -153,7 +153,7 @@
         response_age_ms: float | None = watch["heard_ms_ago"]
         suspected_servers: list[str] = []
         if response_age_ms is not None:
-            suspected_servers = self._balancer.doubted()
+            suspected_servers = self._balancer.suspected_stale_servers()
         elif self._snapshot_written_ms is not None:
             source = "snapshot"
             response_age_ms = round(max(time.time() * 1_000 - self._snapshot_written_ms, 0.0))
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -76,7 +76,7 @@
         )
         self.cordons = self._create_cordon_controller(folder if config.console else None)
         self._transfer = StateTransfer(
-            self.balancer, self.endpoint_list, self.cordons, self.clock, self.downstream.classes, self.log
+            self.balancer, self.endpoint_list, self.cordons, self.clock, self.downstream.class_names, self.log
         )
         self.membership = self._create_membership()
         self._takeover = self._create_takeover(folder if config.console else None)
@@ -172,7 +172,7 @@
 
     def _sweep_idle_connections(self) -> None:
         self._loop.call_later(IDLE_CONNECTION_SWEEP_INTERVAL_S, self._sweep_idle_connections)
-        self.upstreams.close_old()
+        self.upstreams.close_expired()
 
     def announce_shutdown(self) -> None:
         """Begin a graceful shutdown: leave the other balancers, so that they need not detect it."""
@@ -192,11 +192,11 @@
 
     def is_serving(self) -> bool:
         """Return whether new clients are accepted."""
-        return self.downstream.serving and not self.downstream.ending
+        return self.downstream.is_serving and not self.downstream.is_shutting_down
 
     def stats(self) -> BalancerStats:
         """Return the counts as they stand."""
-        ejected_servers = len(self.balancer.avoided(self.clock.now()))
+        ejected_servers = len(self.balancer.excluded_servers(self.clock.now()))
         return self._counters.stats(len(self.endpoint_list.endpoints), ejected_servers)
 
     def prometheus_metrics(self) -> str:
--- a/loadbalancer/net/request_attempts.py
+++ b/loadbalancer/net/request_attempts.py
@@ -9,7 +9,7 @@
 from loadbalancer.interface import OUTCOMES_WITHOUT_EFFECT, Outcome
 from loadbalancer.net.clock import Clock
 from loadbalancer.net.downstream import DownstreamRequest
-from loadbalancer.net.http_framing import end_to_end
+from loadbalancer.net.http_framing import end_to_end_headers
 from loadbalancer.net.request_counters import RequestCounters
 from loadbalancer.net.request_table import RESPONSE_MARGIN_MS, RequestInFlight, RequestTable
 from loadbalancer.net.upstream import Attempt, AttemptHandler, UpstreamPools, UpstreamResponse
@@ -27,26 +27,26 @@
         self._server = send.server
         self._index = index
         downstream = request.downstream
-        if downstream.body.whole:
+        if downstream.body.is_complete:
             remaining_ms = request.respond_by_ms - attempts.clock.now()
         else:
             remaining_ms = downstream.deadline_ms - RESPONSE_MARGIN_MS
         timeout_ms = min(send.timeout_ms, remaining_ms) if send.timeout_ms else remaining_ms
         self.timeout_ms = max(timeout_ms, 0.0)
         self._ends_at_s = time.monotonic() + self.timeout_ms / 1000
-        self.body = None if downstream.body.whole else downstream.body
+        self.body = None if downstream.body.is_complete else downstream.body
 
-    def is_wanted(self) -> bool:
+    def is_needed(self) -> bool:
         """Return whether the client is there: no attempt begins for one that has disconnected."""
-        return self._request.downstream.is_awaited()
+        return self._request.downstream.is_client_connected()
 
-    def compose(self) -> bytes:
+    def build_request(self) -> bytes:
         """Return the head with the time that remains, and the body if it is complete."""
         downstream = self._request.downstream
         remaining_s = self._ends_at_s - time.monotonic()
         if self.body is not None:
             remaining_s = self.timeout_ms / 1000  # it counts from the last byte
-            if downstream.body.whole:
+            if downstream.body.is_complete:
                 self.body = None  # the rest came while we connected
         data = downstream.body.data() if self.body is None else b""
         length: int | None = len(data) if self.body is None else downstream.body.length
@@ -55,17 +55,17 @@
         else:
             framing = b"Content-Length: %d\r\n" % length if length or downstream.method != b"GET" else b""
         remaining_us = max(remaining_s * 1_000_000, 1.0)
-        return b"%bX-Deadline: %du\r\n%b\r\n%b" % (downstream.head, remaining_us, framing, data)
+        return b"%bX-Deadline: %du\r\n%b\r\n%b" % (downstream.forwarded_head, remaining_us, framing, data)
 
-    def written(self) -> None:
+    def on_request_written(self) -> None:
         """Count the attempt."""
         self._attempts.on_attempt_written()
 
-    def started(self, attempt: Attempt, answer: UpstreamResponse) -> DownstreamRequest | None:
+    def on_response_started(self, attempt: Attempt, answer: UpstreamResponse) -> DownstreamRequest | None:
         """Pass a long response on as it comes."""
         return self._attempts.on_response_started(self._request, self._index, attempt, answer)
 
-    def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
+    def on_attempt_ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
         """Report the end."""
         self._attempts.on_attempt_ended(self._request, self._index, self._server, outcome, answer)
 
@@ -95,9 +95,10 @@
         request.attempts_in_flight += 1
         attempt: Attempt | None = None
         outcome = Outcome.NOT_SENT  # for a request that is over, or whose body is discarded
-        if request.is_open and not request.downstream.body.dropped and request.downstream.is_awaited():
+        downstream = request.downstream
+        if request.is_open and not downstream.body.is_discarded and downstream.is_client_connected():
             handler = RequestAttempt(self, request, action, index)
-            attempt = self._upstreams.attempt(
+            attempt = self._upstreams.start_attempt(
                 action.server,
                 handler.timeout_ms / 1000,
                 handler,
@@ -128,8 +129,8 @@
             return None
         request.streaming_attempt = attempt
         request.cancel_safety_timer()
-        request.downstream.begin(attempt, end_to_end(answer.headers), answer.length)
-        request.downstream.pass_on(answer.body)
+        request.downstream.start_response(attempt, end_to_end_headers(answer.headers), answer.length)
+        request.downstream.send_body_part(answer.body)
         self._requests.dispatch(request, interface.ResponseStarted(request.id, index))
         return request.downstream
 
@@ -147,14 +148,14 @@
         self._on_outcome(server, outcome)
         self._respond(request, index, outcome, answer)
         attempt = request.attempts[index]
-        connect_s = attempt.connect_s if attempt is not None else None
+        connect_s = attempt.connect_duration_s if attempt is not None else None
         ending = interface.AttemptEnded(
             request.id,
             index,
             server,
             outcome,
             not request.is_open,
-            is_body_discarded=request.downstream.body.dropped,
+            is_body_discarded=request.downstream.body.is_discarded,
             connect_duration_ms=None if connect_s is None else connect_s * 1000,
         )
         self._requests.dispatch(request, ending)
@@ -170,9 +171,9 @@
                 return
             if outcome is Outcome.SERVED:
                 self._requests.close(request, 200)
-                request.downstream.finish()
+                request.downstream.end_response()
             else:
                 self._requests.respond(request, 502)
         elif outcome is Outcome.SERVED and answer is not None:
             self._requests.close(request, 200)
-            request.downstream.answer(200, end_to_end(answer.headers), answer.body)
+            request.downstream.send_response(200, end_to_end_headers(answer.headers), answer.body)
--- a/loadbalancer/net/request_table.py
+++ b/loadbalancer/net/request_table.py
@@ -54,7 +54,7 @@
         """Withdraw the attempts that have not been written: nobody waits for their responses."""
         for attempt in self.attempts:
             if attempt is not None:
-                attempt.withdraw()
+                attempt.cancel_if_unwritten()
 
     def cancel_safety_timer(self) -> None:
         """Cancel the timer of the safety net, if it runs."""
@@ -85,7 +85,7 @@
         self._last_id += 1
         respond_by_ms = self._clock.now() + remaining_ms - RESPONSE_MARGIN_MS
         request = RequestInFlight(self._last_id, downstream, respond_by_ms)
-        downstream.request = request.id
+        downstream.request_id = request.id
         self.by_id[request.id] = request
         self._counters.record_request()
         return request
@@ -113,7 +113,7 @@
         """Remove a request once nothing of it is left to happen."""
         if not (request.is_open or request.attempts_in_flight or request.pending_events):
             self.by_id.pop(request.id, None)
-            request.downstream.body.drop()
+            request.downstream.body.discard()
 
     def start_safety_timer(self, request: RequestInFlight, remaining_ms: float) -> None:
         """Have the request answered shortly before its deadline, whatever happens until then."""
@@ -145,7 +145,7 @@
         """Send the final response of an open request, or break off the one that is being passed on."""
         self.close(request, status)
         if request.streaming_attempt is None:
-            request.downstream.answer(status, headers)
+            request.downstream.send_response(status, headers)
             return
-        request.downstream.break_off()
+        request.downstream.abort_response()
         request.streaming_attempt.cancel()
--- a/loadbalancer/net/takeover.py
+++ b/loadbalancer/net/takeover.py
@@ -44,8 +44,8 @@
         self._transfer = transfer
         self._log = log
         self._dispatch = dispatch
-        self._max_downstream_connections = downstream.cap
-        self._max_upstream_connections = upstreams.cap
+        self._max_downstream_connections = downstream.max_connections
+        self._max_upstream_connections = upstreams.max_connections
         self._listener = HotRestartListener(folder, loop, self) if folder else None
         self._task: asyncio.Task[None] | None = None
 
@@ -70,7 +70,7 @@
         """Read the endpoint list, have the older process accept no more, then accept in its place."""
         await endpoint_list.wait_for_first_response()
         self._limit_connections(await predecessor.relieve())
-        if not self._downstream.ending:
+        if not self._downstream.is_shutting_down:
             self._start_serving()
         await predecessor.follow(self._limit_connections)
 
@@ -78,14 +78,14 @@
         """Hold fewer connections by so many as the other process holds."""
         downstream = self._max_downstream_connections - held_by_other.get("callers", 0)
         upstream = self._max_upstream_connections - held_by_other.get("upstreams", 0)
-        self._downstream.cap = max(downstream, MIN_CONNECTIONS)
-        self._upstreams.cap = max(upstream, MIN_CONNECTIONS)
+        self._downstream.max_connections = max(downstream, MIN_CONNECTIONS)
+        self._upstreams.max_connections = max(upstream, MIN_CONNECTIONS)
 
     # What the process that takes over from this one gets: `HotRestartListener` calls these.
 
     def listening_socket(self) -> socket.socket:
         """Return the socket at which clients wait."""
-        return self._downstream.listener
+        return self._downstream.listening_socket
 
     def exported_state(self) -> dict[str, object]:
         """Return what the next process should know."""
@@ -96,15 +96,15 @@
         self._log.event("takeover_started", "another process takes over")
         if self._membership is not None:
             self._membership.stop()  # the next process speaks for this balancer
-        self._downstream.retire()
+        self._downstream.stop_accepting()
         self._dispatch(interface.TakeoverChanged(True))
 
     def resume_accepting(self) -> None:
         """Accept again: the next process has died."""
         self._log.event("takeover_failed", "the process that took over has ended")
-        self._downstream.return_to_work()
+        self._downstream.resume_accepting()
         self._join_membership()
-        self._upstreams.cap = self._max_upstream_connections
+        self._upstreams.max_connections = self._max_upstream_connections
         self._dispatch(interface.TakeoverChanged(False))
 
     def connection_limits(self) -> dict[str, int]:
@@ -112,7 +112,8 @@
 
         Clients only leave it, and upstream connections are opened for those clients alone.
         """
-        clients = self._downstream.count()
+        clients = self._downstream.connection_count()
         upstreams = self._upstreams
-        upstreams.cap = min(upstreams.cap, max(upstreams.open, clients + MIN_CONNECTIONS))
-        return {"callers": clients, "upstreams": upstreams.cap}
+        needed = max(upstreams.open_connections, clients + MIN_CONNECTIONS)
+        upstreams.max_connections = min(upstreams.max_connections, needed)
+        return {"callers": clients, "upstreams": upstreams.max_connections}
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -177,7 +177,7 @@
         connect = ConnectionPool.connect
 
         async def held(pool: ConnectionPool, connection: UpstreamConnection) -> None:
-            if server in ("", pool.name):
+            if server in ("", pool.server):
                 self.count += 1
                 self.begun.set()
                 await self._gate.wait()
@@ -210,10 +210,10 @@
         "requests": len(proxy.requests.by_id),
         "the module's requests": len(proxy.balancer._requests),
         "waiting": len(proxy.balancer._queue),
-        "bytes": proxy.buffers.held,
-        "calls in flight": sum(s.in_flight for s in proxy.balancer._roster.servers.values()),
-        "connections in use": proxy.upstreams.open
-        - sum(len(p.idle) for p in proxy.upstreams._pools.values()),
+        "bytes": proxy.buffers.used_bytes,
+        "calls in flight": sum(s.in_flight for s in proxy.balancer._endpoints.servers.values()),
+        "connections in use": proxy.upstreams.open_connections
+        - sum(len(p.idle_connections) for p in proxy.upstreams._pools.values()),
     }
     return [f"{count} {name}" for name, count in held.items() if count]
 
