--- a/loadbalancer/drill/seeded_defects.py
+++ b/loadbalancer/drill/seeded_defects.py
@@ -16,9 +16,9 @@
 from loadbalancer.interface import Outcome, Readiness
 from loadbalancer.net import discovery
 from loadbalancer.net.action_executor import ActionExecutor
-from loadbalancer.net.config import ServerList
+from loadbalancer.net.config import EndpointList
 from loadbalancer.net.downstream import DownstreamRequest
-from loadbalancer.net.endpoint_list import EndpointList
+from loadbalancer.net.endpoint_list import EndpointListFollower
 from loadbalancer.net.request_attempts import RequestAttempt
 from loadbalancer.net.request_intake import RequestIntake
 from loadbalancer.net.upstream import Attempt, UpstreamResponse
@@ -59,9 +59,9 @@
 
 def _takes_for_ready(state: Readiness) -> None:
     """Whatever the list says is in that state passes for ready, in the module and at the sockets."""
-    real = EndpointList.apply
+    real = EndpointListFollower.apply
 
-    def apply(self: EndpointList, kind: interface.UpdateKind, update: ServerList) -> bool:
+    def apply(self: EndpointListFollower, kind: interface.UpdateKind, update: EndpointList) -> bool:
         kept = tuple(
             replace(e, endpoint=replace(e.endpoint, readiness=Readiness.READY))
             if e.endpoint.readiness is state
@@ -70,7 +70,7 @@
         )
         return real(self, kind, replace(update, endpoints=kept))
 
-    EndpointList.apply = apply  # type: ignore[method-assign]
+    EndpointListFollower.apply = apply  # type: ignore[method-assign]
 
 
 def forgets_drain() -> None:
@@ -100,48 +100,50 @@
 def trusts_any_list() -> None:
     """A list that is older than the one at hand is taken for news."""
     names, newest = vars(discovery), [0]
-    real = names["read_list"]
+    real = names["decode_endpoint_list"]
 
-    def read_list(answer: Any) -> ServerList:
-        news: ServerList = real(answer)
+    def decode_endpoint_list(answer: Any) -> EndpointList:
+        news: EndpointList = real(answer)
         newest[0] = max(newest[0], news.index)
         return replace(news, index=newest[0])
 
-    names["read_list"] = read_list
+    names["decode_endpoint_list"] = decode_endpoint_list
 
 
 def deaf_to_peers() -> None:
     """What other balancers say of who is there is not heard, and they hear nothing of us."""
     from loadbalancer.membership import Membership
 
-    def heard(self: Membership, sender: int, data: bytes, now: float) -> list[Any]:
+    def handle_message(self: Membership, sender: int, data: bytes, now: float) -> list[Any]:
         return []
 
-    Membership.heard = heard  # type: ignore[method-assign]
+    Membership.handle_message = handle_message  # type: ignore[method-assign]
 
 
 def never_gives_up() -> None:
     """A balancer that is silent is suspected for ever."""
     from loadbalancer.membership import MemberTable
 
-    def give_up(self: MemberTable, number: int, now: float) -> None:
+    def declare_dead(self: MemberTable, number: int, now: float) -> None:
         return None
 
-    MemberTable.give_up = give_up  # type: ignore[method-assign]
+    MemberTable.declare_dead = declare_dead  # type: ignore[method-assign]
 
 
 def forgets_returns() -> None:
     """Who was gone once stays gone: what it says of itself is not taken."""
     from loadbalancer.membership import MemberState, MemberTable
 
-    real = MemberTable.learn
+    real = MemberTable.apply_update
 
-    def learn(self: MemberTable, number: int, state: MemberState, incarnation: int, now: float) -> bool:
-        if self.state(number) is MemberState.GONE:
+    def apply_update(
+        self: MemberTable, number: int, state: MemberState, incarnation: int, now: float
+    ) -> bool:
+        if self.state(number) is MemberState.DEAD:
             return False
         return real(self, number, state, incarnation, now)
 
-    MemberTable.learn = learn  # type: ignore[method-assign]
+    MemberTable.apply_update = apply_update  # type: ignore[method-assign]
 
 
 def forgets_snapshot() -> None:
@@ -246,13 +248,13 @@
 
 def forgets_list() -> None:
     """Servers are forgotten when the list does not answer."""
-    real = EndpointList.on_watch_failed
+    real = EndpointListFollower.on_watch_failed
 
-    def on_watch_failed(self: EndpointList) -> None:
+    def on_watch_failed(self: EndpointListFollower) -> None:
         real(self)
-        self.apply(interface.UpdateKind.FULL_SNAPSHOT, ServerList(self.revision, True, ()))
+        self.apply(interface.UpdateKind.FULL_SNAPSHOT, EndpointList(self.revision, True, ()))
 
-    EndpointList.on_watch_failed = on_watch_failed  # type: ignore[method-assign]
+    EndpointListFollower.on_watch_failed = on_watch_failed  # type: ignore[method-assign]
     obeys_lists()
 
 
@@ -274,9 +276,9 @@
 
 def forgets_zones() -> None:
     """What operators said of zones is lost when the process is replaced."""
-    from loadbalancer.net.hot_restart import CordonFile
+    from loadbalancer.net import cordons
 
-    vars(sys.modules[CordonFile.__module__])["_read_zones"] = lambda raw: {}
+    vars(cordons)["_decode_evacuations"] = lambda raw: {}
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
--- a/loadbalancer/net/action_executor.py
+++ b/loadbalancer/net/action_executor.py
@@ -9,7 +9,7 @@
 from loadbalancer import interface
 from loadbalancer.interface import Outcome
 from loadbalancer.net.clock import Clock
-from loadbalancer.net.endpoint_list import EndpointList
+from loadbalancer.net.endpoint_list import EndpointListFollower
 from loadbalancer.net.http_framing import Headers
 from loadbalancer.net.log import Log
 from loadbalancer.net.request_attempts import RequestAttempts
@@ -46,7 +46,7 @@
         requests: RequestTable,
         attempts: RequestAttempts,
         upstreams: UpstreamPools,
-        endpoint_list: EndpointList,
+        endpoint_list: EndpointListFollower,
         log: Log,
         dispatch: Callable[[interface.Event], None],
     ) -> None:
--- a/loadbalancer/net/cordon_controller.py
+++ b/loadbalancer/net/cordon_controller.py
@@ -7,8 +7,8 @@
 
 from loadbalancer import interface
 from loadbalancer.net.clock import Clock
-from loadbalancer.net.endpoint_list import EndpointList
-from loadbalancer.net.hot_restart import CordonFile
+from loadbalancer.net.cordon_file import CordonFile
+from loadbalancer.net.endpoint_list import EndpointListFollower
 from loadbalancer.net.log import Log
 from loadbalancer.net.upstream import UpstreamPools
 from loadbalancer.policy import Balancer
@@ -37,7 +37,7 @@
         clock: Clock,
         balancer: Balancer,
         upstreams: UpstreamPools,
-        endpoint_list: EndpointList,
+        endpoint_list: EndpointListFollower,
         cordon_file: CordonFile,
         log: Log,
         dispatch: Callable[[interface.Event], None],
@@ -66,19 +66,19 @@
         The orders in the file apply then.
         """
         try:
-            self._file.inherit(cordons)
+            self._file.adopt(cordons)
         finally:
             self._apply()
 
-    def exported_state(self) -> dict[str, object]:
+    def handover_state(self) -> dict[str, object]:
         """Return the orders in the form that the next process reads."""
-        return self._file.state()
+        return self._file.encode()
 
     def set_cordon(self, server: str, *, is_cordoned: bool) -> bool:
         """Cordon a server or return it to use; return False if no list has named it."""
-        if not self._endpoint_list.was_ever_listed(server) and server not in self._file.cordons.out:
+        if not self._endpoint_list.was_ever_listed(server) and server not in self._file.cordons.servers:
             return False
-        if problem := self._file.change(server, is_cordoned):
+        if problem := self._file.set_cordon(server, is_cordoned=is_cordoned):
             self._report_unsaved(problem)
         self._apply()
         return True
@@ -101,7 +101,7 @@
             _check_remaining_capacity(zone, zones)
         initial_fraction = self._balancer.zone_traffic_fraction(zone, now)
         evacuation = interface.ZoneEvacuation(zone, is_evacuating, now, duration_ms, initial_fraction)
-        if problem := self._file.move(evacuation):
+        if problem := self._file.set_evacuation(evacuation):
             self._report_unsaved(problem)
         self._apply()
         if is_evacuating:
@@ -116,20 +116,20 @@
         """Apply what has changed since the last time."""
         cordons = self._file.cordons
         applied = self._upstreams.cordoned
-        for server in sorted(cordons.out - applied):
+        for server in sorted(cordons.servers - applied):
             self._upstreams.cordon(server)
             self._dispatch(interface.CordonChanged(server, is_cordoned=True))
-        for server in sorted(applied - cordons.out):
+        for server in sorted(applied - cordons.servers):
             applied.discard(server)
-            self._dispatch_return(server, cordons.back.get(server, self._clock.now()))
-        for server, returned_at_ms in cordons.back.items():
+            self._dispatch_return(server, cordons.returned_at_ms.get(server, self._clock.now()))
+        for server, returned_at_ms in cordons.returned_at_ms.items():
             if self._applied_returns.get(server, 0.0) < returned_at_ms:
                 self._dispatch_return(server, returned_at_ms)
-        self._applied_returns = cordons.back
-        for zone, evacuation in cordons.zones.items():
+        self._applied_returns = cordons.returned_at_ms
+        for zone, evacuation in cordons.evacuations.items():
             if self._applied_zones.get(zone) != evacuation:
                 self._dispatch(evacuation)
-        self._applied_zones = dict(cordons.zones)
+        self._applied_zones = dict(cordons.evacuations)
 
     def _dispatch_return(self, server: str, returned_at_ms: float) -> None:
         self._dispatch(interface.CordonChanged(server, is_cordoned=False, returned_at_ms=returned_at_ms))
--- a/loadbalancer/net/endpoint_list.py
+++ b/loadbalancer/net/endpoint_list.py
@@ -11,7 +11,7 @@
 
 from loadbalancer import interface
 from loadbalancer.interface import Outcome, Readiness, UpdateKind
-from loadbalancer.net.config import AddressedEndpoint, Config, ServerList
+from loadbalancer.net.config import AddressedEndpoint, Config, EndpointList
 from loadbalancer.net.discovery import Discovery
 from loadbalancer.net.log import Log
 from loadbalancer.net.reports import EndpointListReport
@@ -22,7 +22,7 @@
 FIRST_RESPONSE_TIMEOUT_S = 1.5  # after a takeover; the list of the older process is used from then on
 
 
-class EndpointList:
+class EndpointListFollower:
     """Owns the endpoints, and the watch that updates them."""
 
     def __init__(
@@ -69,7 +69,7 @@
     def apply_configuration(self, config: Config) -> None:
         """Watch the list that a new configuration names."""
         self._config = config
-        self.discovery.move(config.discovery, config.lists)
+        self.discovery.move(config.discovery, config.registry)
 
     async def wait_for_first_response(self) -> None:
         """Wait until the watch has had a response or has failed, for a bounded time."""
@@ -77,34 +77,36 @@
             async with asyncio.timeout(FIRST_RESPONSE_TIMEOUT_S):
                 await self._first_response.wait()
 
-    def on_watch_update(self, update: ServerList) -> bool:
+    def on_watch_update(self, update: EndpointList) -> bool:
         """Handle an update of the watch; return whether it was accepted as it is."""
         self._first_response.set()
-        return self.apply(UpdateKind.FULL_SNAPSHOT if update.whole else UpdateKind.DELTA, update)
+        return self.apply(UpdateKind.FULL_SNAPSHOT if update.is_full_snapshot else UpdateKind.DELTA, update)
 
     def on_watch_failed(self) -> None:
         """Handle that a request of the watch has failed."""
         self._first_response.set()
         self._dispatch(self.discovery.failure())
 
-    def apply_cached(self, known: ServerList) -> None:
+    def apply_cached(self, known: EndpointList) -> None:
         """Go on from the list of another process or a snapshot, unless the configured one is newer."""
-        if known.endpoints and known.index >= self._config.known.index:
+        if known.endpoints and known.index >= self._config.initial_list.index:
             self.apply(UpdateKind.CACHED, known)
 
-    def apply(self, kind: UpdateKind, update: ServerList) -> bool:
+    def apply(self, kind: UpdateKind, update: EndpointList) -> bool:
         """Apply an update here, at the connection pools and in the decision module.
 
         Return False if it is suspected to be stale: the decision module then keeps servers that it omits.
         """
         event = self._balancer.validate(
-            interface.EndpointListUpdate(kind, tuple([e.endpoint for e in update.endpoints]), update.rewound)
+            interface.EndpointListUpdate(
+                kind, tuple([e.endpoint for e in update.endpoints]), update.is_rewound
+            )
         )
-        if event.suspected_stale or update.rewound:
+        if event.suspected_stale or update.is_rewound:
             update = replace(update, endpoints=self._with_addresses(event, update))
         self._upstreams.update_endpoints(update)
         self.revision = update.index
-        if update.whole:
+        if update.is_full_snapshot:
             self.endpoints.clear()
         for endpoint in update.endpoints:
             server = endpoint.endpoint.server
@@ -118,7 +120,7 @@
         return not event.suspected_stale
 
     def _with_addresses(
-        self, event: interface.EndpointListUpdate, update: ServerList
+        self, event: interface.EndpointListUpdate, update: EndpointList
     ) -> tuple[AddressedEndpoint, ...]:
         """Return the endpoints that the decision module made of an update, each with its address."""
         addresses = {
@@ -137,13 +139,13 @@
         """Return whether a list has named this server, as far back as is remembered."""
         return server in self._remembered_servers
 
-    def current(self) -> ServerList:
+    def current(self) -> EndpointList:
         """Return the list as a full one."""
-        return ServerList(self.revision, True, tuple(self.endpoints.values()))
+        return EndpointList(self.revision, True, tuple(self.endpoints.values()))
 
     def record_outcome(self, server: str, outcome: Outcome) -> None:
         """Record the outcome of an attempt: it may contradict what the list says of the server."""
-        if self._config.lists is not None:
+        if self._config.registry is not None:
             self.discovery.witnesses.note(server, outcome, asyncio.get_running_loop().time())
 
     def report(self) -> EndpointListReport:
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -15,10 +15,11 @@
 from loadbalancer.net.configuration_reload import ReloadReport, compare_configurations
 from loadbalancer.net.console import Console
 from loadbalancer.net.cordon_controller import CordonController
+from loadbalancer.net.cordon_file import CordonFile
 from loadbalancer.net.decision_loop import DecisionLoop
 from loadbalancer.net.downstream import DownstreamListener
-from loadbalancer.net.endpoint_list import EndpointList
-from loadbalancer.net.hot_restart import CordonFile, Predecessor
+from loadbalancer.net.endpoint_list import EndpointListFollower
+from loadbalancer.net.hot_restart import Predecessor
 from loadbalancer.net.http_framing import BufferBudget
 from loadbalancer.net.log import Log, Sink, write_text
 from loadbalancer.net.reports import BalancerStats, EndpointListReport
@@ -90,12 +91,12 @@
 
     def _create_snapshot_writer(self) -> SnapshotWriter | None:
         """Return the writer where a folder is named; what it needs is imported there alone."""
-        if self.config.snapshots is None:
+        if self.config.snapshot_folder is None:
             return None
         from loadbalancer.net.snapshot_writer import SnapshotWriter
 
         return SnapshotWriter(
-            self.config.snapshots, self.config.name, self.config.snapshot_every_ms, self.log
+            self.config.snapshot_folder, self.config.name, self.config.snapshot_interval_ms, self.log
         )
 
     def _create_membership(self) -> MembershipHost | None:
@@ -106,15 +107,15 @@
 
         return MembershipHost(self.config, self.config.peer_listen, self._loop, self.clock.now)
 
-    def _create_endpoint_list(self) -> EndpointList:
-        return EndpointList(
+    def _create_endpoint_list(self) -> EndpointListFollower:
+        return EndpointListFollower(
             self.config,
             self.balancer,
             self.upstreams,
             self.log,
             self._decisions.dispatch,
             needs_full_list=self._predecessor is not None or self._snapshot is not None,
-            snapshot_written_ms=self._snapshot.written_ms if self._snapshot is not None else None,
+            snapshot_written_ms=self._snapshot.written_at_ms if self._snapshot is not None else None,
         )
 
     def _create_cordon_controller(self, folder: Path | None) -> CordonController:
@@ -155,15 +156,15 @@
 
     def start(self) -> None:
         """Apply what was known, then begin to accept, or to take over from the process that does."""
-        self.endpoint_list.apply(UpdateKind.CACHED, self.config.known)
+        self.endpoint_list.apply(UpdateKind.CACHED, self.config.initial_list)
         self.cordons.start()
         if self._predecessor is not None:
             self._transfer.restore_predecessor(self._predecessor.state)
         elif self._snapshot is not None:
-            age_ms = max(self.clock.now() - self._snapshot.written_ms, 0.0)
+            age_ms = max(self.clock.now() - self._snapshot.written_at_ms, 0.0)
             self._transfer.restore(self._snapshot.state, age_ms)
         if self._snapshots is not None:
-            self._snapshots.start(self._transfer.exported_state)
+            self._snapshots.start(self._transfer.handover_state)
         self.endpoint_list.start()
         self._sweep_idle_connections()
         if self.console is not None:
@@ -179,7 +180,7 @@
         if self.membership is not None:
             self.membership.leave()
         if self._snapshots is not None:
-            self._snapshots.end()
+            self._snapshots.close()
 
     def apply_configuration(self, config: Config) -> ReloadReport:
         """Follow a configuration that the platform has replaced, as far as a running process can."""
@@ -201,12 +202,12 @@
 
     def prometheus_metrics(self) -> str:
         """Return the same counts in Prometheus' text form."""
-        members_by_state = self.membership.by_state() if self.membership else {}
+        members_by_state = self.membership.count_by_state() if self.membership else {}
         return metrics.write(self.stats(), self.log.dropped_lines, members_by_state)
 
     def membership_report(self) -> Mapping[str, object] | None:
         """Return what is believed of the other balancers; None where membership is off."""
-        return self.membership.report() if self.membership else None
+        return self.membership.console_report() if self.membership else None
 
     def endpoint_list_report(self) -> EndpointListReport:
         """Return where the endpoint list is from, and how old it is."""
--- a/loadbalancer/net/state_transfer.py
+++ b/loadbalancer/net/state_transfer.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from loadbalancer.net.clock import Clock
-from loadbalancer.net.config import read_list, write_list
+from loadbalancer.net.config import decode_endpoint_list, encode_endpoint_list
 from loadbalancer.net.cordon_controller import CordonController
-from loadbalancer.net.endpoint_list import EndpointList
+from loadbalancer.net.endpoint_list import EndpointListFollower
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
 from loadbalancer.net.log import Log
 from loadbalancer.policy import Balancer
@@ -20,7 +20,7 @@
     def __init__(
         self,
         balancer: Balancer,
-        endpoint_list: EndpointList,
+        endpoint_list: EndpointListFollower,
         cordons: CordonController,
         clock: Clock,
         class_names: Collection[str],
@@ -34,13 +34,13 @@
         self._class_names = class_names
         self._log = log
 
-    def exported_state(self) -> dict[str, object]:
+    def handover_state(self) -> dict[str, object]:
         """Return what the next process should know, as values that JSON can hold."""
         learned = self._balancer.learned_state(self._clock.now())
         return {
-            "list": write_list(self._endpoint_list.current()),
+            "list": encode_endpoint_list(self._endpoint_list.current()),
             "learned": encode_learned_state(learned),
-            "cordons": self._cordons.exported_state(),
+            "cordons": self._cordons.handover_state(),
         }
 
     def restore_predecessor(self, state: dict[str, Any]) -> None:
@@ -60,7 +60,7 @@
         Evidence of servers that have restarted since is not restored.
         """
         try:
-            self._endpoint_list.apply_cached(read_list(state["list"]))
+            self._endpoint_list.apply_cached(decode_endpoint_list(state["list"]))
             learned = decode_learned_state(state["learned"], self._class_names)
             self._balancer.restore(learned, self._clock.now(), age_ms)
         except (KeyError, ValueError) as error:
--- a/loadbalancer/net/takeover.py
+++ b/loadbalancer/net/takeover.py
@@ -10,8 +10,8 @@
 
 from loadbalancer import interface
 from loadbalancer.net.downstream import DownstreamListener
-from loadbalancer.net.endpoint_list import EndpointList
-from loadbalancer.net.hot_restart import HotRestartListener, Predecessor
+from loadbalancer.net.endpoint_list import EndpointListFollower
+from loadbalancer.net.hot_restart import DescriptorCounts, HotRestartListener, Predecessor
 from loadbalancer.net.log import Log
 from loadbalancer.net.state_transfer import StateTransfer
 from loadbalancer.net.upstream import UpstreamPools
@@ -49,7 +49,7 @@
         self._listener = HotRestartListener(folder, loop, self) if folder else None
         self._task: asyncio.Task[None] | None = None
 
-    def start(self, predecessor: Predecessor | None, endpoint_list: EndpointList) -> None:
+    def start(self, predecessor: Predecessor | None, endpoint_list: EndpointListFollower) -> None:
         """Accept connections, once the process before this one no longer does."""
         if predecessor is None:
             self._start_serving()
@@ -66,18 +66,18 @@
         if self._membership is not None and (problem := self._membership.start()):
             self._log.event("membership_unavailable", problem)
 
-    async def _take_over(self, predecessor: Predecessor, endpoint_list: EndpointList) -> None:
+    async def _take_over(self, predecessor: Predecessor, endpoint_list: EndpointListFollower) -> None:
         """Read the endpoint list, have the older process accept no more, then accept in its place."""
         await endpoint_list.wait_for_first_response()
-        self._limit_connections(await predecessor.relieve())
+        self._limit_connections(await predecessor.take_over())
         if not self._downstream.is_shutting_down:
             self._start_serving()
-        await predecessor.follow(self._limit_connections)
+        await predecessor.follow_counts(self._limit_connections)
 
-    def _limit_connections(self, held_by_other: dict[str, int]) -> None:
+    def _limit_connections(self, held_by_other: DescriptorCounts) -> None:
         """Hold fewer connections by so many as the other process holds."""
-        downstream = self._max_downstream_connections - held_by_other.get("callers", 0)
-        upstream = self._max_upstream_connections - held_by_other.get("upstreams", 0)
+        downstream = self._max_downstream_connections - held_by_other.downstream
+        upstream = self._max_upstream_connections - held_by_other.upstream
         self._downstream.max_connections = max(downstream, MIN_CONNECTIONS)
         self._upstreams.max_connections = max(upstream, MIN_CONNECTIONS)
 
@@ -87,9 +87,9 @@
         """Return the socket at which clients wait."""
         return self._downstream.listening_socket
 
-    def exported_state(self) -> dict[str, object]:
+    def handover_state(self) -> dict[str, object]:
         """Return what the next process should know."""
-        return self._transfer.exported_state()
+        return self._transfer.handover_state()
 
     def stop_accepting(self) -> None:
         """Accept no more: the next process does so in place of this one."""
@@ -107,7 +107,7 @@
         self._upstreams.max_connections = self._max_upstream_connections
         self._dispatch(interface.TakeoverChanged(False))
 
-    def connection_limits(self) -> dict[str, int]:
+    def descriptor_counts(self) -> DescriptorCounts:
         """Return how many connections this process holds at most from now on.
 
         Clients only leave it, and upstream connections are opened for those clients alone.
@@ -116,4 +116,4 @@
         upstreams = self._upstreams
         needed = max(upstreams.open_connections, clients + MIN_CONNECTIONS)
         upstreams.max_connections = min(upstreams.max_connections, needed)
-        return {"callers": clients, "upstreams": upstreams.max_connections}
+        return DescriptorCounts(downstream=clients, upstream=upstreams.max_connections)
--- a/tests/test_peers_net.py
+++ b/tests/test_peers_net.py
@@ -14,7 +14,7 @@
 from loadbalancer.membership import MemberState
 from loadbalancer.net.config import Config, ConfigError, read_config
 from loadbalancer.net.membership import MembershipHost
-from tests.loopback import Rig, Upstream, config_text, run, status
+from tests.loopback import ProxyHarness, Upstream, config_text, run_scenario, status_of
 from tests.test_console import call
 
 HOST = "127.0.0.1"
@@ -62,7 +62,7 @@
         assert [p.start() for p in tier] == [""] * 4
         tier[1].stop()
         others = [tier[0], *tier[2:]]
-        await until_all_say(others, 1, MemberState.GONE)
+        await until_all_say(others, 1, MemberState.DEAD)
         assert tier[1].start() == ""
         await until_all_say(others, 1, MemberState.ALIVE)
         tier[3].leave()
@@ -70,27 +70,27 @@
         for peers in tier:
             peers.stop()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_strangers_and_garbage_are_counted_and_change_nothing() -> None:
     async def scenario() -> None:
         one, other = hosts(some(2))
         assert one.start() == ""
-        before = one.by_state()
+        before = one.count_by_state()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"noise", one._listen)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as member:
             member.bind(other._listen)
             member.sendto(b"noise", one._listen)
-            while not (one.strangers and one.member.counts.dropped):
+            while not (one.unknown_sender_count and one.member.counts.dropped):
                 await asyncio.sleep(0.01)
-        assert one.by_state() == before
-        told = one.report()["notes"]
+        assert one.count_by_state() == before
+        told = one.console_report()["notes"]
         assert isinstance(told, dict) and told["dropped"] == {"garbled": 1, "stranger": 1}
         one.stop()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_socket_that_cannot_be_had_is_a_line_and_no_end() -> None:
@@ -101,7 +101,7 @@
         assert "we take no part" in second.start()
         first.stop()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -127,8 +127,8 @@
 
 def test_operators_see_the_members_and_404_where_it_is_off() -> None:
     async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            assert status(await call(rig, "GET", "/admin/peers")) == 404
+        async with ProxyHarness(Upstream()) as rig:
+            assert status_of(await call(rig, "GET", "/admin/peers")) == 404
             (config,) = some(1)
             assert config.peer_listen is not None
             loop = asyncio.get_running_loop()
@@ -140,7 +140,7 @@
             rig.proxy.announce_shutdown()
             assert json.loads((await call(rig, "GET", "/admin/peers")).body)["takes_part"] is False
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_views_that_differ_are_marked() -> None:
