--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -78,7 +78,7 @@
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as rig:
-            ours = rig.proxy.callers
+            ours = rig.proxy.downstream
             ours._pause()
             ours.listening_socket = Full(fileno=ours.listening_socket.detach())
             ours._resume()
@@ -162,12 +162,12 @@
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream(http_response(200, b"x" * 60_000), http_response())) as rig:
-            rig.proxy.callers.max_connections = 1
+            rig.proxy.downstream.max_connections = 1
             with socket.socket() as deaf:
                 deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-                deaf.connect(rig.proxy.callers.address)
-                await wait_until(lambda: rig.proxy.callers.connection_count() == 1)
-                (connection,) = rig.proxy.callers._connections
+                deaf.connect(rig.proxy.downstream.address)
+                await wait_until(lambda: rig.proxy.downstream.connection_count() == 1)
+                (connection,) = rig.proxy.downstream._connections
                 await wait_until(lambda: connection._transport is not None)
                 assert connection._transport is not None
                 ours = connection._transport.get_extra_info("socket")
--- a/tests/test_endings_list.py
+++ b/tests/test_endings_list.py
@@ -133,7 +133,7 @@
             told = listen_to(rig)
             text = config_text(await elsewhere.start(), rig.entries)
             rig.discovery.publish(99, snapshot=True)  # its answer and the signal cross
-            rig.proxy.replace(read_config(text, lambda note: None))
+            rig.proxy.apply_configuration(read_config(text, lambda note: None))
             assert "after" not in await elsewhere.request_lines.get()
             drains = endpoint_entry("s0", rig.entries[0]["address"], status="terminating")
             elsewhere.publish(8, drains, snapshot=True)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -65,11 +65,11 @@
 
 async def ask_unseen(rig: ProxyHarness) -> Unseen:
     """Send a request, and so many behind it that reading is paused."""
-    known = set(rig.proxy.callers._connections)
+    known = set(rig.proxy.downstream._connections)
     caller = await rig.connect()
     caller.writer.write(HEAD * 40)
-    await wait_until(lambda: any(c._is_reading_paused for c in rig.proxy.callers._connections - known))
-    (connection,) = rig.proxy.callers._connections - known
+    await wait_until(lambda: any(c._is_reading_paused for c in rig.proxy.downstream._connections - known))
+    (connection,) = rig.proxy.downstream._connections - known
     return Unseen(caller, connection)
 
 
@@ -80,7 +80,7 @@
 
 async def all_let_go(rig: ProxyHarness) -> None:
     """Wait until nothing is kept for who has gone."""
-    await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+    await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
     await wait_until(lambda: not unreleased_resources(rig.proxy))
 
 
@@ -150,10 +150,10 @@
             caller = await ask_unseen(rig)
             await first.request_received.wait()
             await caller.leave()
-            rig.proxy._tell(interface.TimerExpired("copy"))
-            assert due and not any(r.open for r in rig.proxy._requests.values())
+            rig.proxy._decisions.dispatch(interface.TimerExpired("copy"))
+            assert due and not any(r.is_open for r in rig.proxy.requests.by_id.values())
             first.writers[0].transport.abort()
-            await wait_until(lambda: not rig.proxy._requests)
+            await wait_until(lambda: not rig.proxy.requests.by_id)
             assert (len(first.requests), len(second.requests), second.connection_count) == (1, 0, 0)
 
     run_scenario(scenario())
@@ -166,7 +166,7 @@
     async def scenario() -> None:
         upstream = Upstream(never_answer)
         async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
-            rig.proxy._listed(
+            rig.proxy.endpoint_list.apply(
                 UpdateKind.FULL_SNAPSHOT,
                 endpoint_list(rig.entries[0] | {"weight": 1.0}, is_full_snapshot=True),
             )
@@ -174,7 +174,7 @@
             while not rig.proxy.balancer._queue:
                 others.append(await rig.connect())
                 others[-1].send_request()
-                await wait_until(lambda: len(rig.proxy._requests) == len(others))
+                await wait_until(lambda: len(rig.proxy.requests.by_id) == len(others))
             others.pop().writer.close()
             await wait_until(lambda: not rig.proxy.balancer._queue)
             await wait_until(lambda: len(upstream.requests) == len(others))
@@ -203,12 +203,12 @@
             rig.proxy.balancer.handle = lambda event, now: (  # type: ignore[method-assign]
                 [interface.SendAttempt(1, "s0", 1_000.0)] if isinstance(event, interface.TimerExpired) else []
             )
-            with socket.create_connection(rig.proxy.callers.address) as caller:
+            with socket.create_connection(rig.proxy.downstream.address) as caller:
                 caller.sendall(HEAD)
-                await wait_until(lambda: bool(rig.proxy._requests))
+                await wait_until(lambda: bool(rig.proxy.requests.by_id))
             time.sleep(0.3)  # the loop is busy: this is the scenario, and waits for nothing
-            rig.proxy._tell(interface.TimerExpired("copy"))
-            assert not rig.proxy._requests
+            rig.proxy._decisions.dispatch(interface.TimerExpired("copy"))
+            assert not rig.proxy.requests.by_id
             rig.proxy.balancer.handle = handle  # type: ignore[method-assign]
             await all_let_go(rig)
             assert not upstream.connection_count
@@ -223,10 +223,10 @@
         upstream = Upstream()
         async with ProxyHarness(upstream) as rig:
             assert status_of(await rig.request()) == 200  # its connection idles: no dial delays the next
-            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
             await wait_at_least(0.01)
-            with socket.create_connection(rig.proxy.callers.address) as caller:
-                await wait_until(lambda: rig.proxy.callers.connection_count() == 1)
+            with socket.create_connection(rig.proxy.downstream.address) as caller:
+                await wait_until(lambda: rig.proxy.downstream.connection_count() == 1)
                 caller.sendall(HEAD)
             time.sleep(0.3)
             await all_let_go(rig)
@@ -259,14 +259,14 @@
         server = await asyncio.start_server(slow, "127.0.0.1", 0, limit=4_096)
         async with ProxyHarness(Upstream(), limits=LIMITS | {"mayCancel": cancel}) as rig:
             port = server.sockets[0].getsockname()[1]
-            rig.proxy._listed(
+            rig.proxy.endpoint_list.apply(
                 UpdateKind.FULL_SNAPSHOT,
                 endpoint_list(endpoint_entry("s0", f"127.0.0.1:{port}"), is_full_snapshot=True),
             )
             caller = await rig.connect()
             caller.send_request("/pay/x", b"x" * size, deadline="60000m")
             await begun.wait()
-            (connection,) = rig.proxy.callers._connections
+            (connection,) = rig.proxy.downstream._connections
             await wait_until(lambda: connection._is_reading_paused)
             caller.writer.close()  # the kernel sends on what we still hold for it
             await wait_at_least(ALLOWED_S)
@@ -329,7 +329,7 @@
             caller.send_request("/pay/x", b"debit")
             await upstream.request_received.wait()
             caller.writer.close()
-            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
             assert not upstream.connection_ended.is_set()
             upstream.writers[0].write(http_response())
             await all_let_go(rig)
