--- a/loadbalancer/snapshots/__init__.py
+++ b/loadbalancer/snapshots/__init__.py
@@ -1,9 +1,9 @@
-"""What a balancer has learned, kept over a restart: one serialization, for the next process and for a file.
+"""Snapshots of what a balancer has learned, which outlast its process: one serialization, two generations.
 
-    store = Store(Path("/var/lib/irondrum"), "front-1")
-    store.save(encode(state, written_ms=now))
-    found = store.load()                 # the newest that can be read, of two generations
-    if found.snapshot: use(found.snapshot.state, age_ms=now - found.snapshot.written_ms)
+    store = SnapshotStore(Path("/var/lib/irondrum"), "front-1")
+    store.save(encode_snapshot(state, written_at_ms=now))
+    result = store.load()                 # the newest that can be read, of two generations
+    if result.snapshot: use(result.snapshot.state, age_ms=now - result.snapshot.written_at_ms)
 
 By the standard library alone, since every balancer may use it: JSON, and a digest by hashlib's BLAKE2.
 """
--- a/loadbalancer/snapshots/codec.py
+++ b/loadbalancer/snapshots/codec.py
@@ -1,7 +1,8 @@
-"""The form: a line that says what follows, then the state as JSON.
+"""The format of a snapshot: a header line that says what follows, then the state as JSON.
 
-The first line holds the form's number, when it was written (Unix ms), how many bytes follow and their digest.
-A later form may add fields to it; another number is for one that older programs must not read.
+The header holds the format's version (`form`), when the snapshot was written (`written_ms`, Unix ms), how
+many bytes follow and their digest. A later version may add fields to it; another number is for a format that
+older programs must not read.
 """
 
 from __future__ import annotations
@@ -18,47 +19,68 @@
 
 
 class SnapshotDecodeError(ValueError):
-    """No snapshot that we can use: one line that says why."""
+    """Bytes that are no snapshot that we can use; one line says why."""
 
 
 @dataclass(frozen=True)
 class Snapshot:
-    """What was learned, and when that was written."""
+    """What was learned, and when that was written (Unix ms)."""
 
     state: State
     written_at_ms: float
 
 
-def _digest(body: bytes) -> str:
-    return blake2b(body, digest_size=DIGEST_BYTES).hexdigest()
+@dataclass(frozen=True)
+class _Header:
+    format_version: object
+    written_at_ms: float
+    body_bytes: object
+    digest: object
 
 
-def encode_snapshot(state: State, written_ms: float) -> bytes:
-    """The bytes of a state."""
+def encode_snapshot(state: State, written_at_ms: float) -> bytes:
+    """Return the bytes of a snapshot."""
     body = json.dumps(state, separators=(",", ":")).encode()
-    head = {"form": FORMAT_VERSION, "written_ms": written_ms, "bytes": len(body), "digest": _digest(body)}
-    return json.dumps(head).encode() + b"\n" + body
+    header = {
+        "form": FORMAT_VERSION,
+        "written_ms": written_at_ms,
+        "bytes": len(body),
+        "digest": _digest(body),
+    }
+    return json.dumps(header).encode() + b"\n" + body
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """The state in some bytes; Unreadable if they are cut short, garbled, or of a newer form."""
-    first, _, body = data.partition(b"\n")
-    try:
-        head = json.loads(first)
-        form, size = head["form"], head["bytes"]
-        written, digest = float(head["written_ms"]), head["digest"]
-    except (ValueError, KeyError, TypeError, RecursionError):
-        raise SnapshotDecodeError("its first line is none of ours") from None
-    if form != FORMAT_VERSION:
-        raise SnapshotDecodeError(f"it is of form {form!r}; this program reads form {FORMAT_VERSION}")
-    if len(body) != size:
-        raise SnapshotDecodeError(f"it holds {len(body)} of {size} bytes")
-    if _digest(body) != digest:
+    """Return the snapshot in some bytes.
+
+    SnapshotDecodeError if they are cut short, garbled, or of another format version.
+    """
+    first_line, _, body = data.partition(b"\n")
+    header = _decode_header(first_line)
+    if header.format_version != FORMAT_VERSION:
+        raise SnapshotDecodeError(
+            f"it is of form {header.format_version!r}; this program reads form {FORMAT_VERSION}"
+        )
+    if len(body) != header.body_bytes:
+        raise SnapshotDecodeError(f"it holds {len(body)} of {header.body_bytes} bytes")
+    if _digest(body) != header.digest:
         raise SnapshotDecodeError("its digest is another")
     try:
         state = json.loads(body)
-    except (ValueError, RecursionError):
-        raise SnapshotDecodeError("it is no JSON") from None
+    except (ValueError, RecursionError) as error:
+        raise SnapshotDecodeError("it is no JSON") from error
     if not isinstance(state, dict):
         raise SnapshotDecodeError("it is no object")
-    return Snapshot(state, written)
+    return Snapshot(state, header.written_at_ms)
+
+
+def _decode_header(line: bytes) -> _Header:
+    try:
+        raw = json.loads(line)
+        return _Header(raw["form"], float(raw["written_ms"]), raw["bytes"], raw["digest"])
+    except (ValueError, KeyError, TypeError, RecursionError) as error:
+        raise SnapshotDecodeError("its first line is none of ours") from error
+
+
+def _digest(body: bytes) -> str:
+    return blake2b(body, digest_size=DIGEST_BYTES).hexdigest()
--- a/loadbalancer/snapshots/store.py
+++ b/loadbalancer/snapshots/store.py
@@ -1,7 +1,7 @@
-"""A snapshot's file: written aside, synced, then put in its place, with the one before it kept.
+"""A snapshot's files: written aside, synced, then put in place, with the one before it kept.
 
-At any moment one of the two generations is whole: a process that dies in the middle of a save leaves a draft,
-which the next save overwrites, or one generation less.
+At any moment one of the two generations is complete: a process that dies in the middle of a save leaves a
+draft, which the next save overwrites, or one generation less.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class LoadResult:
-    """What was there: the newest snapshot that can be read, and a line on each file that can't."""
+    """The newest snapshot that can be read, and a line on each file that can't."""
 
     snapshot: Snapshot | None
     errors: tuple[str, ...]
@@ -27,14 +27,35 @@
 
     def __init__(self, folder: Path, name: str) -> None:
         """`name` may be any text; what no file name can hold is replaced."""
-        plain = "".join(c if c.isalnum() or c in "-_." else "_" for c in name) or "balancer"
+        file_name = "".join(c if c.isalnum() or c in "-_." else "_" for c in name) or "balancer"
         self._folder = folder
-        self._now = folder / f"{plain}.snapshot"
-        self._old = folder / f"{plain}.snapshot.old"
-        self._draft = folder / f"{plain}.snapshot.draft"
+        self._newest = folder / f"{file_name}.snapshot"
+        self._previous = folder / f"{file_name}.snapshot.old"
+        self._draft = folder / f"{file_name}.snapshot.draft"
 
     def save(self, data: bytes) -> None:
         """Make this the newest generation; OSError if it can't be, and both older ones stand."""
+        self._write_draft(data)
+        with suppress(FileNotFoundError):
+            os.replace(self._newest, self._previous)
+        os.replace(self._draft, self._newest)
+        self._sync_folder()
+
+    def load(self) -> LoadResult:
+        """Return the newest generation that can be read. Nothing raises: a start must not fail by it."""
+        errors: list[str] = []
+        for path in (self._newest, self._previous):
+            try:
+                if path.stat().st_size > MAX_SNAPSHOT_BYTES:
+                    raise SnapshotDecodeError("it is too large")
+                return LoadResult(decode_snapshot(path.read_bytes()), tuple(errors))
+            except FileNotFoundError:
+                continue
+            except (OSError, SnapshotDecodeError) as error:
+                errors.append(f"{path.name} is passed over: {error}")
+        return LoadResult(None, tuple(errors))
+
+    def _write_draft(self, data: bytes) -> None:
         try:
             with open(self._draft, "wb") as draft:
                 draft.write(data)
@@ -44,25 +65,10 @@
             with suppress(OSError):
                 self._draft.unlink()
             raise
-        with suppress(FileNotFoundError):
-            os.replace(self._now, self._old)
-        os.replace(self._draft, self._now)
+
+    def _sync_folder(self) -> None:
         folder = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(folder)
         finally:
             os.close(folder)
-
-    def load(self) -> LoadResult:
-        """The newest generation that can be read. Nothing raises: a start must not fail by it."""
-        troubles: list[str] = []
-        for path in (self._now, self._old):
-            try:
-                if path.stat().st_size > MAX_SNAPSHOT_BYTES:
-                    raise SnapshotDecodeError("it is too large")
-                return LoadResult(decode_snapshot(path.read_bytes()), tuple(troubles))
-            except FileNotFoundError:
-                continue
-            except (OSError, SnapshotDecodeError) as error:
-                troubles.append(f"{path.name} is passed over: {error}")
-        return LoadResult(None, tuple(troubles))
