--- a/benchmarks/interest_balancer.py
+++ b/benchmarks/interest_balancer.py
@@ -12,7 +12,8 @@
 import time
 from pathlib import Path
 
-from loadbalancer.net.config import decode_endpoint_list, read_config
+from loadbalancer.net.config_reader import read_config
+from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
 from loadbalancer.net.proxy import Proxy
 
 
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -12,7 +12,8 @@
 
 import uvloop
 
-from loadbalancer.net.config import Config, ConfigError, read_config
+from loadbalancer.net.config import Config, ConfigError
+from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.hot_restart import Predecessor, connect_to_predecessor
 from loadbalancer.net.log import SINKS, Sink, write_text
 from loadbalancer.net.proxy import Proxy
--- a/loadbalancer/configuration/reader.py
+++ b/loadbalancer/configuration/reader.py
@@ -13,7 +13,8 @@
 
 from loadbalancer.configuration import model
 from loadbalancer.configuration.model import Configuration
-from loadbalancer.net.config import Config, ConfigError, read_config
+from loadbalancer.net.config import Config, ConfigError
+from loadbalancer.net.config_reader import read_config
 
 UNITS_MS = {"ms": 1.0, "s": 1_000.0, "m": 60_000.0}
 Tables = dict[str, Any]
--- a/loadbalancer/net/console.py
+++ b/loadbalancer/net/console.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from loadbalancer.net.config import Address
+from loadbalancer.net.address import Address
 from loadbalancer.net.console_service import ConsoleBackend, ConsoleResponse, ConsoleService, text_response
 from loadbalancer.net.http_framing import encode_response, set_no_delay
 
--- a/loadbalancer/net/discovery.py
+++ b/loadbalancer/net/discovery.py
@@ -18,14 +18,9 @@
 )
 from loadbalancer.endpoint_watch.watch import FULL_SNAPSHOT
 from loadbalancer.interface import EndpointListUpdate, Readiness, UpdateKind
-from loadbalancer.net.config import (
-    Address,
-    AddressedEndpoint,
-    Config,
-    EndpointList,
-    RegistryConfig,
-    decode_endpoint_list,
-)
+from loadbalancer.net.address import Address
+from loadbalancer.net.config import AddressedEndpoint, Config, EndpointList, RegistryConfig
+from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
 from loadbalancer.net.interest_subscription import Held, Wants
 from loadbalancer.net.upstream import RESPONSE_ERRORS, ResponseReader, UpstreamResponse
 
--- a/loadbalancer/net/interest_subscription.py
+++ b/loadbalancer/net/interest_subscription.py
@@ -14,7 +14,8 @@
 from typing import Any
 
 from loadbalancer.endpoint_watch import ListRequest, RateLimitedError, Subscription
-from loadbalancer.net.config import Address, Config, RegistryConfig
+from loadbalancer.net.address import Address
+from loadbalancer.net.config import Config, RegistryConfig
 
 NO_INTERESTS = "the list service knows no interests: the whole of the service is taken"
 Held = tuple[str, bool]
--- a/loadbalancer/net/membership.py
+++ b/loadbalancer/net/membership.py
@@ -13,7 +13,8 @@
 
 from loadbalancer.membership import MAX_MESSAGE_BYTES, Action, Membership, SendMessage, SetTimer
 from loadbalancer.net import membership_report
-from loadbalancer.net.config import Address, Config
+from loadbalancer.net.address import Address
+from loadbalancer.net.config import Config
 
 MAX_DATAGRAMS_PER_READ = 64  # then others on the loop have their turn
 
--- a/loadbalancer/net/state_transfer.py
+++ b/loadbalancer/net/state_transfer.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from loadbalancer.net.clock import Clock
-from loadbalancer.net.config import decode_endpoint_list, encode_endpoint_list
 from loadbalancer.net.cordon_controller import CordonController
 from loadbalancer.net.endpoint_list import EndpointListFollower
+from loadbalancer.net.endpoint_list_codec import decode_endpoint_list, encode_endpoint_list
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
 from loadbalancer.net.log import Log
 from loadbalancer.policy import Balancer
--- a/loadbalancer/net/upstream.py
+++ b/loadbalancer/net/upstream.py
@@ -16,7 +16,8 @@
 import httptools
 
 from loadbalancer.interface import Outcome, Readiness
-from loadbalancer.net.config import Address, Config, EndpointList
+from loadbalancer.net.address import Address
+from loadbalancer.net.config import Config, EndpointList
 from loadbalancer.net.descriptors import max_connections_per_side
 from loadbalancer.net.http_framing import (
     LAST_CHUNK,
--- a/loadbalancer/scale/hollow.py
+++ b/loadbalancer/scale/hollow.py
@@ -23,7 +23,9 @@
 from loadbalancer.drill.servers.specification import Place, follow, read_spec, say
 from loadbalancer.interface import Readiness, UpdateKind
 from loadbalancer.net import discovery
-from loadbalancer.net.config import AddressedEndpoint, Config, EndpointList, decode_endpoint_list, read_config
+from loadbalancer.net.config import AddressedEndpoint, Config, EndpointList
+from loadbalancer.net.config_reader import read_config
+from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
 from loadbalancer.net.upstream import UpstreamResponse
 from loadbalancer.policy import Balancer
 from loadbalancer.scale.counting import Tally, in_background, run, tell_each_second
--- a/loadbalancer/scale/registrar.py
+++ b/loadbalancer/scale/registrar.py
@@ -15,7 +15,7 @@
 from loadbalancer.drill.clock import RealClock
 from loadbalancer.drill.servers.specification import Place, follow, read_spec, say
 from loadbalancer.net import discovery
-from loadbalancer.net.config import read_address
+from loadbalancer.net.address import parse_address
 from loadbalancer.registry.lease import RENEW_PART
 from loadbalancer.scale.counting import Tally, in_background, run, tell_each_second
 from loadbalancer.scale.plan import Plan, name_of, registration
@@ -63,7 +63,7 @@
         async with asyncio.timeout(PATIENCE_S):
             link = self._links.get(at)
             if link is None or link.closed:
-                link = self._links[at] = await discovery._connect(read_address(at))
+                link = self._links[at] = await discovery._connect(parse_address(at))
             self._tally.calls[at] += 1
             try:
                 answer = await link.call(request)
--- a/loadbalancer/scale/relay.py
+++ b/loadbalancer/scale/relay.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import cast
 
-from loadbalancer.net.config import read_address
+from loadbalancer.net.address import parse_address
 
 HELD_MOST = 1 << 20  # bytes that wait for a slow end before the other is read no more
 METHODS = (b"GET /", b"POST /", b"PUT /", b"DELETE /")
@@ -107,7 +107,7 @@
     async def _connect(self, caller: _End) -> None:
         try:
             loop = asyncio.get_running_loop()
-            await loop.create_connection(lambda: _End(self, caller), *read_address(self.to))
+            await loop.create_connection(lambda: _End(self, caller), *parse_address(self.to))
         except OSError:
             caller.abort()
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,7 +15,9 @@
 import pytest
 import uvloop
 
-from loadbalancer.net.config import EndpointList, decode_endpoint_list, read_config
+from loadbalancer.net.config import EndpointList
+from loadbalancer.net.config_reader import read_config
+from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
 from loadbalancer.net.proxy import Proxy
 from loadbalancer.net.upstream import ConnectionPool, UpstreamConnection
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -12,7 +12,7 @@
 
 from loadbalancer import configuration
 from loadbalancer.configuration.reader import duration_ms
-from loadbalancer.net.config import read_config
+from loadbalancer.net.config_reader import read_config
 from tests.loopback import config_text, endpoint_entry
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -22,7 +22,7 @@
 from aiohttp import web
 
 from loadbalancer.drill.processes.placement import free_port
-from loadbalancer.net.config import decode_endpoint_list
+from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
 from loadbalancer.registry import (
     Catalog,
     Change,
--- a/tests/test_endings_list.py
+++ b/tests/test_endings_list.py
@@ -11,7 +11,7 @@
 from loadbalancer.endpoint_watch import watch
 from loadbalancer.interface import UpdateKind
 from loadbalancer.net import discovery
-from loadbalancer.net.config import read_config
+from loadbalancer.net.config_reader import read_config
 from loadbalancer.policy import endpoints
 from tests.loopback import (
     ListServer,
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -14,8 +14,9 @@
 from loadbalancer import configuration
 from loadbalancer.interface import EndpointListUpdate, UpdateKind
 from loadbalancer.membership.messages import GossipMessage, decode_message, encode_message
-from loadbalancer.net.config import decode_endpoint_list, encode_endpoint_list, read_config
+from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.cordon_file import CordonFile
+from loadbalancer.net.endpoint_list_codec import decode_endpoint_list, encode_endpoint_list
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
 from loadbalancer.net.membership import fleet_tag
 from loadbalancer.policy import Balancer
--- a/tests/test_interest.py
+++ b/tests/test_interest.py
@@ -20,7 +20,7 @@
 
 from loadbalancer import configuration
 from loadbalancer.endpoint_watch import RateLimitedError, Subscription
-from loadbalancer.net.config import read_config
+from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.configuration_reload import ReloadReport
 from loadbalancer.registry import Catalog, Change, Registration, Rules, WriteRejectedError, first_revision
 from loadbalancer.registry.admission_queue import ALL_IN_S, BURST_S, EARLY_S, PART, AdmissionQueue
--- a/tests/test_membership_udp.py
+++ b/tests/test_membership_udp.py
@@ -12,7 +12,8 @@
 
 from loadbalancer.cli.operate import views_of
 from loadbalancer.membership import MemberState
-from loadbalancer.net.config import Config, ConfigError, read_config
+from loadbalancer.net.config import Config, ConfigError
+from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.membership import MembershipHost
 from tests.loopback import ProxyHarness, Upstream, config_text, run_scenario, status_of
 from tests.test_console import call
--- a/tests/test_observed.py
+++ b/tests/test_observed.py
@@ -11,7 +11,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from loadbalancer.net import log, metrics
-from loadbalancer.net.config import read_config
+from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.configuration_reload import ReloadReport
 from loadbalancer.net.request_counters import RequestCounters
 from tests.loopback import ProxyHarness, Upstream, config_text, run_scenario, status_of
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from loadbalancer.drill.processes.placement import free_port
-from loadbalancer.net.config import read_config
+from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.proxy import Proxy
 from tests.loopback import config_text, endpoint_entry, http_response, run_scenario, running_program
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from loadbalancer.net.config import read_address
+from loadbalancer.net.address import parse_address
 from loadbalancer.scale import seeded_defects
 from loadbalancer.scale.allowances import Allowances, over
 from loadbalancer.scale.figures import kept
@@ -172,7 +172,7 @@
     server = await loop.create_server(Echo, "127.0.0.1", 0)
     relay = Relay("{}:{}".format(*server.sockets[0].getsockname()))
     await relay.start()
-    host, port = read_address(relay.at)
+    host, port = parse_address(relay.at)
     reader, writer = await asyncio.open_connection(host, port)
     writer.write(b"GET /one")
     heard = await reader.readexactly(8)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,7 +16,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loadbalancer.net.config import ConfigError, read_config
+from loadbalancer.net.config import ConfigError
+from loadbalancer.net.config_reader import read_config
 from tests.loopback import config_text
 from tests.test_rules import Day
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -20,7 +20,7 @@
 )
 from loadbalancer.interface import Outcome, UpdateKind
 from loadbalancer.net import discovery
-from loadbalancer.net.config import read_config
+from loadbalancer.net.config_reader import read_config
 from loadbalancer.policy import endpoints
 from tests.loopback import (
     ListServer,
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -33,7 +33,8 @@
 )
 from loadbalancer.interface import UpdateKind
 from loadbalancer.net import discovery
-from loadbalancer.net.config import EndpointList, read_config
+from loadbalancer.net.config import EndpointList
+from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.proxy import Proxy
 from loadbalancer.net.upstream import UpstreamResponse
 from loadbalancer.policy import Balancer
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -11,7 +11,7 @@
 
 from loadbalancer import interface
 from loadbalancer.interface import Outcome
-from loadbalancer.net.config import read_config
+from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.http_framing import BufferBudget
 from loadbalancer.net.upstream import Attempt, AttemptHandler, UpstreamPools, UpstreamResponse
 from tests.loopback import (
