--- a/loadbalancer/net/config.py
+++ b/loadbalancer/net/config.py
@@ -285,9 +285,9 @@
                 raw.get("known") or {"index": 0, "snapshot": True, "endpoints": []}
             ),
             settings=settings,
-            connect_timeout_ms=wire.number(facts, "limits.connectTimeout", 250.0),
-            idle_timeout_ms=wire.number(facts, "limits.connIdle", 15_000.0),
-            drain_grace_ms=wire.number(facts, "contract.drainGrace", 0.0),
+            connect_timeout_ms=wire.read_number(facts, "limits.connectTimeout", 250.0),
+            idle_timeout_ms=wire.read_number(facts, "limits.connIdle", 15_000.0),
+            drain_grace_ms=wire.read_number(facts, "contract.drainGrace", 0.0),
             peers=peers,
             snapshot_folder=Path(str(raw["snapshots"])) if raw.get("snapshots") else None,
             snapshot_interval_ms=max(
--- a/loadbalancer/simhost.py
+++ b/loadbalancer/simhost.py
@@ -12,7 +12,7 @@
 from loadbalancer.policy import Balancer
 
 
-class Host:
+class SimulatorHost:
     """The instances of one process, and the server lists that travel once for all of them."""
 
     def __init__(self, errors: TextIO) -> None:
@@ -60,8 +60,8 @@
         if word != "sync":
             raise wire.WireError("a batch must begin with 'sync'")
         fields = wire.read_fields(parts)
-        self._batch = wire.need(fields, "batch")
-        self._now = wire.number(fields, "time")
+        self._batch = wire.read_text(fields, "batch")
+        self._now = wire.read_number(fields, "time")
         reply: list[str] = []
         while True:
             word, *parts = self._next(lines)
@@ -76,12 +76,12 @@
 
     def _read_ledger(self, fields: wire.Fields, lines: Iterator[str]) -> None:
         members = []
-        for _ in range(wire.whole(fields, "membersList")):
+        for _ in range(wire.read_integer(fields, "membersList")):
             word, *parts = self._next(lines)
             if word != "m":
                 raise wire.WireError("the entries of a ledger are cut short")
-            members.append(wire.read_member(wire.read_fields(parts)))
-        self._ledgers[wire.whole(fields, "list")] = tuple(members)
+            members.append(wire.read_endpoint(wire.read_fields(parts)))
+        self._ledgers[wire.read_integer(fields, "list")] = tuple(members)
 
     def _take(self, word: str, fields: wire.Fields, reply: list[str]) -> None:
         try:
@@ -92,22 +92,22 @@
             raise wire.WireError(str(error)) from None
         if event is None:
             return
-        who = wire.need(fields, "who")
-        if isinstance(event, wire.Start):
+        who = wire.read_text(fields, "who")
+        if isinstance(event, wire.InstanceStarted):
             self._balancers[who] = Balancer(event.settings, event.seed)
             return
         if who not in self._balancers:
             raise wire.WireError(f"instance {who!r} is unknown")
-        if isinstance(event, wire.Stop):
+        if isinstance(event, wire.InstanceKilled):
             del self._balancers[who]
             return
         if isinstance(event, wire.EndpointListNotice):
             members: tuple[Endpoint, ...] = ()
-            if event.ledger is not None:
-                if event.ledger not in self._ledgers:
-                    raise wire.WireError(f"ledger {event.ledger} was never sent")
-                members = self._ledgers[event.ledger]
-            event = wire.list_update(event, members)
+            if event.ledger_id is not None:
+                if event.ledger_id not in self._ledgers:
+                    raise wire.WireError(f"ledger {event.ledger_id} was never sent")
+                members = self._ledgers[event.ledger_id]
+            event = wire.resolve_endpoint_list(event, members)
         balancer = self._balancers[who]
         if balancer is None:
             return
@@ -123,7 +123,7 @@
     """Serve standard input and output."""
     sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
-    return Host(sys.stderr).run(sys.stdin, sys.stdout)
+    return SimulatorHost(sys.stderr).run(sys.stdin, sys.stdout)
 
 
 if __name__ == "__main__":
--- a/loadbalancer/wire.py
+++ b/loadbalancer/wire.py
@@ -39,7 +39,7 @@
 )
 
 Fields = dict[str, str]
-T = TypeVar("T")
+Value = TypeVar("Value")
 
 _OUTCOMES = {
     "0": Outcome.ERROR,
@@ -52,20 +52,24 @@
     "7": Outcome.NOT_SENT,
 }
 _READINESS = {"0": Readiness.DEAD, "1": Readiness.READY, "2": Readiness.DRAINING}
-_LIST_KINDS = {
+_UPDATE_KINDS = {
     "0": UpdateKind.CACHED,
     "2": UpdateKind.FULL_SNAPSHOT,
     "3": UpdateKind.DELTA,
     "4": UpdateKind.FAILED,
 }
-_EFFECTS = {
+_IDEMPOTENCIES = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.WITH_KEY,
     "fragile": Idempotency.NOT_IDEMPOTENT,
 }
-_GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
+_DEDUPLICATION_SCOPES = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+}
 
-_KNOWN_FACTS = frozenset(
+_KNOWN_SETTINGS = frozenset(
     """
     azs balancers classes.count classes.aimStretch classes.target classes.deadline classes.effect
     classes.keyScope classes.lateShare classes.name classes.stream classes.repeatWindow
@@ -82,7 +86,7 @@
     tick tier stages weights worthBy zone
     """.split()
 )
-_INDEX = re.compile(r"\.\d+\.")
+_ARRAY_INDEX = re.compile(r"\.\d+\.")
 
 
 class WireError(ValueError):
@@ -90,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class InstanceStarted:
     """An instance comes up."""
 
     seed: int
@@ -98,7 +102,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
+class InstanceKilled:
     """An instance has been killed."""
 
 
@@ -107,7 +111,7 @@
     """A list event that names its entries by the number of a ledger."""
 
     kind: UpdateKind
-    ledger: int | None
+    ledger_id: int | None
 
 
 def read_fields(parts: list[str]) -> Fields:
@@ -119,7 +123,7 @@
         raise WireError(f"{bad!r} is not name=value") from None
 
 
-def need(fields: Fields, name: str) -> str:
+def read_text(fields: Fields, name: str) -> str:
     """A field that must be there."""
     try:
         return fields[name]
@@ -127,9 +131,9 @@
         raise WireError(f"field {name!r} is missing") from None
 
 
-def number(fields: Fields, name: str, default: float | None = None) -> float:
+def read_number(fields: Fields, name: str, default: float | None = None) -> float:
     """A field that holds a number."""
-    text = need(fields, name) if default is None else fields.get(name)
+    text = read_text(fields, name) if default is None else fields.get(name)
     if text is None:
         assert default is not None
         return default
@@ -142,20 +146,20 @@
     return value
 
 
-def whole(fields: Fields, name: str) -> int:
+def read_integer(fields: Fields, name: str) -> int:
     """A field that holds a whole number."""
-    text = need(fields, name)
+    text = read_text(fields, name)
     try:
         return int(text)
     except ValueError:
         raise WireError(f"field {name!r} holds {text!r}, which is no whole number") from None
 
 
-def _flag(fields: Fields, name: str) -> bool:
+def _read_flag(fields: Fields, name: str) -> bool:
     return fields.get(name) in ("1", "true")
 
 
-def _report(fields: Fields) -> tuple[float, ...]:
+def _read_load_report(fields: Fields) -> tuple[float, ...]:
     text = fields.get("gauge")
     if not text:
         return ()
@@ -168,16 +172,16 @@
     return row
 
 
-def _word(table: dict[str, T], fields: Fields, name: str) -> T:
-    text = need(fields, name)
+def _read_enum(table: dict[str, Value], fields: Fields, name: str) -> Value:
+    text = read_text(fields, name)
     try:
         return table[text]
     except KeyError:
         raise WireError(f"field {name!r} holds {text!r}, which has no meaning there") from None
 
 
-def _outcome(fields: Fields, note: Callable[[str], None]) -> Outcome:
-    code = need(fields, "verdict")
+def _read_outcome(fields: Fields, note: Callable[[str], None]) -> Outcome:
+    code = read_text(fields, "verdict")
     known = _OUTCOMES.get(code)
     if known is None:
         note(f"outcome code {code!r} is unknown; taken as one that may have run")
@@ -185,113 +189,121 @@
     return known
 
 
-def read_member(fields: Fields) -> Endpoint:
+def read_endpoint(fields: Fields) -> Endpoint:
     """One entry of a ledger."""
     return Endpoint(
-        server=need(fields, "upstream"),
-        readiness=_word(_READINESS, fields, "readiness"),
+        server=read_text(fields, "upstream"),
+        readiness=_read_enum(_READINESS, fields, "readiness"),
         zone=fields.get("rackZone", ""),
-        cell=int(number(fields, "cell", 0.0)),
-        registered_capacity=number(fields, "nominal", 1.0),
-        started_at_ms=number(fields, "upSince", 0.0),
+        cell=int(read_number(fields, "cell", 0.0)),
+        registered_capacity=read_number(fields, "nominal", 1.0),
+        started_at_ms=read_number(fields, "upSince", 0.0),
     )
 
 
 def _read_class(facts: Fields, prefix: str) -> RequestClass:
     return RequestClass(
-        name=need(facts, prefix + "name"),
-        latency_objective_ms=number(facts, prefix + "target"),
-        deadline_ms=number(facts, prefix + "deadline"),
-        idempotency=_word(_EFFECTS, facts, prefix + "effect"),
-        deduplication_scope=_GROUPS.get(facts.get(prefix + "keyScope", "all"), DeduplicationScope.CELL),
-        deduplication_window_ms=number(facts, prefix + "repeatWindow", 0.0),
-        priority_weight=number(facts, prefix + "worth", 1.0),
-        late_value_fraction=number(facts, prefix + "lateShare", 0.0),
-        is_streaming=_flag(facts, prefix + "stream"),
+        name=read_text(facts, prefix + "name"),
+        latency_objective_ms=read_number(facts, prefix + "target"),
+        deadline_ms=read_number(facts, prefix + "deadline"),
+        idempotency=_read_enum(_IDEMPOTENCIES, facts, prefix + "effect"),
+        deduplication_scope=_DEDUPLICATION_SCOPES.get(
+            facts.get(prefix + "keyScope", "all"), DeduplicationScope.CELL
+        ),
+        deduplication_window_ms=read_number(facts, prefix + "repeatWindow", 0.0),
+        priority_weight=read_number(facts, prefix + "worth", 1.0),
+        late_value_fraction=read_number(facts, prefix + "lateShare", 0.0),
+        is_streaming=_read_flag(facts, prefix + "stream"),
     )
 
 
 def read_settings(facts: Fields, note: Callable[[str], None]) -> Settings:
     """The settings that come with an instance's start."""
     for name in facts:
-        if _INDEX.sub(".", name) not in _KNOWN_FACTS:
+        if _ARRAY_INDEX.sub(".", name) not in _KNOWN_SETTINGS:
             note(f"setting {name!r} is unknown and ignored")
-    classes = [_read_class(facts, f"classes.{i}.") for i in range(whole(facts, "classes.count"))]
+    classes = [_read_class(facts, f"classes.{i}.") for i in range(read_integer(facts, "classes.count"))]
     tenants = [
-        Tenant(need(facts, f"orgs.{i}.name"), number(facts, f"orgs.{i}.quotaPerS"))
-        for i in range(int(number(facts, "orgs.count", 0.0)))
+        Tenant(read_text(facts, f"orgs.{i}.name"), read_number(facts, f"orgs.{i}.quotaPerS"))
+        for i in range(int(read_number(facts, "orgs.count", 0.0)))
     ]
-    retry_after = number(facts, "limits.maxRetryAfter", 0.0) if _flag(facts, "limits.retryAfter") else 0.0
+    retry_after = (
+        read_number(facts, "limits.maxRetryAfter", 0.0) if _read_flag(facts, "limits.retryAfter") else 0.0
+    )
     return Settings(
         classes=tuple(classes),
         tenants=tuple(tenants),
-        balancer_count=int(number(facts, "balancers", 1.0)),
-        balancer_index=int(number(facts, "myNumber", 0.0)),
-        tier=int(number(facts, "tier", 0.0)),
+        balancer_count=int(read_number(facts, "balancers", 1.0)),
+        balancer_index=int(read_number(facts, "myNumber", 0.0)),
+        tier=int(read_number(facts, "tier", 0.0)),
         zone=facts.get("zone", ""),
         polls_endpoint_list=facts.get("discovery") == "ask",
-        poll_interval_ms=number(facts, "contract.askWithin", 10_000.0),
-        max_attempts=int(number(facts, "limits.attemptsCap", 1.0)),
-        may_cancel=_flag(facts, "limits.mayCancel"),
-        may_hedge=_flag(facts, "limits.mayDuplicate"),
-        may_health_check=_flag(facts, "limits.probes"),
+        poll_interval_ms=read_number(facts, "contract.askWithin", 10_000.0),
+        max_attempts=int(read_number(facts, "limits.attemptsCap", 1.0)),
+        may_cancel=_read_flag(facts, "limits.mayCancel"),
+        may_hedge=_read_flag(facts, "limits.mayDuplicate"),
+        may_health_check=_read_flag(facts, "limits.probes"),
         max_retry_after_ms=retry_after,
-        slow_start_ms=number(facts, "contract.cold", 0.0),
-        slow_start_initial_fraction=number(facts, "contract.coldFrom", 1.0),
-        slow_start_overload_factor=number(facts, "contract.overloadFactor", 1.0),
-        slow_start_window_ms=number(facts, "contract.tipAfter", 1_000.0),
-        over_quota_weight_factor=number(facts, "overShareWorth", 1.0),
-        tick_ms=number(facts, "tick", 1.0),
+        slow_start_ms=read_number(facts, "contract.cold", 0.0),
+        slow_start_initial_fraction=read_number(facts, "contract.coldFrom", 1.0),
+        slow_start_overload_factor=read_number(facts, "contract.overloadFactor", 1.0),
+        slow_start_window_ms=read_number(facts, "contract.tipAfter", 1_000.0),
+        over_quota_weight_factor=read_number(facts, "overShareWorth", 1.0),
+        tick_ms=read_number(facts, "tick", 1.0),
         load_report_fields=tuple(f for f in facts.get("telemetry.fields", "").split(",") if f),
     )
 
 
 def read_event(
     word: str, fields: Fields, note: Callable[[str], None]
-) -> Event | Start | Stop | EndpointListNotice | None:
+) -> Event | InstanceStarted | InstanceKilled | EndpointListNotice | None:
     """The event of one line, or None for a kind that is unknown or of no use to a balancer."""
     match word:
         case "knock":
             return RequestArrived(
-                whole(fields, "corr"),
-                need(fields, "grade"),
-                number(fields, "remaining"),
+                read_integer(fields, "corr"),
+                read_text(fields, "grade"),
+                read_number(fields, "remaining"),
                 fields.get("customer"),
                 fields.get("repeat") == "1",
-                number(fields, "weightHint", 0.0),
+                read_number(fields, "weightHint", 0.0),
             )
         case "verdict":
             return AttemptEnded(
-                whole(fields, "corr"),
-                whole(fields, "shot"),
-                need(fields, "upstream"),
-                _outcome(fields, note),
+                read_integer(fields, "corr"),
+                read_integer(fields, "shot"),
+                read_text(fields, "upstream"),
+                _read_outcome(fields, note),
                 fields.get("complete") == "1",
-                _report(fields),
+                _read_load_report(fields),
             )
         case "reminder":
-            return TimerExpired(need(fields, "ctx"))
+            return TimerExpired(read_text(fields, "ctx"))
         case "client_gone":
-            return ClientDisconnected(whole(fields, "corr"))
+            return ClientDisconnected(read_integer(fields, "corr"))
         case "established":
-            return ResponseStarted(whole(fields, "corr"), whole(fields, "shot"))
+            return ResponseStarted(read_integer(fields, "corr"), read_integer(fields, "shot"))
         case "check_result":
-            return HealthCheckEnded(need(fields, "upstream"), _outcome(fields, note), _report(fields))
+            return HealthCheckEnded(
+                read_text(fields, "upstream"), _read_outcome(fields, note), _read_load_report(fields)
+            )
         case "membership":
-            kind = _word(_LIST_KINDS, fields, "mode")
-            return EndpointListNotice(kind, None if kind is UpdateKind.FAILED else whole(fields, "list"))
+            kind = _read_enum(_UPDATE_KINDS, fields, "mode")
+            return EndpointListNotice(
+                kind, None if kind is UpdateKind.FAILED else read_integer(fields, "list")
+            )
         case "up":
             facts = {name: value for name, value in fields.items() if name not in ("who", "prng")}
-            return Start(whole(fields, "prng"), read_settings(facts, note))
+            return InstanceStarted(read_integer(fields, "prng"), read_settings(facts, note))
         case "killed":
-            return Stop()
+            return InstanceKilled()
         case "note_from":
             return None
     note(f"event {word!r} is unknown and ignored")
     return None
 
 
-def list_update(news: EndpointListNotice, members: tuple[Endpoint, ...]) -> EndpointListUpdate:
+def resolve_endpoint_list(news: EndpointListNotice, members: tuple[Endpoint, ...]) -> EndpointListUpdate:
     """The list event with the entries of its ledger."""
     return EndpointListUpdate(news.kind, members)
 
@@ -316,13 +328,13 @@
         case WatchEndpointList():
             return f"follow who={who} enable=1"
         case LogMessage(text):
-            return f"say_log who={who} bodyText={_one_line(text)}"
+            return f"say_log who={who} bodyText={_join_lines(text)}"
 
 
 def write_fault(who: str, error: BaseException) -> str:
     """The line that says that an instance's decision code has failed."""
-    return f"give_in who={who} bodyText={_one_line(f'{type(error).__name__}: {error}')}"
+    return f"give_in who={who} bodyText={_join_lines(f'{type(error).__name__}: {error}')}"
 
 
-def _one_line(text: str) -> str:
+def _join_lines(text: str) -> str:
     return " ".join(text.split())
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -20,7 +20,7 @@
     SetTimer,
     WatchEndpointList,
 )
-from loadbalancer.simhost import Host
+from loadbalancer.simhost import SimulatorHost
 from loadbalancer.wire import write_action
 
 FACTS = (
@@ -43,7 +43,7 @@
 
 def host(text: str) -> tuple[int, str, str]:
     out, err = io.StringIO(), io.StringIO()
-    status = Host(err).run(io.StringIO(text), out)
+    status = SimulatorHost(err).run(io.StringIO(text), out)
     return status, out.getvalue(), err.getvalue()
 
 
