--- a/loadbalancer/wire.py
+++ b/loadbalancer/wire.py
@@ -39,6 +39,8 @@
 )
 
 Fields = dict[str, str]
+Note = Callable[[str], None]
+"""Takes a line on something unknown that is passed over."""
 Value = TypeVar("Value")
 
 _OUTCOMES = {
@@ -90,12 +92,12 @@
 
 
 class WireError(ValueError):
-    """A line that the wire does not allow, with a plain reason."""
+    """A line is not allowed on the wire; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """An instance comes up."""
+    """An instance has started."""
 
     seed: int
     settings: Settings
@@ -108,35 +110,40 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListNotice:
-    """A list event that names its entries by the number of a ledger."""
+    """An update of the endpoint list that names its entries by the ID of a ledger."""
 
     kind: UpdateKind
     ledger_id: int | None
+    """None where the update has failed."""
+
+
+HostEvent = Event | InstanceStarted | InstanceKilled | EndpointListNotice
 
 
 def read_fields(parts: list[str]) -> Fields:
-    """The name=value parts of a line as a dictionary."""
+    """Return the name=value parts of a line by name."""
     try:
         return dict([part.split("=", 1) for part in parts])
-    except ValueError:
-        bad = next(part for part in parts if "=" not in part)
-        raise WireError(f"{bad!r} is not name=value") from None
+    except ValueError as error:
+        malformed = next(part for part in parts if "=" not in part)
+        raise WireError(f"{malformed!r} is not name=value") from error
 
 
 def read_text(fields: Fields, name: str) -> str:
-    """A field that must be there."""
+    """Return a required field."""
     try:
         return fields[name]
-    except KeyError:
-        raise WireError(f"field {name!r} is missing") from None
+    except KeyError as error:
+        raise WireError(f"field {name!r} is missing") from error
 
 
 def read_number(fields: Fields, name: str, default: float | None = None) -> float:
-    """A field that holds a number."""
-    text = read_text(fields, name) if default is None else fields.get(name)
+    """Return a field that holds a finite number; it is required if there is no default."""
+    text = fields.get(name)
     if text is None:
-        assert default is not None
-        return default
+        if default is not None:
+            return default
+        text = read_text(fields, name)
     try:
         value = float(text)
     except ValueError:
@@ -147,12 +154,12 @@
 
 
 def read_integer(fields: Fields, name: str) -> int:
-    """A field that holds a whole number."""
+    """Return a required field that holds an integer."""
     text = read_text(fields, name)
     try:
         return int(text)
-    except ValueError:
-        raise WireError(f"field {name!r} holds {text!r}, which is no whole number") from None
+    except ValueError as error:
+        raise WireError(f"field {name!r} holds {text!r}, which is no whole number") from error
 
 
 def _read_flag(fields: Fields, name: str) -> bool:
@@ -164,33 +171,33 @@
     if not text:
         return ()
     try:
-        row = tuple([float(value) for value in text.split(",")])
+        report = tuple([float(value) for value in text.split(",")])
     except ValueError:
-        row = (math.nan,)
-    if not all(map(math.isfinite, row)):
+        report = (math.nan,)
+    if not all(map(math.isfinite, report)):
         raise WireError(f"field 'gauge' holds {text!r}, which is no row of numbers")
-    return row
+    return report
 
 
-def _read_enum(table: dict[str, Value], fields: Fields, name: str) -> Value:
+def _read_enum(values: dict[str, Value], fields: Fields, name: str) -> Value:
     text = read_text(fields, name)
     try:
-        return table[text]
-    except KeyError:
-        raise WireError(f"field {name!r} holds {text!r}, which has no meaning there") from None
+        return values[text]
+    except KeyError as error:
+        raise WireError(f"field {name!r} holds {text!r}, which has no meaning there") from error
 
 
-def _read_outcome(fields: Fields, note: Callable[[str], None]) -> Outcome:
+def _read_outcome(fields: Fields, note: Note) -> Outcome:
     code = read_text(fields, "verdict")
-    known = _OUTCOMES.get(code)
-    if known is None:
+    outcome = _OUTCOMES.get(code)
+    if outcome is None:
         note(f"outcome code {code!r} is unknown; taken as one that may have run")
         return Outcome.UNKNOWN
-    return known
+    return outcome
 
 
 def read_endpoint(fields: Fields) -> Endpoint:
-    """One entry of a ledger."""
+    """Return one entry of a ledger."""
     return Endpoint(
         server=read_text(fields, "upstream"),
         readiness=_read_enum(_READINESS, fields, "readiness"),
@@ -217,8 +224,8 @@
     )
 
 
-def read_settings(facts: Fields, note: Callable[[str], None]) -> Settings:
-    """The settings that come with an instance's start."""
+def read_settings(facts: Fields, note: Note) -> Settings:
+    """Return the settings that come with the start of an instance; those that are unknown are noted."""
     for name in facts:
         if _ARRAY_INDEX.sub(".", name) not in _KNOWN_SETTINGS:
             note(f"setting {name!r} is unknown and ignored")
@@ -254,62 +261,95 @@
     )
 
 
-def read_event(
-    word: str, fields: Fields, note: Callable[[str], None]
-) -> Event | InstanceStarted | InstanceKilled | EndpointListNotice | None:
-    """The event of one line, or None for a kind that is unknown or of no use to a balancer."""
-    match word:
-        case "knock":
-            return RequestArrived(
-                read_integer(fields, "corr"),
-                read_text(fields, "grade"),
-                read_number(fields, "remaining"),
-                fields.get("customer"),
-                fields.get("repeat") == "1",
-                read_number(fields, "weightHint", 0.0),
-            )
-        case "verdict":
-            return AttemptEnded(
-                read_integer(fields, "corr"),
-                read_integer(fields, "shot"),
-                read_text(fields, "upstream"),
-                _read_outcome(fields, note),
-                fields.get("complete") == "1",
-                _read_load_report(fields),
-            )
-        case "reminder":
-            return TimerExpired(read_text(fields, "ctx"))
-        case "client_gone":
-            return ClientDisconnected(read_integer(fields, "corr"))
-        case "established":
-            return ResponseStarted(read_integer(fields, "corr"), read_integer(fields, "shot"))
-        case "check_result":
-            return HealthCheckEnded(
-                read_text(fields, "upstream"), _read_outcome(fields, note), _read_load_report(fields)
-            )
-        case "membership":
-            kind = _read_enum(_UPDATE_KINDS, fields, "mode")
-            return EndpointListNotice(
-                kind, None if kind is UpdateKind.FAILED else read_integer(fields, "list")
-            )
-        case "up":
-            facts = {name: value for name, value in fields.items() if name not in ("who", "prng")}
-            return InstanceStarted(read_integer(fields, "prng"), read_settings(facts, note))
-        case "killed":
-            return InstanceKilled()
-        case "note_from":
-            return None
-    note(f"event {word!r} is unknown and ignored")
-    return None
-
-
-def resolve_endpoint_list(news: EndpointListNotice, members: tuple[Endpoint, ...]) -> EndpointListUpdate:
-    """The list event with the entries of its ledger."""
-    return EndpointListUpdate(news.kind, members)
+def _read_request_arrived(fields: Fields, note: Note) -> RequestArrived:
+    return RequestArrived(
+        read_integer(fields, "corr"),
+        read_text(fields, "grade"),
+        read_number(fields, "remaining"),
+        fields.get("customer"),
+        fields.get("repeat") == "1",
+        read_number(fields, "weightHint", 0.0),
+    )
+
+
+def _read_attempt_ended(fields: Fields, note: Note) -> AttemptEnded:
+    return AttemptEnded(
+        read_integer(fields, "corr"),
+        read_integer(fields, "shot"),
+        read_text(fields, "upstream"),
+        _read_outcome(fields, note),
+        fields.get("complete") == "1",
+        _read_load_report(fields),
+    )
+
+
+def _read_timer_expired(fields: Fields, note: Note) -> TimerExpired:
+    return TimerExpired(read_text(fields, "ctx"))
+
+
+def _read_client_disconnected(fields: Fields, note: Note) -> ClientDisconnected:
+    return ClientDisconnected(read_integer(fields, "corr"))
+
+
+def _read_response_started(fields: Fields, note: Note) -> ResponseStarted:
+    return ResponseStarted(read_integer(fields, "corr"), read_integer(fields, "shot"))
+
+
+def _read_health_check_ended(fields: Fields, note: Note) -> HealthCheckEnded:
+    return HealthCheckEnded(
+        read_text(fields, "upstream"), _read_outcome(fields, note), _read_load_report(fields)
+    )
+
+
+def _read_endpoint_list_notice(fields: Fields, note: Note) -> EndpointListNotice:
+    kind = _read_enum(_UPDATE_KINDS, fields, "mode")
+    ledger_id = None if kind is UpdateKind.FAILED else read_integer(fields, "list")
+    return EndpointListNotice(kind, ledger_id)
+
+
+def _read_instance_started(fields: Fields, note: Note) -> InstanceStarted:
+    facts = {name: value for name, value in fields.items() if name not in ("who", "prng")}
+    return InstanceStarted(read_integer(fields, "prng"), read_settings(facts, note))
+
+
+def _read_instance_killed(fields: Fields, note: Note) -> InstanceKilled:
+    return InstanceKilled()
+
+
+def _pass_over(fields: Fields, note: Note) -> None:
+    """Read an event that is of no use to a balancer."""
+
+
+_EVENT_READERS: dict[str, Callable[[Fields, Note], HostEvent | None]] = {
+    "knock": _read_request_arrived,
+    "verdict": _read_attempt_ended,
+    "reminder": _read_timer_expired,
+    "client_gone": _read_client_disconnected,
+    "established": _read_response_started,
+    "check_result": _read_health_check_ended,
+    "membership": _read_endpoint_list_notice,
+    "up": _read_instance_started,
+    "killed": _read_instance_killed,
+    "note_from": _pass_over,
+}
+
+
+def read_event(kind: str, fields: Fields, note: Note) -> HostEvent | None:
+    """Return the event of one line, or None for a kind that is unknown or of no use to a balancer."""
+    reader = _EVENT_READERS.get(kind)
+    if reader is None:
+        note(f"event {kind!r} is unknown and ignored")
+        return None
+    return reader(fields, note)
+
+
+def resolve_endpoint_list(notice: EndpointListNotice, endpoints: tuple[Endpoint, ...]) -> EndpointListUpdate:
+    """Return the update of the endpoint list with the entries of its ledger."""
+    return EndpointListUpdate(notice.kind, endpoints)
 
 
 def write_action(who: str, action: Action) -> str:
-    """One action as a line of the reply."""
+    """Return one action as a line of the reply."""
     match action:
         case SendAttempt(request, server, timeout):
             return f"send who={who} corr={request} upstream={server} timeout={timeout:.3f}"
@@ -332,7 +372,7 @@
 
 
 def write_fault(who: str, error: BaseException) -> str:
-    """The line that says that an instance's decision code has failed."""
+    """Return the line that reports a failure of an instance's decision code."""
     return f"give_in who={who} bodyText={_join_lines(f'{type(error).__name__}: {error}')}"
 
 
