--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -21,7 +21,7 @@
 from loadbalancer.membership.swim import PERIOD_MS
 from loadbalancer.policy.endpoints import EndpointSet
 from loadbalancer.registry import Catalog, Registration, Rules, first_revision
-from loadbalancer.registry.service import LAPSE_S
+from loadbalancer.registry.service import EXPIRY_CHECK_INTERVAL_S
 from loadbalancer.simulation.gossip import FLEET, Tier
 from loadbalancer.simulation.watches import Watched
 
@@ -96,12 +96,12 @@
     for one in range(size):
         if one % ZONES:
             catalog.renew(f"s{one}", 0.0, now)
-    catalog.lapse(now + 1.0)
+    catalog.expire_leases(now + 1.0)
     now += Rules().settle_ms + 1.0
     began = time.process_time()
-    gone = len(catalog.lapse(now))
+    gone = len(catalog.expire_leases(now))
     looked = time.process_time()
-    catalog.lapse(now + LAPSE_S * 1e3)
+    catalog.expire_leases(now + EXPIRY_CHECK_INTERVAL_S * 1e3)
     return {
         "size": size, "play": number, "gone": gone, "lapse_first_ms": (looked - began) * 1e3,
         "lapse_again_ms": (time.process_time() - looked) * 1e3,
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -21,8 +21,8 @@
 )
 from loadbalancer.policy.endpoints import SUBSET_COVER
 from loadbalancer.registry.entries import Rules
-from loadbalancer.registry.lease import RENEW_PART
-from loadbalancer.registry.rate_limiter import ANSWER_S, LEAST_S, WAKES_PART
+from loadbalancer.registry.lease import RENEWAL_RATIO
+from loadbalancer.registry.rate_limiter import ANSWER_COST_S, MAX_WAKE_CPU_SHARE, MIN_WAKE_INTERVAL_S
 
 DAY_S = 86_400.0
 ENTRY_ROOM = 2  # changes that a failed machine makes: it lapses, and another one starts
@@ -103,7 +103,7 @@
     @property
     def renewals_s(self) -> float:
         """At all instances together."""
-        return self.size / (RENEW_PART * self.assumed["lease_s"])
+        return self.size / (RENEWAL_RATIO * self.assumed["lease_s"])
 
     def balancer(self) -> Spent:
         """A balancer's control on the mean day."""
@@ -206,7 +206,7 @@
     def wake_s(self) -> float:
         """Between two wakes of an instance's watches: as it paces them, or as answering them takes."""
         watches = self.size / self.instances
-        paced = max(ANSWER_S * watches / WAKES_PART, LEAST_S)
+        paced = max(ANSWER_COST_S * watches / MAX_WAKE_CPU_SHARE, MIN_WAKE_INTERVAL_S)
         return max(paced, self.at("watch_change", watches) / 1e3)
 
     def return_s(self, instances: float) -> float:
--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -10,7 +10,7 @@
 from benchmarks.capacity_figures import Row
 from benchmarks.capacity_fit import Slope, leave_out
 from loadbalancer.membership import MAX_MESSAGE_BYTES
-from loadbalancer.registry.service import LAPSE_S
+from loadbalancer.registry.service import EXPIRY_CHECK_INTERVAL_S
 
 NOTES_S = 12.6  # of a member at 5% loss, the most of all plays: they don't grow with the tier
 LOOKS = "looks back off since f1bd8e4"
@@ -203,7 +203,7 @@
     ),
     Limit(
         "list instance while a zone is away: a look for lapses, four a second", "lapse_again",
-        lambda told: LAPSE_S * told["assumed"]["instance_cores"] * 1e3,
+        lambda told: EXPIRY_CHECK_INTERVAL_S * told["assumed"]["instance_cores"] * 1e3,
         lambda told: f"{told['assumed']['instance_cores']:g} core", "`registry/self_preservation.py`",
     ),
     Limit(
--- a/benchmarks/interest.py
+++ b/benchmarks/interest.py
@@ -28,7 +28,7 @@
 
 from benchmarks.directory import allow_files, served
 from loadbalancer.registry import Catalog, Registration, Rules
-from loadbalancer.registry.interests import SubsetCache, SubsetSpec, SubsetView, place_of
+from loadbalancer.registry.interests import SubsetCache, SubsetSpec, SubsetView, watcher_position
 
 KINDS = ("whole", "service", "part")
 SIZES = (500, 2_000, 6_000, 18_000)  # of the list in a balancer
@@ -43,10 +43,16 @@
     """A server as the list tells it."""
     address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8080"
     return {
-        "name": f"server-{number:06d}", "address": address,
-        "zone": f"zone-{number % ZONES}", "type": "m", "group": 0, "status": "in_service", "weight": 4.0,
-        "since_ms": 1.7e12 + number, "service": service,
-    }  # fmt: skip
+        "name": f"server-{number:06d}",
+        "address": address,
+        "zone": f"zone-{number % ZONES}",
+        "type": "m",
+        "group": 0,
+        "status": "in_service",
+        "weight": 4.0,
+        "since_ms": 1.7e12 + number,
+        "service": service,
+    }
 
 
 def service_of(kind: str, number: int) -> str:
@@ -66,8 +72,10 @@
         told = Registration(address="10.0.0.1:1", zone=f"zone-{number % ZONES}", tier="all")
         catalog.register(server(number, "all")["name"], told, 0.0)
     shape = SubsetSpec(PART, f"zone-{watcher % ZONES}", size)
-    view = SubsetView({"all": SubsetCache(catalog).best("all", shape)}, place_of(f"b-{watcher}"))
-    names = {entry.name for entry in catalog.whole("all") if view.holds_entry(entry)}
+    view = SubsetView(
+        {"all": SubsetCache(catalog).finest_levels("all", shape)}, watcher_position(f"b-{watcher}")
+    )
+    names = {entry.name for entry in catalog.listed_entries("all") if view.includes_entry(entry)}
     return [number for number in range(size) if server(number, "all")["name"] in names]
 
 
@@ -229,9 +237,10 @@
         cost = self.cpu_ms() - began - idle * (1 + CHANGES)
         told, size = self._told, sum(w.bytes for w in self.watches) - before
         return {
-            "change_ms": max(cost, 0.0) / CHANGES, "change_told": told / CHANGES,
+            "change_ms": max(cost, 0.0) / CHANGES,
+            "change_told": told / CHANGES,
             "change_bytes": size / CHANGES,
-        }  # fmt: skip
+        }
 
     async def _quiet(self) -> None:
         """Until nobody has been told anything for a while: all who are woken ask again at once."""
@@ -282,9 +291,13 @@
                     process.wait()
                 print(json.dumps(told["service"][-1]), flush=True)
     told["about"] = {
-        "python": platform.python_version(), "cores": len(os.sched_getaffinity(0)),
-        "command": "python -m benchmarks.interest", "part": PART, "zones": ZONES, "service": SERVICE,
-    }  # fmt: skip
+        "python": platform.python_version(),
+        "cores": len(os.sched_getaffinity(0)),
+        "command": "python -m benchmarks.interest",
+        "part": PART,
+        "zones": ZONES,
+        "service": SERVICE,
+    }
     out.parent.mkdir(exist_ok=True)
     out.write_text(json.dumps(told, indent=1) + "\n", encoding="utf-8")
 
--- a/loadbalancer/cli/directory.py
+++ b/loadbalancer/cli/directory.py
@@ -17,7 +17,7 @@
 from loadbalancer.cli.misuse import Misuse
 from loadbalancer.cli.screen import screen
 from loadbalancer.registry import server
-from loadbalancer.registry.agent import Agent, check
+from loadbalancer.registry.agent import Agent, passes_health_check
 from loadbalancer.registry.agent import run as run_agent
 from loadbalancer.registry.client import RegistryClient
 from loadbalancer.registry.entries import Registration
@@ -41,9 +41,9 @@
 
     Example: irondrum directory serve docs/directory.toml
     """
-    told = server.read_file(file)
+    told = server.read_configuration(file)
     service = server.open_service(told)
-    typer.echo(f"the list is at {told.listen}, version {service.catalog.index}", err=True)
+    typer.echo(f"the list is at {told.listen}, version {service.catalog.revision}", err=True)
     server.serve(told, service)
 
 
@@ -65,10 +65,14 @@
     Example: irondrum directory register s-1 --at 127.0.0.1:8500 --address 127.0.0.1:5001 --weight 4
     """
     told = {
-        "address": address, "zone": zone, "tier": tier, "weight": weight, "since_ms": since_ms,
+        "address": address,
+        "zone": zone,
+        "tier": tier,
+        "weight": weight,
+        "since_ms": since_ms,
         "lease_ms": lease_s * 1_000,
-    }  # fmt: skip
-    _tell(_caller(at).on("PUT", name, body=told, why=why, if_match=if_match))
+    }
+    _tell(_caller(at).call_server("PUT", name, body=told, why=why, if_match=if_match))
 
 
 @app.command()
@@ -77,7 +81,7 @@
 
     Example: irondrum directory drain s-1 --at 127.0.0.1:8500 --why "new kernel"
     """
-    _tell(_caller(at).on("POST", name, "/drain", why=why, if_match=if_match))
+    _tell(_caller(at).call_server("POST", name, "/drain", why=why, if_match=if_match))
 
 
 @app.command()
@@ -86,19 +90,21 @@
 
     Example: irondrum directory remove s-1 --at 127.0.0.1:8500
     """
-    _tell(_caller(at).on("DELETE", name, why=why, if_match=if_match))
+    _tell(_caller(at).call_server("DELETE", name, why=why, if_match=if_match))
 
 
 @app.command()
 def pin(
-    name: Server, at: At, off: Annotated[bool, typer.Option("--off", help="Let go of it.")] = False,
+    name: Server,
+    at: At,
+    off: Annotated[bool, typer.Option("--off", help="Let go of it.")] = False,
     why: Why = "",
-) -> None:  # fmt: skip
+) -> None:
     """Hold a server on the list, whatever becomes of its lease.
 
     Example: irondrum directory pin s-1 --at 127.0.0.1:8500
     """
-    _tell(_caller(at).on("POST", name, "/unpin" if off else "/pin", why=why))
+    _tell(_caller(at).call_server("POST", name, "/unpin" if off else "/pin", why=why))
 
 
 def _tell(answer: dict[str, object]) -> None:
@@ -119,9 +125,16 @@
     for entry in sorted(state["entries"], key=lambda e: (e["tier"], e["name"])):
         marks = ", ".join(mark for mark in ("lapsed", "pinned") if entry[mark])
         table.add_row(
-            entry["name"], entry["tier"], entry["address"], entry["zone"], entry["status"],
-            f"{entry['weight']:g}", f"{entry['lease_left_ms'] / 1_000:.1f}", marks, str(entry["index"]),
-        )  # fmt: skip
+            entry["name"],
+            entry["tier"],
+            entry["address"],
+            entry["zone"],
+            entry["status"],
+            f"{entry['weight']:g}",
+            f"{entry['lease_left_ms'] / 1_000:.1f}",
+            marks,
+            str(entry["index"]),
+        )
     screen().print(table)
     for tier, left in state["doubts"].items():
         typer.echo(f"tier {tier}: many leases ran out at once; nothing lapses for {left / 1_000:.0f} s more")
@@ -133,9 +146,9 @@
 
     Example: irondrum directory watch --at 127.0.0.1:8500
     """
-    caller, after, number = RegistryClient(at, patience_s=70.0), -1, 0
+    caller, after, number = RegistryClient(at, timeout_s=70.0), -1, 0
     while not looks or number < looks:
-        news = caller.list(tier, after, 30_000.0)
+        news = caller.list_endpoints(tier, after, 30_000.0)
         typer.echo(json.dumps(news))
         after, number = news["index"], number + 1
 
@@ -184,7 +197,7 @@
             raise Misuse(f"{file}: line {number}: {' '.join(str(error).split())}") from None
     caller = _caller(at)
     for name, registration in told:
-        caller.on("PUT", name, body=msgspec.to_builtins(registration), why=why)
+        caller.call_server("PUT", name, body=msgspec.to_builtins(registration), why=why)
     typer.echo(f"{len(told)} servers")
 
 
@@ -227,9 +240,12 @@
         address=address, zone=zone, tier=tier, weight=weight, lease_ms=lease_s * 1_000, owner=f"agent {name}"
     )
     speaker = Agent(
-        name, told, RegistryClient(at, who="agent", patience_s=2.0), lambda: check(address, health),
+        name,
+        told,
+        RegistryClient(at, who="agent", timeout_s=2.0),
+        lambda: passes_health_check(address, health),
         lambda text: print(text, file=sys.stderr, flush=True),
-    )  # fmt: skip
+    )
 
     async def speak() -> None:
         stop = asyncio.Event()
--- a/loadbalancer/drill/listing.py
+++ b/loadbalancer/drill/listing.py
@@ -65,7 +65,7 @@
         caller = RegistryClient(at, who="driver")
         method, what = ("POST", "/drain") if status == "terminating" else ("DELETE", "")
         try:
-            await asyncio.to_thread(caller.on, method, server, what, why="the drill")
+            await asyncio.to_thread(caller.call_server, method, server, what, why="the drill")
         except RegistryCallError as error:
             if error.status != 404:
                 raise
@@ -73,7 +73,7 @@
     async def pin(self, spot: Spot, server: str) -> None:
         """Pin a server at one instance."""
         caller = RegistryClient(f"{spot.host}:{spot.port}", who="driver")
-        await asyncio.to_thread(caller.on, "POST", server, "/pin", why="the drill")
+        await asyncio.to_thread(caller.call_server, "POST", server, "/pin", why="the drill")
 
 
 def _copy(one: Path, other: Path) -> None:
--- a/loadbalancer/drill/plants.py
+++ b/loadbalancer/drill/plants.py
@@ -154,31 +154,31 @@
     from loadbalancer.registry import Catalog
     from loadbalancer.registry.self_preservation import SelfPreservation
 
-    Catalog._see_whether_to_doubt = lambda self, tier, now: None  # type: ignore[method-assign]
-    SelfPreservation.spare = lambda self, entry: False  # type: ignore[method-assign]
+    Catalog._detect_mass_expiry = lambda self, tier, now: None  # type: ignore[method-assign]
+    SelfPreservation.must_keep = lambda self, entry: False  # type: ignore[method-assign]
 
 
 def reuses_versions() -> None:
     """A list service without its memory begins at 1, and leaves those who have seen more to themselves."""
     from loadbalancer.registry import Catalog, service
 
-    real = Catalog.goes_on
+    real = Catalog.resume_watch
     vars(service)["first_revision"] = lambda stored, now_ms, number, stride: (
         (stored // stride + 1) * stride + number
     )
 
     def goes_on(self: Catalog, services: tuple[str, ...], after: int, now: float) -> bool:
-        return real(self, services, min(after, self.index), now)
+        return real(self, services, min(after, self.revision), now)
 
-    Catalog.goes_on = goes_on  # type: ignore[method-assign]
+    Catalog.resume_watch = goes_on  # type: ignore[method-assign]
 
 
 def lapses_unheard() -> None:
     """An instance lapses a lease though another one, out of reach, may have heard it renewed."""
     from loadbalancer.registry import Catalog
 
-    real = Catalog.lapse
-    Catalog.lapse = lambda self, now, heard=0.0: real(self, now)  # type: ignore[method-assign]
+    real = Catalog.expire_leases
+    Catalog.expire_leases = lambda self, now, heard=0.0: real(self, now)  # type: ignore[method-assign]
 
 
 def takes_drains_back() -> None:
@@ -187,7 +187,9 @@
     from loadbalancer.registry.merge import SharedEntry
 
     def join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
-        return max(one, other, key=lambda account: (account.start, account.rev, account.beats))
+        return max(
+            one, other, key=lambda account: (account.generation, account.change_count, account.renewal_count)
+        )
 
     vars(catalog)["join"] = join
 
@@ -201,7 +203,7 @@
 
     def join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
         joined: SharedEntry = real(one, other)
-        return joined if one.start == other.start else min(one, other, key=lambda a: a.start)
+        return joined if one.generation == other.generation else min(one, other, key=lambda a: a.generation)
 
     vars(catalog)["join"] = join
 
@@ -307,7 +309,7 @@
     if defect in SERVICE_DEFECTS:
         from loadbalancer.registry import server
 
-        told = server.read_file(Path(sys.argv[-1]))
+        told = server.read_configuration(Path(sys.argv[-1]))
         server.serve(told, server.open_service(told))
         return 0
     from loadbalancer.__main__ import main as run
--- a/loadbalancer/drill/server.py
+++ b/loadbalancer/drill/server.py
@@ -174,15 +174,15 @@
         address=address, zone=spec.zone, type="m", weight=float(spec.model.cores), tier=spec.tier,
         since_ms=spec.since_ms, lease_ms=spec.lease_ms,
     )  # fmt: skip
-    return Lease(RegistryClient(spec.directory, who=spec.name, patience_s=LIST_PATIENCE_S), spec.name, told)
+    return Lease(RegistryClient(spec.directory, who=spec.name, timeout_s=LIST_PATIENCE_S), spec.name, told)
 
 
 async def _hold(lease: Lease) -> None:
     """Keep the place on the list for ever; what fails is tried again soon."""
     while True:
         try:
-            await asyncio.to_thread(lease.keep)
-            wait_s = lease.step_s
+            await asyncio.to_thread(lease.register_or_renew)
+            wait_s = lease.renewal_interval_s
         except RegistryCallError:
             wait_s = LIST_RETRY_S
         await asyncio.sleep(wait_s)
@@ -212,7 +212,7 @@
             task.cancel()
         if lease is not None:
             with contextlib.suppress(RegistryCallError):
-                await asyncio.to_thread(lease.leave, "it ends")
+                await asyncio.to_thread(lease.deregister, "it ends")
         await runner.cleanup()
     stand_in.history.close()
 
--- a/loadbalancer/registry/agent.py
+++ b/loadbalancer/registry/agent.py
@@ -12,30 +12,33 @@
 from loadbalancer.registry.entries import Registration
 from loadbalancer.registry.lease import Lease
 
-CHECK_S = 1.0
-CHECK_PATIENCE_S = 1.0
-GOOD, BAD = 2, 3  # checks in a row that must pass to register, and fail to let go
+HEALTH_CHECK_INTERVAL_S = 1.0
+HEALTH_CHECK_TIMEOUT_S = 1.0
+HEALTHY_THRESHOLD, UNHEALTHY_THRESHOLD = (
+    2,
+    3,
+)  # checks in a row that must pass to register, and fail to let go
 
 
 @dataclass
 class Health:
     """What the checks have shown: it takes some in a row to change it."""
 
-    well: bool = False
-    _row: int = 0
+    is_healthy: bool = False
+    _streak: int = 0
 
-    def note(self, passed: bool) -> bool:
+    def record_check(self, passed: bool) -> bool:
         """Take a check; whether the server counts as well now."""
-        self._row = 0 if passed == self.well else self._row + 1
-        if self._row >= (GOOD if passed else BAD):
-            self.well, self._row = passed, 0
-        return self.well
+        self._streak = 0 if passed == self.is_healthy else self._streak + 1
+        if self._streak >= (HEALTHY_THRESHOLD if passed else UNHEALTHY_THRESHOLD):
+            self.is_healthy, self._streak = passed, 0
+        return self.is_healthy
 
 
-def check(address: str, path: str) -> bool:
+def passes_health_check(address: str, path: str) -> bool:
     """Whether a server answers its health check with 200 in time."""
     host, _, port = address.rpartition(":")
-    connection = http.client.HTTPConnection(host, int(port), timeout=CHECK_PATIENCE_S)
+    connection = http.client.HTTPConnection(host, int(port), timeout=HEALTH_CHECK_TIMEOUT_S)
     try:
         connection.request("GET", path)
         return connection.getresponse().status == 200
@@ -49,54 +52,59 @@
     """The agent of one server: `step` is called again and again, and says when it wants to be next."""
 
     def __init__(
-        self, name: str, told: Registration, caller: RegistryClient, is_well: Callable[[], bool],
-        log: Callable[[str], None], now_ms: Callable[[], float] = lambda: time.time() * 1_000,
-    ) -> None:  # fmt: skip
-        self._name, self._is_well, self._log = name, is_well, log
+        self,
+        name: str,
+        told: Registration,
+        caller: RegistryClient,
+        is_well: Callable[[], bool],
+        log: Callable[[str], None],
+        now_ms: Callable[[], float] = lambda: time.time() * 1_000,
+    ) -> None:
+        self._name, self._passes_check, self._log = name, is_well, log
         self._lease = Lease(caller, name, told, now_ms)
         self._health = Health()
-        self._said = ""
+        self._last_message = ""
 
     def step(self) -> float:
         """Check, and register, renew or let go; seconds until the next step."""
-        was = self._health.well
-        well = self._health.note(self._is_well())
+        was = self._health.is_healthy
+        well = self._health.record_check(self._passes_check())
         if well and not was:
-            self._lease.start_anew()  # whatever it was, it may be cold
+            self._lease.begin_new_start()  # whatever it was, it may be cold
         if well:
-            self._try(self._keep)
+            self._attempt(self._register_or_renew)
         elif was:
-            self._try(lambda: self._lease.leave("health checks fail"), "health checks fail: removed")
-        return min(CHECK_S, self._lease.step_s)
+            self._attempt(lambda: self._lease.deregister("health checks fail"), "health checks fail: removed")
+        return min(HEALTH_CHECK_INTERVAL_S, self._lease.renewal_interval_s)
 
-    def _keep(self) -> None:
-        if self._lease.keep("health checks pass"):
-            self._say("registered")
+    def _register_or_renew(self) -> None:
+        if self._lease.register_or_renew("health checks pass"):
+            self._log_once("registered")
 
     def drain(self) -> None:
         """The server is to end what it has."""
-        if self._lease.is_held:
-            self._try(lambda: self._lease.drain("it is told to end"), "draining")
+        if self._lease.is_registered:
+            self._attempt(lambda: self._lease.drain("it is told to end"), "draining")
 
-    def remove(self) -> None:
+    def deregister(self) -> None:
         """The server is gone."""
-        if self._lease.is_held:
-            self._try(lambda: self._lease.leave("it has ended"), "removed")
+        if self._lease.is_registered:
+            self._attempt(lambda: self._lease.deregister("it has ended"), "removed")
 
-    def _try(self, call: Callable[[], None], done: str = "") -> None:
+    def _attempt(self, call: Callable[[], None], done: str = "") -> None:
         """Make a call, and say what came of it."""
         try:
             call()
         except RegistryCallError as error:
-            self._say(f"the list service: {error}")
+            self._log_once(f"the list service: {error}")
         else:
             if done:
-                self._say(done)
+                self._log_once(done)
 
-    def _say(self, text: str) -> None:
-        if text != self._said:
+    def _log_once(self, text: str) -> None:
+        if text != self._last_message:
             self._log(f"{self._name}: {text}")
-        self._said = text
+        self._last_message = text
 
 
 async def run(agent: Agent, stop: asyncio.Event, grace_s: float) -> None:
@@ -110,4 +118,4 @@
             continue
     await asyncio.to_thread(agent.drain)
     await asyncio.sleep(grace_s)
-    await asyncio.to_thread(agent.remove)
+    await asyncio.to_thread(agent.deregister)
--- a/loadbalancer/registry/client.py
+++ b/loadbalancer/registry/client.py
@@ -7,7 +7,7 @@
 from typing import Any
 from urllib.parse import quote, urlencode
 
-PATIENCE_S = 10.0
+CALL_TIMEOUT_S = 10.0
 
 
 class RegistryCallError(RuntimeError):
@@ -21,7 +21,7 @@
 class RegistryClient:
     """The service at an address, or at those of its instances: the next is asked if one does not answer."""
 
-    def __init__(self, address: str, who: str = "", patience_s: float = PATIENCE_S) -> None:
+    def __init__(self, address: str, who: str = "", timeout_s: float = CALL_TIMEOUT_S) -> None:
         """`address` is HOST:PORT, or several with commas between; CallError if one is none."""
         self._instances: list[tuple[str, int]] = []
         for one in address.split(","):
@@ -29,7 +29,7 @@
             if not host or not port.isdigit():
                 raise RegistryCallError(0, f"{one!r} is no address: give HOST:PORT, such as 127.0.0.1:8500")
             self._instances.append((host, int(port)))
-        self._who, self._patience_s = who, patience_s
+        self._who, self._timeout_s = who, timeout_s
 
     def call(
         self, method: str, path: str, body: object = None, *, why: str = "", if_match: int | None = None
@@ -52,7 +52,7 @@
         headers = {"X-Who": self._who, "X-Why": why}
         if if_match is not None:
             headers["If-Match"] = f'"{if_match}"'
-        connection = http.client.HTTPConnection(host, port, timeout=self._patience_s)
+        connection = http.client.HTTPConnection(host, port, timeout=self._timeout_s)
         try:
             data = json.dumps(body).encode() if body is not None else None
             connection.request(method, path, data, headers)
@@ -66,15 +66,21 @@
             raise RegistryCallError(answer.status, str(told.get("error", told)))
         return told
 
-    def on(
-        self, method: str, name: str, what: str = "", body: object = None, *, why: str = "",
+    def call_server(
+        self,
+        method: str,
+        name: str,
+        what: str = "",
+        body: object = None,
+        *,
+        why: str = "",
         if_match: int | None = None,
-    ) -> Any:  # fmt: skip
+    ) -> Any:
         """A call about one server."""
         path = f"/v1/servers/{quote(name, safe='')}{what}"
         return self.call(method, path, body, why=why, if_match=if_match)
 
-    def list(self, tier: str, after: int = -1, wait_ms: float = 0.0) -> Any:
+    def list_endpoints(self, tier: str, after: int = -1, wait_ms: float = 0.0) -> Any:
         """The list of a tier, or what changed since a version, after a wait at the most."""
         query = {"tier": tier} | ({"after": after, "wait_ms": wait_ms} if after >= 0 else {})
         return self.call("GET", f"/v1/servers?{urlencode(query)}")
--- a/loadbalancer/registry/entries.py
+++ b/loadbalancer/registry/entries.py
@@ -8,11 +8,38 @@
 import msgspec
 from msgspec import Meta
 
-NAME = r"^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$"
-Name = Annotated[str, Meta(pattern=NAME)]
+SERVER_NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$"
+Name = Annotated[str, Meta(pattern=SERVER_NAME_PATTERN)]
 Text = Annotated[str, Meta(max_length=200)]
 Address = Annotated[str, Meta(pattern=r"^(\[[0-9a-fA-F:.]+\]|[0-9]{1,3}(\.[0-9]{1,3}){3}):[0-9]{1,5}$")]
 
+# The keys of the registry's file (`[rules]`) and of stored entries, by the fields' names.
+RULES_KEYS = {
+    "mass_expiry_ratio": "doubt_part",
+    "mass_expiry_window_ms": "doubt_ms",
+    "learning_ms": "learn_ms",
+    "self_preservation_threshold": "floor_part",
+    "self_preservation_window_ms": "floor_ms",
+    "max_expirations": "flaps",
+    "flapping_window_ms": "flap_ms",
+    "damping_ms": "damp_ms",
+    "max_tombstones": "tombstones",
+}
+ENTRY_KEYS = {
+    "registration": "told",
+    "reported_status": "said",
+    "incarnation": "life",
+    "change_count": "rev",
+    "renewal_count": "beats",
+    "expired_at_renewal": "lapsed_at",
+    "revision": "index",
+    "last_renewal_ms": "renewed_ms",
+    "is_preserved": "lapsed",
+    "is_pinned": "pinned",
+    "expirations_ms": "lapses_ms",
+    "former_zones": "left",
+}
+
 
 class Status(enum.Enum):
     """A server as PROTOCOL's list has it."""
@@ -39,78 +66,83 @@
     """Who speaks for it; another owner is refused until the lease is over."""
 
 
-class Rules(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class Rules(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, rename=RULES_KEYS):
     """When the service doubts what it sees."""
 
-    doubt_part: Annotated[float, Meta(gt=0, le=1)] = 0.3
+    mass_expiry_ratio: Annotated[float, Meta(gt=0, le=1)] = 0.3
     """More than this part of a tier's servers lapsing within `doubt_ms` is our own fault until shown."""
-    doubt_ms: Annotated[float, Meta(gt=0)] = 15_000.0
+    mass_expiry_window_ms: Annotated[float, Meta(gt=0)] = 15_000.0
     settle_ms: Annotated[float, Meta(ge=0)] = 1_000.0
     """A lapse stands only so long after the lease's end: whether others lapse, too, must be seen first."""
-    learn_ms: Annotated[float, Meta(ge=0)] = 5_000.0
+    learning_ms: Annotated[float, Meta(ge=0)] = 5_000.0
     """So long after a start without any memory, who has seen a list before is told to keep it."""
-    floor_part: Annotated[float, Meta(ge=0, le=1)] = 0.5
+    self_preservation_threshold: Annotated[float, Meta(ge=0, le=1)] = 0.5
     """Lapses take at most the rest of any zone's, or group's, servers, as they were `floor_ms` ago."""
-    floor_ms: Annotated[float, Meta(gt=0)] = 600_000.0
-    flaps: Annotated[int, Meta(ge=1)] = 3
+    self_preservation_window_ms: Annotated[float, Meta(gt=0)] = 600_000.0
+    max_expirations: Annotated[int, Meta(ge=1)] = 3
     """So many lapses within `flap_ms` and a server is kept out for `damp_ms`."""
-    flap_ms: Annotated[float, Meta(gt=0)] = 60_000.0
-    damp_ms: Annotated[float, Meta(gt=0)] = 30_000.0
-    tombstones: Annotated[int, Meta(ge=1)] = 10_000
+    flapping_window_ms: Annotated[float, Meta(gt=0)] = 60_000.0
+    damping_ms: Annotated[float, Meta(gt=0)] = 30_000.0
+    max_tombstones: Annotated[int, Meta(ge=1)] = 10_000
     """Removed servers that are remembered for watches; past it, a watch gets the whole list."""
 
 
-class Entry(msgspec.Struct, kw_only=True):
+class Entry(msgspec.Struct, kw_only=True, rename=ENTRY_KEYS):
     """One server; `index` is the list's version at its last change."""
 
     name: str
-    told: Registration
-    said: Status = Status.IN_SERVICE
+    registration: Registration
+    reported_status: Status = Status.IN_SERVICE
     """What servers or operators said of it; a lapse is nobody's word."""
-    life: int = 0
+    incarnation: int = 0
     """How often it was registered again after a removal, at one start of it."""
-    rev: int = 0
+    change_count: int = 0
     """How often the entry was changed."""
-    beats: int = 0
+    renewal_count: int = 0
     """How often its lease was renewed, at any instance."""
-    lapsed_at: int = -1
+    expired_at_renewal: int = -1
     """The beats at which its lease was held for over: it is off the list until the next one."""
-    index: int = 0
-    renewed_ms: float = 0.0
-    lapsed: bool = False
+    revision: int = 0
+    last_renewal_ms: float = 0.0
+    is_preserved: bool = False
     """Its lease has run out, and it is listed all the same: we doubt ourselves, or are at a floor."""
-    pinned: bool = False
+    is_pinned: bool = False
     """Operators hold it: no lapse touches it."""
     damped_until_ms: float = 0.0
-    lapses_ms: list[float] = []
-    left: dict[str, dict[str, int]] = {}
+    expirations_ms: list[float] = []
+    former_zones: dict[str, dict[str, int]] = {}
     """Services that it was in, and their zones: the version at which it was there last."""
 
     @property
-    def by_lapse(self) -> bool:
+    def is_expired(self) -> bool:
         """Whether it is off the list since its lease ran out, and not because anybody said so."""
-        return self.said is not Status.TERMINATED and self.beats <= self.lapsed_at
+        return self.reported_status is not Status.TERMINATED and self.renewal_count <= self.expired_at_renewal
 
     @property
     def status(self) -> Status:
         """As balancers see it."""
-        return Status.TERMINATED if self.by_lapse else self.said
+        return Status.TERMINATED if self.is_expired else self.reported_status
 
     @property
-    def lease_end_ms(self) -> float:
+    def lease_expiry_ms(self) -> float:
         """When its lease runs out if nobody renews it, by this instance's clock."""
-        return self.renewed_ms + self.told.lease_ms
+        return self.last_renewal_ms + self.registration.lease_ms
 
     @property
     def is_listed(self) -> bool:
         """Whether balancers see it."""
         return self.status is not Status.TERMINATED
 
-    def public(self) -> dict[str, Any]:
+    def to_endpoint(self) -> dict[str, Any]:
         """As balancers get it."""
-        told = self.told
+        told = self.registration
         return {
-            "name": self.name, "address": told.address, "zone": told.zone, "type": told.type,
-            "group": told.group, "status": self.status.value, "weight": told.weight,
+            "name": self.name,
+            "address": told.address,
+            "zone": told.zone,
+            "type": told.type,
+            "group": told.group,
+            "status": self.status.value,
+            "weight": told.weight,
             "since_ms": told.since_ms,
-        }  # fmt: skip
+        }
--- a/loadbalancer/registry/list_query.py
+++ b/loadbalancer/registry/list_query.py
@@ -10,15 +10,15 @@
 
 from loadbalancer.registry.catalog import WriteRejectedError
 from loadbalancer.registry.entries import Name
-from loadbalancer.registry.interests import Interest, Levels, SubsetSpec, decode, place_of
+from loadbalancer.registry.interests import Interest, Levels, SubsetSpec, decode_levels, watcher_position
 
-WAIT_MOST_MS = 60_000.0
-SERVICES_MOST = 32  # of one watch
-PART_MOST = 100_000
-BALANCERS_MOST = 1_000_000
-TEXT_MOST = 200
-WHOLE = -1  # in place of a version that was seen: none, and so the whole list
-ONLY_WITH = ("part", "of", "zone", "balancers", "held", "ticket", "waited_ms")
+MAX_WAIT_MS = 60_000.0
+MAX_SERVICES = 32  # of one watch
+MAX_SUBSET_SERVERS = 100_000
+MAX_BALANCERS = 1_000_000
+MAX_TEXT_LENGTH = 200
+NO_REVISION = -1  # in place of a version that was seen: none, and so the whole list
+INTEREST_KEYS = ("part", "of", "zone", "balancers", "held", "ticket", "waited_ms")
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,11 +26,11 @@
     """One call for the list."""
 
     interest: Interest
-    after: int
+    after_revision: int
     wait_ms: float
-    held: Levels | None = None
+    held_levels: Levels | None = None
     """What the watcher says it holds at its version; None if it does not say."""
-    is_old: bool = False
+    is_single_tier: bool = False
     """It asks for one tier, by the call that knows of no interests."""
     ticket: int | None = None
     waited_ms: float = 0.0
@@ -38,20 +38,28 @@
 
 def parse_list_query(query: Mapping[str, str]) -> ListQuery:
     """What a query asks; Refused, with 400, says what is wrong."""
-    after, wait_ms = int(number(query, "after", WHOLE)), min(number(query, "wait_ms", 0.0), WAIT_MOST_MS)
+    after, wait_ms = (
+        int(read_number(query, "after", NO_REVISION)),
+        min(read_number(query, "wait_ms", 0.0), MAX_WAIT_MS),
+    )
     if "services" not in query:
-        if extra := [key for key in ONLY_WITH if key in query]:
+        if extra := [key for key in INTEREST_KEYS if key in query]:
             raise WriteRejectedError(400, f"{extra[0]}: is only for a call with services=NAME,...")
-        return ListQuery(Interest((query.get("tier", "first"),)), after, wait_ms, is_old=True)
-    ticket = number(query, "ticket", -1.0)
+        return ListQuery(Interest((query.get("tier", "first"),)), after, wait_ms, is_single_tier=True)
+    ticket = read_number(query, "ticket", -1.0)
     return ListQuery(
-        Interest(_services(query["services"]), _shape(query), place_of(_text(query, "of"))), after, wait_ms,
-        _held(query), ticket=int(ticket) if ticket >= 0 else None,
-        waited_ms=max(number(query, "waited_ms", 0.0), 0.0),
-    )  # fmt: skip
-
-
-def number(query: Mapping[str, str], key: str, default: float) -> float:
+        Interest(
+            _read_services(query["services"]), _read_subset(query), watcher_position(_read_text(query, "of"))
+        ),
+        after,
+        wait_ms,
+        _read_levels(query),
+        ticket=int(ticket) if ticket >= 0 else None,
+        waited_ms=max(read_number(query, "waited_ms", 0.0), 0.0),
+    )
+
+
+def read_number(query: Mapping[str, str], key: str, default: float) -> float:
     """A number of a query; Refused if it is none."""
     text = query.get(key)
     try:
@@ -63,7 +71,7 @@
     return value
 
 
-def _services(text: str) -> tuple[str, ...]:
+def _read_services(text: str) -> tuple[str, ...]:
     names = text.split(",")
     try:
         msgspec.convert(names, type=list[Name])
@@ -71,45 +79,45 @@
         raise WriteRejectedError(
             400, f"services={text[:80]!r}: must be names of services, commas between"
         ) from None
-    if len(set(names)) < len(names) or len(names) > SERVICES_MOST:
+    if len(set(names)) < len(names) or len(names) > MAX_SERVICES:
         raise WriteRejectedError(
-            400, f"services: {len(names)} names; allowed: {SERVICES_MOST} at most, each once"
+            400, f"services: {len(names)} names; allowed: {MAX_SERVICES} at most, each once"
         )
     return tuple(sorted(names))
 
 
-def _shape(query: Mapping[str, str]) -> SubsetSpec | None:
+def _read_subset(query: Mapping[str, str]) -> SubsetSpec | None:
     if "part" not in query:
         for key in ("of", "zone", "balancers"):
             if key in query:
                 raise WriteRejectedError(400, f"{key}: is only for a call with part=SERVERS")
         return None
-    part = _count(query, "part", 1, PART_MOST)
+    part = _read_count(query, "part", 1, MAX_SUBSET_SERVERS)
     if not query.get("of"):
         raise WriteRejectedError(400, "part: needs of=NAME, the watcher's own: it says which part is meant")
-    balancers = _count(query, "balancers", 0, BALANCERS_MOST) if "balancers" in query else 0
-    return SubsetSpec(part, _text(query, "zone"), balancers)
+    balancers = _read_count(query, "balancers", 0, MAX_BALANCERS) if "balancers" in query else 0
+    return SubsetSpec(part, _read_text(query, "zone"), balancers)
 
 
-def _count(query: Mapping[str, str], key: str, least: int, most: int) -> int:
+def _read_count(query: Mapping[str, str], key: str, least: int, most: int) -> int:
     text = query[key]
     if not text.isdecimal() or not least <= int(text[:20]) <= most:
         raise WriteRejectedError(400, f"{key}={text[:40]!r}; allowed: {least} to {most}")
     return int(text)
 
 
-def _text(query: Mapping[str, str], key: str) -> str:
+def _read_text(query: Mapping[str, str], key: str) -> str:
     text = query.get(key, "")
-    if len(text) > TEXT_MOST:
-        raise WriteRejectedError(400, f"{key}: longer than {TEXT_MOST}")
+    if len(text) > MAX_TEXT_LENGTH:
+        raise WriteRejectedError(400, f"{key}: longer than {MAX_TEXT_LENGTH}")
     return text
 
 
-def _held(query: Mapping[str, str]) -> Levels | None:
+def _read_levels(query: Mapping[str, str]) -> Levels | None:
     if "held" not in query:
         return None
     try:
-        return decode(query["held"])
+        return decode_levels(query["held"])
     except ValueError as error:
         raise WriteRejectedError(
             400, f"held: not what this service told: {' '.join(str(error).split())[:120]}"
--- a/loadbalancer/registry/merge.py
+++ b/loadbalancer/registry/merge.py
@@ -15,55 +15,70 @@
 
 from loadbalancer.registry.entries import Entry, Registration, Status
 
-SAID = (Status.IN_SERVICE, Status.TERMINATING, Status.TERMINATED)  # in the order in which they replace
+STATUS_ORDER = (
+    Status.IN_SERVICE,
+    Status.TERMINATING,
+    Status.TERMINATED,
+)  # in the order in which they replace
 
 
 class SharedEntry(msgspec.Struct, frozen=True, array_like=True):
     """One server as instances tell it; leases, marks and versions are each instance's own."""
 
     name: str
-    told: Registration
-    said: Status
-    life: int
-    rev: int
-    beats: int
-    lapsed_at: int
-    pinned: bool
+    registration: Registration
+    reported_status: Status
+    incarnation: int
+    change_count: int
+    renewal_count: int
+    expired_at_renewal: int
+    is_pinned: bool
 
     @property
-    def start(self) -> tuple[float, int]:
+    def generation(self) -> tuple[float, int]:
         """Which of two accounts is of a later server."""
-        return self.told.since_ms, self.life
+        return self.registration.since_ms, self.incarnation
 
 
-def share(entry: Entry) -> SharedEntry:
+def to_shared(entry: Entry) -> SharedEntry:
     """What others are told of an entry."""
     return SharedEntry(
-        entry.name, entry.told, entry.said, entry.life, entry.rev, entry.beats, entry.lapsed_at, entry.pinned
+        entry.name,
+        entry.registration,
+        entry.reported_status,
+        entry.incarnation,
+        entry.change_count,
+        entry.renewal_count,
+        entry.expired_at_renewal,
+        entry.is_pinned,
     )
 
 
 def _order(one: SharedEntry) -> tuple[int, bytes]:
-    return one.rev, msgspec.json.encode((one.told, one.pinned))
+    return one.change_count, msgspec.json.encode((one.registration, one.is_pinned))
 
 
 def join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
     """Both accounts of a server as one."""
-    if one.start != other.start:
-        return max(one, other, key=lambda account: account.start)
+    if one.generation != other.generation:
+        return max(one, other, key=lambda account: account.generation)
     later = max(one, other, key=_order)
     return SharedEntry(
         one.name,
-        later.told,
-        max(one.said, other.said, key=SAID.index),
-        one.life,
-        later.rev,
-        max(one.beats, other.beats),
-        max(one.lapsed_at, other.lapsed_at),
-        later.pinned,
+        later.registration,
+        max(one.reported_status, other.reported_status, key=STATUS_ORDER.index),
+        one.incarnation,
+        later.change_count,
+        max(one.renewal_count, other.renewal_count),
+        max(one.expired_at_renewal, other.expired_at_renewal),
+        later.is_pinned,
     )
 
 
-def disagree(one: SharedEntry, other: SharedEntry) -> bool:
+def is_conflict(one: SharedEntry, other: SharedEntry) -> bool:
     """Whether two accounts were made without knowing of one another: one of them is lost in the join."""
-    return one.start == other.start and one.rev == other.rev and _order(one) != _order(other)
+    return (
+        one.generation == other.generation
+        and one.change_count == other.change_count
+        and _order(one) != _order(other)
+    )
--- a/loadbalancer/registry/rate_limiter.py
+++ b/loadbalancer/registry/rate_limiter.py
@@ -2,9 +2,11 @@
 
 from __future__ import annotations
 
-ANSWER_S = 30e-6  # that it takes to answer a watch with shared bytes (benchmarks/directory.py)
-WAKES_PART = 0.5  # of the service's time that may go into answering watches
-LEAST_S = 0.02  # between two wakes, however few watch; the first after a quiet spell comes at once
+ANSWER_COST_S = 30e-6  # that it takes to answer a watch with shared bytes (benchmarks/directory.py)
+MAX_WAKE_CPU_SHARE = 0.5  # of the service's time that may go into answering watches
+MIN_WAKE_INTERVAL_S = (
+    0.02  # between two wakes, however few watch; the first after a quiet spell comes at once
+)
 
 
 class WakeRateLimiter:
@@ -14,12 +16,14 @@
     """
 
     def __init__(self) -> None:
-        self._woken, self._count = float("-inf"), 0
+        self._last_wake_s, self._last_woken_count = float("-inf"), 0
 
-    def due(self, watching: int) -> float:
+    def next_wake_s(self, watching: int) -> float:
         """When watches may be woken next: not before those woken last, or waiting now, can be answered."""
-        return self._woken + max(ANSWER_S * max(watching, self._count) / WAKES_PART, LEAST_S)
+        return self._last_wake_s + max(
+            ANSWER_COST_S * max(watching, self._last_woken_count) / MAX_WAKE_CPU_SHARE, MIN_WAKE_INTERVAL_S
+        )
 
-    def woke(self, now: float, count: int) -> None:
+    def record_wake(self, now: float, count: int) -> None:
         """So many were woken; between two calls they are not here, and come back all the same."""
-        self._woken, self._count = now, count
+        self._last_wake_s, self._last_woken_count = now, count
--- a/loadbalancer/registry/self_preservation.py
+++ b/loadbalancer/registry/self_preservation.py
@@ -14,7 +14,7 @@
 
 from loadbalancer.registry.entries import Entry, Rules, Status
 
-Place = tuple[str, str | int]
+Partition = tuple[str, str | int]
 
 
 class SelfPreservation:
@@ -25,41 +25,42 @@
 
     def __init__(self, entries: Iterable[Entry], rules: Rules, now: float) -> None:
         """`entries` are all that are remembered of the tier, as they are before anything is taken."""
-        self._part, lately = rules.floor_part, now - rules.floor_ms
-        self._all: dict[Place, int] = {}
-        self._well: dict[Place, int] = {}
+        self._threshold, lately = rules.self_preservation_threshold, now - rules.self_preservation_window_ms
+        self._counts: dict[Partition, int] = {}
+        self._healthy_counts: dict[Partition, int] = {}
         for entry in entries:
-            if not (entry.is_listed or (entry.by_lapse and _lapsed_ms(entry) > lately)):
+            if not (entry.is_listed or (entry.is_expired and _lapsed_ms(entry) > lately)):
                 continue
             is_well = _is_well(entry)
-            for place in _places(entry):
-                self._all[place] = self._all.get(place, 0) + 1
-                self._well[place] = self._well.get(place, 0) + is_well
+            for place in _partitions(entry):
+                self._counts[place] = self._counts.get(place, 0) + 1
+                self._healthy_counts[place] = self._healthy_counts.get(place, 0) + is_well
 
-    def spare(self, entry: Entry) -> bool:
+    def must_keep(self, entry: Entry) -> bool:
         """Whether one of its places has others and would be left with too few that are well."""
         itself = _is_well(entry)
         return any(
-            (count := self._all[place]) > 1 and self._well[place] - itself < self._part * count
-            for place in _places(entry)
+            (count := self._counts[place]) > 1
+            and self._healthy_counts[place] - itself < self._threshold * count
+            for place in _partitions(entry)
         )
 
-    def take(self, entry: Entry) -> None:
+    def record_expiry(self, entry: Entry) -> None:
         """An entry, as it still is, is to lapse or to be marked: it counts on, and is well no more."""
         if _is_well(entry):
-            for place in _places(entry):
-                self._well[place] -= 1
+            for place in _partitions(entry):
+                self._healthy_counts[place] -= 1
 
 
-def _places(entry: Entry) -> Iterator[Place]:
-    yield "zone", entry.told.zone
-    yield "group", entry.told.group
+def _partitions(entry: Entry) -> Iterator[Partition]:
+    yield "zone", entry.registration.zone
+    yield "group", entry.registration.group
 
 
 def _lapsed_ms(entry: Entry) -> float:
     """When it lapsed; one of which another instance told only that it has, when its lease ran out here."""
-    return entry.lapses_ms[-1] if entry.lapses_ms else entry.lease_end_ms
+    return entry.expirations_ms[-1] if entry.expirations_ms else entry.lease_expiry_ms
 
 
 def _is_well(entry: Entry) -> bool:
-    return entry.status is Status.IN_SERVICE and not entry.lapsed
+    return entry.status is Status.IN_SERVICE and not entry.is_preserved
--- a/loadbalancer/registry/server.py
+++ b/loadbalancer/registry/server.py
@@ -11,17 +11,17 @@
 
 from loadbalancer.registry.anti_entropy import MAX_INSTANCES
 from loadbalancer.registry.entries import Address, Rules
-from loadbalancer.registry.service import Service
+from loadbalancer.registry.service import RegistryService
 from loadbalancer.registry.store import CatalogStore
 
-SHUTDOWN_S = 1.0
+SHUTDOWN_TIMEOUT_S = 1.0
 
 
 class RegistryServerError(ValueError):
     """What can't be served: one line."""
 
 
-class File(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RegistryConfiguration(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What the service is told."""
 
     listen: Address
@@ -34,10 +34,10 @@
     rules: Rules = Rules()
 
 
-def read_file(path: Path) -> File:
+def read_configuration(path: Path) -> RegistryConfiguration:
     """The service's file; HostError tells in a line what is wrong with it."""
     try:
-        told = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), type=File)
+        told = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), type=RegistryConfiguration)
         count = len(told.instances)
         if count > MAX_INSTANCES or len(set(told.instances)) < count:
             raise ValueError(f"instances: {count}; allowed: {MAX_INSTANCES} at most, each once")
@@ -48,18 +48,22 @@
         raise RegistryServerError(f"{path}: {' '.join(str(error).split())}") from None
 
 
-def open_service(told: File) -> Service:
+def open_service(told: RegistryConfiguration) -> RegistryService:
     """The service with all that its database holds; StoreError if that can't be used."""
-    return Service(CatalogStore(told.database), told.rules, told.instances, told.instance)
+    return RegistryService(CatalogStore(told.database), told.rules, told.instances, told.instance)
 
 
-def serve(told: File, service: Service) -> None:
+def serve(told: RegistryConfiguration, service: RegistryService) -> None:
     """Serve until SIGTERM; HostError if the address can't be had."""
     host, _, port = told.listen.rpartition(":")
     try:
         web.run_app(
-            service.app(), host=host, port=int(port), access_log=None, print=None,
-            shutdown_timeout=SHUTDOWN_S,
-        )  # fmt: skip
+            service.create_application(),
+            host=host,
+            port=int(port),
+            access_log=None,
+            print=None,
+            shutdown_timeout=SHUTDOWN_TIMEOUT_S,
+        )
     except OSError as error:
         raise RegistryServerError(f"can't listen on {told.listen}: {error}") from None
--- a/loadbalancer/registry/store.py
+++ b/loadbalancer/registry/store.py
@@ -12,10 +12,10 @@
 from loadbalancer.registry.catalog import Change
 from loadbalancer.registry.entries import Entry
 
-FORM = 2
-HISTORY_MOST = 100_000  # changes that are remembered
-TRIM_EVERY = 1_000
-LIVES_MOST = 100  # that are remembered; who has seen an earlier one gets the whole list
+SCHEMA_VERSION = 2
+MAX_HISTORY_CHANGES = 100_000  # changes that are remembered
+TRIM_INTERVAL_CHANGES = 1_000
+MAX_INCARNATIONS = 100  # that are remembered; who has seen an earlier one gets the whole list
 _TABLES = """
 create table if not exists meta (key text primary key, value integer not null);
 create table if not exists entries (name text primary key, entry blob not null);
@@ -45,10 +45,12 @@
             self._db.executescript(_TABLES)
             form = self._meta("form")
             if form == 1:
-                self._read_anew()
-            elif form not in (0, FORM):
-                raise CatalogStoreError(f"{path}: it is of form {form}; this program reads form {FORM}")
-            self._db.execute("insert or replace into meta values ('form', ?)", (FORM,))
+                self._upgrade_schema()
+            elif form not in (0, SCHEMA_VERSION):
+                raise CatalogStoreError(
+                    f"{path}: it is of form {form}; this program reads form {SCHEMA_VERSION}"
+                )
+            self._db.execute("insert or replace into meta values ('form', ?)", (SCHEMA_VERSION,))
         except sqlite3.Error as error:
             raise CatalogStoreError(f"{path}: can't be used: {error}") from None
 
@@ -56,7 +58,7 @@
         row = self._db.execute("select value from meta where key = ?", (key,)).fetchone()
         return int(row[0]) if row else 0
 
-    def _read_anew(self) -> None:
+    def _upgrade_schema(self) -> None:
         """Entries of form 1 as form 2 has them: one instance's list, whose lapses were a status."""
         steps: list[tuple[str, tuple[object, ...]]] = []
         for table, key in (("entries", "name"), ("history", "version")):
@@ -66,9 +68,9 @@
                 old |= {"said": "in_service" if lapsed else old.pop("status"), "lapsed_at": int(lapsed) - 1}
                 new = msgspec.json.encode(msgspec.convert(old, type=Entry))
                 steps.append((f"update {table} set entry = ? where {key} = ?", (new, row)))
-        self._run(steps)
+        self._execute(steps)
 
-    def index(self) -> int:
+    def last_revision(self) -> int:
         """The highest version that was ever given out."""
         return self._meta("index")
 
@@ -80,22 +82,24 @@
         except (sqlite3.Error, msgspec.DecodeError, msgspec.ValidationError) as error:
             raise CatalogStoreError(f"an entry can't be read: {error}") from None
 
-    def floor(self) -> int:
+    def compaction_revision(self) -> int:
         """The highest version up to which a removal may be forgotten."""
         return self._meta("floor")
 
-    def floors(self) -> tuple[int, dict[str, int]]:
+    def compaction_revisions(self) -> tuple[int, dict[str, int]]:
         """The version before which no removal is remembered, and later ones of single services."""
-        if self._meta("split") != (floor := self.floor()):  # a version before this one has kept the file
+        if self._meta("split") != (
+            floor := self.compaction_revision()
+        ):  # a version before this one has kept the file
             return floor, {}
         rows = self._db.execute("select key, value from meta where key like 'floor:%'").fetchall()
         return self._meta("base"), {key.removeprefix("floor:"): value for key, value in rows}
 
-    def lives(self) -> list[tuple[int, int]]:
+    def incarnations(self) -> list[tuple[int, int]]:
         """First and last version of each life of this file, the oldest first."""
         return self._db.execute("select first, last from lives order by first").fetchall()
 
-    def begin(
+    def begin_incarnation(
         self, index: int, floor: int, kept: Container[str], floors: Mapping[str, int] | None = None
     ) -> None:
         """Take note of the version that a new life starts at, before anybody gets it.
@@ -123,16 +127,16 @@
             (
                 "delete from lives where first <="
                 " (select first from lives order by first desc limit 1 offset ?)",
-                (LIVES_MOST,),
+                (MAX_INCARNATIONS,),
             ),
         ]
-        self._run(steps)
+        self._execute(steps)
 
-    def begin_again(self, index: int) -> None:
+    def record_revision_jump(self, index: int) -> None:
         """The versions given out go on above others that somebody has seen: as if a new life had begun."""
-        self._run([("insert or replace into lives values (?, ?)", (index, index))])
+        self._execute([("insert or replace into lives values (?, ?)", (index, index))])
 
-    def keep(self, changes: Sequence[Change]) -> None:
+    def commit(self, changes: Sequence[Change]) -> None:
         """Keep changes, all or none, on the disk when this returns; StoreError if that can't be done."""
         if not changes:
             return
@@ -140,27 +144,29 @@
         for change in changes:
             data = msgspec.json.encode(change.entry)
             steps.append(("insert or replace into entries values (?, ?)", (change.name, data)))
-            row = (change.index, change.at_ms, change.name, change.what, change.who, change.why, data)
+            row = (change.revision, change.at_ms, change.name, change.what, change.who, change.why, data)
             steps.append(("insert into history values (?, ?, ?, ?, ?, ?, ?)", row))
-        last = max(change.index for change in changes)
+        last = max(change.revision for change in changes)
         steps.append(("insert or replace into meta values ('index', ?)", (last,)))
         steps.append(
-            ("update lives set last = ? where first = (select max(first) from lives where first <= ?)",
-             (last, last))
-        )  # fmt: skip
+            (
+                "update lives set last = ? where first = (select max(first) from lives where first <= ?)",
+                (last, last),
+            )
+        )
         self._writes += len(changes)
-        if self._writes >= TRIM_EVERY:
+        if self._writes >= TRIM_INTERVAL_CHANGES:
             self._writes = 0
             steps.append(
                 (
                     "delete from history where version <= (select version from history"
                     " order by version desc limit 1 offset ?)",
-                    (HISTORY_MOST,),
+                    (MAX_HISTORY_CHANGES,),
                 )
             )
-        self._run(steps)
+        self._execute(steps)
 
-    def _run(self, steps: Sequence[tuple[str, tuple[object, ...]]]) -> None:
+    def _execute(self, steps: Sequence[tuple[str, tuple[object, ...]]]) -> None:
         try:
             self._db.execute("begin immediate")
             for statement, values in steps:
@@ -188,15 +194,15 @@
             if told != "ok":
                 yield str(told)
         versions = [row[0] for row in self._db.execute("select version from history order by version")]
-        if versions and versions[-1] > self.index():
-            yield f"history reaches version {versions[-1]}, the list {self.index()}"
+        if versions and versions[-1] > self.last_revision():
+            yield f"history reaches version {versions[-1]}, the list {self.last_revision()}"
         kept = {e.name: e for e in self.entries()}
         with closing(self._db.execute("select name, max(version), entry from history group by name")) as rows:
             for name, version, data in rows:
                 entry = kept.get(name)
                 if entry is None and not msgspec.json.decode(data, type=Entry).is_listed:
                     continue  # a removal of long ago, which only history remembers
-                if entry is None or entry.index != version or msgspec.json.encode(entry) != data:
+                if entry is None or entry.revision != version or msgspec.json.encode(entry) != data:
                     yield f"{name}: its entry is not what history says of version {version}"
 
     def close(self) -> None:
--- a/loadbalancer/scale/plants.py
+++ b/loadbalancer/scale/plants.py
@@ -31,7 +31,7 @@
     """Each change tells each watch the whole list."""
     from loadbalancer.registry.query_evaluation import QueryEvaluator
 
-    QueryEvaluator._goes_on = lambda self, asked: False  # type: ignore[method-assign]
+    QueryEvaluator._can_resume = lambda self, asked: False  # type: ignore[method-assign]
 
 
 def never_backs_off() -> None:
@@ -69,7 +69,7 @@
     if kind == "instance":
         from loadbalancer.registry import server
 
-        told = server.read_file(Path(path))
+        told = server.read_configuration(Path(path))
         server.serve(told, server.open_service(told))
         return
     from loadbalancer.scale import edge, hollow, registrar
--- a/loadbalancer/scale/registrar.py
+++ b/loadbalancer/scale/registrar.py
@@ -16,7 +16,7 @@
 from loadbalancer.drill.standin import Place, follow, read_spec, say
 from loadbalancer.net import discovery
 from loadbalancer.net.config import read_address
-from loadbalancer.registry.lease import RENEW_PART
+from loadbalancer.registry.lease import RENEWAL_RATIO
 from loadbalancer.scale.counting import Tally, in_background, run, tell_each_second
 from loadbalancer.scale.plan import Plan, name_of, registration
 
@@ -131,7 +131,7 @@
             if upstream.silent:
                 upstream.held = False  # who speaks for it again has to put it up anew
                 continue
-            lease_ms, part = self._spec.plan.lease_s * 1_000, RENEW_PART
+            lease_ms, part = self._spec.plan.lease_s * 1_000, RENEWAL_RATIO
             first = not upstream.held
             wait_ms = lease_ms * part
             if not await self._keep(links, upstream):
--- a/loadbalancer/simulation/watches.py
+++ b/loadbalancer/simulation/watches.py
@@ -110,7 +110,7 @@
     def _site(self, number: int, count: int) -> Site:
         first = first_revision(0, START_MS, number, MAX_INSTANCES)
         catalog = Catalog(Rules(), first, number, MAX_INSTANCES)
-        return Site(catalog, AntiEntropy(catalog, number, count, life=number + 1))
+        return Site(catalog, AntiEntropy(catalog, number, count, incarnation=number + 1))
 
     def _seat(self, number: int, count: int, seed: int) -> Seat:
         settings = Settings(
@@ -181,11 +181,13 @@
     def _share(self) -> None:
         now = self.clock.now
         for site in self.sites:
-            for other in site.exchange.others if site.is_up else ():
+            for other in site.exchange.peers if site.is_up else ():
                 if not self.sites[other].is_up:
                     continue
-                answer, theirs = self.sites[other].exchange.heard_from(site.exchange.question(other), now)
-                ours = site.exchange.answered(other, answer, now, now)
+                answer, theirs = self.sites[other].exchange.handle_request(
+                    site.exchange.make_request(other), now
+                )
+                ours = site.exchange.handle_response(other, answer, now, now)
                 for changes, one in ((theirs, self.sites[other]), (ours, site)):
                     if changes:
                         self._wake_soon(one)
@@ -196,24 +198,24 @@
     def _wake_soon(self, site: Site) -> None:
         if not site.waking:
             site.waking = True
-            due = START_MS + site.pace.due(len(site.held)) * 1_000
+            due = START_MS + site.pace.next_wake_s(len(site.held)) * 1_000
             self.clock.at(due if math.isfinite(due) else self.clock.now, self._wake, site)
 
     def _wake(self, site: Site) -> None:
         site.waking = False
         held, site.held = site.held, []
-        site.told_up_to = site.catalog.index
-        site.pace.woke((self.clock.now - START_MS) / 1_000, len(held))
+        site.told_up_to = site.catalog.revision
+        site.pace.record_wake((self.clock.now - START_MS) / 1_000, len(held))
         for one in held:
             self._answer(site, one)
 
     def _answer(self, site: Site, held: Held) -> None:
         """Answer a watch if there is news, or hold it."""
         after = held.ask.after
-        if site.told_up_to <= after <= site.catalog.index and site.catalog.knows(after):
+        if site.told_up_to <= after <= site.catalog.revision and site.catalog.has_history_since(after):
             site.held.append(held)  # as the service does: what is newer is told at the next wake
             return
-        changed = site.catalog.changes("first", after, self.clock.now)
+        changed = site.catalog.changes_since("first", after, self.clock.now)
         if changed is not None and not changed:
             site.held.append(held)
         else:
@@ -227,7 +229,7 @@
         site.free_at = max(site.free_at, self.clock.now) + cost
         arrives = site.free_at + self._random.uniform(*LINK_MS)
         known = self._known_at(site)
-        self.clock.at(arrives, self._heard, held.seat, held.call, site.catalog.index, known)
+        self.clock.at(arrives, self._heard, held.seat, held.call, site.catalog.revision, known)
 
     def _known_at(self, site: Site) -> int:
         """How many changes of the release an instance's list holds, without a gap."""
@@ -237,7 +239,7 @@
 
     def _holds(self, site: Site, change: tuple[float, str]) -> bool:
         entry = site.catalog.entries[change[1]]
-        return entry.told.since_ms >= change[0] or entry.status.value != "in_service"
+        return entry.registration.since_ms >= change[0] or entry.status.value != "in_service"
 
     # ---- balancers ------------------------------------------------------------------------------
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -34,14 +34,20 @@
 )
 from loadbalancer.registry.agent import Agent
 from loadbalancer.registry.client import RegistryCallError, RegistryClient
-from loadbalancer.registry.rate_limiter import ANSWER_S, WAKES_PART, WakeRateLimiter
-from loadbalancer.registry.service import Service
+from loadbalancer.registry.rate_limiter import ANSWER_COST_S, MAX_WAKE_CPU_SHARE, WakeRateLimiter
+from loadbalancer.registry.service import RegistryService
 from loadbalancer.registry.store import CatalogStore, CatalogStoreError
 from tests.loopback import Rig, Upstream, run, status
 
 ROOT = Path(__file__).parent.parent
 HOST = "127.0.0.1"
-RULES = Rules(doubt_ms=5_000.0, flap_ms=60_000.0, damp_ms=30_000.0, settle_ms=0.0, learn_ms=0.0)
+RULES = Rules(
+    mass_expiry_window_ms=5_000.0,
+    flapping_window_ms=60_000.0,
+    damping_ms=30_000.0,
+    settle_ms=0.0,
+    learning_ms=0.0,
+)
 
 
 def told(**more: Any) -> Registration:
@@ -57,7 +63,7 @@
 
 
 def listed(one: Catalog) -> dict[str, str]:
-    return {e.name: e.status.value for e in one.whole("first")}
+    return {e.name: e.status.value for e in one.listed_entries("first")}
 
 
 # ---- the catalog --------------------------------------------------------------------------------
@@ -65,13 +71,13 @@
 
 def test_every_change_has_a_version_of_its_own_and_a_renewal_has_none() -> None:
     one = catalog("s0", "s1")
-    assert one.index == 102
+    assert one.revision == 102
     assert one.register("s0", told(), 10.0) is None and one.renew("s1", 0.0, 10.0) is None
-    assert one.index == 102
-    changed = one.changes("first", 101, 10.0)
+    assert one.revision == 102
+    changed = one.changes_since("first", 101, 10.0)
     assert changed is not None and [e.name for e in changed] == ["s1"]
-    assert one.changes("first", 99, 10.0) is None  # from before this life: the whole list
-    assert one.changes("second", 100, 10.0) == []
+    assert one.changes_since("first", 99, 10.0) is None  # from before this life: the whole list
+    assert one.changes_since("second", 100, 10.0) == []
 
 
 def test_a_restart_is_a_new_start_and_never_an_older_one() -> None:
@@ -122,7 +128,7 @@
 def test_a_single_lease_that_runs_out_takes_its_server_off_the_list() -> None:
     one = catalog("s0", "s1", "s2", "s3")
     renew(one, 900.0, "s1", "s2", "s3")
-    assert [c.name for c in one.lapse(1_100.0)] == ["s0"]
+    assert [c.name for c in one.expire_leases(1_100.0)] == ["s0"]
     assert sorted(listed(one)) == ["s1", "s2", "s3"]
 
 
@@ -130,11 +136,11 @@
     names = [f"s{i}" for i in range(10)]
     one = catalog(*names)
     renew(one, 900.0, *names[6:])
-    assert one.lapse(1_100.0) == [] and len(listed(one)) == 10
-    assert [n for n in names if one.entries[n].lapsed] == names[:6]
-    assert one.doubts["first"] > 1_100.0
+    assert one.expire_leases(1_100.0) == [] and len(listed(one)) == 10
+    assert [n for n in names if one.entries[n].is_preserved] == names[:6]
+    assert one.expiry_suspended_until_ms["first"] > 1_100.0
     renew(one, 1_200.0, *names)
-    assert not any(e.lapsed for e in one.entries.values())
+    assert not any(e.is_preserved for e in one.entries.values())
 
 
 def test_the_first_of_many_lapses_is_not_believed_before_the_others_are_seen() -> None:
@@ -143,9 +149,9 @@
     one = Catalog(rules, start_index=100)
     for at, name in enumerate(("s0", "s1", "s2", "s3")):
         one.register(name, told(), 100.0 * at)
-    assert one.lapse(1_050.0) == [] and one.entries["s0"].lapsed
-    assert one.lapse(1_350.0) == []
-    assert one.lapse(1_600.0) == [], "by now all but one have lapsed: it is we who do not hear"
+    assert one.expire_leases(1_050.0) == [] and one.entries["s0"].is_preserved
+    assert one.expire_leases(1_350.0) == []
+    assert one.expire_leases(1_600.0) == [], "by now all but one have lapsed: it is we who do not hear"
     assert len(listed(one)) == 4
 
 
@@ -155,61 +161,63 @@
     for name in ("s0", "s1", "s2", "s3"):  # one after another: none of them is many at once
         now += 20_000.0
         renew(one, now - 500.0, *[n for n in listed(one) if n > name])
-        one.lapse(now)
-    assert sorted(listed(one)) == ["s2", "s3"] and one.entries["s2"].lapsed
+        one.expire_leases(now)
+    assert sorted(listed(one)) == ["s2", "s3"] and one.entries["s2"].is_preserved
 
 
 def test_a_flapping_server_is_kept_out_for_a_while_and_a_pinned_one_stays() -> None:
     one = catalog("s0", "s1", "s2", "s3", "s4", "s5", lease_ms=100.0)
     now = 0.0
-    for _ in range(RULES.flaps):
+    for _ in range(RULES.max_expirations):
         now += 10_000.0
         renew(one, now, "s1", "s2", "s3", "s4", "s5")
-        one.lapse(now)
-        if len(one.entries["s0"].lapses_ms) < RULES.flaps:
+        one.expire_leases(now)
+        if len(one.entries["s0"].expirations_ms) < RULES.max_expirations:
             one.register("s0", told(lease_ms=100.0), now)
     with pytest.raises(WriteRejectedError, match="come and gone too often"):
         one.register("s0", told(), now + 1_000.0)
-    assert one.register("s0", told(), now + RULES.damp_ms) is not None
-    one.pin("s1", True, now)
-    later = now + RULES.damp_ms + 5_000.0
+    assert one.register("s0", told(), now + RULES.damping_ms) is not None
+    one.set_pinned("s1", True, now)
+    later = now + RULES.damping_ms + 5_000.0
     renew(one, later, "s2", "s3", "s4", "s5")
-    assert [c.name for c in one.lapse(later)] == ["s0"]
+    assert [c.name for c in one.expire_leases(later)] == ["s0"]
 
 
 def test_a_change_that_could_not_be_kept_has_not_been_made() -> None:
     one = catalog("s0")
-    index = one.index
+    index = one.revision
     changes = [one.drain("s0", 1.0), one.register("s1", told(), 1.0)]
-    one.undo([c for c in changes if c is not None])
+    one.revert([c for c in changes if c is not None])
     assert listed(one) == {"s0": "in_service"}
     change = one.drain("s0", 2.0)
-    assert change is not None and change.index == index + 3  # a version is never used twice
+    assert change is not None and change.revision == index + 3  # a version is never used twice
 
 
 def test_after_a_write_that_could_not_be_kept_watches_still_hear_what_came_before_it() -> None:
     """The entry went to the end of the order with its old version, and hid all that had come since."""
     one = catalog("s0", "s1", "s2")
-    seen = one.index - 2
+    seen = one.revision - 2
     change = one.drain("s0", 1.0)
     assert change is not None
-    one.undo([change])
-    changed = one.changes("first", seen, 1.0)
+    one.revert([change])
+    changed = one.changes_since("first", seen, 1.0)
     assert changed is not None and sorted(e.name for e in changed) == ["s1", "s2"]
 
 
 def test_a_watcher_from_before_a_lost_memory_gets_the_whole_list_at_a_higher_version() -> None:
     one = Catalog(RULES, first_revision(0, 1_000_000.0))
     one.register("s0", told(), 1_000_000.0)
-    assert one.changes("first", 1_000_500, 1_000_100.0) is None and one.index == 1_000_501
-    assert one.changes("first", 10**15, 1_000_100.0) is None and one.index == 1_000_501  # nobody's version
+    assert one.changes_since("first", 1_000_500, 1_000_100.0) is None and one.revision == 1_000_501
+    assert (
+        one.changes_since("first", 10**15, 1_000_100.0) is None and one.revision == 1_000_501
+    )  # nobody's version
 
 
 # ---- the store ----------------------------------------------------------------------------------
 
 
 def some(store: CatalogStore, count: int) -> list[Change]:
-    one = Catalog(RULES, first_revision(store.index(), 0.0))
+    one = Catalog(RULES, first_revision(store.last_revision(), 0.0))
     changes = [one.register(f"s{i}", told(), 0.0, who="me", why="test") for i in range(count)]
     return [c for c in changes if c is not None]
 
@@ -218,10 +226,12 @@
     path = tmp_path / "list.sqlite"
     store = CatalogStore(path)
     changes = some(store, 3)
-    store.keep(changes)
+    store.commit(changes)
     store.close()
     again = CatalogStore(path)
-    assert [e.name for e in again.entries()] == ["s0", "s1", "s2"] and again.index() == changes[-1].index
+    assert [e.name for e in again.entries()] == ["s0", "s1", "s2"] and again.last_revision() == changes[
+        -1
+    ].revision
     newest = again.history("s1")[0]
     assert (newest.what, newest.who, newest.why) == ("registered", "me", "test")
     assert list(again.verify()) == []
@@ -232,22 +242,22 @@
     store = CatalogStore(tmp_path / "a")
 
     def begin(store: CatalogStore, now: float) -> Catalog:
-        one = Catalog(RULES, first_revision(store.index(), now))
-        one.restore(store.entries(), now, store.lives(), store.floor())
-        store.begin(one.index, one.floor, one.entries)
+        one = Catalog(RULES, first_revision(store.last_revision(), now))
+        one.restore(store.entries(), now, store.incarnations(), store.compaction_revision())
+        store.begin_incarnation(one.revision, one.compaction_revision, one.entries)
         return one
 
     def put(one: Catalog, name: str) -> int:
         change = one.register(name, told(), 0.0)
         assert change is not None
-        store.keep([change])
-        return one.index
+        store.commit([change])
+        return one.revision
 
     one = begin(store, 1_000.0)
     seen = put(one, "s0")
     put(one, "s1")
     two = begin(store, 5_000.0)
-    missed = two.changes("first", seen, 5_000.0)
+    missed = two.changes_since("first", seen, 5_000.0)
     assert missed is not None and [e.name for e in missed] == ["s1"]
     store.close()
     shutil.copy(tmp_path / "a", tmp_path / "old")
@@ -256,23 +266,23 @@
     store.close()
     store = CatalogStore(tmp_path / "old")  # the life in which s2 came is not in this copy
     three = begin(store, 20_000.0)
-    assert three.knows(seen) and not three.knows(lost)
-    assert three.changes("first", lost, 20_000.0) is None
+    assert three.has_history_since(seen) and not three.has_history_since(lost)
+    assert three.changes_since("first", lost, 20_000.0) is None
     put(three, "s3")
-    assert begin(store, 30_000.0).changes("first", lost, 30_000.0) is None, "nor later"
+    assert begin(store, 30_000.0).changes_since("first", lost, 30_000.0) is None, "nor later"
     assert list(store.verify()) == []
 
 
 def test_removals_of_long_ago_are_forgotten_on_the_disk_too(tmp_path: Path) -> None:
     store = CatalogStore(tmp_path / "a")
-    rules = msgspec.structs.replace(RULES, tombstones=2)
+    rules = msgspec.structs.replace(RULES, max_tombstones=2)
     one = Catalog(rules, 100)
     names = [f"s{i}" for i in range(6)]
     for name in names:
-        store.keep([c for c in (one.register(name, told(), 0.0), one.remove(name, 0.0)) if c])
+        store.commit([c for c in (one.register(name, told(), 0.0), one.remove(name, 0.0)) if c])
     two = Catalog(rules, 500)
-    two.restore(store.entries(), 0.0, store.lives(), store.floor())
-    store.begin(two.index, two.floor, two.entries)
+    two.restore(store.entries(), 0.0, store.incarnations(), store.compaction_revision())
+    store.begin_incarnation(two.revision, two.compaction_revision, two.entries)
     assert [e.name for e in store.entries()] == ["s4", "s5"]
     assert list(store.verify()) == []
 
@@ -280,24 +290,24 @@
 def test_watches_that_are_between_two_calls_count_for_the_pace() -> None:
     """Who had just been answered did not count: a thousand watches took 0.78 of a core in place of half."""
     pace = WakeRateLimiter()
-    assert pace.due(1_000) == float("-inf")
-    pace.woke(10.0, 1_000)
-    assert pace.due(5) == pytest.approx(10.0 + 1_000 * ANSWER_S / WAKES_PART)
-    assert pace.due(2_000) == pytest.approx(10.0 + 2_000 * ANSWER_S / WAKES_PART)
+    assert pace.next_wake_s(1_000) == float("-inf")
+    pace.record_wake(10.0, 1_000)
+    assert pace.next_wake_s(5) == pytest.approx(10.0 + 1_000 * ANSWER_COST_S / MAX_WAKE_CPU_SHARE)
+    assert pace.next_wake_s(2_000) == pytest.approx(10.0 + 2_000 * ANSWER_COST_S / MAX_WAKE_CPU_SHARE)
 
 
 def test_a_stream_of_changes_wakes_watches_no_more_often_than_they_can_be_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("loadbalancer.registry.rate_limiter.ANSWER_S", 0.1)
+    monkeypatch.setattr("loadbalancer.registry.rate_limiter.ANSWER_COST_S", 0.1)
 
     async def scenario() -> None:
         async with serving() as (service, at), aiohttp.ClientSession() as http:
-            url = f"http://{at}/v1/servers?after={service.catalog.index}&wait_ms=60000"
+            url = f"http://{at}/v1/servers?after={service.catalog.revision}&wait_ms=60000"
             watch = asyncio.create_task(http.get(url))
-            while not service.reads.watching:
+            while not service.evaluator.waiting_count:
                 await asyncio.sleep(0.005)
-            service.reads.pace.woke(asyncio.get_running_loop().time(), 1)
+            service.evaluator.wake_rate_limiter.record_wake(asyncio.get_running_loop().time(), 1)
             for number in range(3):
                 body = entry(f"127.0.0.1:{number + 1}")
                 async with http.put(f"http://{at}/v1/servers/s{number}", json=body) as answer:
@@ -312,7 +322,7 @@
 def test_a_rewound_entry_and_a_lost_version_are_found(tmp_path: Path) -> None:
     path = tmp_path / "list.sqlite"
     store = CatalogStore(path)
-    store.keep(some(store, 3))
+    store.commit(some(store, 3))
     store.close()
     with sqlite3.connect(path) as db:
         db.execute(
@@ -340,9 +350,11 @@
 
 
 @asynccontextmanager
-async def serving(path: Path | str = ":memory:", rules: Rules = RULES) -> AsyncIterator[tuple[Service, str]]:
-    service = Service(CatalogStore(path), rules)
-    runner = web.AppRunner(service.app(), shutdown_timeout=0.1)
+async def serving(
+    path: Path | str = ":memory:", rules: Rules = RULES
+) -> AsyncIterator[tuple[RegistryService, str]]:
+    service = RegistryService(CatalogStore(path), rules)
+    runner = web.AppRunner(service.create_application(), shutdown_timeout=0.1)
     await runner.setup()
     site = web.TCPSite(runner, HOST, 0)
     await site.start()
@@ -360,7 +372,7 @@
 def test_bad_input_is_one_line_and_a_4xx_and_changes_nothing() -> None:
     async def scenario() -> None:
         async with serving() as (service, at), aiohttp.ClientSession() as http:
-            index = service.catalog.index
+            index = service.catalog.revision
             good = entry("127.0.0.1:1")
             for method, path, body, wanted in (
                 ("PUT", "/v1/servers/s0", good | {"wieght": 1}, 400),
@@ -378,7 +390,7 @@
                     said = await answer.json()
                     assert (answer.status, list(said)) == (wanted, ["error"]), (path, said)
                     assert "\n" not in said["error"]
-            assert service.catalog.index == index and not service.catalog.entries
+            assert service.catalog.revision == index and not service.catalog.entries
 
     run(scenario())
 
@@ -387,7 +399,7 @@
     """It told them a list of nobody, and they dropped every server until all had registered anew."""
 
     async def scenario() -> None:
-        rules = msgspec.structs.replace(RULES, learn_ms=60_000.0)
+        rules = msgspec.structs.replace(RULES, learning_ms=60_000.0)
         async with serving(rules=rules) as (_, at), aiohttp.ClientSession() as http:
             async with http.get(f"http://{at}/v1/servers?after=7") as answer:
                 assert answer.status == 503
@@ -406,7 +418,7 @@
             serving() as (service, at),
             aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as http,
         ):
-            after = service.catalog.index
+            after = service.catalog.revision
 
             async def watch() -> dict[str, Any]:
                 async with http.get(f"http://{at}/v1/servers?after={after}&wait_ms=9000") as answer:
@@ -414,15 +426,15 @@
                     return read
 
             watches = [asyncio.create_task(watch()) for _ in range(200)]
-            while service.reads.watching < 200:
+            while service.evaluator.waiting_count < 200:
                 await asyncio.sleep(0.01)
             await asyncio.gather(
                 *(http.put(f"http://{at}/v1/servers/{n}", json=entry("127.0.0.1:1")) for n in ("s0", "s1"))
             )
             news = await asyncio.gather(*watches)
             assert {len(n["endpoints"]) for n in news} == {2} and not any(n["snapshot"] for n in news)
-            assert service.reads.serialized == 1 and service.reads.told == 200
-            assert read_list(news[0]).index == service.catalog.index
+            assert service.evaluator.serialization_count == 1 and service.evaluator.answer_count == 200
+            assert read_list(news[0]).index == service.catalog.revision
 
     run(scenario())
 
@@ -430,7 +442,7 @@
 def test_a_reader_of_a_long_list_that_takes_nothing_is_cut_off_and_holds_little() -> None:
     async def scenario() -> None:
         async with serving() as (service, at), aiohttp.ClientSession() as http:
-            service.slow_s = 0.2
+            service.stalled_reader_timeout_s = 0.2
             for number in range(20_000):
                 service.catalog.register(f"server-{number}", told(zone="z" * 150), 0.0)
             host, port = at.split(":")
@@ -438,7 +450,7 @@
                 reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
                 reader.connect((host, int(port)))
                 reader.sendall(b"GET /v1/servers HTTP/1.1\r\nHost: h\r\n\r\n")
-                while not service.cut_off:
+                while not service.stalled_reader_count:
                     await asyncio.sleep(0.02)
             async with http.get(f"http://{at}/v1/servers") as answer:
                 assert len((await answer.json())["endpoints"]) == 20_000, "who reads gets all of it"
@@ -472,7 +484,10 @@
         port = free_port(HOST)
 
         async def service(name: str) -> web.AppRunner:
-            runner = web.AppRunner(Service(CatalogStore(tmp_path / name), RULES).app(), shutdown_timeout=0.05)
+            runner = web.AppRunner(
+                RegistryService(CatalogStore(tmp_path / name), RULES).create_application(),
+                shutdown_timeout=0.05,
+            )
             await runner.setup()
             await web.TCPSite(runner, HOST, port).start()
             return runner
@@ -536,7 +551,7 @@
             assert {e["name"] for e in state["entries"]} >= set(answered)
             for number in range(20):
                 name = f"s-{life}-{number}"
-                versions.append(caller.on("PUT", name, body=entry("127.0.0.1:1"))["index"])
+                versions.append(caller.call_server("PUT", name, body=entry("127.0.0.1:1"))["index"])
                 answered.append(name)
         finally:
             os.kill(process.pid, signal.SIGKILL)
@@ -583,7 +598,9 @@
     well, now, lapsed = [True], [0.0], [False]
 
     class Desk(RegistryClient):
-        def on(self, method: str, name: str, what: str = "", body: object = None, **more: Any) -> Any:
+        def call_server(
+            self, method: str, name: str, what: str = "", body: object = None, **more: Any
+        ) -> Any:
             calls.append((method, what))
             if what == "/renew" and lapsed[0]:
                 lapsed[0] = False
@@ -608,7 +625,7 @@
     assert steps(2) == [("PUT", "")]
     calls.clear()
     agent.drain()
-    agent.remove()
+    agent.deregister()
     assert calls == [("POST", "/drain"), ("DELETE", "")]
 
 
--- a/tests/test_directory_floors.py
+++ b/tests/test_directory_floors.py
@@ -9,9 +9,15 @@
 from hypothesis import strategies as st
 
 from loadbalancer.registry import Catalog, Entry, Registration, Rules, Status
-from loadbalancer.registry.merge import share
-
-RULES = Rules(doubt_part=1.0, doubt_ms=0.001, settle_ms=0.0, floor_ms=50_000.0, flaps=100)
+from loadbalancer.registry.merge import to_shared
+
+RULES = Rules(
+    mass_expiry_ratio=1.0,
+    mass_expiry_window_ms=0.001,
+    settle_ms=0.0,
+    self_preservation_window_ms=50_000.0,
+    max_expirations=100,
+)
 
 
 def told(zone: str, group: int, lease_ms: float = 1_000.0) -> Registration:
@@ -21,10 +27,15 @@
 def has_too_few(entry: Entry, entries: list[Entry], now: float) -> bool:
     """The rule as it reads: of each place's servers, as they were lately, the floor's part stays well."""
     for field in ("zone", "group"):
-        mine = [e for e in entries if getattr(e.told, field) == getattr(entry.told, field)]
-        mine = [e for e in mine if e.is_listed or (e.by_lapse and e.lapses_ms[-1] > now - RULES.floor_ms)]
-        well = [e for e in mine if e is not entry and e.status is Status.IN_SERVICE and not e.lapsed]
-        if len(mine) > 1 and len(well) < RULES.floor_part * len(mine):
+        mine = [e for e in entries if getattr(e.registration, field) == getattr(entry.registration, field)]
+        mine = [
+            e
+            for e in mine
+            if e.is_listed
+            or (e.is_expired and e.expirations_ms[-1] > now - RULES.self_preservation_window_ms)
+        ]
+        well = [e for e in mine if e is not entry and e.status is Status.IN_SERVICE and not e.is_preserved]
+        if len(mine) > 1 and len(well) < RULES.self_preservation_threshold * len(mine):
             return True
     return False
 
@@ -57,15 +68,19 @@
                 if n in draining and n not in renewing:
                     made.drain(f"s{n}", now)
         taken = []
-        for entry in [e for e in twin.entries.values() if e.is_listed and now > e.lease_end_ms]:
+        for entry in [e for e in twin.entries.values() if e.is_listed and now > e.lease_expiry_ms]:
             if has_too_few(entry, list(twin.entries.values()), now):
-                entry.lapsed = True
+                entry.is_preserved = True
             else:
-                entry.lapsed, entry.lapsed_at, entry.lapses_ms = False, entry.beats, [*entry.lapses_ms, now]
+                entry.is_preserved, entry.expired_at_renewal, entry.expirations_ms = (
+                    False,
+                    entry.renewal_count,
+                    [*entry.expirations_ms, now],
+                )
                 taken.append(entry.name)
-        assert [change.name for change in one.lapse(now)] == taken
-        assert {e.name: (e.status, e.lapsed) for e in one.entries.values()} == {
-            e.name: (e.status, e.lapsed) for e in twin.entries.values()
+        assert [change.name for change in one.expire_leases(now)] == taken
+        assert {e.name: (e.status, e.is_preserved) for e in one.entries.values()} == {
+            e.name: (e.status, e.is_preserved) for e in twin.entries.values()
         }
 
 
@@ -74,8 +89,8 @@
 
     visits = 0
 
-    def _all_of(self, tier: str) -> Iterator[Entry]:
-        for entry in super()._all_of(tier):
+    def entries_of(self, tier: str) -> Iterator[Entry]:
+        for entry in super().entries_of(tier):
             self.visits += 1
             yield entry
 
@@ -87,9 +102,9 @@
     for n in range(200):
         is_silent = n < silent
         one.register(f"s{n}", told("a" if is_silent else "b", 1, 1_000.0 if is_silent else 1e6), 0.0)
-    one.lapse(5_000.0)
+    one.expire_leases(5_000.0)
     one.visits = 0
-    one.lapse(5_250.0)
+    one.expire_leases(5_250.0)
     assert one.visits <= 2 * 200
 
 
@@ -99,17 +114,17 @@
     for n in range(8):
         here.register(f"s{n}", told("a", 1), 0.0)
     for entry in here.entries.values():
-        there.merge(share(entry), 0.0, "0")
+        there.merge(to_shared(entry), 0.0, "0")
     for n in range(2, 8):
         here.renew(f"s{n}", 0.0, 9_000.0)
-        there.beat(f"s{n}", (0.0, 0), here.entries[f"s{n}"].beats, 9_000.0)
-    assert [change.name for change in here.lapse(9_500.0)] == ["s0", "s1"]
+        there.merge_renewals(f"s{n}", (0.0, 0), here.entries[f"s{n}"].renewal_count, 9_000.0)
+    assert [change.name for change in here.expire_leases(9_500.0)] == ["s0", "s1"]
     for name in ("s0", "s1"):
-        there.merge(share(here.entries[name]), 9_600.0, "0")
-    assert there.entries["s0"].by_lapse and not there.entries["s0"].lapses_ms
+        there.merge(to_shared(here.entries[name]), 9_600.0, "0")
+    assert there.entries["s0"].is_expired and not there.entries["s0"].expirations_ms
     now = 20_000.0
     for n in range(4, 8):
         there.renew(f"s{n}", 0.0, now)
-    assert [change.name for change in there.lapse(now)] == ["s2", "s3"], "4 of 8 are well: the floor"
+    assert [change.name for change in there.expire_leases(now)] == ["s2", "s3"], "4 of 8 are well: the floor"
     there.renew("s4", 0.0, 21_500.0)
-    assert there.lapse(21_500.0) == []
+    assert there.expire_leases(21_500.0) == []
--- a/tests/test_interest.py
+++ b/tests/test_interest.py
@@ -22,17 +22,23 @@
 from loadbalancer.endpoint_watch import RateLimitedError, Subscription
 from loadbalancer.net.config import read_config
 from loadbalancer.registry import Catalog, Change, Registration, Rules, WriteRejectedError, first_revision
-from loadbalancer.registry.admission_queue import ALL_IN_S, BURST_S, EARLY_S, PART, AdmissionQueue
+from loadbalancer.registry.admission_queue import (
+    BURST_S,
+    MAX_CPU_SHARE,
+    MAX_DELAY_S,
+    TICKET_TOLERANCE_S,
+    AdmissionQueue,
+)
 from loadbalancer.registry.anti_entropy import MAX_INSTANCES, AntiEntropy
 from loadbalancer.registry.interests import (
-    COPIES,
-    COVER,
+    BALANCERS_PER_SERVER,
+    SLICES_PER_SERVER,
     SubsetCache,
     SubsetSpec,
     SubsetView,
-    decode,
-    is_in,
-    place_of,
+    decode_levels,
+    is_in_slice,
+    watcher_position,
 )
 from loadbalancer.registry.list_query import ListQuery, parse_list_query
 from loadbalancer.registry.query_evaluation import QueryEvaluator
@@ -40,8 +46,8 @@
 from tests.loopback import Rig, Upstream, config_text, entry, run
 from tests.test_directory import serving
 
-RULES = Rules(settle_ms=0.0, learn_ms=0.0, tombstones=3)
-ROOMY = msgspec.structs.replace(RULES, tombstones=10_000)
+RULES = Rules(settle_ms=0.0, learning_ms=0.0, max_tombstones=3)
+ROOMY = msgspec.structs.replace(RULES, max_tombstones=10_000)
 SERVICES, ZONES, NAMES = ("a", "b", "c"), ("east", "west"), tuple(f"s{n}" for n in range(12))
 WRITES = ("register", "drain", "remove", "restart")
 
@@ -69,22 +75,27 @@
     def begin(self, now: float) -> None:
         """Start, or start again from the file."""
         store, self._life = self.store, self._life + 1
-        first = first_revision(store.index(), now, self.number, MAX_INSTANCES)
+        first = first_revision(store.last_revision(), now, self.number, MAX_INSTANCES)
         self.catalog = Catalog(self.rules, first, self.number, MAX_INSTANCES)
-        self.catalog.restore(store.entries(), now, store.lives(), *store.floors())
-        store.begin(self.catalog.index, self.catalog.base, self.catalog.entries, self.catalog.places.floors)
+        self.catalog.restore(store.entries(), now, store.incarnations(), *store.compaction_revisions())
+        store.begin_incarnation(
+            self.catalog.revision,
+            self.catalog.oldest_revision,
+            self.catalog.entries,
+            self.catalog.change_index.compaction_revisions,
+        )
         self.exchange = AntiEntropy(self.catalog, self.number, self.count, self._life)
         self.reads = QueryEvaluator(self.catalog, store)
 
     def keep(self, *changes: Change | None) -> None:
-        self.store.keep([change for change in changes if change is not None])
+        self.store.commit([change for change in changes if change is not None])
 
     def put(self, name: str, service: str, zone: str = "east", since: float = 0.0, now: float = 1e6) -> None:
         self.keep(self.catalog.register(name, told(service, zone, since), now))
 
     def tell(self, asked: ListQuery) -> dict[str, Any]:
         """An answer without a wait."""
-        data, _ = self.reads.find(asked, may_wait=False)
+        data, _ = self.reads.evaluate(asked, may_wait=False)
         assert data is not None
         answer: dict[str, Any] = json.loads(data)
         return answer
@@ -124,14 +135,14 @@
 
     def view(self) -> SubsetView:
         assert self.held is not None
-        return SubsetView(decode(self.held), place_of(self.name if self.part else ""))
+        return SubsetView(decode_levels(self.held), watcher_position(self.name if self.part else ""))
 
     def truth(self, catalog: Catalog) -> dict[str, tuple[str, float, str]]:
         view = self.view()
         return {
-            e.name: (e.status.value, e.told.since_ms, e.told.tier)
+            e.name: (e.status.value, e.registration.since_ms, e.registration.tier)
             for e in catalog.entries.values()
-            if view.holds_entry(e)
+            if view.includes_entry(e)
         }
 
 
@@ -147,7 +158,10 @@
 )
 steps = st.one_of(
     st.tuples(
-        st.sampled_from(WRITES), st.integers(0, 1), st.sampled_from(NAMES), st.sampled_from(SERVICES),
+        st.sampled_from(WRITES),
+        st.integers(0, 1),
+        st.sampled_from(NAMES),
+        st.sampled_from(SERVICES),
         st.sampled_from(ZONES),
     ),
     st.tuples(st.just("undone"), st.integers(0, 1), st.sampled_from(NAMES)),
@@ -156,7 +170,7 @@
     st.tuples(st.just("look"), st.integers(0, 3)),
     st.tuples(st.just("want"), st.integers(0, 3), clients),
     st.tuples(st.just("roam"), st.integers(0, 3)),
-)  # fmt: skip
+)
 
 
 class World:
@@ -182,7 +196,7 @@
 
     def _since(self, at: int, name: str) -> float:
         known = self.sites[at].catalog.entries.get(name)
-        return known.told.since_ms if known else self.now
+        return known.registration.since_ms if known else self.now
 
     def _drain(self, at: int, name: str, *_: str) -> None:
         self._write(at, lambda c: c.drain(name, self.now))
@@ -194,13 +208,13 @@
         """A write that the disk does not take."""
         catalog = self.sites[at].catalog
         if name in catalog.entries and catalog.entries[name].is_listed:
-            catalog.undo([catalog.remove(name, self.now)])
+            catalog.revert([catalog.remove(name, self.now)])
 
     def _share(self) -> None:
         one, other = self.sites
-        answer, changes = other.exchange.heard_from(one.exchange.question(1), self.now)
+        answer, changes = other.exchange.handle_request(one.exchange.make_request(1), self.now)
         other.keep(*changes)
-        one.keep(*one.exchange.answered(1, answer, self.now, self.now))
+        one.keep(*one.exchange.handle_response(1, answer, self.now, self.now))
 
     def _again(self, at: int) -> None:
         self.sites[at].begin(self.now)
@@ -208,17 +222,19 @@
     def _look(self, number: int) -> None:
         seat = self.seats[number % len(self.seats)]
         catalog = self.sites[seat.at].catalog
-        before = {name: dict(e.left) for name, e in catalog.entries.items()}
+        before = {name: dict(e.former_zones) for name, e in catalog.entries.items()}
         held = None if seat.held is None else seat.view()
         seat.take(self.sites[seat.at].tell(seat.asked()))
         assert seat.content == seat.truth(catalog)
         for name in seat.last:
             e = catalog.entries[name]
-            places = {(e.told.tier, e.told.zone)} | {
+            places = {(e.registration.tier, e.registration.zone)} | {
                 (s, z) for s, zones in before[name].items() for z in zones
             }
             views = [seat.view()] + ([held] if held else [])
-            assert any(v.holds(s, z, name) for v in views for s, z in places), "it is outside of the interest"
+            assert any(v.includes(s, z, name) for v in views for s, z in places), (
+                "it is outside of the interest"
+            )
 
     def _want(self, number: int, other: Client) -> None:
         seat = self.seats[number % len(self.seats)]
@@ -241,7 +257,7 @@
         world.do("look", number)
         world.do("look", number)  # by the second one what was wanted newly is held, and no more
         seat = seats[number]
-        assert set(decode(seat.held or "{}")) == set(seat.services.split(","))
+        assert set(decode_levels(seat.held or "{}")) == set(seat.services.split(","))
 
 
 @given(seats=st.lists(clients, min_size=1, max_size=4), turns=st.lists(steps, max_size=30))
@@ -261,23 +277,25 @@
             for number in range(len(seats)):
                 world.do("look", number)
                 world.do("look", number)
-            since = site.catalog.index
+            since = site.catalog.revision
             with ExitStack() as stack:
                 woken = [
-                    stack.enter_context(site.reads.waits.waiting(seat.view(), seat.asked().interest.shape))
+                    stack.enter_context(
+                        site.reads.watcher_index.subscribe(seat.view(), seat.asked().interest.subset)
+                    )
                     for seat in seats
                 ]
-                levels = [site.reads.find(seat.asked(), may_wait=True)[1].key for seat in seats]
+                levels = [site.reads.evaluate(seat.asked(), may_wait=True)[1].key for seat in seats]
                 world.do(turn[0], 0, *turn[2:])
-                site.reads.waits.wake(site.catalog.changed_since(since), since)
+                site.reads.watcher_index.wake_affected(site.catalog.changed_since(since), since)
                 for seat, one, before in zip(seats, woken, levels, strict=True):
-                    data, view = site.reads.find(seat.asked(), may_wait=False)
+                    data, view = site.reads.evaluate(seat.asked(), may_wait=False)
                     assert data is not None
                     news = bool(json.loads(data)["endpoints"])
                     assert one.done() or not news, "a change that it holds did not wake it"
-                    may = news or (seat.part and site.catalog.index > since)
+                    may = news or (seat.part and site.catalog.revision > since)
                     assert not one.done() or may or view.key != before, "it was woken for nothing"
-            assert not site.reads.waits, "no state is left of watches that have ended"
+            assert not site.reads.watcher_index, "no state is left of watches that have ended"
 
     run(scenario())
 
@@ -292,14 +310,14 @@
     seat, other = Client("a"), Client("b")
     seat.take(site.tell(seat.asked()))
     other.take(site.tell(other.asked()))
-    old = site.catalog.index
+    old = site.catalog.revision
     site.keep(site.catalog.remove("s0", 1e6))
     site.put("s0", "b")
     for _ in range(2):
         seat.take(site.tell(seat.asked()))
         other.take(site.tell(other.asked()))
         assert not seat.content and list(other.content) == ["s0"]
-        changed = site.catalog.changes("a", old, 1e6)
+        changed = site.catalog.changes_since("a", old, 1e6)
         assert changed is not None and [e.status.value for e in changed] == ["terminated"]
         site.begin(2e6)  # and the file remembers it
 
@@ -313,7 +331,7 @@
         seats[-1].take(site.tell(seats[-1].asked()))
         site.keep(site.catalog.remove("s0", 1e6 + number))
     site.put("s0", "last")
-    assert len(site.catalog.entries["s0"].left) == 8
+    assert len(site.catalog.entries["s0"].former_zones) == 8
     for seat in seats:
         seat.take(site.tell(seat.asked()))
         assert not seat.content
@@ -358,7 +376,7 @@
     site.put("s2", "a")
     moved = site.catalog.register("s1", told("a", "west", 5.0), 1e6)
     assert moved is not None
-    site.catalog.undo([moved])
+    site.catalog.revert([moved])
     seat.take(site.tell(seat.asked()))
     assert sorted(seat.last) == ["s0", "s2"] and seat.content == seat.truth(site.catalog)
     other.take(site.tell(other.asked()))
@@ -367,10 +385,10 @@
 
 def test_a_file_that_an_earlier_version_has_kept_since_is_not_taken_at_its_old_floors() -> None:
     site = Instance()
-    site.store.begin(site.catalog.index + 1, 5, (), {"a": 9})
-    assert site.store.floors() == (5, {"a": 9}) and site.store.floor() == 9
+    site.store.begin_incarnation(site.catalog.revision + 1, 5, (), {"a": 9})
+    assert site.store.compaction_revisions() == (5, {"a": 9}) and site.store.compaction_revision() == 9
     site.store._db.execute("insert or replace into meta values ('floor', 20)")  # as that version does
-    assert site.store.floors() == (20, {})
+    assert site.store.compaction_revisions() == (20, {})
 
 
 def test_an_interest_that_changes_is_told_what_came_and_outright_what_left() -> None:
@@ -417,8 +435,8 @@
 
 
 def part(catalog: Catalog, name: str, shape: SubsetSpec) -> set[str]:
-    view = SubsetView({"a": SubsetCache(catalog).best("a", shape)}, place_of(name))
-    return {e.name for e in catalog.whole("a") if view.holds_entry(e)}
+    view = SubsetView({"a": SubsetCache(catalog).finest_levels("a", shape)}, watcher_position(name))
+    return {e.name for e in catalog.listed_entries("a") if view.includes_entry(e)}
 
 
 @pytest.mark.parametrize("count, zones", [(60, 3), (500, 3), (1_500, 12)])
@@ -426,7 +444,7 @@
     catalog, least = filled(count, zones), 4
     for number in range(50):
         mine = part(catalog, f"b-{number}", SubsetSpec(least, "z0"))
-        by_zone = Counter(catalog.entries[name].told.zone for name in mine)
+        by_zone = Counter(catalog.entries[name].registration.zone for name in mine)
         assert all(by_zone[f"z{zone}"] >= least for zone in range(zones))
         assert by_zone["z0"] >= min(least * (zones - 1), count / zones)
         assert count < 100 or len(mine) < count / 2
@@ -436,11 +454,15 @@
     catalog = filled(600, 3)
     few, many = Counter[str](), Counter[str]()
     for number in range(300):
-        few.update(part(catalog, f"b-{number}", SubsetSpec(4, balancers=300)))
+        few.update(part(catalog, f"b-{number}", SubsetSpec(4, balancer_count=300)))
         many.update(part(catalog, f"b-{number}", SubsetSpec(4)))
     assert len(many) == 600, "nobody is left out"
-    held = [few[e.name] for e in catalog.whole("a")]  # where watchers say how many they are
-    assert sum(held) / len(held) >= COVER and min(held) >= COVER / 2 and max(held) < 300
+    held = [few[e.name] for e in catalog.listed_entries("a")]  # where watchers say how many they are
+    assert (
+        sum(held) / len(held) >= BALANCERS_PER_SERVER
+        and min(held) >= BALANCERS_PER_SERVER / 2
+        and max(held) < 300
+    )
 
 
 def test_a_server_that_comes_or_goes_moves_no_other() -> None:
@@ -450,15 +472,15 @@
     catalog.remove("a-17", 0.0)
     after = [part(catalog, name, shape) for name in names]
     assert [one - {"a-17"} for one in before] == after
-    level = SubsetCache(catalog).best("a", shape)["z2"]
+    level = SubsetCache(catalog).finest_levels("a", shape)["z2"]
     held = sum("a-17" in one for one in before)
-    assert 0 < held <= 3 * 100 * COPIES / 2**level
+    assert 0 < held <= 3 * 100 * SLICES_PER_SERVER / 2**level
 
 
 def test_another_level_of_slices_only_adds_servers_or_only_drops_some() -> None:
     names = [f"s{n}" for n in range(500)]
     for place in range(16):
-        held = [{n for n in names if is_in(n, level, place)} for level in range(6)]
+        held = [{n for n in names if is_in_slice(n, level, place)} for level in range(6)]
         assert all(finer < coarser for coarser, finer in pairwise(held))
 
 
@@ -469,7 +491,7 @@
     for number in range(200):
         site.put(f"s{number}", "a")
         seat.take(site.tell(seat.asked()))
-        parts_of.append(SubsetCache(site.catalog).best("a", shape)["east"])
+        parts_of.append(SubsetCache(site.catalog).finest_levels("a", shape)["east"])
     edges = [n for n in range(1, 200) if parts_of[n] > parts_of[n - 1]]
     assert len(edges) >= 3 and len(seat.content) < 150
     for number in range(199, edges[-1], -1):
@@ -482,7 +504,7 @@
         else:
             site.keep(site.catalog.remove(last, 1e6 + turn))
         seat.take(site.tell(seat.asked()))
-        levels.add(SubsetCache(site.catalog).best("a", shape)["east"])
+        levels.add(SubsetCache(site.catalog).finest_levels("a", shape)["east"])
         assert seat.content == seat.truth(site.catalog) and len(seat.content) >= 4
         moved += seat.held != held
     assert len(levels) == 2 and moved <= 2
@@ -536,7 +558,7 @@
                 said = await answer.json()
                 assert (answer.status, list(said)) == (400, ["error"])
                 assert why in said["error"] and "\n" not in said["error"]
-            assert not service.reads.watching
+            assert not service.evaluator.waiting_count
 
     run(scenario())
 
@@ -556,7 +578,7 @@
 def test_a_service_that_appears_after_the_watch_wakes_it_and_no_other() -> None:
     async def scenario() -> None:
         async with serving() as (service, at), aiohttp.ClientSession() as http:
-            reads = service.reads
+            reads = service.evaluator
 
             async def watch(services: str, **more: str) -> Any:
                 async with watched(at, http, services=services, **more) as first:
@@ -571,21 +593,21 @@
                 old = asyncio.create_task(
                     http.get(f"http://{at}/v1/servers?after={first['index']}&wait_ms=9000").__aenter__()
                 )
-            while reads.watching < 7:
+            while reads.waiting_count < 7:
                 await asyncio.sleep(0.01)
-            told = reads.told
+            told = reads.answer_count
             await put(http, at, "s0", "later")
             news = await mine
             assert [e["name"] for e in news["endpoints"]] == ["s0"] and news["services"] == ["later"]
             await put(http, at, "s1", "nobodys")
-            assert reads.told == told + 1 and not any(task.done() for task in (*others, old))
+            assert reads.answer_count == told + 1 and not any(task.done() for task in (*others, old))
             await put(http, at, "s2", "other")
             assert [len((await task)["endpoints"]) for task in others] == [1] * 5
             assert not old.done(), "an old watch waits for its own tier"
             await put(http, at, "s3", "first")
             answer = await old
             assert set(await answer.json()) == {"index", "snapshot", "endpoints"}
-            assert not reads.waits
+            assert not reads.watcher_index
 
     run(scenario())
 
@@ -644,7 +666,7 @@
             async with Rig(console="", lists={"services": ["a"]}) as rig:
                 follow(rig, at, services=["a"])
                 await listed(rig, "a0", "a1", "a2", "a3")
-                while not service.reads.waits:
+                while not service.evaluator.watcher_index:
                     await asyncio.sleep(0.01)
                 assert follow(rig, at, services=["b"]) == (["lists"], [])
                 await listed(rig, "b0", "b1", "b2", "b3")
@@ -728,11 +750,11 @@
     due: list[tuple[float, int | None]] = [(0.0, None)] * callers
     while due:
         at, ticket = due.pop(0)
-        turn = gate.ask(at, cost_s, waited, ticket)
+        turn = gate.schedule_retry(at, cost_s, waited, ticket)
         if turn is None:
             times.append(at)
         else:
-            due.append((at + turn.after_s, turn.ticket))
+            due.append((at + turn.delay_s, turn.ticket))
     return times
 
 
@@ -740,14 +762,14 @@
     assert back(AdmissionQueue(), 100, 200e-6) == [0.0] * 100
     times = sorted(back(AdmissionQueue(), 10_000, 200e-6))
     at_once = times.count(0.0)
-    assert at_once == int((BURST_S + EARLY_S) * PART / 200e-6)
+    assert at_once == int((BURST_S + TICKET_TOLERANCE_S) * MAX_CPU_SHARE / 200e-6)
     seconds = Counter(int(at) for at in times if at)
-    assert max(seconds.values()) <= PART / 200e-6 * 1.05 and times[-1] < ALL_IN_S
+    assert max(seconds.values()) <= MAX_CPU_SHARE / 200e-6 * 1.05 and times[-1] < MAX_DELAY_S
 
 
 def test_a_crowd_beyond_the_pace_is_let_in_within_the_bound_all_the_same() -> None:
-    assert max(back(AdmissionQueue(), 60_000, 200e-6)) <= ALL_IN_S
-    assert max(back(AdmissionQueue(), 60_000, 200e-6, waited=3.0)) <= ALL_IN_S - 3.0
+    assert max(back(AdmissionQueue(), 60_000, 200e-6)) <= MAX_DELAY_S
+    assert max(back(AdmissionQueue(), 60_000, 200e-6, waited=3.0)) <= MAX_DELAY_S - 3.0
     assert max(back(AdmissionQueue(), 60_000, 200e-6, waited=9.0)) == 0.0
 
 
@@ -755,8 +777,8 @@
     gate = AdmissionQueue()
     back(gate, 5_000, 200e-6)
     for ticket in (10_000, -9_000):
-        assert gate.ask(0.0, 200e-6, 0.0, ticket) is not None
-    assert gate.ask(0.0, 200e-6, 0.0, 0) is None
+        assert gate.schedule_retry(0.0, 200e-6, 0.0, ticket) is not None
+    assert gate.schedule_retry(0.0, 200e-6, 0.0, 0) is None
 
 
 def test_a_service_has_a_crowd_come_again_and_old_clients_and_running_watches_come_in() -> None:
@@ -765,11 +787,11 @@
             async with watched(at, http, services="a") as first:
                 assert "held" in first
             loop = asyncio.get_running_loop()
-            while service.reads.gate.ask(loop.time(), 0.05, 0.0, None) is None:
+            while service.evaluator.admission_queue.schedule_retry(loop.time(), 0.05, 0.0, None) is None:
                 pass
             async with http.get(f"http://{at}/v1/servers?services=a") as answer:
                 said = await answer.json()
-                assert answer.status == 503 and 0 < said["retry_ms"] <= ALL_IN_S * 1_000
+                assert answer.status == 503 and 0 < said["retry_ms"] <= MAX_DELAY_S * 1_000
                 assert float(answer.headers["Retry-After"]) == said["retry_ms"] / 1_000
             on = {"after": str(first["index"]), "held": first["held"]}
             async with http.get(f"http://{at}/v1/servers?services=a&waited_ms=9", params=on) as answer:
