--- a/loadbalancer/drill/plants.py
+++ b/loadbalancer/drill/seeded_defects.py
@@ -1,6 +1,6 @@
 """Balancers with a known defect, for drills that must find it: the real program, made worse in one place.
 
-LB_CONFIG=config.json python -m loadbalancer.drill.plants sends-twice
+LB_CONFIG=config.json python -m loadbalancer.drill.seeded_defects sends-twice
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from typing import Any
 
 from loadbalancer import interface
-from loadbalancer.drill.papers import SERVICE_DEFECTS
+from loadbalancer.drill.processes.process_files import SERVICE_DEFECTS
 from loadbalancer.interface import Outcome, Readiness
 from loadbalancer.net import discovery, proxy
-from loadbalancer.net.config import ServerList
+from loadbalancer.net.config import EndpointList
 from loadbalancer.net.downstream import DownstreamRequest
 from loadbalancer.net.proxy import Proxy
 from loadbalancer.net.upstream import Attempt, UpstreamResponse
@@ -26,14 +26,14 @@
 class _Second(proxy._Call):
     """A second attempt that nobody asked for, and whose answer nobody hears."""
 
-    def written(self) -> None:
+    def on_request_written(self) -> None:
         """Count it not."""
 
-    def started(self, attempt: Attempt, answer: UpstreamResponse) -> DownstreamRequest | None:
+    def on_response_started(self, attempt: Attempt, answer: UpstreamResponse) -> DownstreamRequest | None:
         """Pass nothing on."""
         return None
 
-    def ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
+    def on_attempt_ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
         """Tell nobody."""
 
 
@@ -47,7 +47,7 @@
         others = [name for name in self._list if name != action.server]
         if request is not None and request.taken.method == b"POST" and others:
             call = _Second(self, request, action, 0)
-            self.upstreams.attempt(others[0], call.timeout_ms / 1_000, call)
+            self.upstreams.start_attempt(others[0], call.timeout_ms / 1_000, call)
 
     Proxy._send = send  # type: ignore[method-assign]
 
@@ -56,7 +56,7 @@
     """Whatever the list says is in that state passes for ready, in the module and at the sockets."""
     real = Proxy._listed
 
-    def listed(self: Proxy, kind: interface.UpdateKind, news: ServerList) -> bool:
+    def listed(self: Proxy, kind: interface.UpdateKind, news: EndpointList) -> bool:
         kept = tuple(
             replace(e, endpoint=replace(e.endpoint, readiness=Readiness.READY))
             if e.endpoint.readiness is state
@@ -80,63 +80,65 @@
 
 def answers_from_nowhere() -> None:
     """Some requests are answered with 200 though no server ever saw them."""
-    real, seen = Proxy.arrived, [0]
+    real, seen = Proxy.on_request_arrived, [0]
 
-    def arrived(self: Proxy, taken: DownstreamRequest) -> None:
+    def on_request_arrived(self: Proxy, taken: DownstreamRequest) -> None:
         seen[0] += 1
-        if seen[0] % NOWHERE_EVERY == 0 and taken.body.whole:
-            taken.answer(200, [], b'{"served": true}')
+        if seen[0] % NOWHERE_EVERY == 0 and taken.body.is_complete:
+            taken.send_response(200, [], b'{"served": true}')
         else:
             real(self, taken)
 
-    Proxy.arrived = arrived  # type: ignore[method-assign]
+    Proxy.on_request_arrived = on_request_arrived  # type: ignore[method-assign]
 
 
 def trusts_any_list() -> None:
     """A list that is older than the one at hand is taken for news."""
     names, newest = vars(discovery), [0]
-    real = names["read_list"]
+    real = names["decode_endpoint_list"]
 
-    def read_list(answer: Any) -> ServerList:
-        news: ServerList = real(answer)
+    def decode_endpoint_list(answer: Any) -> EndpointList:
+        news: EndpointList = real(answer)
         newest[0] = max(newest[0], news.index)
         return replace(news, index=newest[0])
 
-    names["read_list"] = read_list
+    names["decode_endpoint_list"] = decode_endpoint_list
 
 
 def deaf_to_peers() -> None:
     """What other balancers say of who is there is not heard, and they hear nothing of us."""
     from loadbalancer.membership import Membership
 
-    def heard(self: Membership, sender: int, data: bytes, now: float) -> list[Any]:
+    def handle_message(self: Membership, sender: int, data: bytes, now: float) -> list[Any]:
         return []
 
-    Membership.heard = heard  # type: ignore[method-assign]
+    Membership.handle_message = handle_message  # type: ignore[method-assign]
 
 
 def never_gives_up() -> None:
     """A balancer that is silent is suspected for ever."""
     from loadbalancer.membership import MemberTable
 
-    def give_up(self: MemberTable, number: int, now: float) -> None:
+    def declare_dead(self: MemberTable, number: int, now: float) -> None:
         return None
 
-    MemberTable.give_up = give_up  # type: ignore[method-assign]
+    MemberTable.declare_dead = declare_dead  # type: ignore[method-assign]
 
 
 def forgets_returns() -> None:
     """Who was gone once stays gone: what it says of itself is not taken."""
     from loadbalancer.membership import MemberState, MemberTable
 
-    real = MemberTable.learn
+    real = MemberTable.apply_update
 
-    def learn(self: MemberTable, number: int, state: MemberState, incarnation: int, now: float) -> bool:
-        if self.state(number) is MemberState.GONE:
+    def apply_update(
+        self: MemberTable, number: int, state: MemberState, incarnation: int, now: float
+    ) -> bool:
+        if self.state(number) is MemberState.DEAD:
             return False
         return real(self, number, state, incarnation, now)
 
-    MemberTable.learn = learn  # type: ignore[method-assign]
+    MemberTable.apply_update = apply_update  # type: ignore[method-assign]
 
 
 def forgets_snapshot() -> None:
@@ -238,7 +240,7 @@
     def failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
         return [interface.SetTimer(now + 1.0, "list")]
 
-    EndpointSet.failed = failed  # type: ignore[method-assign]
+    EndpointSet.handle_list_failure = failed  # type: ignore[method-assign]
 
 
 def forgets_list() -> None:
@@ -247,7 +249,7 @@
 
     def failed(self: Proxy) -> None:
         real(self)
-        self._listed(interface.UpdateKind.FULL_SNAPSHOT, ServerList(self._index, True, ()))
+        self._listed(interface.UpdateKind.FULL_SNAPSHOT, EndpointList(self._index, True, ()))
 
     Proxy._list_failed = failed  # type: ignore[method-assign]
     obeys_lists()
@@ -257,23 +259,23 @@
     """A zone is left, and come back to, at once, whatever time operators gave."""
     from loadbalancer.policy.zones import ZoneEvacuations
 
-    real = ZoneEvacuations.hold
-    ZoneEvacuations.hold = lambda self, event: real(self, replace(event, duration_ms=0.0))  # type: ignore[method-assign]
+    real = ZoneEvacuations.apply
+    ZoneEvacuations.apply = lambda self, event: real(self, replace(event, duration_ms=0.0))  # type: ignore[method-assign]
 
 
 def never_returns() -> None:
     """A zone that was left stays so."""
     from loadbalancer.policy.zones import ZoneEvacuations
 
-    real = ZoneEvacuations.hold
-    ZoneEvacuations.hold = lambda self, event: real(self, replace(event, is_evacuating=True))  # type: ignore[method-assign]
+    real = ZoneEvacuations.apply
+    ZoneEvacuations.apply = lambda self, event: real(self, replace(event, is_evacuating=True))  # type: ignore[method-assign]
 
 
 def forgets_zones() -> None:
     """What operators said of zones is lost when the process is replaced."""
-    from loadbalancer.net.hot_restart import CordonFile
+    from loadbalancer.net import cordons
 
-    vars(sys.modules[CordonFile.__module__])["_read_zones"] = lambda raw: {}
+    vars(cordons)["_decode_evacuations"] = lambda raw: {}
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -33,16 +33,16 @@
 )
 from loadbalancer.interface import UpdateKind
 from loadbalancer.net import discovery
-from loadbalancer.net.config import ServerList, read_config
+from loadbalancer.net.config import EndpointList, read_config
 from loadbalancer.net.proxy import Proxy
 from loadbalancer.net.upstream import UpstreamResponse
 from loadbalancer.policy import Balancer
 from loadbalancer.policy.endpoints import EndpointSet
-from tests.loopback import config_text, entry, response
+from tests.loopback import config_text, endpoint_entry, http_response
 from tests.test_upstreams import full_backlog
 
 BUDGET_S = CHANGE_DEADLINE_S - SLACK_S
-HERE = entry("s0", "127.0.0.1:5000")
+HERE = endpoint_entry("s0", "127.0.0.1:5000")
 BEFORE, CHANGE = 7, 1_000
 WAYS = ("refused", "reset", "503", "silent", "half", "garbage", "no dial")
 
@@ -221,7 +221,7 @@
             elif isinstance(action, interface.WatchEndpointList):
                 self.found.subscribe()
 
-    def _news(self, news: ServerList) -> bool:
+    def _news(self, news: EndpointList) -> bool:
         self.tell(
             interface.EndpointListUpdate(UpdateKind.FULL_SNAPSHOT, tuple(e.endpoint for e in news.endpoints))
         )
@@ -422,7 +422,7 @@
                 self._answers_at(ends)  # its watch
                 continue
             watch.failed(ends - began, fell_silent=False, turned_away=True)
-            told = roster.failed(ends * 1e3, watch.again_s * 1e3)
+            told = roster.handle_list_failure(ends * 1e3, watch.again_s * 1e3)
             [timer] = [a for a in told if isinstance(a, interface.SetTimer)]
             heapq.heappush(calls, (timer.at_ms / 1e3, number))
         return known
@@ -508,7 +508,7 @@
                 if not self.is_up:
                     self._spoil(writer)
                 elif f"after={CHANGE}&".encode() not in line:
-                    writer.write(response(200, list_body(CHANGE)))
+                    writer.write(http_response(200, list_body(CHANGE)))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
@@ -517,9 +517,9 @@
         if self._way == "reset":
             writer.transport.abort()
         elif self._way == "503":
-            writer.write(response(503, b""))
+            writer.write(http_response(503, b""))
         elif self._way == "half":
-            writer.write(response(200, list_body(CHANGE))[:-20])
+            writer.write(http_response(200, list_body(CHANGE))[:-20])
         elif self._way == "garbage":
             writer.write(b"no answer at all\r\n\r\n")
 
@@ -642,7 +642,7 @@
     """Over a slow link each call was given up just before its answer came, and what is written is told."""
 
     async def then(driver: Proxy, first: asyncio.StreamWriter, slow: Slow) -> None:
-        first.write(response(200, list_body(BEFORE + 2)))
+        first.write(http_response(200, list_body(BEFORE + 2)))
         await until_known(lambda: driver._index == BEFORE + 2)
         assert driver._discovery._watch.index == -1, "the watch stays where it was"
 
@@ -651,7 +651,7 @@
 
 def test_after_a_newer_answer_nothing_can_come_late() -> None:
     async def then(driver: Proxy, first: asyncio.StreamWriter, slow: Slow) -> None:
-        slow._held[1].write(response(200, list_body(BEFORE + 3)))
+        slow._held[1].write(http_response(200, list_body(BEFORE + 3)))
         await until_known(lambda: driver._index == BEFORE + 3)
         assert driver._discovery._late._link is None
         await until_known(first.transport.is_closing)
