--- a/loadbalancer/net/config_reader.py
+++ b/loadbalancer/net/config_reader.py
@@ -70,9 +70,9 @@
             raw.get("known") or {"index": 0, "snapshot": True, "endpoints": []}
         ),
         settings=settings,
-        connect_timeout_ms=wire.number(flat, "limits.connectTimeout", DEFAULT_CONNECT_TIMEOUT_MS),
-        idle_timeout_ms=wire.number(flat, "limits.connIdle", DEFAULT_IDLE_TIMEOUT_MS),
-        drain_grace_ms=wire.number(flat, "contract.drainGrace", 0.0),
+        connect_timeout_ms=wire.read_number(flat, "limits.connectTimeout", DEFAULT_CONNECT_TIMEOUT_MS),
+        idle_timeout_ms=wire.read_number(flat, "limits.connIdle", DEFAULT_IDLE_TIMEOUT_MS),
+        drain_grace_ms=wire.read_number(flat, "contract.drainGrace", 0.0),
         peers=peers,
         snapshot_folder=Path(str(raw["snapshots"])) if raw.get("snapshots") else None,
         snapshot_interval_ms=max(
