--- a/loadbalancer/net/console_codec.py
+++ b/loadbalancer/net/console_codec.py
@@ -5,7 +5,7 @@
 import json
 from collections.abc import Mapping
 
-from loadbalancer.net.reports import BalancerStats, EndpointListReport
+from loadbalancer.net.reports import BalancerStats, EndpointListReport, MembershipReport
 
 
 def encode_stats(stats: BalancerStats) -> str:
@@ -45,6 +45,31 @@
     return json.dumps(zones)
 
 
-def encode_membership(report: Mapping[str, object]) -> str:
+def encode_membership(report: MembershipReport) -> str:
     """Return the answer to `/admin/peers`."""
-    return json.dumps(report)
+    members = [
+        {
+            "number": member.index,
+            "state": member.state,
+            "since_s": member.state_age_s,
+            "incarnation": member.incarnation,
+            "heard_s": member.last_message_age_s,
+        }
+        for member in report.members
+    ]
+    messages = report.messages
+    return json.dumps(
+        {
+            "me": report.own_index,
+            "present": report.active_members,
+            "takes_part": report.is_participating,
+            "health": report.awareness_score,
+            "members": members,
+            "notes": {
+                "sent": messages.sent,
+                "sent_bytes": messages.sent_bytes,
+                "taken": messages.received,
+                "dropped": messages.dropped,
+            },
+        }
+    )
--- a/loadbalancer/net/console_service.py
+++ b/loadbalancer/net/console_service.py
@@ -15,7 +15,7 @@
 from loadbalancer.net.cordon_controller import InsufficientCapacityError, UnknownZoneError
 from loadbalancer.net.http_framing import Headers
 from loadbalancer.net.metrics import CONTENT_TYPE
-from loadbalancer.net.reports import BalancerStats, EndpointListReport
+from loadbalancer.net.reports import BalancerStats, EndpointListReport, MembershipReport
 
 MAX_EVACUATION_MS = 3_600_000.0  # a longer one is a mistyped unit rather than a wish
 TEXT_HEADERS: Headers = [(b"Content-Type", b"text/plain; charset=utf-8")]
@@ -35,7 +35,7 @@
     def prometheus_metrics(self) -> str:
         """Return the same counts in Prometheus' text form."""
 
-    def membership_report(self) -> Mapping[str, object] | None:
+    def membership_report(self) -> MembershipReport | None:
         """Return what is believed of the other balancers; None where membership is off."""
 
     def endpoint_list_report(self) -> EndpointListReport:
--- a/loadbalancer/net/membership.py
+++ b/loadbalancer/net/membership.py
@@ -13,6 +13,7 @@
 
 from loadbalancer.membership import MAX_MESSAGE_BYTES, Action, Membership, MemberState, SendMessage, SetTimer
 from loadbalancer.net.config import Address, Config
+from loadbalancer.net.reports import GossipCounts, MemberReport, MembershipReport
 
 READ_MOST = 64  # notes that are read before others on the loop have their turn
 
@@ -114,35 +115,35 @@
                         self._timer.cancel()
                     self._timer = self._loop.call_later(max(at - self._now(), 0.0) / 1_000, self._due)
 
-    def console_report(self) -> dict[str, object]:
-        """What operators read: who is believed to be what since when, and the notes in, out and dropped."""
+    def report(self) -> MembershipReport:
+        """Return what is believed of each member since when, and the messages sent, received and dropped."""
         now, member = self._now(), self.member
-        members = [
-            {
-                "number": number,
-                "state": STATE_LABELS[belief.state],
-                "since_s": round((now - belief.state_since_ms) / 1_000, 3),
-                "incarnation": belief.incarnation,
-                "heard_s": round((now - belief.last_message_at_ms) / 1_000, 3)
-                if belief.last_message_at_ms > 0
+        members = tuple(
+            MemberReport(
+                index=index,
+                state=STATE_LABELS[record.state],
+                state_age_s=round((now - record.state_since_ms) / 1_000, 3),
+                incarnation=record.incarnation,
+                last_message_age_s=round((now - record.last_message_at_ms) / 1_000, 3)
+                if record.last_message_at_ms > 0
                 else None,
-            }
-            for number, belief in enumerate(member.table.records)
-        ]
+            )
+            for index, record in enumerate(member.table.records)
+        )
         counts = member.counts
-        return {
-            "me": self._config.settings.balancer_index,
-            "present": len(member.table.active_members),
-            "takes_part": self._socket is not None,
-            "health": member.awareness_score,
-            "members": members,
-            "notes": {
-                "sent": counts.sent,
-                "sent_bytes": counts.sent_bytes,
-                "taken": counts.received,
-                "dropped": {**counts.dropped, "stranger": self.unknown_sender_count},
-            },
-        }
+        return MembershipReport(
+            own_index=self._config.settings.balancer_index,
+            active_members=len(member.table.active_members),
+            is_participating=self._socket is not None,
+            awareness_score=member.awareness_score,
+            members=members,
+            messages=GossipCounts(
+                sent=counts.sent,
+                sent_bytes=counts.sent_bytes,
+                received=counts.received,
+                dropped={**counts.dropped, "stranger": self.unknown_sender_count},
+            ),
+        )
 
     def count_by_state(self) -> dict[str, int]:
         """How many members are believed to be in each state."""
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -22,7 +22,7 @@
 from loadbalancer.net.hot_restart import Predecessor
 from loadbalancer.net.http_framing import BufferBudget
 from loadbalancer.net.log import Log, Sink, write_text
-from loadbalancer.net.reports import BalancerStats, EndpointListReport
+from loadbalancer.net.reports import BalancerStats, EndpointListReport, MembershipReport
 from loadbalancer.net.request_attempts import RequestAttempts
 from loadbalancer.net.request_counters import RequestCounters
 from loadbalancer.net.request_intake import RequestIntake
@@ -205,9 +205,9 @@
         members_by_state = self.membership.count_by_state() if self.membership else {}
         return metrics.write(self.stats(), self.log.dropped_lines, members_by_state)
 
-    def membership_report(self) -> Mapping[str, object] | None:
+    def membership_report(self) -> MembershipReport | None:
         """Return what is believed of the other balancers; None where membership is off."""
-        return self.membership.console_report() if self.membership else None
+        return self.membership.report() if self.membership else None
 
     def endpoint_list_report(self) -> EndpointListReport:
         """Return where the endpoint list is from, and how old it is."""
--- a/loadbalancer/net/reports.py
+++ b/loadbalancer/net/reports.py
@@ -41,3 +41,38 @@
     """Servers whose attempts contradict what the list says of them."""
     suspected_servers: list[str]
     """Servers in use though the list omits them: it is suspected to be stale."""
+
+
+@dataclass(frozen=True, slots=True)
+class MemberReport:
+    """What this balancer believes of one member of its tier."""
+
+    index: int
+    state: str
+    state_age_s: float
+    incarnation: int
+    last_message_age_s: float | None
+    """None where no message of the member has come."""
+
+
+@dataclass(frozen=True, slots=True)
+class GossipCounts:
+    """Gossip messages since the start."""
+
+    sent: int
+    sent_bytes: int
+    received: int
+    dropped: Mapping[str, int]
+    """Received messages that were not taken, by the reason."""
+
+
+@dataclass(frozen=True, slots=True)
+class MembershipReport:
+    """The balancers of the tier as this one sees them."""
+
+    own_index: int
+    active_members: int
+    is_participating: bool
+    awareness_score: int
+    members: tuple[MemberReport, ...]
+    messages: GossipCounts
--- a/tests/test_peers_net.py
+++ b/tests/test_peers_net.py
@@ -86,8 +86,7 @@
             while not (one.unknown_sender_count and one.member.counts.dropped):
                 await asyncio.sleep(0.01)
         assert one.count_by_state() == before
-        told = one.console_report()["notes"]
-        assert isinstance(told, dict) and told["dropped"] == {"garbled": 1, "stranger": 1}
+        assert one.report().messages.dropped == {"garbled": 1, "stranger": 1}
         one.stop()
 
     run_scenario(scenario())
