--- a/tests/test_endings_list.py
+++ b/tests/test_endings_list.py
@@ -24,7 +24,7 @@
     wait_at_least,
     wait_until,
 )
-from tests.test_net import listen_to
+from tests.recorded_events import record_events
 from tests.test_upstreams import full_backlog
 
 NEVER = 3_600.0
@@ -46,7 +46,7 @@
         upstream, contract = Upstream(), {"drainGrace": 500.0, "askWithin": NEVER * 1_000}
         async with ProxyHarness(upstream, discovery=how, contract=contract) as rig:
             assert status_of(await rig.request()) == 200
-            told = listen_to(rig)
+            told = record_events(rig)
             await rig.discovery.request_lines.get()  # it stays silent
             assert "after=7&" in await rig.discovery.request_lines.get()
             drains = endpoint_entry("s0", rig.entries[0]["address"], status="terminating")
@@ -130,7 +130,7 @@
         upstream, elsewhere = Upstream(), ListServer()
         async with ProxyHarness(upstream) as rig:
             await rig.discovery.request_lines.get()
-            told = listen_to(rig)
+            told = record_events(rig)
             text = config_text(await elsewhere.start(), rig.entries)
             rig.discovery.publish(99, snapshot=True)  # its answer and the signal cross
             rig.proxy.apply_configuration(read_config(text, lambda note: None))
--- /dev/null
+++ b/tests/test_endpoint_list.py
@@ -0,0 +1,168 @@
+"""The endpoint list is watched, validated and followed on sockets."""
+
+from __future__ import annotations
+
+import signal
+from typing import Any
+
+import pytest
+
+from loadbalancer import interface
+from loadbalancer.endpoint_watch import watch
+from loadbalancer.interface import UpdateKind
+from loadbalancer.policy import endpoints
+from tests.loopback import (
+    ListServer,
+    ProxyHarness,
+    Upstream,
+    config_text,
+    endpoint_entry,
+    http_response,
+    run_scenario,
+    running_program,
+    status_of,
+)
+from tests.recorded_events import record_events
+
+
+def test_list_is_watched_and_a_restarted_server_loses_its_connections() -> None:
+    async def scenario() -> None:
+        upstream = Upstream()
+        async with ProxyHarness(upstream) as harness:
+            events = record_events(harness)
+            assert status_of(await harness.request()) == 200
+            line = await harness.discovery.request_lines.get()
+            assert line.startswith("GET /v1/servers?after=7&wait_ms=")
+            address = harness.entries[0]["address"]
+            harness.discovery.publish(8, endpoint_entry("s0", address, since_ms=5))
+            assert "after=8&" in await harness.discovery.request_lines.get()  # the watch goes on at once
+            await upstream.connection_ended.wait()
+            harness.discovery.publish(9, endpoint_entry("s0", address, since_ms=5), snapshot=True)
+            await harness.discovery.request_lines.get()
+            harness.discovery.responses.put_nowait(http_response(503, b""))
+            await harness.discovery.request_lines.get()  # asked again when the module's timer says so
+            kinds = [e.kind for e in events if isinstance(e, interface.EndpointListUpdate)]
+            assert kinds == [UpdateKind.DELTA, UpdateKind.FULL_SNAPSHOT, UpdateKind.FAILED]
+
+    run_scenario(scenario())
+
+
+def test_draining_server_gets_no_new_requests() -> None:
+    async def scenario() -> None:
+        upstream = Upstream()
+        async with ProxyHarness(upstream) as harness:
+            assert status_of(await harness.request("/pay/x", b"debit")) == 200
+            await harness.discovery.request_lines.get()
+            harness.discovery.publish(
+                8, endpoint_entry("s0", harness.entries[0]["address"], status="terminating")
+            )
+            await upstream.connection_ended.wait()  # the idle connection goes
+            assert status_of(await harness.request("/pay/x", b"debit")) == 503
+            assert len(upstream.requests) == 1
+
+    run_scenario(scenario())
+
+
+def test_replaced_configuration_moves_the_watch_and_ends_nothing(tmp_path: Any) -> None:
+    """SIGHUP ended the balancer, as it does a program that does not handle it."""
+
+    async def scenario() -> None:
+        old, new, path = ListServer(), ListServer(), tmp_path / "config.json"
+        path.write_text(config_text(await old.start(), []))
+        async with running_program(path) as process:
+            await old.request_lines.get()
+            for text in ("no configuration", config_text(await new.start(), [])):
+                path.write_text(text)
+                process.send_signal(signal.SIGHUP)
+            assert await new.request_lines.get() == "GET /v1/servers HTTP/1.1"
+            new.publish(9, snapshot=True)
+            assert (await new.request_lines.get()).startswith("GET /v1/servers?after=9&")
+
+    run_scenario(scenario())
+
+
+def test_unanswered_watch_fails_before_its_updates_count_as_delivered(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """All changes count as told 2 s after a watch's wait, and a silent one was kept for 5 s."""
+    assert watch.OVERDUE_S < 2.0
+    monkeypatch.setattr(watch, "MAX_WAIT_MS", 10)
+    monkeypatch.setattr(watch, "OVERDUE_S", 0.01)
+
+    async def scenario() -> None:
+        async with ProxyHarness(Upstream()) as harness:
+            events = record_events(harness)
+            await harness.discovery.request_lines.get()
+            assert "after=7" in await harness.discovery.request_lines.get(), "asked anew"
+            assert any(
+                e.kind is UpdateKind.FAILED for e in events if isinstance(e, interface.EndpointListUpdate)
+            )
+
+    run_scenario(scenario())
+
+
+@pytest.mark.parametrize("balancers", [2, 40, 400])
+def test_watch_waits_no_longer_than_drain_grace_and_fleet_size_allow(balancers: int) -> None:
+    """A watch that fell silent kept its balancer on the old list for half a minute: a whole release."""
+    contract = {"drainGrace": 3_000.0, "askWithin": 10_000.0}
+
+    async def scenario() -> None:
+        async with ProxyHarness(Upstream(), balancers=balancers, contract=contract) as harness:
+            line = await harness.discovery.request_lines.get()
+            waits = float(line.partition("wait_ms=")[2].split()[0])
+            assert waits <= max(3_000, watch.CALL_MS * balancers)
+            assert balancers / waits < 1.3 / watch.CALL_MS, "all together call too often"
+
+    run_scenario(scenario())
+
+
+def test_outdated_or_malformed_list_leaves_the_last_one_in_use(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Any name and address was taken, a name twice as well, and an older list in place of a newer one."""
+    monkeypatch.setattr(endpoints, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
+
+    async def scenario() -> None:
+        async with ProxyHarness(Upstream()) as harness:
+            events = record_events(harness)
+            good = harness.entries[0]["address"]
+            nameless = endpoint_entry("s9", good) | {"name": 7}
+            bad = [
+                endpoint_entry("", good),
+                endpoint_entry("a b", good),
+                endpoint_entry("s9", "no-such.host:1"),
+                nameless,
+            ]
+            for odd in bad:
+                await harness.discovery.request_lines.get()
+                harness.discovery.publish(9, odd, snapshot=True)
+            await harness.discovery.request_lines.get()
+            harness.discovery.publish(
+                9, endpoint_entry("s9", good), endpoint_entry("s9", good), snapshot=True
+            )
+            await harness.discovery.request_lines.get()
+            harness.discovery.publish(6, snapshot=True)  # older than the one the configuration brought
+            line = await harness.discovery.request_lines.get()
+            assert "after=7&" in line
+            kinds = [e.kind for e in events if isinstance(e, interface.EndpointListUpdate)]
+            assert kinds == [UpdateKind.FAILED] * 6
+            assert status_of(await harness.request()) == 200
+
+    run_scenario(scenario())
+
+
+def test_watch_survives_any_response() -> None:
+    """An answer that broke the reader in an unforeseen way ended the watch, and nobody asked again."""
+
+    async def scenario() -> None:
+        async with ProxyHarness(Upstream()) as harness:
+            events = record_events(harness)
+            assert status_of(await harness.request()) == 200
+            for body in (b"[" * 100_000, b"[]"):
+                await harness.discovery.request_lines.get()
+                harness.discovery.responses.put_nowait(http_response(200, body))
+            await harness.discovery.request_lines.get()
+            kinds = [e.kind for e in events if isinstance(e, interface.EndpointListUpdate)]
+            assert kinds == [UpdateKind.FAILED] * 2
+
+    run_scenario(scenario())
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -32,7 +32,7 @@
     run_scenario,
     status_of,
 )
-from tests.test_net import listen_to
+from tests.recorded_events import record_events
 
 A, B, C = (("127.0.0.1", port) for port in (1, 2, 3))
 
@@ -165,7 +165,7 @@
     async def scenario() -> None:
         two = Two()
         async with await two.rig() as rig:
-            told = listen_to(rig)
+            told = record_events(rig)
             assert "after=7&" in await two.one.request_lines.get()
             two.one.responses.put_nowait(http_response(503, b""))
             assert await two.other.request_lines.get() == "GET /v1/servers HTTP/1.1"
