--- a/loadbalancer/net/membership.py
+++ b/loadbalancer/net/membership.py
@@ -15,6 +15,7 @@
 from loadbalancer.net import membership_report
 from loadbalancer.net.address import Address
 from loadbalancer.net.config import Config
+from loadbalancer.net.reports import MembershipReport
 
 MAX_DATAGRAMS_PER_READ = 64  # then others on the loop have their turn
 
@@ -76,12 +77,12 @@
             self._socket.close()
             self._socket = None
 
-    def console_report(self) -> dict[str, object]:
-        """Return what the console shows of the members and the messages."""
-        return membership_report.encode_membership(
+    def report(self) -> MembershipReport:
+        """Return what is known of each member, and the messages sent, received and dropped."""
+        return membership_report.report_membership(
             self.member,
             self._now(),
-            takes_part=self._socket is not None,
+            is_participating=self._socket is not None,
             unknown_sender_count=self.unknown_sender_count,
         )
 
