--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -19,7 +19,7 @@
     MAX_WAIT_MS,
     WAIT_JITTER,
 )
-from loadbalancer.policy.endpoints import BALANCERS_PER_SERVER
+from loadbalancer.policy.ready_servers import BALANCERS_PER_SERVER
 from loadbalancer.registry.entries import Rules
 from loadbalancer.registry.lease import RENEW_PART
 from loadbalancer.registry.rate_limiter import ANSWER_S, LEAST_S, WAKES_PART
--- a/loadbalancer/drill/plants.py
+++ b/loadbalancer/drill/plants.py
@@ -233,7 +233,7 @@
     """A list that is out of reach is asked for again at once, by all balancers together."""
     from loadbalancer.policy.endpoints import EndpointSet
 
-    def failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
+    def failed(self: EndpointSet, now: float, retry_within_ms: float) -> list[interface.Action]:
         return [interface.SetTimer(now + 1.0, "list")]
 
     EndpointSet.handle_list_failure = failed  # type: ignore[method-assign]
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -25,6 +25,7 @@
 from loadbalancer.net.request_counters import RequestCounters
 from loadbalancer.net.upstream import Attempt, AttemptHandler, UpstreamPools, UpstreamResponse
 from loadbalancer.policy import Balancer
+from loadbalancer.policy.zones import ZoneStatus
 
 if TYPE_CHECKING:
     from loadbalancer.net.membership import MembershipHost
@@ -372,7 +373,8 @@
 
     def zones(self) -> dict[str, dict[str, float]]:
         """How it stands with each zone."""
-        return self.balancer.zone_statuses(self.clock.now())
+        statuses = self.balancer.zone_statuses(self.clock.now())
+        return {zone: _zone_figures(status) for zone, status in statuses.items()}
 
     def move_zone(self, zone: str, out: bool, over_ms: float, force: bool) -> tuple[int, str]:
         """Leave a zone, or come back to it, over a time: status and text of the answer."""
@@ -678,6 +680,16 @@
             self._tell(interface.HealthCheckEnded(server, Outcome.NOT_SENT))
 
 
+def _zone_figures(status: ZoneStatus) -> dict[str, float]:
+    """Return a zone's status under the names of the console."""
+    return {
+        "share": status.traffic_fraction,
+        "ready": status.ready_servers,
+        "out": status.calls_in_flight,
+        "room": status.call_capacity,
+    }
+
+
 def _no_room(zone: str, zones: dict[str, dict[str, float]]) -> str:
     """Why the calls that are out do not fit without a zone, in figures; empty if they do."""
     if not any(name != zone and one["share"] > 0 for name, one in zones.items()):
--- a/loadbalancer/policy/__init__.py
+++ b/loadbalancer/policy/__init__.py
@@ -1,17 +1,15 @@
-"""Every decision of the balancer; its types, events and actions are in loadbalancer/interface.py.
+"""Decide everything that the balancer decides; the boundary's types are in `loadbalancer.interface`.
 
-`balancer.Balancer` takes one event at a time and returns what to do. Each concern is a part of its own, which
-does no I/O and has no clock and no randomness but what it is given:
+`balancer.Balancer` takes one event at a time and returns the actions to carry out. No module here does I/O,
+or has a clock or randomness but what it is given. By subject:
 
-- `roster`: the list, operators' holds, and the servers that this balancer keeps to
-- `servers`: what is known of each server, and the capacity learned from it
-- `draw`: the ordinary path, from servers that may be sent to, to the one that is
-- `sampler`: draws whose cost hardly grows with the fleet
-- `limits`: limits at each server, and the queue of those who wait for room
-- `admission`: which requests are let in while answers come late, by their worth
-- `cold`: how much a newly started server gets
-- `repeats`: where a further attempt does no harm, and how many are made
-- `requests`: what is open
+- the life of a request: `request_lifecycle`, `requests`, `admission`, `wait_queue`; its attempts: `attempts`,
+  `retries`, `hedging`, `deduplication`, `outcomes`, `timers`
+- the server of an attempt: `server_selection`, `selection`, `weighted_sampling`, `limits`, `slow_start`,
+  `zones`
+- endpoint membership: `endpoint_membership`, `endpoints`, `ready_servers`, `list_validation`, `list_backoff`
+- what is learned: `estimates`, `servers`, `capacity_estimates`, `latency_estimates`, `overload`,
+  `idle_connections`; its hand-over on a hot restart: `learned_state`
 """
 
 from loadbalancer.policy.balancer import Balancer
--- /dev/null
+++ b/loadbalancer/policy/attempts.py
@@ -0,0 +1,118 @@
+"""Send, retry, hedge and cancel the attempts of a request."""
+
+from __future__ import annotations
+
+import math
+
+from loadbalancer import interface
+from loadbalancer.policy.deduplication import deduplicated_until_ms
+from loadbalancer.policy.endpoints import EndpointSet
+from loadbalancer.policy.estimates import Estimates
+from loadbalancer.policy.hedging import hedge_delay_ms
+from loadbalancer.policy.requests import Attempt, Request
+from loadbalancer.policy.retries import RetryBudget
+from loadbalancer.policy.server_selection import ServerSelector
+from loadbalancer.policy.servers import Server
+from loadbalancer.policy.timers import hedge_token
+
+
+class AttemptSender:
+    """Sends attempts within the limits on their number, their time and the retry budget.
+
+    Its actions go to the list that it is given.
+    """
+
+    def __init__(
+        self,
+        settings: interface.Settings,
+        endpoints: EndpointSet,
+        estimates: Estimates,
+        selector: ServerSelector,
+        actions: list[interface.Action],
+    ) -> None:
+        self._settings = settings
+        self._endpoints = endpoints
+        self._latencies = estimates.latencies
+        self._slow_start = estimates.slow_start
+        self._idle_timeouts = estimates.idle_timeouts
+        self._selector = selector
+        self._actions = actions
+        self.retry_budget = RetryBudget()
+
+    def try_send(self, request: Request, now: float) -> bool:
+        """Send the next attempt, and return whether there was time, an attempt left and a server for it."""
+        if not request.is_complete:
+            request.restart_clock(now)
+        timeout_ms = request.useful_until_ms - now
+        if timeout_ms <= self._settings.tick_ms or len(request.attempts) >= self._settings.max_attempts:
+            return False
+        server = self._selector.select(request, now)
+        if server is None:
+            return False
+        idle_ms = self._reusable_idle_ms(server, request, now)
+        if self._settings.max_attempts > 1:
+            timeout_ms = self._hedge_or_shorten(request, timeout_ms, now)
+        server.advance_to(now)
+        server.in_flight += 1
+        self._endpoints.awaiting_first_call.pop(server.endpoint.server, None)
+        write_within_ms = deduplicated_until_ms(request, self._settings) - now
+        connect_within_ms = self._connect_within_ms(server, request)
+        request.attempts.append(Attempt(server, idle_ms, now, timeout_ms))
+        self._slow_start.record_send(server, now)
+        self._actions.append(
+            interface.SendAttempt(
+                request.id, server.endpoint.server, timeout_ms, write_within_ms, connect_within_ms
+            )
+        )
+        return True
+
+    def try_retry(self, request: Request, now: float, *, is_body_discarded: bool = False) -> bool:
+        """Send another attempt if the retry budget allows it, and return whether it was sent."""
+        if is_body_discarded or request.is_streaming:
+            return False
+        cost = self.retry_budget.cost(request)
+        if not self.retry_budget.can_afford(cost) or not self.try_send(request, now):
+            return False
+        self.retry_budget.withdraw(cost)
+        return True
+
+    def cancel_in_flight(self, request: Request, spared: Attempt | None = None) -> None:
+        """Cancel the attempts that are in flight, but for one, where the platform permits it."""
+        if not self._settings.may_cancel:
+            return
+        for index, attempt in enumerate(request.attempts):
+            if attempt.is_in_flight and attempt is not spared:
+                self._actions.append(interface.CancelAttempt(request.id, index))
+
+    def _reusable_idle_ms(self, server: Server, request: Request, now: float) -> float:
+        """Return how long the connections to a server have been idle; close them if they may be dead."""
+        if server.in_flight:
+            return 0.0
+        idle_ms = max(now - server.idle_since_ms, 0.0)
+        if not idle_ms:
+            return 0.0
+        if self.retry_budget.cost(request) or idle_ms >= self._idle_timeouts.limit_ms:
+            self._actions.append(interface.CloseIdleConnections(server.endpoint.server))
+            return 0.0
+        return idle_ms
+
+    def _hedge_or_shorten(self, request: Request, timeout_ms: float, now: float) -> float:
+        """Set the timer of a hedged request, or where none is permitted, time out in time for a retry."""
+        latency_ms = self._latencies.smoothed_ms[request.request_class.name]
+        delay_ms = hedge_delay_ms(request, latency_ms, timeout_ms)
+        if not delay_ms:
+            return timeout_ms
+        if not self._settings.may_hedge:
+            return delay_ms
+        self._actions.append(interface.SetTimer(now + delay_ms, hedge_token(request.id)))
+        return timeout_ms
+
+    def _connect_within_ms(self, server: Server, request: Request) -> float:
+        """Return the limit on a new connection; infinite where a late one would help nobody.
+
+        That is on the last attempt, and at a suspected server, which a late connection would count against.
+        """
+        is_last = len(request.attempts) + 1 >= self._settings.max_attempts
+        if server.remaining_strikes or is_last:
+            return math.inf
+        return self._latencies.connect_limit_ms(request, server.endpoint.zone)
--- a/loadbalancer/policy/limits.py
+++ b/loadbalancer/policy/limits.py
@@ -1,89 +1,55 @@
-"""Concurrency limits at each server, and the queue of requests that wait for room there."""
+"""Limit how many calls this balancer has in flight at each server."""
 
 from __future__ import annotations
 
 import math
-from bisect import insort
 
 from loadbalancer.interface import Settings
 from loadbalancer.policy.requests import Request
 from loadbalancer.policy.servers import Server
 
-CALLS_PER_CAPACITY_UNIT = (
-    5.0  # calls that all balancers together have out at a server for each unit of its registered size
-)
-ORDINARY_FRACTION = 0.6  # the part of that room which requests of less than the highest worth may fill
+CALLS_PER_CAPACITY_UNIT = 5.0
+"""Calls that all balancers together have in flight at a server for each unit of its capacity."""
+ORDINARY_FRACTION = 0.6
+"""Fraction of these calls that requests of less than the highest priority weight may use."""
 
 
 class ConcurrencyLimits:
-    """How many calls this balancer may have out at each server of the first tier.
+    """This balancer's part of the concurrency limit of each first-tier server.
 
-    Guards against crowding: a server with far more calls than cores turns slow, and stays so until idle.
-    Inner tiers have none: others have worked on their calls, and refusing these wastes it.
+    It prevents congestion: a server with far more calls than cores turns slow, and stays so until it is idle.
+    Inner tiers have no limit: other tiers have already worked on their calls, which a rejection would waste.
     """
 
     def __init__(self, settings: Settings) -> None:
-        self._dearest = max(c.priority_weight for c in settings.classes)
-        self._bounded = settings.tier == 0
-        self._balancers = settings.balancer_count
-        self._sharers = float(settings.balancer_count)
+        self._highest_weight = max(c.priority_weight for c in settings.classes)
+        self._is_limited = settings.tier == 0
+        self._balancer_count = settings.balancer_count
+        self._balancers_per_server = float(settings.balancer_count)
         self.max_waiting = 0
+        """How many requests may wait for capacity at the same time."""
 
     @property
     def calls_per_capacity_unit(self) -> float:
-        """The calls of usual worth that we may have out at a server, for each unit of its size."""
-        return ORDINARY_FRACTION * CALLS_PER_CAPACITY_UNIT / self._sharers
+        """How many ordinary calls we may have in flight at a server, per unit of its capacity."""
+        return ORDINARY_FRACTION * CALLS_PER_CAPACITY_UNIT / self._balancers_per_server
 
-    def update(self, ready: int, kept: int, size: float) -> None:
-        """Take our part: of so many ready servers of this size in all we keep to some, as others do."""
-        self._sharers = max(self._balancers * kept / max(ready, 1), 1.0)
-        self.max_waiting = math.ceil(CALLS_PER_CAPACITY_UNIT * size / self._balancers)
+    def update(self, ready: int, subset_size: int, total_capacity: float) -> None:
+        """Take our part for a number of ready servers, of which each balancer uses a subset."""
+        self._balancers_per_server = max(self._balancer_count * subset_size / max(ready, 1), 1.0)
+        self.max_waiting = math.ceil(CALLS_PER_CAPACITY_UNIT * total_capacity / self._balancer_count)
 
     def can_accept(self, request: Request, server: Server) -> bool:
-        """Whether a server has room for a request."""
-        if not self._bounded:
+        """Return whether a server has free capacity for a request."""
+        if not self._is_limited:
             return True
-        return server.in_flight < self._limit(
-            server, 1.0 if request.priority_weight >= self._dearest else ORDINARY_FRACTION
-        )
+        fraction = 1.0 if request.priority_weight >= self._highest_weight else ORDINARY_FRACTION
+        return server.in_flight < self._limit(server, fraction)
 
-    def _limit(self, server: Server, part: float) -> int:
-        """Our part of this part of a server's room, one call at the least.
+    def _limit(self, server: Server, fraction: float) -> int:
+        """Return our part of a fraction of a server's limit: at least one call.
 
-        The rank rounds it, up by some and down by others: all together keep to the room.
+        The random rank rounds it, up for some balancers and down for others, so that their sum is the limit.
         """
-        return max(
-            math.floor(
-                part * CALLS_PER_CAPACITY_UNIT * server.registered_capacity / self._sharers + server.rank
-            ),
-            1,
-        )
-
-
-class WaitQueue:
-    """Those who wait, in their turn."""
-
-    def __init__(self) -> None:
-        self._waiting: list[Request] = []
-
-    def __len__(self) -> int:
-        return len(self._waiting)
-
-    def add(self, request: Request) -> None:
-        """Take a place by worth, then by when the answer is wanted."""
-        request.is_waiting = True
-        insort(self._waiting, request, key=Request.queue_order)
-
-    def discard(self, request: Request) -> None:
-        """Give the place up; nothing happens to who has none."""
-        if request.is_waiting:
-            request.is_waiting = False
-            self._waiting.remove(request)
-
-    def first(self) -> Request | None:
-        """Whose turn it is."""
-        return self._waiting[0] if self._waiting else None
-
-    def last(self) -> Request:
-        """Who would be served last."""
-        return self._waiting[-1]
+        part = fraction * CALLS_PER_CAPACITY_UNIT * server.registered_capacity / self._balancers_per_server
+        return max(math.floor(part + server.rank), 1)
--- /dev/null
+++ b/loadbalancer/policy/list_validation.py
@@ -0,0 +1,51 @@
+"""Decide what of an endpoint list update is followed: lists can be stale, halved or rolled back."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import replace
+
+from loadbalancer.interface import Endpoint, EndpointListUpdate, Readiness, Settings, UpdateKind
+from loadbalancer.policy.servers import Server
+
+
+def validate_update(
+    update: EndpointListUpdate,
+    settings: Settings,
+    servers: Mapping[str, Server],
+    ready: Mapping[str, Server],
+) -> EndpointListUpdate:
+    """Return the update that is followed in place of one that was received.
+
+    Ready servers that a full snapshot omits are suspected stale, and stay, if they are too many or all there
+    are. A service that was rolled back to an older revision does not end the draining of a server.
+    """
+    endpoints = update.endpoints
+    suspected = _suspected_stale(update, settings, ready)
+    endpoints += tuple(ready[name].endpoint for name in sorted(suspected))
+    if update.is_rolled_back:
+        endpoints = tuple(_keep_draining(endpoint, servers) for endpoint in endpoints)
+    return replace(update, endpoints=endpoints, suspected_stale=suspected)
+
+
+def _suspected_stale(
+    update: EndpointListUpdate, settings: Settings, ready: Mapping[str, Server]
+) -> frozenset[str]:
+    if update.kind is not UpdateKind.FULL_SNAPSHOT:
+        return frozenset()
+    listed = {endpoint.server for endpoint in update.endpoints}
+    omitted = ready.keys() - listed
+    # A single one may go at once, unless the list is empty.
+    if len(omitted) <= max(settings.suspect_stale_fraction * len(ready), bool(listed)):
+        return frozenset()
+    return frozenset(omitted)
+
+
+def _keep_draining(endpoint: Endpoint, servers: Mapping[str, Server]) -> Endpoint:
+    """Return an endpoint as draining if the same incarnation was draining before."""
+    server = servers.get(endpoint.server)
+    if server is None or server.endpoint.readiness is not Readiness.DRAINING:
+        return endpoint
+    if endpoint.started_at_ms > server.endpoint.started_at_ms:
+        return endpoint
+    return replace(endpoint, readiness=Readiness.DRAINING)
--- /dev/null
+++ b/loadbalancer/policy/ready_servers.py
@@ -0,0 +1,122 @@
+"""Index the servers that may get new work, and the subset of them that this balancer uses."""
+
+from __future__ import annotations
+
+import math
+from bisect import bisect_left, insort
+from collections.abc import Iterator
+
+from loadbalancer.interface import Settings
+from loadbalancer.policy.servers import Server
+
+MIN_SUBSET_SERVERS = 12
+"""Servers that a balancer uses at least: a choice must be left after the loss of a few."""
+BALANCERS_PER_SERVER = 30
+"""Balancers that use each server: their random subsets then even out to about a fifth."""
+NEARBY_SERVERS = 6
+"""Servers near our place on the ring of which an inner balancer first takes those without our calls."""
+RANK_AFTER_ALL = (math.inf, "")
+"""Place behind all ranks."""
+
+
+class ReadyServers:
+    """The servers that are listed as ready and not cordoned, in three orders.
+
+    A change costs what it changes, not the number of servers. The subset is the first `subset_size` servers
+    in the order of ranks, which are random numbers; a ring for each zone holds names in alphabetical order.
+    """
+
+    def __init__(self, settings: Settings) -> None:
+        self._settings = settings
+        self.by_name: dict[str, Server] = {}
+        self.names_by_zone: dict[str, list[str]] = {}
+        self.subset_size = 0
+        self.total_capacity = 0.0
+        self._ranked: list[tuple[float, str]] = []
+        self._names: list[str] = []
+        self._changed: dict[str, None] = {}  # names, in the order of their changes
+        self._subset_end = RANK_AFTER_ALL  # first place outside the subset, when changes were last taken
+        self._whole_subset: list[Server] | None = None
+
+    def __iter__(self) -> Iterator[str]:
+        return iter(self.by_name)
+
+    def __len__(self) -> int:
+        return len(self.by_name)
+
+    def subset(self, first: int, count: int) -> list[Server]:
+        """Return up to `count` servers of the subset, from place `first` on, and on from the beginning."""
+        if count >= self.subset_size:
+            if self._whole_subset is None:
+                self._whole_subset = [self.by_name[name] for _, name in self._ranked[: self.subset_size]]
+            return self._whole_subset
+        places = self._ranked[first : min(first + count, self.subset_size)]
+        places += self._ranked[: count - len(places)]
+        return [self.by_name[name] for _, name in places]
+
+    def is_in_subset(self, server: Server) -> bool:
+        """Return whether a server is in the subset, as of the last `take_changed_names`."""
+        return server.is_ready and (server.rank, server.endpoint.server) < self._subset_end
+
+    def names_outside_subset(self) -> set[str]:
+        """Return the ready servers that this balancer does not use."""
+        return {name for _, name in self._ranked[self.subset_size :]}
+
+    def take_changed_names(self) -> dict[str, None]:
+        """Return the servers that may have entered or left the subset since the last call, in order."""
+        end = RANK_AFTER_ALL
+        if self.subset_size < len(self._ranked):
+            end = self._ranked[self.subset_size]
+        low, high = sorted((end, self._subset_end))
+        between = self._ranked[bisect_left(self._ranked, low) : bisect_left(self._ranked, high)]
+        changed = self._changed | dict.fromkeys(name for _, name in between)
+        self._subset_end = end
+        self._changed = {}
+        return changed
+
+    def nearby(self) -> list[Server]:
+        """Return the servers of our zone nearest to our place, with servers and balancers on one ring.
+
+        Each server is near few balancers, so that their own calls there are most of its load.
+        """
+        ring = self.names_by_zone.get(self._settings.zone) or self._names
+        place = len(ring) * (self._settings.balancer_index + 0.5) / self._settings.balancer_count
+        first = round(place - NEARBY_SERVERS / 2)
+        count = min(NEARBY_SERVERS, len(ring))
+        return [self.by_name[ring[index % len(ring)]] for index in range(first, first + count)]
+
+    def mark_changed(self, name: str) -> None:
+        """Note that a server may enter or leave the subset, or change its capacity."""
+        self._changed[name] = None
+
+    def add(self, server: Server) -> None:
+        """Add a server; its capacity is counted apart."""
+        name = server.endpoint.server
+        self.by_name[name] = server
+        self._whole_subset = None
+        insort(self._ranked, (server.rank, name))
+        insort(self._names, name)
+        insort(self.names_by_zone.setdefault(server.endpoint.zone, []), name)
+
+    def remove(self, server: Server) -> None:
+        """Remove a server and its capacity, before its endpoint changes."""
+        name = server.endpoint.server
+        zone = server.endpoint.zone
+        self._whole_subset = None
+        del self.by_name[name]
+        del self._ranked[bisect_left(self._ranked, (server.rank, name))]
+        del self._names[bisect_left(self._names, name)]
+        ring = self.names_by_zone[zone]
+        del ring[bisect_left(ring, name)]
+        if not ring:
+            del self.names_by_zone[zone]
+        self.total_capacity -= server.registered_capacity
+
+    def update_subset_size(self) -> None:
+        """Set the size of the subset by the number of servers.
+
+        A balancer that used hundreds of servers would call each too seldom to learn its capacity, or to use
+        a connection twice.
+        """
+        size = math.ceil(len(self._ranked) * BALANCERS_PER_SERVER / self._settings.balancer_count)
+        self.subset_size = min(max(MIN_SUBSET_SERVERS, size), len(self._ranked))
--- a/loadbalancer/policy/requests.py
+++ b/loadbalancer/policy/requests.py
@@ -1,18 +1,18 @@
-"""What is open: requests that still want an answer, and their attempts."""
+"""Keep the open requests: those that still need a response or have attempts in flight."""
 
 from __future__ import annotations
 
 from loadbalancer import interface
 from loadbalancer.policy.servers import Server
 
-MAX_WAIT_OBJECTIVE_FRACTION, MAX_WAIT_REMAINING_FRACTION = (
-    0.1,
-    0.45,
-)  # the most that a request waits here: of its aim, and of its caller's time
+MAX_WAIT_OBJECTIVE_FRACTION = 0.1
+"""A request waits for capacity at most this fraction of its latency objective: a wait makes it late."""
+MAX_WAIT_REMAINING_FRACTION = 0.45
+"""A request waits at most this fraction of its client's remaining time, so that a retry still fits."""
 
 
 class Attempt:
-    """One send of a request; it may have run until its outcome proves otherwise."""
+    """One send of a request to a server."""
 
     __slots__ = (
         "idle_ms",
@@ -24,13 +24,21 @@
         "times_out_at_ms",
     )
 
-    def __init__(self, server: Server, idle: float, now: float, timeout: float) -> None:
-        self.server, self.idle_ms, self.sent_at_ms, self.times_out_at_ms = server, idle, now, now + timeout
-        self.is_recorded, self.is_in_flight, self.may_have_run = False, True, True
+    def __init__(self, server: Server, idle_ms: float, now: float, timeout_ms: float) -> None:
+        self.server = server
+        self.idle_ms = idle_ms
+        """How long the pooled connections to the server had been idle; 0 if it opens a new one."""
+        self.sent_at_ms = now
+        self.times_out_at_ms = now + timeout_ms
+        self.is_in_flight = True
+        self.is_recorded = False
+        """Whether its outcome has been counted."""
+        self.may_have_run = True
+        """Whether the server may have executed it; true until its outcome proves otherwise."""
 
 
 class Request:
-    """A request from its arrival until it has its answer and none of its attempts is out."""
+    """A request from its arrival until it has its response and none of its attempts is in flight."""
 
     __slots__ = (
         "arrived_at_ms",
@@ -47,40 +55,53 @@
         "useful_until_ms",
     )
 
-    def __init__(self, event: interface.RequestArrived, cls: interface.RequestClass, now: float) -> None:
-        self.id, self.request_class = event.request_id, cls
-        self.arrived_at_ms, deadline = now, now + event.remaining_ms
-        self.useful_until_ms = (
-            deadline if cls.late_value_fraction else min(deadline, now + cls.latency_objective_ms)
-        )
+    def __init__(
+        self, event: interface.RequestArrived, request_class: interface.RequestClass, now: float
+    ) -> None:
+        self.id = event.request_id
+        self.request_class = request_class
+        self.arrived_at_ms = now
+        self.useful_until_ms = now + event.remaining_ms
+        """Until when a response is of any value."""
+        if not request_class.late_value_fraction:
+            self.useful_until_ms = min(self.useful_until_ms, now + request_class.latency_objective_ms)
         self.attempts: list[Attempt] = []
-        self.is_response_due, self.is_streaming, self.is_complete = True, False, event.is_complete
-        self.is_waiting, self.priority_weight = False, cls.priority_weight
+        self.is_response_due = True
+        self.is_streaming = False
+        self.is_complete = event.is_complete
+        """Whether its body has been received completely."""
+        self.is_waiting = False
+        self.priority_weight = request_class.priority_weight
         self.max_wait_ms = min(
-            MAX_WAIT_OBJECTIVE_FRACTION * cls.latency_objective_ms,
+            MAX_WAIT_OBJECTIVE_FRACTION * request_class.latency_objective_ms,
             MAX_WAIT_REMAINING_FRACTION * event.remaining_ms,
         )
-        self.relative_work = 1.0  # its work over the usual, where a hint tells
+        self.relative_work = 1.0
+        """Its expected work over the average, where the client gives it."""
 
     @property
     def work_factor(self) -> float:
-        """How many times longer than usual it may take."""
+        """How many times longer than an average request it may take; at least 1."""
         return max(self.relative_work, 1.0)
 
     def restart_clock(self, now: float) -> None:
-        """Let all its times run from now on: its body was still coming in."""
-        passed, self.arrived_at_ms = now - self.arrived_at_ms, now
+        """Count all its times from `now` on, since its body was still being received until then."""
+        passed = now - self.arrived_at_ms
+        self.arrived_at_ms = now
         self.useful_until_ms += passed
-        for attempt in (a for a in self.attempts if a.is_in_flight):
-            attempt.sent_at_ms, attempt.times_out_at_ms = (
-                attempt.sent_at_ms + passed,
-                attempt.times_out_at_ms + passed,
-            )
+        for attempt in self.attempts:
+            if attempt.is_in_flight:
+                attempt.sent_at_ms += passed
+                attempt.times_out_at_ms += passed
 
     def queue_order(self) -> tuple[float, float, int]:
-        """Who waits is served by this: the dearest first, then the one that is wanted soonest."""
+        """Return the sort key of the wait queue: by priority weight, then by when it must be served."""
         return -self.priority_weight, self.useful_until_ms, self.id
 
     def has_attempt_in_flight(self) -> bool:
-        """Whether an attempt has no outcome yet."""
+        """Return whether an attempt has no outcome yet."""
         return any(a.is_in_flight for a in self.attempts)
+
+    def may_have_run(self) -> bool:
+        """Return whether a server may have executed an attempt of it."""
+        return any(a.may_have_run for a in self.attempts)
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""The rule on cold servers: how much a newly started one gets from this balancer."""
+"""Limit what a server that has just started gets from this balancer while it is warming up."""
 
 from __future__ import annotations
 
@@ -8,67 +8,87 @@
 from loadbalancer.interface import Settings
 from loadbalancer.policy.servers import Server
 
-BUDGET_SAFETY_FACTOR = (
-    0.5  # the part of a cold server's budget that we use: other balancers and heavy calls count too
-)
+BUDGET_SAFETY_FACTOR = 0.5
+"""Fraction of a warming server's budget that is used: other balancers and heavy calls count as well."""
 
 
 class SlowStart:
-    """Which servers are cold, and whether they may take one more call."""
+    """Which servers are warming up, and whether they can accept one more call.
+
+    The platform sets the duration, the initial fraction and the factor by which a warming server may be
+    overloaded within a window; see `Settings.slow_start_ms` and its neighbours.
+    """
 
     def __init__(self, settings: Settings, chance: random.Random) -> None:
-        self._settings, self._random = settings, chance
-        self._until = 0.0  # when the last of them is warm
-        self._asked, self._asked_at = 0.0, 0.0
+        self._settings = settings
+        self._random = chance
+        self._last_ends_at_ms = 0.0
+        self._recent_requests = 0.0
+        self._counted_at_ms = 0.0
+
+    def set_last_start(self, started_at_ms: float) -> None:
+        """Take note of the latest start of a ready server."""
+        self._last_ends_at_ms = started_at_ms + self._settings.slow_start_ms
+
+    def add_requests(self, now: float, count: float) -> float:
+        """Count requests that this balancer received, and return the decayed number of recent ones."""
+        decay = math.exp(min(self._counted_at_ms - now, 0.0) / self._settings.slow_start_window_ms)
+        self._recent_requests = self._recent_requests * decay + count
+        self._counted_at_ms = now
+        return self._recent_requests
 
-    def set_last_start(self, last_started: float) -> None:
-        """Take note of the last start there was."""
-        self._until = last_started + self._settings.slow_start_ms
+    def recent_requests(self, now: float) -> float:
+        """Return the number of requests received, decayed by 1/e over the slow-start window."""
+        return self.add_requests(now, 0.0)
 
-    def recent_requests(self, now: float, more: float = 0.0) -> float:
-        """The requests that we got of late, fading over the contract's window, and so many more now."""
-        fade = math.exp(min(self._asked_at - now, 0.0) / self._settings.slow_start_window_ms)
-        self._asked, self._asked_at = self._asked * fade + more, now
-        return self._asked
+    def reset_recent_requests(self, now: float) -> None:
+        """Forget the requests so far: another process of this balancer counts them from now on."""
+        self._recent_requests = 0.0
+        self._counted_at_ms = now
 
     def is_any_warming_up(self, now: float) -> bool:
-        """Whether any server may be cold."""
-        return now < self._until
+        """Return whether any server may be warming up."""
+        return now < self._last_ends_at_ms
 
     def warm_up_fraction(self, server: Server, now: float) -> float:
-        """The share of its capacity that a server has at the least, by its age."""
-        age, cold_ms, start = (
-            now - server.started_at_ms,
-            self._settings.slow_start_ms,
-            self._settings.slow_start_initial_fraction,
-        )
-        if now >= self._until or server.started_at_ms <= 0 or age >= cold_ms or not cold_ms:
+        """Return the fraction of its capacity that a server has at least, by its age; 1 if warmed up."""
+        duration_ms = self._settings.slow_start_ms
+        age_ms = now - server.started_at_ms
+        if now >= self._last_ends_at_ms or server.started_at_ms <= 0 or age_ms >= duration_ms:
             return 1.0
-        return start + (1 - start) * max(age, 0.0) / cold_ms
+        if not duration_ms:
+            return 1.0
+        initial = self._settings.slow_start_initial_fraction
+        return initial + (1 - initial) * max(age_ms, 0.0) / duration_ms
 
     def record_send(self, server: Server, now: float) -> None:
-        """Book a call."""
+        """Count an attempt against the budget of a server that is warming up."""
         if self.warm_up_fraction(server, now) < 1:
             server.slow_start_sends.append(now)
 
-    def can_accept(self, server: Server, usual_rate: float, work_ms: float, now: float) -> bool:
-        """Whether a server can take one more call in this window (a burst would push a cold one over).
+    def can_accept(self, server: Server, peak_rate: float, latency_ms: float, now: float) -> bool:
+        """Return whether a server can accept one more call in the current window.
+
+        `peak_rate` is what a unit of capacity in its zone serves us at its peak, scaled to the requests that
+        we still receive, in calls a millisecond; `latency_ms` is the latency of the slowest class.
 
-        `usual_rate` is what a unit of size in its zone serves for us at its best, by what we are still asked
-        for, in calls a ms; `work_ms` is what the longest calls take. Each balancer sends a part of multiple x
-        warmth x that rate: they add up to a warm load, wherever requests go. Where many have a fraction of a
-        call each, chance rounds it, anew in each window: rounded up by all it would push a server over,
-        rounded down leave it unused. One that knows no rate yet takes its part of one call at a time.
+        Each balancer sends a part of overload factor x warm-up fraction x that rate; the parts add up to the
+        load of a warmed-up server wherever requests go. Where many balancers have a fraction of a call each,
+        a random number rounds it, drawn anew for each window: rounded up by all it would overload the server,
+        rounded down by all it would leave it unused. A balancer that knows no rate yet sends its part of one
+        call at a time.
         """
-        if (warmth := self.warm_up_fraction(server, now)) >= 1:
+        warm_up_fraction = self.warm_up_fraction(server, now)
+        if warm_up_fraction >= 1:
             return True
-        window = self._settings.slow_start_window_ms
-        while server.slow_start_sends and server.slow_start_sends[0] < now - window:
+        window_ms = self._settings.slow_start_window_ms
+        while server.slow_start_sends and server.slow_start_sends[0] < now - window_ms:
             server.slow_start_sends.popleft()
         if now >= server.rounding_chance_until_ms:
-            server.rounding_chance, server.rounding_chance_until_ms = self._random.random(), now + window
-        usual = usual_rate * server.registered_capacity
-        least = 1 / (work_ms * self._settings.balancer_count)
-        most = self._settings.slow_start_overload_factor * warmth * window  # over the usual rate
-        budget = BUDGET_SAFETY_FACTOR * most * max(usual, least) + server.rounding_chance
-        return len(server.slow_start_sends) + 1 <= min(budget, max(most * usual, 1.0))
+            server.rounding_chance = self._random.random()
+            server.rounding_chance_until_ms = now + window_ms
+        usual_rate = peak_rate * server.registered_capacity
+        least_rate = 1 / (latency_ms * self._settings.balancer_count)
+        limit_ms = self._settings.slow_start_overload_factor * warm_up_fraction * window_ms
+        budget = BUDGET_SAFETY_FACTOR * limit_ms * max(usual_rate, least_rate) + server.rounding_chance
+        return len(server.slow_start_sends) + 1 <= min(budget, max(limit_ms * usual_rate, 1.0))
--- a/loadbalancer/policy/zones.py
+++ b/loadbalancer/policy/zones.py
@@ -1,68 +1,99 @@
-"""What part of each zone is drawn from: near first, and less of one that operators have left."""
+"""Decide which fraction of each zone's capacity is used: the own zone first, less of an evacuated one."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable
+from dataclasses import dataclass
 
 from loadbalancer import interface
 from loadbalancer.policy.servers import Server
 
 
+@dataclass(slots=True)
+class ZoneStatus:
+    """What operators need to know about a zone before they evacuate it."""
+
+    traffic_fraction: float
+    """Fraction of its capacity that is in use, 0 to 1."""
+    ready_servers: int = 0
+    calls_in_flight: float = 0.0
+    """Our calls in flight there on average."""
+    call_capacity: float = 0.0
+    """How many ordinary calls we may have in flight there."""
+
+
 class ZoneEvacuations:
-    """The zones that operators have us leave, or come back to: in steps, by the time they gave."""
+    """The zones that operators evacuate or restore, gradually over the time they gave."""
 
     def __init__(self) -> None:
-        self._held: dict[str, interface.ZoneEvacuation] = {}
-        self.all_restored_at_ms = 0.0  # when the last of the moves is over; inf while a zone is left
+        self._evacuations: dict[str, interface.ZoneEvacuation] = {}
+        self._all_restored_at_ms = 0.0  # infinite while a zone is evacuated
 
     def apply(self, event: interface.ZoneEvacuation) -> None:
-        """Take operators' word on a zone."""
-        self._held[event.zone] = event
-        ends = [math.inf if h.is_evacuating else h.started_at_ms + h.duration_ms for h in self._held.values()]
-        self.all_restored_at_ms = max(ends)
+        """Begin to evacuate or to restore a zone."""
+        self._evacuations[event.zone] = event
+        self._all_restored_at_ms = max(
+            math.inf if e.is_evacuating else e.started_at_ms + e.duration_ms
+            for e in self._evacuations.values()
+        )
 
     def traffic_fraction(self, zone: str, now: float) -> float:
-        """The part of a zone's capacity that is drawn from, 0 to 1."""
-        if (held := self._held.get(zone)) is None:
+        """Return the fraction of a zone's capacity that is in use, 0 to 1."""
+        evacuation = self._evacuations.get(zone)
+        if evacuation is None:
             return 1.0
-        moved = min((now - held.started_at_ms) / held.duration_ms, 1.0) if held.duration_ms > 0 else 1.0
-        return held.initial_fraction + (float(not held.is_evacuating) - held.initial_fraction) * max(
-            moved, 0.0
-        )
+        progress = 1.0
+        if evacuation.duration_ms > 0:
+            progress = min((now - evacuation.started_at_ms) / evacuation.duration_ms, 1.0)
+        initial = evacuation.initial_fraction
+        final = 0.0 if evacuation.is_evacuating else 1.0
+        return initial + (final - initial) * max(progress, 0.0)
 
     def reduced_fractions(self, now: float) -> dict[str, float]:
-        """The zones of which less than all is drawn from."""
-        if now >= self.all_restored_at_ms:
+        """Return the traffic fractions below 1, by zone."""
+        if now >= self._all_restored_at_ms:
             return {}
-        known = {zone: self.traffic_fraction(zone, now) for zone in self._held}
-        return {zone: share for zone, share in known.items() if share < 1}
+        fractions = {zone: self.traffic_fraction(zone, now) for zone in self._evacuations}
+        return {zone: fraction for zone, fraction in fractions.items() if fraction < 1}
 
-    def fully_evacuated(self, there: Iterable[str], now: float) -> set[str]:
-        """The zones that nothing goes to, however full the others are; none if no other is there."""
-        left = {zone for zone, share in self.reduced_fractions(now).items() if not share}
-        return left if set(there) - left else set()
+    def fully_evacuated(self, known_zones: Iterable[str], now: float) -> set[str]:
+        """Return the zones that get nothing, however full the others are; none if there is no other zone."""
+        evacuated = {zone for zone, fraction in self.reduced_fractions(now).items() if not fraction}
+        return evacuated if set(known_zones) - evacuated else set()
 
 
-def zone_fractions(totals: dict[str, float], own: str, shares: dict[str, float]) -> dict[str, float]:
-    """The part of each zone's capacity that we draw from: our own, and those with more than their part.
+def zone_fractions(
+    capacities: dict[str, float], own_zone: str, reduced: dict[str, float]
+) -> dict[str, float]:
+    """Return the fraction of each zone's capacity that this balancer draws from.
 
-    Of a zone that is being left only its share counts; if nothing else is there, it counts in full.
+    It draws from its own zone, and for what that lacks of an equal part, from the zones with more than
+    theirs. Of a zone that is being evacuated only the reduced fraction counts; if no other capacity is left,
+    all of it.
     """
-    left = {zone: c * shares.get(zone, 1.0) for zone, c in totals.items()} if shares else totals
-    if not any(left.values()):
-        left, shares = totals, {}
-    if not own or own not in left or len(left) < 2:
-        return {zone: shares.get(zone, 1.0) for zone in left}
-    part = sum(left.values()) / len(left)
-    over = {zone: max(c - part, 0.0) for zone, c in left.items()}
-    spill = max(part - left[own], 0.0) / (sum(over.values()) or 1.0)  # all may be alike
-    return {z: (min(c, part) if z == own else spill * over[z]) / totals[z] for z, c in left.items()}
-
-
-def zone_capacities(servers: Iterable[Server], capacity: Iterable[float]) -> dict[str, float]:
-    """The capacity of each zone."""
-    zones: dict[str, float] = {}
-    for server, c in zip(servers, capacity, strict=True):
-        zones[server.endpoint.zone] = zones.get(server.endpoint.zone, 0.0) + c
-    return zones
+    usable = capacities
+    if reduced:
+        usable = {zone: capacity * reduced.get(zone, 1.0) for zone, capacity in capacities.items()}
+    if not any(usable.values()):
+        usable = capacities
+        reduced = {}
+    if not own_zone or own_zone not in usable or len(usable) < 2:
+        return {zone: reduced.get(zone, 1.0) for zone in usable}
+    equal_part = sum(usable.values()) / len(usable)
+    surplus = {zone: max(capacity - equal_part, 0.0) for zone, capacity in usable.items()}
+    # All zones may be alike: then there is no surplus.
+    spill = max(equal_part - usable[own_zone], 0.0) / (sum(surplus.values()) or 1.0)
+    return {
+        zone: (min(capacity, equal_part) if zone == own_zone else spill * surplus[zone]) / capacities[zone]
+        for zone, capacity in usable.items()
+    }
+
+
+def zone_capacities(servers: Iterable[Server], capacities: Iterable[float]) -> dict[str, float]:
+    """Return the capacity of each zone, given that of each server."""
+    by_zone: dict[str, float] = {}
+    for server, capacity in zip(servers, capacities, strict=True):
+        zone = server.endpoint.zone
+        by_zone[zone] = by_zone.get(zone, 0.0) + capacity
+    return by_zone
--- a/loadbalancer/scale/plants.py
+++ b/loadbalancer/scale/plants.py
@@ -42,8 +42,8 @@
 
     real_failed, real_watch = EndpointSet.handle_list_failure, Watch.failed
 
-    def failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
-        told = real_failed(self, now, again_ms)
+    def failed(self: EndpointSet, now: float, retry_within_ms: float) -> list[interface.Action]:
+        told = real_failed(self, now, retry_within_ms)
         return [
             replace(a, at_ms=now + AGAIN_S * 1_000) if isinstance(a, interface.SetTimer) else a for a in told
         ]
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -208,8 +208,8 @@
     """What a balancer that has nothing to do still holds: nothing, if all that ended let go."""
     held = {
         "requests": len(driver._requests),
-        "the module's requests": len(driver.balancer._requests),
-        "waiting": len(driver.balancer._queue),
+        "the module's requests": len(driver.balancer._requests.open_requests),
+        "waiting": len(driver.balancer._requests.wait_queue),
         "bytes": driver.buffers.held,
         "calls in flight": sum(s.in_flight for s in driver.balancer._endpoints.servers.values()),
         "connections in use": driver.upstreams.open
--- a/tests/test_doubt.py
+++ b/tests/test_doubt.py
@@ -50,7 +50,7 @@
     told = tell_list(d, *members(3))
     assert ready(d) == NAMES
     assert d.balancer.suspected_stale_servers() == ["s3", "s4", "s5"]
-    assert told[0] == LogMessage("the list leaves out 3 of 6 ready servers: kept for now")
+    assert told[0] == LogMessage("endpoint list omits 3 of 6 ready servers: suspected stale, kept for now")
 
 
 def test_an_empty_list_is_doubted_however_few_there_were() -> None:
--- a/tests/test_endings_callers.py
+++ b/tests/test_endings_callers.py
@@ -188,7 +188,7 @@
             everyone = [await rig.caller() for _ in range(200)]
             for caller in everyone:
                 caller.send(deadline="90000m")
-            await until(lambda: len(rig.driver.balancer._queue) == 100)
+            await until(lambda: len(rig.driver.balancer._requests.wait_queue) == 100)
             for caller in everyone:
                 caller.writer.close()
             await until(lambda: rig.driver.callers.count() == 0)
--- a/tests/test_endings_core.py
+++ b/tests/test_endings_core.py
@@ -156,7 +156,7 @@
             while any(t.outcome is None for t in self.cases[number].tries):
                 self.end(number, ENDS.index(Outcome.RESET))
         assert all(case.over for case in self.cases.values()), "a request has no final answer"
-        assert not self.balancer._requests and not self.balancer._queue
+        assert not self.balancer._requests.open_requests and not self.balancer._requests.wait_queue
         assert not any(s.in_flight for s in self.balancer._endpoints.servers.values())
 
 
--- a/tests/test_endings_list.py
+++ b/tests/test_endings_list.py
@@ -12,7 +12,7 @@
 from loadbalancer.interface import UpdateKind
 from loadbalancer.net import discovery
 from loadbalancer.net.config import read_config
-from loadbalancer.policy import endpoints
+from loadbalancer.policy import list_backoff
 from tests.loopback import ListServer, Rig, Upstream, at_least, config_text, entry, run, status, until
 from tests.test_net import listen_to
 from tests.test_upstreams import full_backlog
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("how", ["ask", "push"])
 def test_a_watch_that_fell_silent_is_opened_anew_at_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """What it missed counts as told 2 s after its wait; a large tier's balancers paused up to 5 s more."""
-    monkeypatch.setattr(endpoints, "LIST_RETRY_INITIAL_BACKOFF_MS", NEVER * 1_000)
+    monkeypatch.setattr(list_backoff, "LIST_RETRY_INITIAL_BACKOFF_MS", NEVER * 1_000)
     monkeypatch.setattr(discovery, "PUSH_PAUSE_S", NEVER)
     monkeypatch.setattr(watch, "MAX_WAIT_MS", 10)
     monkeypatch.setattr(watch, "OVERDUE_S", 0.01)
@@ -158,8 +158,8 @@
 
 
 def test_a_drain_in_the_first_answer_after_an_outage_is_heeded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(endpoints, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
-    monkeypatch.setattr(endpoints, "LIST_RETRY_MEAN_BACKOFF_MS", 0.0)
+    monkeypatch.setattr(list_backoff, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
+    monkeypatch.setattr(list_backoff, "LIST_RETRY_MEAN_BACKOFF_MS", 0.0)
 
     async def scenario() -> None:
         upstream = Upstream()
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -170,15 +170,15 @@
                 UpdateKind.FULL_SNAPSHOT, told_list(rig.entries[0] | {"weight": 1.0}, whole=True)
             )
             others = list[Caller]()
-            while not rig.driver.balancer._queue:
+            while not rig.driver.balancer._requests.wait_queue:
                 others.append(await rig.caller())
                 others[-1].send()
                 await until(lambda: len(rig.driver._requests) == len(others))
             others.pop().writer.close()
-            await until(lambda: not rig.driver.balancer._queue)
+            await until(lambda: not rig.driver.balancer._requests.wait_queue)
             await until(lambda: len(upstream.asked) == len(others))
             caller = await ask_unseen(rig)
-            assert len(rig.driver.balancer._queue) == 1
+            assert len(rig.driver.balancer._requests.wait_queue) == 1
             await caller.leave()
             for writer in upstream.writers:
                 writer.write(response())
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -102,7 +102,7 @@
         again = sent(desk.end(request, 0, sent(actions)[0].server, Outcome.CONNECT_FAILED))
         desk.now += 20.0
         desk.end(request, 1, again[0].server, Outcome.SERVED)
-        assert desk.balancer._admitted_fraction(desk.now) == 1.0
+        assert desk.balancer._requests.admitted_fraction(desk.now) == 1.0
 
 
 def test_a_server_in_doubt_is_given_all_the_time_to_prove_alive() -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -15,7 +15,7 @@
 from loadbalancer.endpoint_watch import watch
 from loadbalancer.interface import Outcome, UpdateKind
 from loadbalancer.net import downstream, upstream
-from loadbalancer.policy import endpoints
+from loadbalancer.policy import list_backoff
 from tests.loopback import (
     PATIENCE_S,
     Asked,
@@ -146,7 +146,7 @@
         first, second = Upstream(silent), Upstream(silent)
         async with Rig(first, second) as rig:
             told = listen_to(rig)
-            rig.driver.balancer._latencies.smoothed_ms["read"] = (
+            rig.driver.balancer._estimates.latencies.smoothed_ms["read"] = (
                 100.0  # a usual answer, long overdue when the copy goes out
             )
             caller = await rig.caller()
@@ -628,7 +628,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Any name and address was taken, a name twice as well, and an older list in place of a newer one."""
-    monkeypatch.setattr(endpoints, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
+    monkeypatch.setattr(list_backoff, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
@@ -698,7 +698,7 @@
             address = rig.entries[0]["address"]
             await rig.discovery.calls.get()
             rig.discovery.tell(8, entry("s0", address, weight=0.4), snapshot=True)
-            while rig.driver.balancer._endpoints.total_capacity != 0.4:
+            while rig.driver.balancer._endpoints.ready.total_capacity != 0.4:
                 await asyncio.sleep(0)
             callers = [await rig.caller() for _ in range(4)]
             for caller in callers:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -112,7 +112,7 @@
 
 def test_classes_without_worth_are_survived() -> None:
     desk = Desk(2, classes=(RequestClass("free", 1_000, 3_000, READ.idempotency, priority_weight=0.0),))
-    assert {desk.serve(desk.balancer._classes["free"]) for _ in range(60)} == {"s0", "s1"}
+    assert {desk.serve(desk.balancer._requests._classes["free"]) for _ in range(60)} == {"s0", "s1"}
 
 
 def zone_shares(sizes: dict[str, float]) -> Counter[str]:
@@ -582,7 +582,7 @@
     """Cheap calls crowded servers, and the dearest, heavy ones came late for it."""
     desk = Desk(2, classes=(CHEAP, DEAR))
     assert len(crowd(desk, CHEAP)) == 6
-    desk.tell(ClientDisconnected(max(desk.balancer._requests)))
+    desk.tell(ClientDisconnected(max(desk.balancer._requests.open_requests)))
     assert len(crowd(desk, DEAR)) == 4
 
 
@@ -590,7 +590,7 @@
     """Refused callers asked again within a millisecond, four times, and met the same full servers."""
     desk = Desk(2)
     first, server = crowd(desk)[0]
-    waiting = max(desk.balancer._requests)
+    waiting = max(desk.balancer._requests.open_requests)
     desk.now += 10
     actions = desk.end(first, 0, server, Outcome.SERVED)
     assert [(s.request_id, s.server) for s in sent(actions)] == [(waiting, server)]
@@ -611,7 +611,7 @@
 def test_the_dearest_of_those_who_wait_is_sent_first_and_then_the_one_wanted_soonest() -> None:
     desk = Desk(1, classes=(CHEAP, DEAR))
     out = crowd(desk, DEAR)
-    first = max(desk.balancer._requests)
+    first = max(desk.balancer._requests.open_requests)
     cheap, _ = desk.ask(CHEAP)
     desk.now += 5
     last, _ = desk.ask(DEAR)
@@ -635,10 +635,10 @@
 def test_a_caller_that_leaves_while_it_waits_is_forgotten() -> None:
     desk = Desk(1)
     out = crowd(desk)
-    waiting = max(desk.balancer._requests)
+    waiting = max(desk.balancer._requests.open_requests)
     assert not desk.tell(ClientDisconnected(waiting))
     assert not sent(desk.end(out[0][0], 0, out[0][1], Outcome.SERVED))
-    assert waiting not in desk.balancer._requests
+    assert waiting not in desk.balancer._requests.open_requests
 
 
 def test_inner_balancers_take_free_servers_near_their_place_first() -> None:
@@ -683,7 +683,7 @@
             desk.now += 5
             actions = desk.end(request, attempt, sent(actions)[0].server, Outcome.REJECTED)
             attempt += 1
-    assert desk.balancer._admitted_fraction(desk.now) < 1.0
+    assert desk.balancer._requests.admitted_fraction(desk.now) < 1.0
 
 
 def test_shedding_lifts_within_seconds_once_the_crowd_is_gone() -> None:
@@ -706,7 +706,7 @@
     """A third of the calls but a tenth of the work: they fit in a level of a fifth."""
     desk = Desk(4, classes=(CHEAP, DEAR))
     let_in = Counter[str]()
-    monkeypatch.setattr(desk.balancer, "_admitted_fraction", lambda _: 0.2)
+    monkeypatch.setattr(desk.balancer._requests, "admitted_fraction", lambda _: 0.2)
     for _ in range(400):
         for cls, takes in ((DEAR, 30.0), (CHEAP, 999.0), (CHEAP, 999.0)):
             let_in[cls.name] += serve_in(desk, takes, cls, 1)
@@ -736,7 +736,7 @@
     desk = Desk(1, tenants=(Tenant("big", 2.0),), over_quota_weight_factor=0.1)
 
     def over(repeat: bool) -> bool:
-        return desk.balancer._admission.is_over_quota(RequestArrived(1, "read", 900, "big", repeat), desk.now)
+        return desk.balancer._requests._quotas.charge(RequestArrived(1, "read", 900, "big", repeat), desk.now)
 
     assert not any(over(repeat=True) for _ in range(20))
     assert [over(repeat=False) for _ in range(5)] == [False] * 4 + [True], "two seconds of its share at once"
@@ -882,14 +882,16 @@
 def test_ties_go_to_the_larger_capacity_and_draws_follow_it(monkeypatch: pytest.MonkeyPatch) -> None:
     desk = Desk(2)
     capacity = {"s0": 2.0, "s1": 1.0}
-    monkeypatch.setattr(desk.balancer._capacities, "estimate", lambda s, *_: capacity[s.endpoint.server])
+    monkeypatch.setattr(
+        desk.balancer._estimates.capacities, "estimate", lambda s, *_: capacity[s.endpoint.server]
+    )
     request, _ = desk.ask()
-    known = desk.balancer._requests[request]
+    known = desk.balancer._requests.open_requests[request]
     known.attempts.clear()
     # (3 + 1) / 2 ties with (1 + 1) / 1
     desk.balancer._endpoints.servers["s0"].in_flight, desk.balancer._endpoints.servers["s1"].in_flight = 3, 1
     got = Counter(
-        s.endpoint.server for _ in range(2_000) if (s := desk.balancer._select_server(known, desk.now))
+        s.endpoint.server for _ in range(2_000) if (s := desk.balancer._selector.select(known, desk.now))
     )
     assert got["s0"] > 1_900, "s1 wins only if none of the four draws is s0: one in 81"
     assert got["s1"] > 5
@@ -949,11 +951,11 @@
 def test_a_silent_call_weighs_no_more_than_a_late_answer() -> None:
     """Counted while out and again at its time-out, a few hung servers made a whole fleet shed for nothing."""
     desk = Desk(8, classes=(RequestClass("slow", 1_000, 5_000, PAY.idempotency, late_value_fraction=0.25),))
-    cls = desk.balancer._classes["slow"]
+    cls = desk.balancer._requests._classes["slow"]
     request, actions = desk.ask(cls, remaining=5_000)
     for _ in range(60):  # out for three seconds beside good answers
         serve_in(desk, 50.0, cls, 1)
-    assert desk.balancer._admitted_fraction(desk.now) == 1.0
+    assert desk.balancer._requests.admitted_fraction(desk.now) == 1.0
     desk.now += 2_000
     desk.end(request, 0, sent(actions)[0].server, Outcome.TIMED_OUT)
     assert serve_in(desk, 50.0, cls, 40) == 40
@@ -990,7 +992,7 @@
         request, actions = desk.ask(PAY, expected_work_ms=hint)
         desk.now += 4 * hint
         desk.end(request, 0, sent(actions)[0].server, Outcome.SERVED)
-    assert desk.balancer._admitted_fraction(desk.now) == 1.0
+    assert desk.balancer._requests.admitted_fraction(desk.now) == 1.0
 
 
 def test_small_calls_with_a_tight_aim_do_not_shed_the_large_ones() -> None:
@@ -1002,9 +1004,9 @@
             takes = takes if n > 100 else 10.0  # what is usual is learned first
             request, actions = desk.ask(cls, remaining=900, expected_work_ms=hint)
             desk.now += takes / 10  # ten at a time
-            desk.balancer._requests[request].attempts[0].sent_at_ms -= takes * 0.9
+            desk.balancer._requests.open_requests[request].attempts[0].sent_at_ms -= takes * 0.9
             desk.end(request, 0, sent(actions)[0].server, Outcome.SERVED)
-    assert desk.balancer._admitted_fraction(desk.now) == 1.0
+    assert desk.balancer._requests.admitted_fraction(desk.now) == 1.0
 
 
 def test_work_that_takes_long_where_nothing_crowds_sheds_nothing() -> None:
@@ -1012,11 +1014,11 @@
     desk = Desk(4)
     for _ in range(200):
         desk.serve(READ, takes=249.0)  # steady, and a quarter of its aim
-    assert desk.balancer._admitted_fraction(desk.now) == 1.0
+    assert desk.balancer._requests.admitted_fraction(desk.now) == 1.0
     for _ in range(10):
-        if desk.balancer._admitted_fraction(desk.now) == 1.0:
+        if desk.balancer._requests.admitted_fraction(desk.now) == 1.0:
             desk.serve(READ, takes=900.0)  # the same class, crowded
-    assert desk.balancer._admitted_fraction(desk.now) < 1.0
+    assert desk.balancer._requests.admitted_fraction(desk.now) < 1.0
 
 
 def test_answers_that_come_in_half_their_aim_shed_nothing() -> None:
@@ -1025,4 +1027,4 @@
     for _ in range(100):
         for takes in (200.0, 350.0, 500.0):
             desk.serve(READ, takes=takes)
-            assert desk.balancer._admitted_fraction(desk.now) == 1.0
+            assert desk.balancer._requests.admitted_fraction(desk.now) == 1.0
--- a/tests/test_sampler.py
+++ b/tests/test_sampler.py
@@ -9,7 +9,8 @@
 import pytest
 
 from loadbalancer.interface import CordonChanged, Endpoint, Outcome, Readiness, Reject, UpdateKind
-from loadbalancer.policy.servers import CapacityEstimates, Server
+from loadbalancer.policy.capacity_estimates import CapacityEstimates
+from loadbalancer.policy.servers import Server
 from loadbalancer.policy.weighted_sampling import Sampler, WeightedSamplingTree
 from tests.helpers import PAY, READ, Desk, members, of_kind, sent
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -21,7 +21,7 @@
 from loadbalancer.interface import Outcome, UpdateKind
 from loadbalancer.net import discovery
 from loadbalancer.net.config import read_config
-from loadbalancer.policy import endpoints
+from loadbalancer.policy import list_backoff
 from tests.loopback import ListServer, Rig, Upstream, config_text, entry, response, run, status
 from tests.test_net import listen_to
 
@@ -151,7 +151,7 @@
 def test_the_next_instance_is_asked_when_one_fails_and_the_list_has_not_failed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(endpoints, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
+    monkeypatch.setattr(list_backoff, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
 
     async def scenario() -> None:
         two = Two()
