--- a/loadbalancer/policy/attempts.py
+++ b/loadbalancer/policy/attempts.py
@@ -39,7 +39,7 @@
         self._actions = actions
         self.retry_budget = RetryBudget()
 
-    def try_send(self, request: Request, now: float) -> bool:
+    def send_if_possible(self, request: Request, now: float) -> bool:
         """Send the next attempt, and return whether there was time, an attempt left and a server for it."""
         if not request.is_complete:
             request.restart_clock(now)
@@ -66,12 +66,12 @@
         )
         return True
 
-    def try_retry(self, request: Request, now: float, *, is_body_discarded: bool = False) -> bool:
+    def retry_if_possible(self, request: Request, now: float, *, is_body_discarded: bool = False) -> bool:
         """Send another attempt if the retry budget allows it, and return whether it was sent."""
         if is_body_discarded or request.is_streaming:
             return False
         cost = self.retry_budget.cost(request)
-        if not self.retry_budget.can_afford(cost) or not self.try_send(request, now):
+        if not self.retry_budget.can_afford(cost) or not self.send_if_possible(request, now):
             return False
         self.retry_budget.withdraw(cost)
         return True
--- a/loadbalancer/policy/ready_servers.py
+++ b/loadbalancer/policy/ready_servers.py
@@ -36,7 +36,7 @@
         self._names: list[str] = []
         self._changed: dict[str, None] = {}  # names, in the order of their changes
         self._subset_end = RANK_AFTER_ALL  # first place outside the subset, when changes were last taken
-        self._whole_subset: list[Server] | None = None
+        self._cached_subset: list[Server] | None = None
 
     def __iter__(self) -> Iterator[str]:
         return iter(self.by_name)
@@ -47,12 +47,12 @@
     def subset(self, first: int, count: int) -> list[Server]:
         """Return up to `count` servers of the subset, from place `first` on, and on from the beginning."""
         if count >= self.subset_size:
-            if self._whole_subset is None:
-                self._whole_subset = [self.by_name[name] for _, name in self._ranked[: self.subset_size]]
-            return self._whole_subset
-        places = self._ranked[first : min(first + count, self.subset_size)]
-        places += self._ranked[: count - len(places)]
-        return [self.by_name[name] for _, name in places]
+            if self._cached_subset is None:
+                self._cached_subset = [self.by_name[name] for _, name in self._ranked[: self.subset_size]]
+            return self._cached_subset
+        entries = self._ranked[first : min(first + count, self.subset_size)]
+        entries += self._ranked[: count - len(entries)]
+        return [self.by_name[name] for _, name in entries]
 
     def is_in_subset(self, server: Server) -> bool:
         """Return whether a server is in the subset, as of the last `take_changed_names`."""
@@ -80,8 +80,8 @@
         Each server is near few balancers, so that their own calls there are most of its load.
         """
         ring = self.names_by_zone.get(self._settings.zone) or self._names
-        place = len(ring) * (self._settings.balancer_index + 0.5) / self._settings.balancer_count
-        first = round(place - NEARBY_SERVERS / 2)
+        position = len(ring) * (self._settings.balancer_index + 0.5) / self._settings.balancer_count
+        first = round(position - NEARBY_SERVERS / 2)
         count = min(NEARBY_SERVERS, len(ring))
         return [self.by_name[ring[index % len(ring)]] for index in range(first, first + count)]
 
@@ -93,7 +93,7 @@
         """Add a server; its capacity is counted apart."""
         name = server.endpoint.server
         self.by_name[name] = server
-        self._whole_subset = None
+        self._cached_subset = None
         insort(self._ranked, (server.rank, name))
         insort(self._names, name)
         insort(self.names_by_zone.setdefault(server.endpoint.zone, []), name)
@@ -102,7 +102,7 @@
         """Remove a server and its capacity, before its endpoint changes."""
         name = server.endpoint.server
         zone = server.endpoint.zone
-        self._whole_subset = None
+        self._cached_subset = None
         del self.by_name[name]
         del self._ranked[bisect_left(self._ranked, (server.rank, name))]
         del self._names[bisect_left(self._names, name)]
--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -64,7 +64,7 @@
         self._sender.retry_budget.deposit()
         if self._settings.tier == 0 and not self._is_admitted(request, event, now):
             self._reject_unsent(request, OVERLOAD_TEXT, now)
-        elif self.wait_queue or not self._sender.try_send(request, now):
+        elif self.wait_queue or not self._sender.send_if_possible(request, now):
             self._wait(request, now)
 
     def handle_completion(self, event: interface.RequestCompleted, now: float) -> None:
@@ -119,11 +119,11 @@
             if request.is_waiting:
                 self._reject_unsent(request, NO_CAPACITY_TEXT, now)
         elif self._settings.may_hedge and self._can_hedge(request, now):
-            self._sender.try_retry(request, now)
+            self._sender.retry_if_possible(request, now)
 
     def release_waiting(self, now: float) -> None:
         """Send the requests that wait, in their order, as far as there is capacity."""
-        while (first := self.wait_queue.first()) and self._sender.try_send(first, now):
+        while (first := self.wait_queue.first()) and self._sender.send_if_possible(first, now):
             self.wait_queue.discard(first)
 
     def admitted_fraction(self, now: float) -> float:
@@ -177,7 +177,7 @@
         self._give_up(request)
 
     def _retry_or_give_up(self, request: Request, now: float, *, is_body_discarded: bool) -> None:
-        if not self._sender.try_retry(request, now, is_body_discarded=is_body_discarded):
+        if not self._sender.retry_if_possible(request, now, is_body_discarded=is_body_discarded):
             self._give_up(request)
 
     def _give_up(self, request: Request) -> None:
