--- a/loadbalancer/net/upstream.py
+++ b/loadbalancer/net/upstream.py
@@ -16,7 +16,7 @@
 import httptools
 
 from loadbalancer.interface import Outcome, Readiness
-from loadbalancer.net.config import Address, Config, ServerList
+from loadbalancer.net.config import Address, Config, EndpointList
 from loadbalancer.net.descriptors import max_connections_per_side
 from loadbalancer.net.http_framing import (
     LAST_CHUNK,
@@ -645,15 +645,15 @@
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, buffers: BufferBudget) -> None:
         self.config, self.loop, self.buffers = config, loop, buffers
-        self.max_idle_s = IDLE_LIMIT_FRACTION * config.idle_ms / 1000
+        self.max_idle_s = IDLE_LIMIT_FRACTION * config.idle_timeout_ms / 1000
         self.open_connections = 0
-        self.max_connections = max_connections_per_side(config.sockets)
+        self.max_connections = max_connections_per_side(config.max_sockets)
         self.cordoned: set[str] = set()  # by operators: nothing begins there
         self._pools: dict[str, ConnectionPool] = {}
 
-    def update_endpoints(self, news: ServerList) -> None:
+    def update_endpoints(self, news: EndpointList) -> None:
         """Follow the list: a server that is gone, moved or restarted loses its connections."""
-        if news.whole:
+        if news.is_full_snapshot:
             for name in self._pools.keys() - {e.endpoint.server for e in news.endpoints}:
                 self._drop(name)
         for endpoint in news.endpoints:
