--- a/tests/test_observed.py
+++ b/tests/test_metrics_and_log.py
@@ -1,4 +1,4 @@
-"""What people and machines can see of a balancer: its log, its metrics, and what is drawn from them."""
+"""What a balancer reports of itself: its log, its metrics, and what dashboard and alerts name of them."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from loadbalancer.net.config import read_config
 from loadbalancer.net.configuration_reload import ReloadReport
 from loadbalancer.net.request_counters import RequestCounters
+from tests.console_client import call_console, read_stats
 from tests.loopback import ProxyHarness, Upstream, config_text, run_scenario, status_of
-from tests.test_console import call, figures
 
 ROOT = Path(__file__).parent.parent
 
@@ -29,54 +29,54 @@
     }
 
 
-def test_metrics_are_what_stats_tells() -> None:
+def test_metrics_equal_the_stats() -> None:
     async def scenario() -> None:
-        async with ProxyHarness(Upstream(), Upstream()) as rig:
+        async with ProxyHarness(Upstream(), Upstream()) as harness:
             for _ in range(3):
-                assert status_of(await rig.request()) == 200
-            stats = await figures(rig)
-            answer = await call(rig, "GET", "/metrics")
-            assert answer.headers["content-type"].startswith("text/plain; version=0.0.4")
-            read = samples(answer.body.decode())
+                assert status_of(await harness.request()) == 200
+            stats = await read_stats(harness)
+            response = await call_console(harness, "GET", "/metrics")
+            assert response.headers["content-type"].startswith("text/plain; version=0.0.4")
+            read = samples(response.body.decode())
             for ending in ("succeeded", "declined", "aborted"):
                 for name, count in stats[ending].items():
                     assert read["irondrum_requests_total", name, ending] == count
             assert read["irondrum_requests_total", "read", "succeeded"] == 3
             assert read["irondrum_forwards_total", "", ""] == stats["forwards"] == 3
             assert read["irondrum_upstreams_discovered", "", ""] == stats["discovered"] == 2
-            assert status_of(await call(rig, "POST", "/metrics")) == 405
+            assert status_of(await call_console(harness, "POST", "/metrics")) == 405
 
     run_scenario(scenario())
 
 
-def test_a_class_may_have_any_name() -> None:
+def test_class_names_are_escaped() -> None:
     name = 'a"b\\c\nd'
     read = samples(metrics.write(RequestCounters([name]).stats(0, 0), 7, {"alive": 2}))
     assert read["irondrum_requests_total", name, "aborted"] == 0
     assert read["irondrum_log_lines_left_out_total", "", ""] == 7
 
 
-def test_dashboard_and_alerts_name_only_metrics_that_there_are() -> None:
+def test_dashboard_and_alerts_name_only_metrics_that_exist() -> None:
     for path in ((ROOT / "ops" / "dashboard.json"), (ROOT / "ops" / "alerts.yml")):
         named = set(re.findall(r"irondrum_\w+", path.read_text(encoding="utf-8")))
         assert named and named <= metrics.METRICS.keys(), path.name
     json.loads((ROOT / "ops" / "dashboard.json").read_text(encoding="utf-8"))
 
 
-def test_a_log_is_bounded_and_tells_what_it_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_log_is_bounded_and_reports_what_it_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 1_000.0
     monkeypatch.setattr("loadbalancer.net.log.time.monotonic", lambda: now)
     seen: list[str] = []
-    told = log.Log("n1", lambda name, event, text, fields: seen.append(event))
+    bounded_log = log.Log("n1", lambda name, event, text, fields: seen.append(event))
     for _ in range(log.MAX_LINES_PER_SPAN + 7):
-        told.event("noise", "once more")
-    assert seen == ["noise"] * log.MAX_LINES_PER_SPAN and told.dropped_lines == 7
+        bounded_log.event("noise", "once more")
+    assert seen == ["noise"] * log.MAX_LINES_PER_SPAN and bounded_log.dropped_lines == 7
     now += log.SPAN_S
-    told.event("later", "again")
-    assert seen[log.MAX_LINES_PER_SPAN :] == ["lines_dropped", "later"] and told.dropped_lines == 7
+    bounded_log.event("later", "again")
+    assert seen[log.MAX_LINES_PER_SPAN :] == ["lines_dropped", "later"] and bounded_log.dropped_lines == 7
 
 
-def test_a_log_line_is_text_or_json_with_its_fields(capsys: pytest.CaptureFixture[str]) -> None:
+def test_log_line_is_text_or_json_with_its_fields(capsys: pytest.CaptureFixture[str]) -> None:
     for kind in ("text", "json"):
         log.Log("n1", log.SINKS[kind]).event("config_replaced", "replaced", took="discovery")
     text, line = capsys.readouterr().err.splitlines()
@@ -86,14 +86,14 @@
     assert read == {"balancer": "n1", "event": "config_replaced", "text": "replaced", "took": "discovery"}
 
 
-def test_a_new_configuration_tells_what_was_taken_and_what_needs_a_restart() -> None:
+def test_reload_reports_what_was_applied_and_what_needs_a_restart() -> None:
     async def scenario() -> None:
-        async with ProxyHarness(Upstream()) as rig:
+        async with ProxyHarness(Upstream()) as harness:
             old = read_config(config_text("127.0.0.1:9", []), print)
-            rig.proxy.apply_configuration(old)
+            harness.proxy.apply_configuration(old)
             moved = replace(old, discovery=("127.0.0.1", 8), max_sockets=7, seed=old.seed + 1)
-            report = rig.proxy.apply_configuration(moved)
+            report = harness.proxy.apply_configuration(moved)
             assert report == ReloadReport(applied=["discovery"], needs_restart=["sockets"])
-            assert rig.proxy.apply_configuration(moved) == ReloadReport(applied=[], needs_restart=[])
+            assert harness.proxy.apply_configuration(moved) == ReloadReport(applied=[], needs_restart=[])
 
     run_scenario(scenario())
--- a/tests/test_peers_net.py
+++ b/tests/test_peers_net.py
@@ -14,8 +14,8 @@
 from loadbalancer.membership import MemberState
 from loadbalancer.net.config import Config, ConfigError, read_config
 from loadbalancer.net.membership import MembershipHost
+from tests.console_client import call_console
 from tests.loopback import ProxyHarness, Upstream, config_text, run_scenario, status_of
-from tests.test_console import call
 
 HOST = "127.0.0.1"
 
@@ -127,17 +127,17 @@
 def test_operators_see_the_members_and_404_where_it_is_off() -> None:
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as rig:
-            assert status_of(await call(rig, "GET", "/admin/peers")) == 404
+            assert status_of(await call_console(rig, "GET", "/admin/peers")) == 404
             (config,) = some(1)
             assert config.peer_listen is not None
             loop = asyncio.get_running_loop()
             rig.proxy.membership = MembershipHost(config, config.peer_listen, loop, rig.proxy.clock.now)
             assert not rig.proxy.membership.start()
-            told = json.loads((await call(rig, "GET", "/admin/peers")).body)
+            told = json.loads((await call_console(rig, "GET", "/admin/peers")).body)
             assert (told["me"], told["present"], told["takes_part"]) == (0, 1, True)
-            assert b'irondrum_peers{state="alive"} 1' in (await call(rig, "GET", "/metrics")).body
+            assert b'irondrum_peers{state="alive"} 1' in (await call_console(rig, "GET", "/metrics")).body
             rig.proxy.announce_shutdown()
-            assert json.loads((await call(rig, "GET", "/admin/peers")).body)["takes_part"] is False
+            assert json.loads((await call_console(rig, "GET", "/admin/peers")).body)["takes_part"] is False
 
     run_scenario(scenario())
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Whose settings these are: any deployment's run as the first one's do, and bad ones are told in one line."""
+"""The settings of any deployment are read, and invalid ones are reported in one line."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 ABSENT = object()
 
 name = st.text("abcčž-_.0", min_size=1, max_size=8)
-one_class = st.fixed_dictionaries(
+class_settings = st.fixed_dictionaries(
     {
         "name": name,
         "target": st.sampled_from([30.0, 400.0, 3_000.0]),
@@ -39,8 +39,8 @@
     },
 )
 flag = st.booleans()
-a_site = st.fixed_dictionaries(
-    {"classes": st.lists(one_class, min_size=1, max_size=4, unique_by=lambda c: c["name"])},
+site_settings = st.fixed_dictionaries(
+    {"classes": st.lists(class_settings, min_size=1, max_size=4, unique_by=lambda c: c["name"])},
     optional={
         "orgs": st.lists(
             st.fixed_dictionaries({"name": name, "quotaPerS": st.sampled_from([0.0, 3.0, 900.0])}),
@@ -78,7 +78,7 @@
 )  # fmt: skip
 
 
-def read(site: dict[str, Any]) -> Any:
+def read_site(site: dict[str, Any]) -> Any:
     raw = json.loads(config_text("127.0.0.1:9", []))
     raw["settings"] = site
     notes: list[str] = []
@@ -88,18 +88,18 @@
 
 
 @settings(max_examples=120, deadline=None, derandomize=True)
-@given(site=a_site, seed=st.integers(0, 3))
-def test_the_rules_hold_under_settings_of_any_deployment(site: dict[str, Any], seed: int) -> None:
-    own = read(site).settings
+@given(site=site_settings, seed=st.integers(0, 3))
+def test_rules_hold_under_settings_of_any_deployment(site: dict[str, Any], seed: int) -> None:
+    own = read_site(site).settings
     day = Day(seed, **{item.name: getattr(own, item.name) for item in fields(own)})
     day.play(150)
     assert day.finished > 0
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
-@given(site=a_site)
-def test_settings_of_any_deployment_are_read_as_they_stand(site: dict[str, Any]) -> None:
-    config = read(site)
+@given(site=site_settings)
+def test_settings_of_any_deployment_are_read_unchanged(site: dict[str, Any]) -> None:
+    config = read_site(site)
     assert [c.name for c in config.settings.classes] == [c["name"] for c in site["classes"]]
     assert [c.deduplication_window_ms for c in config.settings.classes] == [
         c.get("repeatWindow", 0.0) for c in site["classes"]
@@ -112,30 +112,35 @@
     assert not config.peers, "no notes unless membership is asked for"
 
 
-# ---- nothing is fitted to one deployment ----------------------------------------------------------
-
-# Of deployments that we have been told of; those of our own variants are read from their files.
-TOLD = """
+# Names of deployments that are known; those of the variants here are read from their files.
+NAMED_DEPLOYMENTS = """
 romobil jadran zagreb split ulaz jezgra karta voznja otkljucaj grad
 ljubljana faculty claims parcel claim photo assess polje dolina zav
 """.split()
-OUR_OWN = {"split", "grad", "claim", "claims", "photo", "assess"}  # words that mean something else, too
+ORDINARY_WORDS = {
+    "split",
+    "grad",
+    "claim",
+    "claims",
+    "photo",
+    "assess",
+}  # words that mean something else
 
 
 def names_of_deployments() -> set[str]:
-    names = set(TOLD)
+    names = set(NAMED_DEPLOYMENTS)
     for path in (ROOT / "deploy" / "sites").glob("*.toml"):
         site = tomllib.loads(path.read_text(encoding="utf-8"))
-        told = [site["name"], *site.get("net", {}).get("zones", [])]
-        told += [item["name"] for kind in ("tier", "class", "tenant") for item in site.get(kind, [])]
-        names |= {word for text in told for word in re.split(r"[^a-z]+", text) if len(word) > 2}
-    return names - OUR_OWN
+        texts = [site["name"], *site.get("net", {}).get("zones", [])]
+        texts += [item["name"] for kind in ("tier", "class", "tenant") for item in site.get(kind, [])]
+        names |= {word for text in texts for word in re.split(r"[^a-z]+", text) if len(word) > 2}
+    return names - ORDINARY_WORDS
 
 
-def test_no_name_of_a_deployment_stands_in_what_the_platform_runs() -> None:
+def test_production_code_names_no_deployment() -> None:
     package = ROOT / "loadbalancer"
     files = [package / "interface.py", package / "wire.py", ROOT / "deploy" / "balancer.toml"]
-    files += [path for part in ("policy", "net", "watching") for path in (package / part).glob("*.py")]
+    files += [path for part in ("policy", "net", "endpoint_watch") for path in (package / part).rglob("*.py")]
     assert len(files) > 25
     names = names_of_deployments()
     assert len(names) > 20
@@ -144,23 +149,20 @@
         assert not words & names, f"{path.name} names {words & names}"
 
 
-# ---- bad settings ---------------------------------------------------------------------------------
-
-
-def bad(path: str, value: Any) -> str:
+def config_with(path: str, value: Any) -> str:
     raw = json.loads(config_text("127.0.0.1:9", []))
     *parents, last = path.split(".")
-    place = raw
+    parent = raw
     for step in parents:
-        place = place[int(step)] if step.isdigit() else place[step]
+        parent = parent[int(step)] if step.isdigit() else parent[step]
     if value is ABSENT:
-        del place[last]
+        del parent[last]
     else:
-        place[last] = value
+        parent[last] = value
     return json.dumps(raw)
 
 
-BAD = [
+INVALID_SETTINGS = [
     ("settings.classes", []), ("settings.classes", "read"), ("settings.classes.0.name", ABSENT),
     ("settings.classes.0.deadline", -1), ("settings.classes.0.deadline", "soon"),
     ("settings.classes.0.deadline", float("nan")), ("settings.classes.0.effect", "odd"),
@@ -178,19 +180,17 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("path, value", BAD)
-def test_bad_settings_are_one_plain_line(path: str, value: Any) -> None:
+@pytest.mark.parametrize("path, value", INVALID_SETTINGS)
+def test_invalid_setting_is_an_error_of_one_line(path: str, value: Any) -> None:
     with pytest.raises(ConfigError) as caught:
-        read_config(bad(path, value), lambda note: None)
+        read_config(config_with(path, value), lambda note: None)
     assert str(caught.value) and "\n" not in str(caught.value)
 
 
 @pytest.mark.parametrize("path, value", [("limits.memory_mb", float("nan")), ("settings", [])])
-def test_a_program_with_bad_settings_ends_with_status_2_and_takes_nobody(
-    path: str, value: Any, tmp_path: Path
-) -> None:
+def test_program_with_invalid_settings_exits_with_status_2(path: str, value: Any, tmp_path: Path) -> None:
     file = tmp_path / "config.json"
-    file.write_text(bad(path, value))
+    file.write_text(config_with(path, value))
     done = subprocess.run(
         [sys.executable, "-m", "loadbalancer"],
         env=os.environ | {"LB_CONFIG": str(file)}, capture_output=True, text=True,
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec and the host, on lines of our own."""
+"""The codec of the simulator's wire and its host, on lines written here."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from loadbalancer.simhost import SimulatorHost
 from loadbalancer.wire import write_action
 
-FACTS = (
+SETTINGS = (
     "azs=a balancers=2 classes.count=1 classes.0.name=read classes.0.target=900.0 "
     "classes.0.deadline=2000.0 classes.0.effect=retryable limits.attemptsCap=3 discovery=push tick=5.0"
 )
@@ -33,15 +33,16 @@
 )
 
 
-def up(who: int, seed: int = 11) -> str:
-    return f"up who={who} prng={seed} {FACTS}\n"
+def start_line(who: int, seed: int = 11) -> str:
+    return f"up who={who} prng={seed} {SETTINGS}\n"
 
 
-def start(who: int = 1) -> str:
-    return f"sync time=100.0 batch=1\n{up(who)}{LEDGER}membership who={who} generation=1 mode=0 list=3\neob\n"
+def first_batch(who: int = 1) -> str:
+    notice = f"membership who={who} generation=1 mode=0 list=3\n"
+    return f"sync time=100.0 batch=1\n{start_line(who)}{LEDGER}{notice}eob\n"
 
 
-def host(text: str) -> tuple[int, str, str]:
+def run_host(text: str) -> tuple[int, str, str]:
     out, err = io.StringIO(), io.StringIO()
     status = SimulatorHost(err).run(io.StringIO(text), out)
     return status, out.getvalue(), err.getvalue()
@@ -74,9 +75,9 @@
     ]
 
 
-def test_a_request_goes_out_and_every_batch_is_answered() -> None:
-    status, out, _ = host(
-        start() + "\nsync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
+def test_request_is_sent_and_every_batch_is_answered() -> None:
+    status, out, _ = run_host(
+        first_batch() + "\nsync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
     )
     assert status == 0
     lines = out.split("\n")
@@ -85,10 +86,10 @@
     assert lines[-2] == "yield batch=2"
 
 
-def test_unknown_things_are_noted_once_and_ignored() -> None:
-    text = start().replace("tick=5.0", "tick=5.0 moon.phase=3")
+def test_unknown_events_and_settings_are_noted_once_and_ignored() -> None:
+    text = first_batch().replace("tick=5.0", "tick=5.0 moon.phase=3")
     text += "sync time=110.0 batch=2\nfrobnicate who=1\nfrobnicate who=1\neob\n"
-    status, out, err = host(text)
+    status, out, err = run_host(text)
     assert status == 0 and out.endswith("yield batch=2\n")
     assert err.count("frobnicate") == 1 and err.count("moon.phase") == 1
 
@@ -107,37 +108,37 @@
         ("ledger list=1 membersList=2\nm upstream=u1 readiness=1", "cut short"),
         ("knock who=1 corr", "not name=value"),
         (
-            up(2).strip().replace("classes.0.target=900.0", "classes.0.target=-1"),
+            start_line(2).strip().replace("classes.0.target=900.0", "classes.0.target=-1"),
             "latency_objective_ms is -1.0",
         ),
     ],
 )
-def test_a_bad_line_is_named_in_one_message(bad: str, reason: str) -> None:
-    status, _, err = host(start() + f"sync time=110.0 batch=2\n{bad}\neob\n")
+def test_malformed_line_is_named_in_one_message(bad: str, reason: str) -> None:
+    status, _, err = run_host(first_batch() + f"sync time=110.0 batch=2\n{bad}\neob\n")
     assert status == 1
     assert reason in err and "batch 2" in err and err.count("\n") == 1
 
 
-def test_input_may_end_between_batches_but_not_inside() -> None:
-    assert host(start())[0] == 0
-    status, _, err = host(start() + "sync time=110.0 batch=2\n")
+def test_input_may_end_between_batches_but_not_inside_one() -> None:
+    assert run_host(first_batch())[0] == 0
+    status, _, err = run_host(first_batch() + "sync time=110.0 batch=2\n")
     assert status == 1 and "inside a batch" in err
 
 
-def test_a_fault_is_said_for_its_instance_only() -> None:
-    text = "sync time=90.0 batch=0\n" + up(2) + "eob\n" + start(1)
+def test_failure_is_reported_for_its_instance_only() -> None:
+    text = "sync time=90.0 batch=0\n" + start_line(2) + "eob\n" + first_batch(1)
     text += "sync time=110.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=nosuch\n"
     text += "knock who=2 corr=9 remaining=900.0 grade=read\neob\n"
-    status, out, err = host(text)
+    status, out, err = run_host(text)
     assert status == 0 and "give_in who=1 bodyText=ValueError" in out and "give_in who=2" not in out
     assert "Traceback" in err
 
 
-def test_an_unknown_outcome_counts_as_one_that_may_have_run() -> None:
-    unsafe = start().replace("retryable", "fragile")
+def test_unknown_outcome_counts_as_one_that_may_have_run() -> None:
+    unsafe = first_batch().replace("retryable", "fragile")
     text = unsafe + "sync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
     text += "sync time=110.0 batch=3\nverdict who=1 corr=9 shot=0 upstream=u1 verdict=42 timeTaken=5.0\neob\n"
-    status, out, err = host(text)
+    status, out, err = run_host(text)
     assert status == 0 and "abort who=1 corr=9" in out and out.count("send ") == 1
     assert "'42'" in err
 
@@ -148,13 +149,13 @@
         "limits.connIdle=30000.0 limits.streamsPerConn=1 familyInfo.passesDeadline=true prices.waste=0.02 "
         "worthBy=work weights=nominal myNumber=0 contract.drainGrace=2000.0 contract.graceToAnswer=8.0"
     )
-    status, _, err = host(start().replace("tick=5.0", f"tick=5.0 {facts}"))
+    status, _, err = run_host(first_batch().replace("tick=5.0", f"tick=5.0 {facts}"))
     assert status == 0 and err == ""
 
 
-def drive(instances: list[int], hash_seed: str) -> str:
+def replies_of(instances: list[int], hash_seed: str) -> str:
     """The replies of a process that hosts these instances, apart from the batch lines."""
-    text = "".join(["sync time=100.0 batch=1\n", LEDGER, *(up(i, 11 + i) for i in instances)])
+    text = "".join(["sync time=100.0 batch=1\n", LEDGER, *(start_line(i, 11 + i) for i in instances)])
     text += "".join(f"membership who={i} generation=1 mode=0 list=3\n" for i in instances) + "eob\n"
     for n in range(40):
         text += f"sync time={110.0 + 7 * n} batch={n + 2}\n"
@@ -171,10 +172,10 @@
     return done.stdout
 
 
-def test_same_actions_under_any_hash_seed_and_split_over_processes() -> None:
-    together = drive([1, 2], "1")
-    assert together == drive([1, 2], "2")
+def test_actions_are_the_same_under_any_hash_seed_and_split_over_processes() -> None:
+    together = replies_of([1, 2], "1")
+    assert together == replies_of([1, 2], "2")
     for who in (1, 2):
         mine = [line for line in together.split("\n") if f"who={who} " in line]
-        alone = [line for line in drive([who], "3").split("\n") if f"who={who} " in line]
+        alone = [line for line in replies_of([who], "3").split("\n") if f"who={who} " in line]
         assert mine == alone and mine
