--- a/loadbalancer/net/console_codec.py
+++ b/loadbalancer/net/console_codec.py
@@ -6,6 +6,7 @@
 from collections.abc import Mapping
 
 from loadbalancer.net.reports import BalancerStats, EndpointListReport, MembershipReport
+from loadbalancer.policy.zones import ZoneStatus
 
 
 def encode_stats(stats: BalancerStats) -> str:
@@ -40,9 +41,19 @@
     )
 
 
-def encode_zones(zones: Mapping[str, Mapping[str, float]]) -> str:
+def encode_zones(zones: Mapping[str, ZoneStatus]) -> str:
     """Return the answer to `/admin/zones`."""
-    return json.dumps(zones)
+    return json.dumps(
+        {
+            zone: {
+                "share": status.traffic_fraction,
+                "ready": status.ready_servers,
+                "out": status.calls_in_flight,
+                "room": status.call_capacity,
+            }
+            for zone, status in zones.items()
+        }
+    )
 
 
 def encode_membership(report: MembershipReport) -> str:
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -31,6 +31,7 @@
 from loadbalancer.net.takeover import Takeover
 from loadbalancer.net.upstream import UpstreamPools
 from loadbalancer.policy import Balancer
+from loadbalancer.policy.zones import ZoneStatus
 
 if TYPE_CHECKING:
     from loadbalancer.net.membership import MembershipHost
@@ -213,7 +214,7 @@
         """Return where the endpoint list is from, and how old it is."""
         return self.endpoint_list.report()
 
-    def zones(self) -> Mapping[str, Mapping[str, float]]:
+    def zones(self) -> Mapping[str, ZoneStatus]:
         """Return the status of each zone."""
         return self.cordons.zones()
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -215,8 +215,8 @@
     """What a balancer that has nothing to do still holds: nothing, if all that ended let go."""
     held = {
         "requests": len(proxy.requests.by_id),
-        "the module's requests": len(proxy.balancer._requests),
-        "waiting": len(proxy.balancer._queue),
+        "the module's requests": len(proxy.balancer._requests.open_requests),
+        "waiting": len(proxy.balancer._requests.wait_queue),
         "bytes": proxy.buffers.used_bytes,
         "calls in flight": sum(s.in_flight for s in proxy.balancer._endpoints.servers.values()),
         "connections in use": proxy.upstreams.open_connections
--- a/tests/test_decision_loop.py
+++ b/tests/test_decision_loop.py
@@ -64,7 +64,7 @@
             address = harness.entries[0]["address"]
             await harness.discovery.request_lines.get()
             harness.discovery.publish(8, endpoint_entry("s0", address, weight=0.4), snapshot=True)
-            while harness.proxy.balancer._endpoints.total_capacity != 0.4:
+            while harness.proxy.balancer._endpoints.ready.total_capacity != 0.4:
                 await asyncio.sleep(0)
             clients = [await harness.connect() for _ in range(4)]
             for client in clients:
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -171,15 +171,15 @@
                 endpoint_list(rig.entries[0] | {"weight": 1.0}, is_full_snapshot=True),
             )
             others = list[HttpClient]()
-            while not rig.proxy.balancer._queue:
+            while not rig.proxy.balancer._requests.wait_queue:
                 others.append(await rig.connect())
                 others[-1].send_request()
                 await wait_until(lambda: len(rig.proxy.requests.by_id) == len(others))
             others.pop().writer.close()
-            await wait_until(lambda: not rig.proxy.balancer._queue)
+            await wait_until(lambda: not rig.proxy.balancer._requests.wait_queue)
             await wait_until(lambda: len(upstream.requests) == len(others))
             caller = await ask_unseen(rig)
-            assert len(rig.proxy.balancer._queue) == 1
+            assert len(rig.proxy.balancer._requests.wait_queue) == 1
             await caller.leave()
             for writer in upstream.writers:
                 writer.write(http_response())
