--- a/loadbalancer/cli/zone.py
+++ b/loadbalancer/cli/zone.py
@@ -11,7 +11,7 @@
 from loadbalancer.cli.misuse import Misuse
 from loadbalancer.cli.operate import Consoles, ask_all, reports, tell
 from loadbalancer.cli.screen import screen
-from loadbalancer.configuration.reader import duration_ms
+from loadbalancer.configuration.units import duration_ms
 
 app = typer.Typer(no_args_is_help=True, help="Leave a zone by hand, and come back to it.")
 Zone = Annotated[str, typer.Argument(help="The zone's name, as on the list.")]
--- a/loadbalancer/configuration/model.py
+++ b/loadbalancer/configuration/model.py
@@ -1,5 +1,7 @@
-"""What may stand in a configuration: names as in the platform's JSON, with units, bounds and defaults.
+"""The model of a configuration: its keys, with units, bounds and defaults.
 
+The fields are named by the keys of the platform's JSON, since they are the keys; `net/config_reader.py` and
+`wire.py` map them to the field's terms. The doc comments of tables are part of the published JSON Schema.
 A duration is a number of milliseconds, or a text with a unit: "250ms", "1.5s", "2m".
 """
 
@@ -18,7 +20,7 @@
 Address = Annotated[str, Meta(pattern=f"^{ADDRESS}$", description="host:port")]
 AddressOrNone = Annotated[str, Meta(pattern=f"^({ADDRESS})?$", description="host:port, or empty")]
 ServiceName = Annotated[str, Meta(pattern=SERVICE_NAME_PATTERN.pattern)]
-Share = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=1)]
 Amount = Annotated[float, Meta(ge=0)]
 
@@ -38,7 +40,7 @@
     effect: Literal["retryable", "dedup", "fragile"]
     """Safe to repeat, dropped by servers when repeated, or never to be repeated."""
     worth: Amount = 1.0
-    lateShare: Share = 0.0
+    lateShare: Fraction = 0.0
     keyScope: Literal["all", "zone", "cell"] = "all"
     repeatWindow: Duration = 0.0
     stream: bool = False
@@ -95,7 +97,7 @@
     tier: Annotated[int, Meta(ge=0)] = 0
     zone: str = ""
     orgs: tuple[Org, ...] = ()
-    overShareWorth: Share = 1.0
+    overShareWorth: Fraction = 1.0
     tick: Annotated[float, Meta(gt=0)] = 1.0
     limits: Limits = Limits()
     contract: Contract = Contract()
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from loadbalancer import configuration
-from loadbalancer.configuration.reader import duration_ms
+from loadbalancer.configuration.units import duration_ms
 from loadbalancer.net.config_reader import read_config
 from tests.loopback import config_text, endpoint_entry
 
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -176,5 +176,5 @@
 
 
 def test_annotated_configuration_of_the_page_holds_the_recorded_keys_and_values() -> None:
-    page = configuration.tables_of(ROOT / "docs" / "irondrum.toml")
-    assert page == configuration.tables_of(GOLDEN / "irondrum.toml")
+    page = configuration.load_tables(ROOT / "docs" / "irondrum.toml")
+    assert page == configuration.load_tables(GOLDEN / "irondrum.toml")
