--- a/benchmarks/interest_balancer.py
+++ b/benchmarks/interest_balancer.py
@@ -12,7 +12,7 @@
 import time
 from pathlib import Path
 
-from loadbalancer.net.config import read_config, read_list
+from loadbalancer.net.config import decode_endpoint_list, read_config
 from loadbalancer.net.proxy import Proxy
 
 
@@ -30,12 +30,12 @@
     config = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": settings, "lists": {}}
 
     async def take() -> None:
-        driver = Proxy(read_config(json.dumps(config), print), asyncio.get_running_loop(), None)
+        proxy = Proxy(read_config(json.dumps(config), print), asyncio.get_running_loop(), None)
         gc.collect()
         idle, size = rss_mb(), len(body := Path(told["body"]).read_bytes())
         began = time.process_time()
-        driver._discovery._note(news := read_list(json.loads(body)), 0.0)
-        driver._news(news)
+        proxy.endpoint_list.discovery._note(news := decode_endpoint_list(json.loads(body)), 0.0)
+        proxy.endpoint_list.on_watch_update(news)
         took = time.process_time() - began
         del news, body
         gc.collect()
--- a/loadbalancer/net/downstream_listener.py
+++ b/loadbalancer/net/downstream_listener.py
@@ -60,7 +60,7 @@
         self.is_serving = False
         self.is_shutting_down = False
         self.is_closing_connections = False  # responses ask clients to go elsewhere
-        self.max_connections = max_connections_per_side(config.sockets)
+        self.max_connections = max_connections_per_side(config.max_sockets)
         self._has_successor = False  # which accepts in our place
         self._max_deadline_s = max(c.deadline_ms for c in config.settings.classes) / 1000
         self._eviction = IdleEviction()
--- a/loadbalancer/net/downstream_parser.py
+++ b/loadbalancer/net/downstream_parser.py
@@ -6,7 +6,7 @@
 
 import httptools
 
-from loadbalancer.net.downstream_request import DownstreamRequest, RequestConnection
+from loadbalancer.net.downstream_request import DownstreamRequest, RequestConnection, RequestRejection
 from loadbalancer.net.http_framing import (
     LENGTH_NOT_GIVEN,
     MAX_BODY_BYTES,
@@ -14,6 +14,7 @@
     AmbiguousLengthError,
     FramingError,
     Headers,
+    MessageTooLargeError,
 )
 
 
@@ -44,7 +45,7 @@
         self._connection = connection
         self._events = events
         self._parser = httptools.HttpRequestParser(self)
-        self._error: InvalidRequestError | None = None
+        self._rejection: RequestRejection | None = None  # by a callback
         self._is_in_head = False
         self._target = b""
         self._headers: Headers = []
@@ -66,7 +67,8 @@
             self._parser = httptools.HttpRequestParser(self)
             return data[upgrade.args[0] :]
         except httptools.HttpParserError as error:
-            raise (self._error or InvalidRequestError(400, "malformed request")) from error
+            rejection = self._rejection or RequestRejection(400, "malformed request")
+            raise InvalidRequestError(rejection.status, rejection.reason) from error
         if self._is_in_head:
             self._raw_head_bytes += len(data)
         return None
@@ -106,9 +108,9 @@
             self._reject(431, "headers too large")
 
     def _reject(self, status: int, reason: str) -> NoReturn:
-        """Stop the parser, which wraps what is raised here; `feed` raises the error itself."""
-        self._error = InvalidRequestError(status, reason)
-        raise self._error
+        """Stop the parser, which wraps what is raised here; `feed` raises an error of its own."""
+        self._rejection = RequestRejection(status, reason)
+        raise MessageTooLargeError(reason)
 
     def on_headers_complete(self) -> None:
         """Take the head: the body is what comes next."""
--- a/loadbalancer/net/upstream_pool.py
+++ b/loadbalancer/net/upstream_pool.py
@@ -8,7 +8,7 @@
 from bisect import bisect_right
 
 from loadbalancer.interface import Readiness
-from loadbalancer.net.config import Address, AddressedEndpoint, Config, ServerList
+from loadbalancer.net.config import Address, AddressedEndpoint, Config, EndpointList
 from loadbalancer.net.descriptors import max_connections_per_side
 from loadbalancer.net.message_body import BufferBudget
 from loadbalancer.net.upstream_attempt import Attempt, AttemptHandler
@@ -110,15 +110,15 @@
         self.config = config
         self.loop = loop
         self.buffers = buffers
-        self.max_idle_s = IDLE_LIMIT_FRACTION * config.idle_ms / 1000
+        self.max_idle_s = IDLE_LIMIT_FRACTION * config.idle_timeout_ms / 1000
         self.open_connections = 0
-        self.max_connections = max_connections_per_side(config.sockets)
+        self.max_connections = max_connections_per_side(config.max_sockets)
         self.cordoned: set[str] = set()  # by operators: nothing begins there
         self._pools: dict[str, ConnectionPool] = {}
 
-    def update_endpoints(self, update: ServerList) -> None:
+    def update_endpoints(self, update: EndpointList) -> None:
         """Follow the list: a server that is removed, moved or restarted loses its connections."""
-        if update.whole:
+        if update.is_full_snapshot:
             for server in self._pools.keys() - {e.endpoint.server for e in update.endpoints}:
                 self._remove(server)
         for addressed in update.endpoints:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,7 +15,7 @@
 import pytest
 import uvloop
 
-from loadbalancer.net.config import ServerList, read_config, read_list
+from loadbalancer.net.config import EndpointList, decode_endpoint_list, read_config
 from loadbalancer.net.proxy import Proxy
 from loadbalancer.net.upstream_connection import UpstreamConnection
 from loadbalancer.net.upstream_pool import ConnectionPool
@@ -126,9 +126,9 @@
     return base | {"status": "in_service", "since_ms": 0} | more
 
 
-def endpoint_list(*entries: dict[str, Any], is_full_snapshot: bool = False) -> ServerList:
+def endpoint_list(*entries: dict[str, Any], is_full_snapshot: bool = False) -> EndpointList:
     """Return an endpoint list of these entries, as it is read from an answer of the list service."""
-    return read_list({"index": 1, "snapshot": is_full_snapshot, "endpoints": list(entries)})
+    return decode_endpoint_list({"index": 1, "snapshot": is_full_snapshot, "endpoints": list(entries)})
 
 
 def config_text(
@@ -210,16 +210,16 @@
     await over.wait()
 
 
-def unreleased_resources(driver: Proxy) -> list[str]:
+def unreleased_resources(proxy: Proxy) -> list[str]:
     """What a balancer that has nothing to do still holds: nothing, if all that ended let go."""
     held = {
-        "requests": len(driver._requests),
-        "the module's requests": len(driver.balancer._requests),
-        "waiting": len(driver.balancer._queue),
-        "bytes": driver.buffers.used_bytes,
-        "calls in flight": sum(s.in_flight for s in driver.balancer._endpoints.servers.values()),
-        "connections in use": driver.upstreams.open_connections
-        - sum(len(p.idle_connections) for p in driver.upstreams._pools.values()),
+        "requests": len(proxy.requests.by_id),
+        "the module's requests": len(proxy.balancer._requests),
+        "waiting": len(proxy.balancer._queue),
+        "bytes": proxy.buffers.used_bytes,
+        "calls in flight": sum(s.in_flight for s in proxy.balancer._endpoints.servers.values()),
+        "connections in use": proxy.upstreams.open_connections
+        - sum(len(p.idle_connections) for p in proxy.upstreams._pools.values()),
     }
     return [f"{count} {name}" for name, count in held.items() if count]
 
@@ -255,7 +255,7 @@
 
     async def connect(self) -> HttpClient:
         caller = HttpClient()
-        caller.reader, caller.writer = await asyncio.open_connection(*self.proxy.callers.address[:2])
+        caller.reader, caller.writer = await asyncio.open_connection(*self.proxy.downstream.address[:2])
         return caller
 
     async def request(self, *args: Any, **more: Any) -> HttpMessage:
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -22,7 +22,7 @@
 from aiohttp import web
 
 from loadbalancer.drill.processes.placement import free_port
-from loadbalancer.net.config import read_list
+from loadbalancer.net.config import decode_endpoint_list
 from loadbalancer.registry import (
     Catalog,
     Change,
@@ -422,7 +422,7 @@
             news = await asyncio.gather(*watches)
             assert {len(n["endpoints"]) for n in news} == {2} and not any(n["snapshot"] for n in news)
             assert service.reads.serialized == 1 and service.reads.told == 200
-            assert read_list(news[0]).index == service.catalog.index
+            assert decode_endpoint_list(news[0]).index == service.catalog.index
 
     run_scenario(scenario())
 
@@ -478,14 +478,14 @@
             return runner
 
         async with aiohttp.ClientSession() as http, ProxyHarness(console="") as rig:
-            rig.proxy._discovery.move((HOST, port))
+            rig.proxy.endpoint_list.discovery.move((HOST, port))
 
             async def put(name: str, address: str) -> None:
                 async with http.put(f"http://{HOST}:{port}/v1/servers/{name}", json=entry(address)) as answer:
                     assert answer.status == 200
 
             async def until_listed(*names: str) -> None:
-                while sorted(rig.proxy._list) != sorted(names):
+                while sorted(rig.proxy.endpoint_list.endpoints) != sorted(names):
                     await asyncio.sleep(0.01)
                 assert status_of(await rig.request()) == 200
 
--- a/tests/test_endings_upstreams.py
+++ b/tests/test_endings_upstreams.py
@@ -153,7 +153,7 @@
                 caller.send_request(path, b"debit")
                 await dials.started.wait()
                 caller.writer.close()
-            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
             assert not unreleased_resources(rig.proxy)
             dials.release()
             assert status_of(await rig.request()) == 200
@@ -181,7 +181,7 @@
         server = await asyncio.start_server(take, "127.0.0.1", 0)
         async with ProxyHarness(Upstream(), limits=LIMITS | {"mayCancel": may_cancel}) as rig:
             port = server.sockets[0].getsockname()[1]
-            rig.proxy._listed(
+            rig.proxy.endpoint_list.apply(
                 UpdateKind.FULL_SNAPSHOT,
                 endpoint_list(endpoint_entry("s0", f"127.0.0.1:{port}"), is_full_snapshot=True),
             )
@@ -221,7 +221,7 @@
             rig.proxy.balancer.handle = send_both  # type: ignore[method-assign]
             dials = PausedConnects(monkeypatch, "s1")
             assert status_of(await rig.request()) == 200
-            await wait_until(lambda: not rig.proxy._requests)
+            await wait_until(lambda: not rig.proxy.requests.by_id)
             dials.release()
             ends = [
                 (e.attempt_index, e.outcome, e.is_final)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -158,7 +158,7 @@
             assert (await caller.read_response()).body == b"second"
             await first.connection_ended.wait()
             assert sorted(o.value for o in outcomes(told)) == ["cancelled", "served"]
-            assert not rig.proxy._requests
+            assert not rig.proxy.requests.by_id
 
     run_scenario(scenario())
 
@@ -175,7 +175,7 @@
             await upstream.connection_ended.wait()
             assert any(isinstance(e, interface.ClientDisconnected) for e in told)
             assert outcomes(told) == [Outcome.CANCELLED]
-            assert not rig.proxy._requests
+            assert not rig.proxy.requests.by_id
 
     run_scenario(scenario())
 
@@ -270,7 +270,7 @@
             caller = await rig.connect()
             caller.send_request()
             assert status_of(await caller.read_response()) == 200
-            (connection,) = rig.proxy.callers._connections
+            (connection,) = rig.proxy.downstream._connections
             assert connection.reader._timer._handle is None
 
     run_scenario(scenario())
@@ -326,7 +326,7 @@
             caller = await rig.connect()
             caller.send_request()
             await caller.read_response()
-            (taken,) = rig.proxy.callers._connections
+            (taken,) = rig.proxy.downstream._connections
             for transport in (
                 rig.proxy.upstreams._pools["s0"].idle_connections[0]._transport,
                 taken._transport,
@@ -388,7 +388,7 @@
             upstream.request_received.clear()
             busy.send_request("/pay/x", b"debit")
             await upstream.request_received.wait()
-            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
+            ending = asyncio.ensure_future(rig.proxy.downstream.shut_down())
             await asyncio.sleep(0)
             late = await rig.request()
             assert status_of(late) == 200 and "connection" not in late.headers
@@ -411,7 +411,7 @@
 def test_the_clock_compares_with_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
     import time
 
-    from loadbalancer.net.proxy import Clock
+    from loadbalancer.net.clock import Clock
 
     clock = Clock()
     first = clock.now()
@@ -442,7 +442,7 @@
     async def scenario() -> None:
         monkeypatch.setattr(downstream_listener, "SHUTDOWN_ACCEPT_S", 0.0)
         async with ProxyHarness(Upstream()) as rig:
-            listener = rig.proxy.callers
+            listener = rig.proxy.downstream
             clients: list[socket.socket] = []
             accept = listener._accept
 
@@ -478,7 +478,7 @@
             caller.send_request("/pay/x", b"debit")
             await upstream.request_received.wait()
             told = listen_to(rig)
-            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
+            ending = asyncio.ensure_future(rig.proxy.downstream.shut_down())
             assert status_of(await caller.read_response()) == 502
             await ending
             assert outcomes(told) == [Outcome.CANCELLED]  # its own time-out had not come
@@ -491,7 +491,7 @@
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as rig:
-            rig.proxy.callers.max_connections = 2
+            rig.proxy.downstream.max_connections = 2
             first, second = await rig.connect(), await rig.connect()
             for caller in (first, second):
                 caller.send_request()
@@ -559,7 +559,7 @@
             caller = await rig.connect()
             caller.send_request()
             assert status_of(await caller.read_response()) == 200
-            (connection,) = rig.proxy.callers._connections
+            (connection,) = rig.proxy.downstream._connections
             is_idle, crossed = connection.is_idle, list[int]()
 
             def crossing() -> bool:
@@ -569,7 +569,7 @@
                 return is_idle()
 
             monkeypatch.setattr(connection, "is_idle", crossing)
-            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
+            ending = asyncio.ensure_future(rig.proxy.downstream.shut_down())
             answer = await caller.read_response()
             assert status_of(answer) == 200 and answer.headers["connection"] == "close"
             caller.writer.close()
@@ -715,9 +715,9 @@
                 caller.send_request()
             answers = [status_of(await caller.read_response()) for caller in callers[1:]]
             assert answers == [503, 503, 503], "one is with the server, one waits in vain, two find no place"
-            assert len(rig.proxy._requests) == 1
+            assert len(rig.proxy.requests.by_id) == 1
             gate.set()
             assert status_of(await callers[0].read_response()) == 200
-            assert not rig.proxy._requests
+            assert not rig.proxy.requests.by_id
 
     run_scenario(scenario())
--- a/tests/test_peers_net.py
+++ b/tests/test_peers_net.py
@@ -62,7 +62,7 @@
         assert [p.start() for p in tier] == [""] * 4
         tier[1].stop()
         others = [tier[0], *tier[2:]]
-        await until_all_say(others, 1, MemberState.GONE)
+        await until_all_say(others, 1, MemberState.DEAD)
         assert tier[1].start() == ""
         await until_all_say(others, 1, MemberState.ALIVE)
         tier[3].leave()
@@ -77,16 +77,16 @@
     async def scenario() -> None:
         one, other = hosts(some(2))
         assert one.start() == ""
-        before = one.by_state()
+        before = one.count_by_state()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"noise", one._listen)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as member:
             member.bind(other._listen)
             member.sendto(b"noise", one._listen)
-            while not (one.strangers and one.member.counts.dropped):
+            while not (one.unknown_sender_count and one.member.counts.dropped):
                 await asyncio.sleep(0.01)
-        assert one.by_state() == before
-        told = one.report()["notes"]
+        assert one.count_by_state() == before
+        told = one.console_report()["notes"]
         assert isinstance(told, dict) and told["dropped"] == {"garbled": 1, "stranger": 1}
         one.stop()
 
@@ -130,12 +130,14 @@
         async with ProxyHarness(Upstream()) as rig:
             assert status_of(await call(rig, "GET", "/admin/peers")) == 404
             (config,) = some(1)
-            rig.proxy.peers = rig.proxy._make_peers(config)
-            rig.proxy._join_peers()
+            assert config.peer_listen is not None
+            loop = asyncio.get_running_loop()
+            rig.proxy.membership = MembershipHost(config, config.peer_listen, loop, rig.proxy.clock.now)
+            assert not rig.proxy.membership.start()
             told = json.loads((await call(rig, "GET", "/admin/peers")).body)
             assert (told["me"], told["present"], told["takes_part"]) == (0, 1, True)
             assert b'irondrum_peers{state="alive"} 1' in (await call(rig, "GET", "/metrics")).body
-            rig.proxy.say_goodbye()
+            rig.proxy.announce_shutdown()
             assert json.loads((await call(rig, "GET", "/admin/peers")).body)["takes_part"] is False
 
     run_scenario(scenario())
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -114,11 +114,11 @@
 
 def test_the_table_lists_turns_this_on_and_its_faults_are_told() -> None:
     entries = [endpoint_entry("s0", "127.0.0.1:5000")]
-    assert read_config(config_text("127.0.0.1:9", entries), pytest.fail).lists is None
+    assert read_config(config_text("127.0.0.1:9", entries), pytest.fail).registry is None
     good: dict[str, Any] = {"others": ["127.0.0.1:10"], "tier": "second"}
     config = configuration.parse(json.loads(config_text("127.0.0.1:9", entries, lists=good)), pytest.fail)
-    assert config.lists is not None
-    assert (config.lists.tier, config.settings.suspect_stale_fraction) == ("second", 0.3)
+    assert config.registry is not None
+    assert (config.registry.tier, config.settings.suspect_stale_fraction) == ("second", 0.3)
     bad = json.loads(config_text("127.0.0.1:9", entries, lists={"others": ["here"], "doubt": 2, "x": 1}))
     assert len(configuration.validation_errors(bad)) == 3
     twice = json.loads(config_text("127.0.0.1:9", entries, lists={"others": ["127.0.0.1:9"]}))
@@ -203,7 +203,7 @@
             rig.discovery.publish(4, *rig.entries, snapshot=True)  # to a whole look: a new beginning
             assert "after=4&" in await rig.discovery.request_lines.get()
             assert sorted(rig.proxy.balancer._endpoints.ready) == ["s1"]
-            assert rig.proxy.list_report()["rewound"] == 1
+            assert rig.proxy.endpoint_list_report().rewinds == 1
             for _ in range(4):
                 assert status_of(await rig.request()) == 200
             assert not rig.upstreams[0].requests
@@ -218,13 +218,13 @@
             await rig.discovery.request_lines.get()
             rig.discovery.publish(9, snapshot=True)
             await rig.discovery.request_lines.get()
-            assert rig.proxy.list_report()["doubted"] == ["s0", "s1"]
+            assert rig.proxy.endpoint_list_report().suspected_servers == ["s0", "s1"]
             assert status_of(await rig.request()) == 200
             gone = rig.upstreams[0]
             gone.server.close()
             for writer in gone.writers:
                 writer.transport.abort()
-            while rig.proxy.list_report()["doubted"] != ["s1"]:
+            while rig.proxy.endpoint_list_report().suspected_servers != ["s1"]:
                 assert status_of(await rig.request()) == 200
 
     run_scenario(scenario())
@@ -244,7 +244,7 @@
             assert await two.other.request_lines.get() == "GET /v1/servers HTTP/1.1"
             two.other.publish(3, *rig.entries, snapshot=True)
             assert "after=3&" in await two.other.request_lines.get()
-            assert rig.proxy.list_report()["doubted"] == []
+            assert rig.proxy.endpoint_list_report().suspected_servers == []
             assert len(rig.proxy.balancer._endpoints.ready) == 4
 
     run_scenario(scenario())
@@ -268,7 +268,7 @@
                 two.other.publish(index, rig.entries[0], snapshot=True)
             assert await two.other.request_lines.get() == "GET /v1/servers HTTP/1.1"
             two.other.publish(51, rig.entries[0], snapshot=True)
-            while not rig.proxy.list_report()["stood_still"]:
+            while not rig.proxy.endpoint_list_report().stalls:
                 await asyncio.sleep(0.01)
 
     run_scenario(scenario())
