--- a/loadbalancer/net/discovery.py
+++ b/loadbalancer/net/discovery.py
@@ -22,7 +22,7 @@
 from loadbalancer.net.config import AddressedEndpoint, Config, EndpointList, RegistryConfig
 from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
 from loadbalancer.net.interest_subscription import Held, Wants
-from loadbalancer.net.upstream import RESPONSE_ERRORS, ResponseReader, UpstreamResponse
+from loadbalancer.net.upstream_response import RESPONSE_ERRORS, ResponseReader, UpstreamResponse
 
 PUSH_PAUSE_S = 0.5  # before the agent on this machine is called again, where lists are pushed
 WHOLE_S = 2.0  # for a look at another instance
--- a/loadbalancer/net/request_intake.py
+++ b/loadbalancer/net/request_intake.py
@@ -6,7 +6,7 @@
 
 from loadbalancer import interface
 from loadbalancer.net.clock import Clock
-from loadbalancer.net.downstream import DownstreamRequest
+from loadbalancer.net.downstream_request import DownstreamRequest
 from loadbalancer.net.request_table import RESPONSE_MARGIN_MS, RequestTable
 
 
--- a/loadbalancer/net/request_table.py
+++ b/loadbalancer/net/request_table.py
@@ -7,10 +7,10 @@
 
 from loadbalancer import interface
 from loadbalancer.net.clock import Clock
-from loadbalancer.net.downstream import DownstreamRequest
+from loadbalancer.net.downstream_request import DownstreamRequest
 from loadbalancer.net.http_framing import Headers
 from loadbalancer.net.request_counters import RequestCounters
-from loadbalancer.net.upstream import Attempt
+from loadbalancer.net.upstream_attempt import Attempt
 
 RESPONSE_MARGIN_MS = 10.0  # the module gets so much less than the deadline: the response has to travel yet
 SAFETY_MARGIN_MS = 5.0  # so long before the deadline the safety net answers what is still open
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -10,7 +10,7 @@
 
 from loadbalancer import interface
 from loadbalancer.interface import Outcome
-from loadbalancer.net import upstream
+from loadbalancer.net import upstream_pool
 from tests.loopback import (
     HttpMessage,
     ProxyHarness,
@@ -170,7 +170,7 @@
 
 
 def test_connections_are_reused_unless_the_upstream_has_closed_them(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "REUSE_DELAY_S", 0.0)  # else the next request is too soon for it
+    monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 0.0)  # else the next request is too soon for it
 
     async def scenario() -> None:
         upstream = Upstream()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -8,7 +8,7 @@
 import pytest
 
 from loadbalancer.interface import Outcome
-from loadbalancer.net import downstream
+from loadbalancer.net import downstream_listener
 from tests.loopback import (
     ProxyHarness,
     Upstream,
@@ -22,8 +22,8 @@
 
 def test_shutdown_answers_requests_in_flight_and_accepts_late_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     """Callers were sent away at once, and found the other balancer restarting as well."""
-    monkeypatch.setattr(downstream, "SHUTDOWN_KEEP_ALIVE_FRACTION", 0.0)
-    monkeypatch.setattr(downstream, "SHUTDOWN_ACCEPT_S", 1.0)
+    monkeypatch.setattr(downstream_listener, "SHUTDOWN_KEEP_ALIVE_FRACTION", 0.0)
+    monkeypatch.setattr(downstream_listener, "SHUTDOWN_ACCEPT_S", 1.0)
 
     async def scenario() -> None:
         upstream = Upstream(http_response(), never_answer, http_response())
@@ -58,7 +58,7 @@
     """It was taken with its last byte, though nobody had accepted its connection yet."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.downstream.SHUTDOWN_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.downstream_listener.SHUTDOWN_ACCEPT_S", 0.0)
         async with ProxyHarness(Upstream()) as harness:
             listener = harness.proxy.downstream
             clients: list[socket.socket] = []
@@ -88,8 +88,8 @@
     """What is still open when the time is up gets its answer, before the platform kills us."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.downstream.SHUTDOWN_ACCEPT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.net.downstream.MAX_SHUTDOWN_S", 0.2)
+        monkeypatch.setattr("loadbalancer.net.downstream_listener.SHUTDOWN_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.downstream_listener.MAX_SHUTDOWN_S", 0.2)
         upstream = Upstream(never_answer)
         async with ProxyHarness(upstream) as harness:
             client = await harness.connect()
@@ -110,7 +110,7 @@
     """It lay in the kernel, unread, when the connection was ended as an idle one."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.downstream.SHUTDOWN_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.downstream_listener.SHUTDOWN_ACCEPT_S", 0.0)
         async with ProxyHarness(Upstream()) as harness:
             client = await harness.connect()
             client.send_request()
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -36,7 +36,7 @@
 from loadbalancer.net.config import EndpointList
 from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.proxy import Proxy
-from loadbalancer.net.upstream import UpstreamResponse
+from loadbalancer.net.upstream_response import UpstreamResponse
 from loadbalancer.policy import Balancer
 from loadbalancer.policy.endpoints import EndpointSet
 from tests.loopback import config_text, endpoint_entry, http_response
