--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -42,49 +42,57 @@
     return Settings(**(base | changes))
 
 
-def members(count: int, **changes: Any) -> tuple[Endpoint, ...]:
+def make_endpoints(count: int, **changes: Any) -> tuple[Endpoint, ...]:
     return tuple(Endpoint(f"s{i}", zone=f"z{i % 2}", cell=i // 2, **changes) for i in range(count))
 
 
-class Desk:
+class BalancerHost:
     """A balancer with a list, and the time and request numbers kept for it."""
 
     def __init__(self, count: int = 4, seed: int = 1, **changes: Any) -> None:
         self.balancer = Balancer(settings(**changes), seed)
         self.now = 1_000.0
-        self.log: list[Action] = []
-        self.show(*members(count))
-        self._next = 0
+        self.actions: list[Action] = []
+        self.update_list(*make_endpoints(count))
+        self.last_request_id = 0
 
-    def tell(self, event: Any) -> list[Action]:
+    def handle(self, event: Any) -> list[Action]:
         actions = self.balancer.handle(event, self.now)
-        self.log.extend(actions)
+        self.actions.extend(actions)
         return actions
 
-    def show(self, *entries: Endpoint, kind: UpdateKind = UpdateKind.FULL_SNAPSHOT) -> list[Action]:
-        return self.tell(EndpointListUpdate(kind, entries))
+    def update_list(self, *entries: Endpoint, kind: UpdateKind = UpdateKind.FULL_SNAPSHOT) -> list[Action]:
+        return self.handle(EndpointListUpdate(kind, entries))
 
-    def ask(
+    def receive_request(
         self, cls: RequestClass = READ, remaining: float = 3_000, **more: Any
     ) -> tuple[int, list[Action]]:
-        self._next += 1
-        return self._next, self.tell(RequestArrived(self._next, cls.name, remaining, **more))
+        self.last_request_id += 1
+        return self.last_request_id, self.handle(
+            RequestArrived(self.last_request_id, cls.name, remaining, **more)
+        )
 
-    def end(self, request: int, attempt: int, server: str, outcome: Outcome) -> list[Action]:
-        return self.tell(AttemptEnded(request, attempt, server, outcome, outcome is Outcome.SERVED))
+    def end_attempt(self, request: int, attempt: int, server: str, outcome: Outcome) -> list[Action]:
+        return self.handle(AttemptEnded(request, attempt, server, outcome, outcome is Outcome.SERVED))
 
-    def serve(self, cls: RequestClass = READ, takes: float | dict[str, float] = 50.0) -> str:
+    def serve_request(self, cls: RequestClass = READ, takes: float | dict[str, float] = 50.0) -> str:
         """One request, served by whichever server it is sent to; each may take its own time."""
-        request, actions = self.ask(cls)
-        server = sent(actions)[0].server
+        request, actions = self.receive_request(cls)
+        server = sent_attempts(actions)[0].server
         self.now += takes[server] if isinstance(takes, dict) else takes
-        self.end(request, 0, server, Outcome.SERVED)
+        self.end_attempt(request, 0, server, Outcome.SERVED)
         return server
 
 
-def sent(actions: list[Action]) -> list[SendAttempt]:
+def sent_attempts(actions: list[Action]) -> list[SendAttempt]:
     return [a for a in actions if isinstance(a, SendAttempt)]
 
 
-def of_kind(actions: list[Action], *kinds: type) -> list[Action]:
+def actions_of(actions: list[Action], *kinds: type) -> list[Action]:
     return [a for a in actions if isinstance(a, kinds)]
+
+
+def serve_with_latencies(host: BalancerHost, times: dict[str, float], rounds: int = 400) -> None:
+    """Serve requests one at a time, each server taking its own time."""
+    for _ in range(rounds):
+        host.serve_request(takes=times)
--- a/tests/test_late_connections.py
+++ b/tests/test_connect_limits.py
@@ -16,7 +16,7 @@
     SendAttempt,
     UpdateKind,
 )
-from tests.helpers import PAY, Desk, members, of_kind, sent
+from tests.helpers import PAY, BalancerHost, actions_of, make_endpoints, sent_attempts
 from tests.loopback import (
     PausedConnects,
     ProxyHarness,
@@ -28,118 +28,124 @@
 )
 from tests.test_upstreams import RecordedAttempt, full_backlog, make_pools
 
-PATIENCE_MS = 0.1 * PAY.latency_objective_ms  # the most that a request of the class waits before it is sent
+MAX_WAIT_MS = 0.1 * PAY.latency_objective_ms  # the most that a request of the class waits before it is sent
 
 
-def serve(desk: Desk, connect_ms: float | None) -> SendAttempt:
+def serve_request(host: BalancerHost, connect_ms: float | None) -> SendAttempt:
     """A request is served on a connection that took so long to come up, or that was open before."""
-    request, actions = desk.ask(PAY)
-    (send,) = sent(actions)
-    desk.now += 20.0
-    desk.tell(AttemptEnded(request, 0, send.server, Outcome.SERVED, True, connect_duration_ms=connect_ms))
+    request, actions = host.receive_request(PAY)
+    (send,) = sent_attempts(actions)
+    host.now += 20.0
+    host.handle(AttemptEnded(request, 0, send.server, Outcome.SERVED, True, connect_duration_ms=connect_ms))
     return send
 
 
-def next_send(desk: Desk) -> SendAttempt:
-    return serve(desk, None)
+def serve_on_pooled_connection(host: BalancerHost) -> SendAttempt:
+    return serve_request(host, None)
 
 
 # ---- the decisions ------------------------------------------------------------------------------
 
 
-def test_while_nothing_is_known_of_a_zone_a_connection_has_all_the_time() -> None:
-    desk = Desk(1)
-    assert serve(desk, None).connect_within_ms == math.inf
-    assert next_send(desk).connect_within_ms == math.inf
+def test_connect_time_is_unlimited_while_none_of_the_zone_is_known() -> None:
+    host = BalancerHost(1)
+    assert serve_request(host, None).connect_within_ms == math.inf
+    assert serve_on_pooled_connection(host).connect_within_ms == math.inf
 
 
-def test_a_connection_later_than_usual_is_waited_for_no_longer_than_a_request_waits_here() -> None:
-    desk = Desk(4)
+def test_connect_limit_is_the_maximum_wait_where_connections_are_fast() -> None:
+    host = BalancerHost(4)
     for _ in range(30):
-        serve(desk, 1.0)
-    assert next_send(desk).connect_within_ms == PATIENCE_MS
+        serve_request(host, 1.0)
+    assert serve_on_pooled_connection(host).connect_within_ms == MAX_WAIT_MS
 
 
-def test_connections_that_usually_take_long_are_waited_for() -> None:
+def test_connect_limit_follows_slow_connections() -> None:
     """A zone far away, or one where all connections have become slow."""
-    desk = Desk(1)
+    host = BalancerHost(1)
     for _ in range(30):
-        serve(desk, 1.0)
+        serve_request(host, 1.0)
     for _ in range(30):
-        serve(desk, 400.0)
-        assert next_send(desk).connect_within_ms > 400.0, "from the first one on"
-    desk = Desk(1)
+        serve_request(host, 400.0)
+        assert serve_on_pooled_connection(host).connect_within_ms > 400.0, "from the first one on"
+    host = BalancerHost(1)
     for _ in range(300):
-        serve(desk, 400.0)
-    assert 400.0 <= next_send(desk).connect_within_ms < 420.0, "and not for much longer than they take"
+        serve_request(host, 400.0)
+    assert 400.0 <= serve_on_pooled_connection(host).connect_within_ms < 420.0, (
+        "and not for much longer than they take"
+    )
 
 
-def test_each_zone_has_its_own_usual_time() -> None:
-    desk = Desk(2)  # of two zones
+def test_each_zone_has_its_own_connect_limit() -> None:
+    host = BalancerHost(2)  # of two zones
     for _ in range(40):
-        request, actions = desk.ask(PAY)
-        (send,) = sent(actions)
-        desk.now += 20.0
+        request, actions = host.receive_request(PAY)
+        (send,) = sent_attempts(actions)
+        host.now += 20.0
         took = {"s0": 1.0, "s1": 400.0}[send.server]
-        desk.tell(AttemptEnded(request, 0, send.server, Outcome.SERVED, True, connect_duration_ms=took))
-    limits = {send.server: send.connect_within_ms for send in (next_send(desk) for _ in range(40))}
-    assert limits["s0"] == PATIENCE_MS and limits["s1"] >= 400.0
+        host.handle(AttemptEnded(request, 0, send.server, Outcome.SERVED, True, connect_duration_ms=took))
+    limits = {
+        send.server: send.connect_within_ms for send in (serve_on_pooled_connection(host) for _ in range(40))
+    }
+    assert limits["s0"] == MAX_WAIT_MS and limits["s1"] >= 400.0
 
 
-def test_a_request_whose_connection_is_late_goes_elsewhere_and_waits_for_its_last_one() -> None:
-    desk = Desk(4, max_attempts=3)
+def test_request_with_a_late_connection_is_retried_and_its_last_attempt_has_no_limit() -> None:
+    host = BalancerHost(4, max_attempts=3)
     for _ in range(30):
-        serve(desk, 1.0)
-    request, actions = desk.ask(PAY)
-    sends = sent(actions)
+        serve_request(host, 1.0)
+    request, actions = host.receive_request(PAY)
+    sends = sent_attempts(actions)
     for number in range(2):
-        desk.now += PATIENCE_MS
-        sends += sent(desk.end(request, number, sends[-1].server, Outcome.CONNECT_FAILED))
-    assert [send.connect_within_ms for send in sends] == [PATIENCE_MS, PATIENCE_MS, math.inf]
+        host.now += MAX_WAIT_MS
+        sends += sent_attempts(host.end_attempt(request, number, sends[-1].server, Outcome.CONNECT_FAILED))
+    assert [send.connect_within_ms for send in sends] == [MAX_WAIT_MS, MAX_WAIT_MS, math.inf]
     assert len({send.server for send in sends}) == 3
 
 
-def test_a_late_connection_sheds_nothing() -> None:
+def test_late_connection_sheds_nothing() -> None:
     """It was never written: its time tells of connections, not of crowds."""
-    desk = Desk(4)
+    host = BalancerHost(4)
     for _ in range(30):
-        serve(desk, 1.0)
+        serve_request(host, 1.0)
     for _ in range(20):
-        request, actions = desk.ask(PAY)
-        desk.now += PATIENCE_MS
-        again = sent(desk.end(request, 0, sent(actions)[0].server, Outcome.CONNECT_FAILED))
-        desk.now += 20.0
-        desk.end(request, 1, again[0].server, Outcome.SERVED)
-        assert desk.balancer._requests.admitted_fraction(desk.now) == 1.0
+        request, actions = host.receive_request(PAY)
+        host.now += MAX_WAIT_MS
+        again = sent_attempts(
+            host.end_attempt(request, 0, sent_attempts(actions)[0].server, Outcome.CONNECT_FAILED)
+        )
+        host.now += 20.0
+        host.end_attempt(request, 1, again[0].server, Outcome.SERVED)
+        assert host.balancer._requests.admitted_fraction(host.now) == 1.0
 
 
-def test_a_server_in_doubt_is_given_all_the_time_to_prove_alive() -> None:
+def test_suspected_server_has_no_connect_limit() -> None:
     """A late connection would count against it as if it were gone."""
-    desk = Desk(6, suspect_stale_fraction=0.5)
+    host = BalancerHost(6, suspect_stale_fraction=0.5)
     for _ in range(30):
-        serve(desk, 1.0)
-    event = EndpointListUpdate(UpdateKind.FULL_SNAPSHOT, members(2))
-    desk.tell(desk.balancer.validate(event))
-    doubted = set(desk.balancer.suspected_stale_servers())
+        serve_request(host, 1.0)
+    event = EndpointListUpdate(UpdateKind.FULL_SNAPSHOT, make_endpoints(2))
+    host.handle(host.balancer.validate(event))
+    doubted = set(host.balancer.suspected_stale_servers())
     assert doubted
-    sends = [next_send(desk) for _ in range(60)]
+    sends = [serve_on_pooled_connection(host) for _ in range(60)]
     assert {send.server for send in sends} > doubted
     assert {send.server for send in sends if send.connect_within_ms == math.inf} == doubted
 
 
-def test_idle_connections_stay_for_a_request_that_has_not_run_yet() -> None:
+def test_failed_connection_closes_no_idle_connections() -> None:
     """That one could not connect speaks against no open connection: it had to open a further one."""
 
     def closes_after(outcome: Outcome) -> bool:
-        desk = Desk(2)
+        host = BalancerHost(2)
         for _ in range(30):
-            serve(desk, None)
+            serve_request(host, None)
         request = 1_000
-        actions = desk.tell(RequestArrived(request, "read", 3_000))
-        desk.now += 20.0
-        again = desk.end(request, 0, sent(actions)[0].server, outcome)
-        assert sent(again)
-        return bool(of_kind(again, CloseIdleConnections))
+        actions = host.handle(RequestArrived(request, "read", 3_000))
+        host.now += 20.0
+        again = host.end_attempt(request, 0, sent_attempts(actions)[0].server, outcome)
+        assert sent_attempts(again)
+        return bool(actions_of(again, CloseIdleConnections))
 
     assert not closes_after(Outcome.CONNECT_FAILED)
     assert closes_after(Outcome.TIMED_OUT) and closes_after(Outcome.RESET)
@@ -148,7 +154,7 @@
 # ---- on sockets ---------------------------------------------------------------------------------
 
 
-def test_a_connection_that_is_late_is_given_up_in_the_time_it_has() -> None:
+def test_late_connection_is_abandoned_at_its_limit() -> None:
     async def scenario() -> None:
         async with full_backlog() as address:
             upstreams = make_pools(address, connectTimeout=60_000.0)
@@ -159,7 +165,7 @@
     run_scenario(scenario())
 
 
-def test_an_attempt_tells_how_long_its_connection_took_if_it_opened_one() -> None:
+def test_attempt_reports_its_connect_time_if_it_opened_a_connection() -> None:
     async def scenario() -> None:
         upstreams = make_pools(await Upstream().start())
         first = RecordedAttempt(upstreams)
--- a/tests/test_endings_core.py
+++ b/tests/test_event_order.py
@@ -18,19 +18,19 @@
     UpdateKind,
 )
 from loadbalancer.policy import Balancer
-from tests.helpers import CLASSES, members
+from tests.helpers import CLASSES, make_endpoints
 from tests.helpers import settings as settings_of
 
-ENDS = [o for o in Outcome if o is not Outcome.UNKNOWN]
+ENDING_OUTCOMES = [o for o in Outcome if o is not Outcome.UNKNOWN]
 
 
 @dataclass
-class Try:
+class SentAttempt:
     server: str
     zone: str
     cell: int
-    sent: float
-    write_by: float
+    sent_at_ms: float
+    written_by_ms: float
     outcome: Outcome | None = None
 
     @property
@@ -39,123 +39,126 @@
 
 
 @dataclass
-class Case:
-    cls: interface.RequestClass
-    tries: list[Try] = field(default_factory=list)
-    over: str = ""
+class RequestRecord:
+    request_class: interface.RequestClass
+    attempts: list[SentAttempt] = field(default_factory=list)
+    ending: str = ""
 
 
-class Crossing:
+class EventOrderHost:
     """One balancer, and what its host owes it; each step is one event, taken from what may come now."""
 
     def __init__(self, own: interface.Settings, seed: int) -> None:
         self.settings, self.now = own, 10_000.0
         self.balancer = Balancer(own, seed)
-        self.cases: dict[int, Case] = {}
+        self.requests: dict[int, RequestRecord] = {}
         self.timers: list[tuple[float, str]] = []
-        self.list = {m.server: m for m in members(4)}
-        self.tell(interface.EndpointListUpdate(UpdateKind.FULL_SNAPSHOT, tuple(self.list.values())))
+        self.endpoints = {m.server: m for m in make_endpoints(4)}
+        self.handle(interface.EndpointListUpdate(UpdateKind.FULL_SNAPSHOT, tuple(self.endpoints.values())))
 
-    def tell(self, event: interface.Event) -> None:
+    def handle(self, event: interface.Event) -> None:
         for action in self.balancer.handle(event, self.now):
             self.carry_out(action)
 
     def carry_out(self, action: interface.Action) -> None:
         match action:
             case interface.SendAttempt():
-                self.sent(action, self.cases[action.request_id])
+                self.record_send(action, self.requests[action.request_id])
             case interface.Reject(number):
-                case, ran = self.cases[number], [t for t in self.cases[number].tries if t.may_have_run]
-                anywhere = case.cls.idempotency is Idempotency.IDEMPOTENT
+                case, ran = (
+                    self.requests[number],
+                    [t for t in self.requests[number].attempts if t.may_have_run],
+                )
+                anywhere = case.request_class.idempotency is Idempotency.IDEMPOTENT
                 assert not ran or anywhere, "refused what may have run"
-                self.final(case, "refused")
+                self.record_final_response(case, "refused")
             case interface.Fail(number):
-                self.final(self.cases[number], "failed")
+                self.record_final_response(self.requests[number], "failed")
             case interface.CancelAttempt(number, index):
                 assert self.settings.may_cancel
-                assert index < len(self.cases[number].tries)
+                assert index < len(self.requests[number].attempts)
             case interface.SetTimer(at, token):
                 self.timers.append((at, token))
 
-    def final(self, case: Case, how: str) -> None:
-        assert not case.over, f"{how} after it was {case.over}"
-        case.over = how
+    def record_final_response(self, case: RequestRecord, how: str) -> None:
+        assert not case.ending, f"{how} after it was {case.ending}"
+        case.ending = how
 
-    def sent(self, send: interface.SendAttempt, case: Case) -> None:
-        assert not case.over, f"sent after it was {case.over}"
-        member = self.list[send.server]
+    def record_send(self, send: interface.SendAttempt, case: RequestRecord) -> None:
+        assert not case.ending, f"sent after it was {case.ending}"
+        member = self.endpoints[send.server]
         assert member.readiness is Readiness.READY
-        ran = [t for t in case.tries if t.may_have_run]
-        assert self.settings.may_hedge or all(t.outcome is not None for t in case.tries)
+        ran = [t for t in case.attempts if t.may_have_run]
+        assert self.settings.may_hedge or all(t.outcome is not None for t in case.attempts)
         write_by = self.now + send.write_within_ms
-        if ran and case.cls.idempotency is not Idempotency.IDEMPOTENT:
-            assert case.cls.idempotency is Idempotency.WITH_KEY, "an unsafe request sent twice"
-            assert write_by <= ran[0].sent + case.cls.deduplication_window_ms, (
+        if ran and case.request_class.idempotency is not Idempotency.IDEMPOTENT:
+            assert case.request_class.idempotency is Idempotency.WITH_KEY, "an unsafe request sent twice"
+            assert write_by <= ran[0].sent_at_ms + case.request_class.deduplication_window_ms, (
                 "it may be written after its window"
             )
             assert write_by > self.now
-            if case.cls.deduplication_scope is DeduplicationScope.ZONE:
+            if case.request_class.deduplication_scope is DeduplicationScope.ZONE:
                 assert member.zone == ran[0].zone
-            if case.cls.deduplication_scope is DeduplicationScope.CELL:
+            if case.request_class.deduplication_scope is DeduplicationScope.CELL:
                 assert member.cell == ran[0].cell
-        case.tries.append(Try(send.server, member.zone, member.cell, self.now, write_by))
+        case.attempts.append(SentAttempt(send.server, member.zone, member.cell, self.now, write_by))
 
     # ---- what may come ------------------------------------------------------------------------
 
     def arrive(self, number: int, pick: int) -> None:
-        if number not in self.cases:
+        if number not in self.requests:
             cls = self.settings.classes[pick % len(self.settings.classes)]
-            self.cases[number] = Case(cls)
-            self.tell(interface.RequestArrived(number, cls.name, (40.0, 900.0, 2_900.0)[pick % 3]))
+            self.requests[number] = RequestRecord(cls)
+            self.handle(interface.RequestArrived(number, cls.name, (40.0, 900.0, 2_900.0)[pick % 3]))
 
     def end(self, number: int, pick: int) -> None:
         """One attempt ends; one that could not be written in its time can't have run."""
-        case = self.cases.get(number)
-        out = [(i, t) for i, t in enumerate(case.tries) if t.outcome is None] if case else []
+        case = self.requests.get(number)
+        out = [(i, t) for i, t in enumerate(case.attempts) if t.outcome is None] if case else []
         if case is None or not out:
             return
         index, attempt = out[pick % len(out)]
-        attempt.outcome = ENDS[pick % len(ENDS)]
-        if attempt.outcome is Outcome.SERVED and not case.over:
-            case.over = "served"
-        self.tell(interface.AttemptEnded(number, index, attempt.server, attempt.outcome, bool(case.over)))
+        attempt.outcome = ENDING_OUTCOMES[pick % len(ENDING_OUTCOMES)]
+        if attempt.outcome is Outcome.SERVED and not case.ending:
+            case.ending = "served"
+        self.handle(interface.AttemptEnded(number, index, attempt.server, attempt.outcome, bool(case.ending)))
 
     def leave(self, number: int, pick: int) -> None:
-        case = self.cases.get(number)
-        if case is not None and (not case.over or pick % 3 == 0):  # it may cross its final answer
-            case.over = case.over or "left"
-            self.tell(interface.ClientDisconnected(number))
+        case = self.requests.get(number)
+        if case is not None and (not case.ending or pick % 3 == 0):  # it may cross its final answer
+            case.ending = case.ending or "left"
+            self.handle(interface.ClientDisconnected(number))
 
     def fire(self, number: int, pick: int) -> None:
         if self.timers:
             at, token = self.timers.pop(pick % len(self.timers))
             self.now = max(self.now, at)
-            self.tell(interface.TimerExpired(token))
+            self.handle(interface.TimerExpired(token))
 
     def change(self, number: int, pick: int) -> None:
         name = f"s{number % 4}"
         readiness = (Readiness.READY, Readiness.DRAINING, Readiness.DEAD)[pick % 3]
-        since = self.now if pick % 2 else self.list[name].started_at_ms
-        old = self.list[name]
-        self.list[name] = interface.Endpoint(name, readiness, old.zone, old.cell, 1.0, since)
-        self.tell(interface.EndpointListUpdate(UpdateKind.DELTA, (self.list[name],)))
+        since = self.now if pick % 2 else self.endpoints[name].started_at_ms
+        old = self.endpoints[name]
+        self.endpoints[name] = interface.Endpoint(name, readiness, old.zone, old.cell, 1.0, since)
+        self.handle(interface.EndpointListUpdate(UpdateKind.DELTA, (self.endpoints[name],)))
 
     def wait(self, number: int, pick: int) -> None:
         self.now += (1.0, 30.0, 700.0)[pick % 3]
 
     def finish(self) -> None:
         """Everything that is still out ends, every timer comes due: then nothing is kept."""
-        for number, case in self.cases.items():
-            while any(t.outcome is None for t in case.tries):
-                self.end(number, ENDS.index(Outcome.TIMED_OUT))
+        for number, case in self.requests.items():
+            while any(t.outcome is None for t in case.attempts):
+                self.end(number, ENDING_OUTCOMES.index(Outcome.TIMED_OUT))
         while self.timers:
             self.fire(0, 0)
-            for number in self.cases:
-                self.end(number, ENDS.index(Outcome.RESET))
-        for number in self.cases:
-            while any(t.outcome is None for t in self.cases[number].tries):
-                self.end(number, ENDS.index(Outcome.RESET))
-        assert all(case.over for case in self.cases.values()), "a request has no final answer"
+            for number in self.requests:
+                self.end(number, ENDING_OUTCOMES.index(Outcome.RESET))
+        for number in self.requests:
+            while any(t.outcome is None for t in self.requests[number].attempts):
+                self.end(number, ENDING_OUTCOMES.index(Outcome.RESET))
+        assert all(case.ending for case in self.requests.values()), "a request has no final answer"
         assert not self.balancer._requests.open_requests and not self.balancer._requests.wait_queue
         assert not any(s.in_flight for s in self.balancer._endpoints.servers.values())
 
@@ -176,10 +179,10 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(own=flags, seed=st.integers(0, 9), steps=st.lists(step, min_size=10, max_size=80))
-def test_whatever_crosses_each_request_ends_once_and_nothing_is_kept(
+def test_each_request_ends_once_in_any_order_of_events_and_leaves_nothing_behind(
     own: dict[str, Any], seed: int, steps: list[tuple[str, int, int]]
 ) -> None:
-    play = Crossing(settings_of(classes=CLASSES, **own), seed)
+    play = EventOrderHost(settings_of(classes=CLASSES, **own), seed)
     for name, number, pick in steps:
         getattr(play, name)(number, pick)
     play.finish()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -18,7 +18,7 @@
 
 from loadbalancer.net.config import ConfigError, read_config
 from tests.loopback import config_text
-from tests.test_rules import Day
+from tests.test_decision_rules import RandomDay
 
 ROOT = Path(__file__).parents[1]
 ABSENT = object()
@@ -91,9 +91,9 @@
 @given(site=a_site, seed=st.integers(0, 3))
 def test_the_rules_hold_under_settings_of_any_deployment(site: dict[str, Any], seed: int) -> None:
     own = read(site).settings
-    day = Day(seed, **{item.name: getattr(own, item.name) for item in fields(own)})
-    day.play(150)
-    assert day.finished > 0
+    day = RandomDay(seed, **{item.name: getattr(own, item.name) for item in fields(own)})
+    day.run(150)
+    assert day.finished_count > 0
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
--- a/tests/test_cold_sum.py
+++ b/tests/test_slow_start_budget.py
@@ -10,9 +10,9 @@
 from loadbalancer.interface import Endpoint, TakeoverChanged
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
 from loadbalancer.policy.slow_start import SlowStart
-from tests.helpers import Desk
+from tests.helpers import BalancerHost
 
-NAMES = {"read", "order", "anywhere", "zonal", "pay"}
+CLASS_NAMES = {"read", "order", "anywhere", "zonal", "pay"}
 
 
 @pytest.mark.parametrize(
@@ -25,7 +25,7 @@
         (3, "one", 0),
     ],
 )
-def test_old_and_new_processes_side_by_side_push_no_cold_server_over(
+def test_old_and_new_process_together_overload_no_warming_server(
     callers: int, traffic: str, seed: int
 ) -> None:
     """Each of the two took the whole budget: 37 of 72 servers would have fallen."""
@@ -47,20 +47,20 @@
         ("crash", 30, "even"),
     ],
 )
-def test_the_sum_of_all_callers_pushes_no_cold_server_over(
+def test_all_balancers_together_overload_no_warming_server(
     situation: str, callers: int, traffic: str
 ) -> None:
     figures = play(situation, callers, traffic, seed=0, load=2.0, zones=2)
     assert figures.falls == 0, f"{figures.worst:.2f} of what a server stands"
 
 
-def test_a_cold_fleet_is_used_by_hundreds_of_callers() -> None:
+def test_fleet_of_warming_servers_is_used_by_hundreds_of_balancers() -> None:
     figures = play("all", 300, "uneven", seed=0, load=2.0, zones=2)
     assert figures.falls == 0, f"{figures.worst:.2f} of what a server stands"
     assert figures.used > 1.2
 
 
-def test_the_play_shows_callers_that_all_round_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_benchmark_finds_balancers_that_all_round_their_budget_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """What the tests above rest on: a rule that is broken makes servers fall."""
     can_accept = SlowStart.can_accept
 
@@ -72,45 +72,45 @@
     assert play("all", 100, "uneven", seed=0, load=2.0, zones=2).falls > 0
 
 
-def busy_desk() -> Desk:
-    desk = Desk(4)
+def make_warm_host() -> BalancerHost:
+    host = BalancerHost(4)
     for _ in range(800):
-        desk.serve(takes=10.0)
-    return desk
+        host.serve_request(takes=10.0)
+    return host
 
 
-def test_a_process_and_its_successor_have_one_budget_between_them() -> None:
+def test_process_and_successor_share_one_budget() -> None:
     """By what each gets of the requests, in whatever parts, from the first on."""
-    alone, old, new = busy_desk(), busy_desk(), Desk(4)
+    alone, old, new = make_warm_host(), make_warm_host(), BalancerHost(4)
     new.now = old.now
     new.balancer.restore(
-        decode_learned_state(encode_learned_state(old.balancer.learned_state(old.now)), NAMES), old.now
+        decode_learned_state(encode_learned_state(old.balancer.learned_state(old.now)), CLASS_NAMES), old.now
     )
-    old.tell(TakeoverChanged(True))
-    for desk in 10 * (new, new, old, new, old):
+    old.handle(TakeoverChanged(True))
+    for host in 10 * (new, new, old, new, old):
         for each in (alone, old, new):
             each.now += 10.0
-        alone.ask()
-        desk.ask()
+        alone.receive_request()
+        host.receive_request()
         asked = [each.balancer.learned_state(each.now).recent_requests for each in (alone, old, new)]
         assert asked[1] + asked[2] == pytest.approx(asked[0])
         assert 0 <= asked[1] < asked[0]
 
 
-def test_the_best_rate_of_the_process_before_outlasts_the_first_request() -> None:
+def test_peak_rate_of_the_predecessor_outlasts_the_first_request() -> None:
     """The first look at the rates forgot it, and with all servers cold nothing was known."""
-    old, new = busy_desk(), Desk(4)
+    old, new = make_warm_host(), BalancerHost(4)
     new.now = old.now
     new.balancer.restore(old.balancer.learned_state(old.now), old.now)
-    new.show(*(Endpoint(f"s{i}", zone=f"z{i % 2}", started_at_ms=new.now) for i in range(4)))
-    new.serve()
+    new.update_list(*(Endpoint(f"s{i}", zone=f"z{i % 2}", started_at_ms=new.now) for i in range(4)))
+    new.serve_request()
     usual = old.balancer.learned_state(old.now).peak_rates
     assert new.balancer.learned_state(new.now).peak_rates["z0"] == pytest.approx(usual["z0"], rel=0.05)
 
 
-def test_what_a_version_before_hands_over_is_taken() -> None:
-    plain = encode_learned_state(busy_desk().balancer.learned_state(50_000.0))
+def test_learned_state_of_an_older_version_is_accepted() -> None:
+    plain = encode_learned_state(make_warm_host().balancer.learned_state(50_000.0))
     for name in ("asked", "asked_then"):
         del plain[name]
-    known = decode_learned_state(plain, NAMES)
+    known = decode_learned_state(plain, CLASS_NAMES)
     assert (known.recent_requests, known.recent_requests_at_peak) == (0.0, {})
--- /dev/null
+++ b/tests/test_stale_list_suspicion.py
@@ -0,0 +1,144 @@
+"""Lists that are not believed at once: emptied, halved, gone back; and what ends the doubt."""
+
+from __future__ import annotations
+
+from loadbalancer.interface import (
+    Action,
+    AttemptEnded,
+    Endpoint,
+    EndpointListUpdate,
+    LogMessage,
+    Outcome,
+    Readiness,
+    UpdateKind,
+)
+from tests.helpers import BalancerHost, make_endpoints, sent_attempts
+
+NAMES = [f"s{i}" for i in range(6)]
+
+
+def make_host(doubt: float = 0.3) -> BalancerHost:
+    return BalancerHost(count=6, suspect_stale_fraction=doubt)
+
+
+def update_list(
+    host: BalancerHost, *listed: Endpoint, whole: bool = True, rewound: bool = False
+) -> list[Action]:
+    kind = UpdateKind.FULL_SNAPSHOT if whole else UpdateKind.DELTA
+    return host.handle(host.balancer.validate(EndpointListUpdate(kind, listed, rewound)))
+
+
+def ready_servers(host: BalancerHost) -> list[str]:
+    return sorted(host.balancer._endpoints.ready)
+
+
+def send_until(host: BalancerHost, server: str, outcome: Outcome) -> None:
+    """Let requests come until one goes to a server, and end that attempt; the others are served."""
+    host.now += 20_000.0  # what was held against it has faded
+    for _ in range(500):
+        out = sent_attempts(host.receive_request()[1])
+        for number, send in enumerate(out):  # a retry follows behind
+            is_it = send.server == server
+            ended = outcome if is_it else Outcome.SERVED
+            host.now += 10.0
+            out += sent_attempts(
+                host.handle(AttemptEnded(send.request_id, number, send.server, ended, not is_it))
+            )
+        if any(send.server == server for send in out):
+            return
+    raise AssertionError(f"nothing went to {server}")
+
+
+def test_servers_stay_if_a_list_omits_too_many_and_it_is_logged_once() -> None:
+    host = make_host()
+    told = update_list(host, *make_endpoints(3))
+    assert ready_servers(host) == NAMES
+    assert host.balancer.suspected_stale_servers() == ["s3", "s4", "s5"]
+    assert told[0] == LogMessage("endpoint list omits 3 of 6 ready servers: suspected stale, kept for now")
+
+
+def test_empty_list_is_suspected_stale_however_few_servers_there_were() -> None:
+    host = BalancerHost(count=1, suspect_stale_fraction=0.3)
+    update_list(host)
+    assert ready_servers(host) == ["s0"]
+
+
+def test_single_omitted_server_is_removed_at_once() -> None:
+    host = make_host()
+    update_list(host, *make_endpoints(5))
+    assert ready_servers(host) == NAMES[:5]
+
+
+def test_explicit_drains_and_removals_are_followed_however_many() -> None:
+    """The rules on drains hold: only what a list leaves unsaid is doubted."""
+    host = make_host()
+    drained = tuple(Endpoint(name, Readiness.DRAINING) for name in NAMES[:5])
+    update_list(host, *drained, *make_endpoints(6)[5:])
+    assert ready_servers(host) == ["s5"]
+    update_list(host, *[Endpoint(name, Readiness.DEAD) for name in NAMES], whole=False)
+    assert ready_servers(host) == []
+
+
+def test_suspected_server_is_removed_by_failed_connections_and_not_by_other_failures() -> None:
+    host = make_host()
+    update_list(host, *make_endpoints(3))
+    for outcome in (Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SERVED):
+        send_until(host, "s4", outcome)
+    send_until(host, "s4", Outcome.CONNECT_FAILED)
+    assert "s4" in ready_servers(host), "it has answered in between"
+    send_until(host, "s4", Outcome.CONNECT_FAILED)
+    assert ready_servers(host) == ["s0", "s1", "s2", "s3", "s5"]
+    assert host.balancer.suspected_stale_servers() == ["s3", "s5"]
+
+
+def test_overloaded_server_is_not_taken_for_dead() -> None:
+    """One that a halved list had left out was dropped when its queue was full, and nobody named it again."""
+    host = make_host()
+    update_list(host, *make_endpoints(3))
+    for _ in range(3):
+        send_until(host, "s3", Outcome.REJECTED)
+    assert "s3" in ready_servers(host)
+
+
+def test_repeated_list_does_not_reset_the_strikes() -> None:
+    host = make_host()
+    update_list(host, *make_endpoints(3))
+    send_until(host, "s4", Outcome.CONNECT_FAILED)
+    update_list(host, *make_endpoints(3))
+    send_until(host, "s4", Outcome.CONNECT_FAILED)
+    assert "s4" not in ready_servers(host)
+
+
+def test_server_that_is_listed_again_is_no_longer_suspected() -> None:
+    host = make_host()
+    update_list(host, *make_endpoints(3))
+    update_list(host, *make_endpoints(6)[3:5], whole=False)
+    assert host.balancer.suspected_stale_servers() == ["s5"]
+    update_list(host, *make_endpoints(6))
+    assert host.balancer.suspected_stale_servers() == []
+    send_until(host, "s4", Outcome.CONNECT_FAILED)
+    assert ready_servers(host) == NAMES  # refusing once is no reason to forget one that is listed
+
+
+def test_replacements_are_used_beside_suspected_servers() -> None:
+    host = make_host()
+    update_list(host, *[Endpoint(f"n{i}") for i in range(6)])
+    assert len(ready_servers(host)) == 12
+    update_list(host, Endpoint("n0", Readiness.DEAD), whole=False)
+    assert "n0" not in ready_servers(host)
+
+
+def test_list_is_followed_at_once_where_suspicion_is_off() -> None:
+    host = make_host(doubt=1.0)
+    update_list(host)
+    assert ready_servers(host) == []
+
+
+def test_rolled_back_list_does_not_end_draining() -> None:
+    host = make_host()
+    update_list(host, Endpoint("s1", Readiness.DRAINING, started_at_ms=5.0), whole=False)
+    old = Endpoint("s1", started_at_ms=5.0)
+    update_list(host, *make_endpoints(1), old, *make_endpoints(6)[2:], rewound=True)
+    assert "s1" not in ready_servers(host)
+    update_list(host, Endpoint("s1", started_at_ms=6.0), whole=False, rewound=True)
+    assert "s1" in ready_servers(host), "a later start is a new server"
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -18,7 +18,7 @@
 from loadbalancer.net.snapshot_writer import SnapshotWriter
 from loadbalancer.snapshots import SnapshotDecodeError, SnapshotStore, decode_snapshot, encode_snapshot
 from loadbalancer.snapshots.codec import FORMAT_VERSION
-from tests.helpers import Desk
+from tests.helpers import BalancerHost
 from tests.loopback import run_scenario
 
 STATE = {"list": {"index": 3}, "learned": {"median": 1.5}}
@@ -129,14 +129,14 @@
 
 
 def test_evidence_fades_by_its_age_and_a_server_that_started_anew_is_unknown() -> None:
-    old = Desk(2)
+    old = BalancerHost(2)
     for _ in range(40):
-        old.serve(takes={"s0": 50.0, "s1": 400.0})
+        old.serve_request(takes={"s0": 50.0, "s1": 400.0})
     learned = old.balancer.learned_state(old.now)
 
     def served(age_ms: float, *entries: Endpoint) -> dict[str, float]:
-        new = Desk(0)
-        new.show(*entries)
+        new = BalancerHost(0)
+        new.update_list(*entries)
         new.balancer.restore(learned, new.now, age_ms)
         found = new.balancer.learned_state(new.now).servers
         return {name: evidence.served_calls for name, evidence in found.items()}
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -22,7 +22,7 @@
 from loadbalancer.net.hot_restart import HotRestartListener, connect_to_predecessor, predecessor
 from loadbalancer.net.hot_restart.protocol import socket_path
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
-from tests.helpers import Desk, settings
+from tests.helpers import BalancerHost, settings
 from tests.loopback import (
     HttpClient,
     HttpMessage,
@@ -291,13 +291,13 @@
 
 
 def test_what_was_learned_passes_to_the_next_process() -> None:
-    old, new = Desk(4), Desk(4, seed=2)
+    old, new = BalancerHost(4), BalancerHost(4, seed=2)
     for _ in range(300):
-        old.serve(takes={"s0": 400.0, "s1": 20.0, "s2": 20.0, "s3": 20.0})
+        old.serve_request(takes={"s0": 400.0, "s1": 20.0, "s2": 20.0, "s3": 20.0})
     new.now = old.now
     plain = json.loads(json.dumps(encode_learned_state(old.balancer.learned_state(old.now))))
     new.balancer.restore(decode_learned_state(plain, {c.name for c in settings().classes}), new.now)
-    served = [new.serve(takes=20.0) for _ in range(40)]
+    served = [new.serve_request(takes=20.0) for _ in range(40)]
     assert served.count("s0") <= 3
 
 
@@ -313,9 +313,9 @@
     ],
 )
 def test_what_is_no_legacy_changes_nothing(change: dict[str, Any]) -> None:
-    old, new = Desk(4), Desk(4)
+    old, new = BalancerHost(4), BalancerHost(4)
     for _ in range(50):
-        old.serve()
+        old.serve_request()
     legacy = encode_learned_state(old.balancer.learned_state(old.now)) | change
     before = encode_learned_state(new.balancer.learned_state(new.now))
     with pytest.raises(ValueError):
@@ -325,14 +325,14 @@
 
 def test_a_process_that_leaves_sends_to_cold_servers_last() -> None:
 
-    desk = Desk(2)
+    host = BalancerHost(2)
     for _ in range(100):
-        desk.serve()
-    desk.show(Endpoint("s0"), Endpoint("s1"), Endpoint("cold", started_at_ms=desk.now))
-    desk.tell(TakeoverChanged(True))
-    assert {desk.serve() for _ in range(100)} == {"s0", "s1"}
-    desk.show(Endpoint("cold", started_at_ms=desk.now))
-    assert desk.serve() == "cold"
-    desk.show(Endpoint("s0"), Endpoint("s1"), Endpoint("cold", started_at_ms=desk.now))
-    desk.tell(TakeoverChanged(False))
-    assert "cold" in {desk.serve() for _ in range(100)}
+        host.serve_request()
+    host.update_list(Endpoint("s0"), Endpoint("s1"), Endpoint("cold", started_at_ms=host.now))
+    host.handle(TakeoverChanged(True))
+    assert {host.serve_request() for _ in range(100)} == {"s0", "s1"}
+    host.update_list(Endpoint("cold", started_at_ms=host.now))
+    assert host.serve_request() == "cold"
+    host.update_list(Endpoint("s0"), Endpoint("s1"), Endpoint("cold", started_at_ms=host.now))
+    host.handle(TakeoverChanged(False))
+    assert "cold" in {host.serve_request() for _ in range(100)}
--- a/tests/test_zones.py
+++ b/tests/test_zone_evacuation.py
@@ -14,22 +14,22 @@
 from loadbalancer.net.cordon_file import CordonFile
 from loadbalancer.net.cordons import RETURN_RETENTION_MS
 from loadbalancer.policy.zones import ZoneEvacuations, zone_fractions
-from tests.helpers import Desk, sent
+from tests.helpers import BalancerHost, sent_attempts
 from tests.loopback import ProxyHarness, Upstream, read_message, run_scenario
 
 
-def drawn_zones(desk: Desk, count: int = 400) -> Counter[str]:
+def zones_of_requests(host: BalancerHost, count: int = 400) -> Counter[str]:
     """To which zones requests go, each served after a moment."""
     found: Counter[str] = Counter()
     for _ in range(count):
-        for send in sent(desk.ask()[1]):
-            found[desk.balancer._endpoints.servers[send.server].endpoint.zone] += 1
-            desk.now += 5.0
-            desk.tell(AttemptEnded(send.request_id, 0, send.server, Outcome.SERVED, True))
+        for send in sent_attempts(host.receive_request()[1]):
+            found[host.balancer._endpoints.servers[send.server].endpoint.zone] += 1
+            host.now += 5.0
+            host.handle(AttemptEnded(send.request_id, 0, send.server, Outcome.SERVED, True))
     return found
 
 
-def test_a_zone_is_left_and_come_back_to_in_steps() -> None:
+def test_zone_is_evacuated_and_restored_gradually() -> None:
     zones = ZoneEvacuations()
     assert zones.reduced_fractions(50.0) == {}
     zones.apply(ZoneEvacuation("a", is_evacuating=True, started_at_ms=100.0, duration_ms=1_000.0))
@@ -48,7 +48,7 @@
     assert zones.reduced_fractions(850.0).keys() == {"a"} and zones.reduced_fractions(1_350.0) == {}
 
 
-def test_what_a_zone_that_is_left_held_goes_to_those_with_more_than_their_part() -> None:
+def test_traffic_of_an_evacuated_zone_goes_to_zones_with_a_surplus() -> None:
     even = {"a": 4.0, "b": 4.0, "c": 4.0}
     half = zone_fractions(even, "a", {"a": 0.5})
     weights = {zone: even[zone] * part for zone, part in half.items()}
@@ -59,58 +59,58 @@
     assert zone_fractions(even, "", {"b": 0.25}) == {"a": 1.0, "b": 0.25, "c": 1.0}
 
 
-def test_where_nothing_else_is_there_a_zone_that_was_left_serves_on() -> None:
+def test_evacuated_zone_serves_on_where_there_is_no_other() -> None:
     assert zone_fractions({"a": 4.0}, "a", {"a": 0.0}) == {"a": 1.0}
     assert zone_fractions({"a": 4.0, "b": 2.0}, "", {"a": 0.0, "b": 0.0}) == {"a": 1.0, "b": 1.0}
 
 
 @pytest.mark.parametrize("servers", [6, 300])
-def test_nothing_goes_to_a_zone_that_was_left_and_it_counts_as_avoided(servers: int) -> None:
-    desk = Desk(count=servers, zone="z0")
-    assert drawn_zones(desk)["z0"] > 300
-    desk.tell(ZoneEvacuation("z0", is_evacuating=True, started_at_ms=desk.now, duration_ms=1_000.0))
-    desk.now += 1_000.0
-    assert drawn_zones(desk).keys() == {"z1"}
+def test_evacuated_zone_gets_no_requests_and_its_servers_count_as_excluded(servers: int) -> None:
+    host = BalancerHost(count=servers, zone="z0")
+    assert zones_of_requests(host)["z0"] > 300
+    host.handle(ZoneEvacuation("z0", is_evacuating=True, started_at_ms=host.now, duration_ms=1_000.0))
+    host.now += 1_000.0
+    assert zones_of_requests(host).keys() == {"z1"}
     in_zone = {f"s{i}" for i in range(0, servers, 2)}
-    assert in_zone <= set(desk.balancer.excluded_servers(desk.now))
-    desk.tell(
+    assert in_zone <= set(host.balancer.excluded_servers(host.now))
+    host.handle(
         ZoneEvacuation(
-            "z0", is_evacuating=False, started_at_ms=desk.now, duration_ms=10_000.0, initial_fraction=0.0
+            "z0", is_evacuating=False, started_at_ms=host.now, duration_ms=10_000.0, initial_fraction=0.0
         )
     )
-    desk.now += 10_000.0
-    assert drawn_zones(desk)["z0"] > 300
+    host.now += 10_000.0
+    assert zones_of_requests(host)["z0"] > 300
 
 
 @pytest.mark.parametrize("servers", [4, 200])
-def test_nothing_goes_to_a_zone_that_was_left_though_the_others_are_full(servers: int) -> None:
+def test_evacuated_zone_gets_no_requests_though_the_others_are_full(servers: int) -> None:
     """In a crowd only servers of the zone that was left had room, and the calls went there."""
-    desk = Desk(count=servers, zone="z0")
-    desk.tell(ZoneEvacuation("z0", is_evacuating=True, started_at_ms=desk.now))
-    sends = [send for _ in range(8 * servers) for send in sent(desk.ask()[1])]
-    assert {desk.balancer._endpoints.servers[send.server].endpoint.zone for send in sends} == {"z1"}
+    host = BalancerHost(count=servers, zone="z0")
+    host.handle(ZoneEvacuation("z0", is_evacuating=True, started_at_ms=host.now))
+    sends = [send for _ in range(8 * servers) for send in sent_attempts(host.receive_request()[1])]
+    assert {host.balancer._endpoints.servers[send.server].endpoint.zone for send in sends} == {"z1"}
     assert len(sends) < 8 * servers, "the others are full"
 
 
-def test_an_inner_balancer_leaves_its_own_zone_too() -> None:
-    desk = Desk(count=12, zone="z0", tier=1, balancer_count=4)
-    desk.tell(ZoneEvacuation("z0", is_evacuating=True, started_at_ms=desk.now))
-    assert drawn_zones(desk).keys() == {"z1"}
+def test_inner_balancer_follows_the_evacuation_of_its_own_zone() -> None:
+    host = BalancerHost(count=12, zone="z0", tier=1, balancer_count=4)
+    host.handle(ZoneEvacuation("z0", is_evacuating=True, started_at_ms=host.now))
+    assert zones_of_requests(host).keys() == {"z1"}
 
 
-def test_a_server_put_back_in_a_zone_that_was_left_waits_for_the_zone() -> None:
-    desk = Desk(count=4, zone="z0")
-    desk.tell(ZoneEvacuation("z1", is_evacuating=True, started_at_ms=desk.now))
-    desk.show(
-        Endpoint("new", Readiness.READY, "z1", started_at_ms=desk.now),
+def test_uncordoned_server_of_an_evacuated_zone_gets_no_requests() -> None:
+    host = BalancerHost(count=4, zone="z0")
+    host.handle(ZoneEvacuation("z1", is_evacuating=True, started_at_ms=host.now))
+    host.update_list(
+        Endpoint("new", Readiness.READY, "z1", started_at_ms=host.now),
         *[Endpoint(f"s{i}", zone=f"z{i % 2}") for i in range(4)],
     )
-    desk.tell(CordonChanged("new", is_cordoned=True))
-    desk.tell(CordonChanged("new", is_cordoned=False, returned_at_ms=desk.now))
-    assert drawn_zones(desk, 50).keys() == {"z0"}
+    host.handle(CordonChanged("new", is_cordoned=True))
+    host.handle(CordonChanged("new", is_cordoned=False, returned_at_ms=host.now))
+    assert zones_of_requests(host, 50).keys() == {"z0"}
 
 
-async def call(rig: ProxyHarness, method: str, path: str, body: str = "") -> tuple[int, str]:
+async def console_call(rig: ProxyHarness, method: str, path: str, body: str = "") -> tuple[int, str]:
     """One operators' call."""
     assert rig.proxy.console is not None
     reader, writer = await asyncio.open_connection(*rig.proxy.console.address[:2])
@@ -123,7 +123,7 @@
     return int(answer.start_line.split(" ")[1]), answer.body.decode().strip()
 
 
-def test_operators_leave_a_zone_and_are_told_what_is_wrong() -> None:
+def test_console_evacuates_a_zone_and_explains_errors() -> None:
     async def scenario() -> None:
         async with ProxyHarness(Upstream(), Upstream()) as rig:
             entries = [rig.entries[0], rig.entries[1] | {"zone": "b"}]
@@ -134,25 +134,25 @@
                 ("", 400), ("a over=x", 400), ("a later", 400), ("a over=-1", 400), ("a over=1e9", 400),
                 ("nowhere", 404),
             ):  # fmt: skip
-                assert (await call(rig, "POST", "/admin/zone/leave", body))[0] == wanted, body
-            assert await call(rig, "POST", "/admin/zone/leave", "a") == (200, "ok")
+                assert (await console_call(rig, "POST", "/admin/zone/leave", body))[0] == wanted, body
+            assert await console_call(rig, "POST", "/admin/zone/leave", "a") == (200, "ok")
             before = len(rig.upstreams[0].requests)
             for _ in range(5):
                 await rig.request()
             assert len(rig.upstreams[0].requests) == before
-            code, text = await call(rig, "POST", "/admin/zone/leave", "b")
+            code, text = await console_call(rig, "POST", "/admin/zone/leave", "b")
             assert code == 409 and "no other zone" in text and "force" in text
-            zones = json.loads((await call(rig, "GET", "/admin/zones"))[1])
+            zones = json.loads((await console_call(rig, "GET", "/admin/zones"))[1])
             assert (zones["a"]["share"], zones["b"]["share"], zones["a"]["ready"]) == (0.0, 1.0, 1)
-            stats = json.loads((await call(rig, "GET", "/admin/stats"))[1])
+            stats = json.loads((await console_call(rig, "GET", "/admin/stats"))[1])
             assert stats["ejected"] == 1
-            assert (await call(rig, "POST", "/admin/zone/return", "a over=0"))[0] == 200
-            assert json.loads((await call(rig, "GET", "/admin/zones"))[1])["a"]["share"] == 1.0
+            assert (await console_call(rig, "POST", "/admin/zone/return", "a over=0"))[0] == 200
+            assert json.loads((await console_call(rig, "GET", "/admin/zones"))[1])["a"]["share"] == 1.0
 
     run_scenario(scenario())
 
 
-def test_a_zone_is_not_left_where_the_rest_has_no_room_unless_forced() -> None:
+def test_zone_is_not_evacuated_without_capacity_elsewhere_unless_forced() -> None:
     async def scenario() -> None:
         async with ProxyHarness(Upstream(), Upstream()) as rig:
             rig.discovery.publish(9, rig.entries[0], rig.entries[1] | {"zone": "b", "weight": 0.1})
@@ -161,14 +161,14 @@
             server = rig.proxy.balancer._endpoints.servers["s0"]
             server.advance_to(rig.proxy.clock.now())
             server.in_flight_ms = 60_000.0  # ten calls out at any time
-            code, text = await call(rig, "POST", "/admin/zone/leave", "a")
+            code, text = await console_call(rig, "POST", "/admin/zone/leave", "a")
             assert code == 409 and "calls are out on average" in text
-            assert (await call(rig, "POST", "/admin/zone/leave", "a force"))[0] == 200
+            assert (await console_call(rig, "POST", "/admin/zone/leave", "a force"))[0] == 200
 
     run_scenario(scenario())
 
 
-def test_what_was_said_of_zones_outlasts_the_process(tmp_path: Path) -> None:
+def test_zone_evacuations_outlast_the_process(tmp_path: Path) -> None:
     file, held = CordonFile(tmp_path), ZoneEvacuation("east", True, 1_000.0, 60_000.0, 0.5)
     assert file.set_evacuation(held) == ""
     again = CordonFile(tmp_path)
@@ -185,12 +185,12 @@
 @pytest.mark.parametrize(
     "zones", [[], {"a": 1}, {"a": [True, "x"]}, {"a": [True, 1, 2, 3, 4, 5]}, {"a": [True, 1e999]}]
 )
-def test_a_file_with_zones_that_are_none_is_passed_over(tmp_path: Path, zones: Any) -> None:
+def test_file_with_invalid_zones_is_ignored(tmp_path: Path, zones: Any) -> None:
     (tmp_path / "cordons.json").write_text(json.dumps({"out": ["s0"], "back": {}, "zones": zones}))
     assert not CordonFile(tmp_path).refresh()
 
 
-def test_a_file_of_the_version_before_has_no_zones(tmp_path: Path) -> None:
+def test_file_of_an_older_version_has_no_zones(tmp_path: Path) -> None:
     (tmp_path / "cordons.json").write_text(json.dumps({"out": ["s0"], "back": {}}))
     file = CordonFile(tmp_path)
     assert file.refresh() and file.cordons.servers == {"s0"} and file.cordons.evacuations == {}
