--- a/loadbalancer/drill/seeded_defects.py
+++ b/loadbalancer/drill/seeded_defects.py
@@ -14,16 +14,19 @@
 from loadbalancer import interface
 from loadbalancer.drill.processes.process_files import SERVICE_DEFECTS
 from loadbalancer.interface import Outcome, Readiness
-from loadbalancer.net import discovery, proxy
+from loadbalancer.net import discovery
+from loadbalancer.net.action_executor import ActionExecutor
 from loadbalancer.net.config import EndpointList
 from loadbalancer.net.downstream import DownstreamRequest
-from loadbalancer.net.proxy import Proxy
+from loadbalancer.net.endpoint_list import EndpointListFollower
+from loadbalancer.net.request_attempts import RequestAttempt
+from loadbalancer.net.request_intake import RequestIntake
 from loadbalancer.net.upstream import Attempt, UpstreamResponse
 
 NOWHERE_EVERY = 25  # requests, one of which is answered from nowhere
 
 
-class _Second(proxy._Call):
+class _Second(RequestAttempt):
     """A second attempt that nobody asked for, and whose answer nobody hears."""
 
     def on_request_written(self) -> None:
@@ -39,33 +42,35 @@
 
 def sends_twice() -> None:
     """What is unsafe to repeat goes to two servers."""
-    real = Proxy._send
+    real = ActionExecutor.execute
 
-    def send(self: Proxy, action: interface.SendAttempt) -> None:
+    def execute(self: ActionExecutor, action: interface.Action) -> None:
         real(self, action)
-        request = self._requests.get(action.request_id)
-        others = [name for name in self._list if name != action.server]
-        if request is not None and request.taken.method == b"POST" and others:
-            call = _Second(self, request, action, 0)
-            self.upstreams.start_attempt(others[0], call.timeout_ms / 1_000, call)
+        if not isinstance(action, interface.SendAttempt):
+            return
+        request = self._requests.by_id.get(action.request_id)
+        others = [name for name in self._endpoint_list.endpoints if name != action.server]
+        if request is not None and request.downstream.method == b"POST" and others:
+            call = _Second(self._attempts, request, action, 0)
+            self._upstreams.start_attempt(others[0], call.timeout_ms / 1_000, call)
 
-    Proxy._send = send  # type: ignore[method-assign]
+    ActionExecutor.execute = execute  # type: ignore[method-assign]
 
 
 def _takes_for_ready(state: Readiness) -> None:
     """Whatever the list says is in that state passes for ready, in the module and at the sockets."""
-    real = Proxy._listed
+    real = EndpointListFollower.apply
 
-    def listed(self: Proxy, kind: interface.UpdateKind, news: EndpointList) -> bool:
+    def apply(self: EndpointListFollower, kind: interface.UpdateKind, update: EndpointList) -> bool:
         kept = tuple(
             replace(e, endpoint=replace(e.endpoint, readiness=Readiness.READY))
             if e.endpoint.readiness is state
             else e
-            for e in news.endpoints
+            for e in update.endpoints
         )
-        return real(self, kind, replace(news, endpoints=kept))
+        return real(self, kind, replace(update, endpoints=kept))
 
-    Proxy._listed = listed  # type: ignore[method-assign]
+    EndpointListFollower.apply = apply  # type: ignore[method-assign]
 
 
 def forgets_drain() -> None:
@@ -80,16 +85,16 @@
 
 def answers_from_nowhere() -> None:
     """Some requests are answered with 200 though no server ever saw them."""
-    real, seen = Proxy.on_request_arrived, [0]
+    real, seen = RequestIntake.on_request_arrived, [0]
 
-    def on_request_arrived(self: Proxy, taken: DownstreamRequest) -> None:
+    def on_request_arrived(self: RequestIntake, downstream: DownstreamRequest) -> None:
         seen[0] += 1
-        if seen[0] % NOWHERE_EVERY == 0 and taken.body.is_complete:
-            taken.send_response(200, [], b'{"served": true}')
+        if seen[0] % NOWHERE_EVERY == 0 and downstream.body.is_complete:
+            downstream.send_response(200, [], b'{"served": true}')
         else:
-            real(self, taken)
+            real(self, downstream)
 
-    Proxy.on_request_arrived = on_request_arrived  # type: ignore[method-assign]
+    RequestIntake.on_request_arrived = on_request_arrived  # type: ignore[method-assign]
 
 
 def trusts_any_list() -> None:
@@ -156,31 +161,31 @@
     from loadbalancer.registry import Catalog
     from loadbalancer.registry.self_preservation import SelfPreservation
 
-    Catalog._see_whether_to_doubt = lambda self, tier, now: None  # type: ignore[method-assign]
-    SelfPreservation.spare = lambda self, entry: False  # type: ignore[method-assign]
+    Catalog._detect_mass_expiry = lambda self, tier, now: None  # type: ignore[method-assign]
+    SelfPreservation.must_keep = lambda self, entry: False  # type: ignore[method-assign]
 
 
 def reuses_versions() -> None:
     """A list service without its memory begins at 1, and leaves those who have seen more to themselves."""
     from loadbalancer.registry import Catalog, service
 
-    real = Catalog.goes_on
+    real = Catalog.resume_watch
     vars(service)["first_revision"] = lambda stored, now_ms, number, stride: (
         (stored // stride + 1) * stride + number
     )
 
     def goes_on(self: Catalog, services: tuple[str, ...], after: int, now: float) -> bool:
-        return real(self, services, min(after, self.index), now)
+        return real(self, services, min(after, self.revision), now)
 
-    Catalog.goes_on = goes_on  # type: ignore[method-assign]
+    Catalog.resume_watch = goes_on  # type: ignore[method-assign]
 
 
 def lapses_unheard() -> None:
     """An instance lapses a lease though another one, out of reach, may have heard it renewed."""
     from loadbalancer.registry import Catalog
 
-    real = Catalog.lapse
-    Catalog.lapse = lambda self, now, heard=0.0: real(self, now)  # type: ignore[method-assign]
+    real = Catalog.expire_leases
+    Catalog.expire_leases = lambda self, now, heard=0.0: real(self, now)  # type: ignore[method-assign]
 
 
 def takes_drains_back() -> None:
@@ -189,7 +194,9 @@
     from loadbalancer.registry.merge import SharedEntry
 
     def join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
-        return max(one, other, key=lambda account: (account.start, account.rev, account.beats))
+        return max(
+            one, other, key=lambda account: (account.generation, account.change_count, account.renewal_count)
+        )
 
     vars(catalog)["join"] = join
 
@@ -203,7 +210,7 @@
 
     def join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
         joined: SharedEntry = real(one, other)
-        return joined if one.start == other.start else min(one, other, key=lambda a: a.start)
+        return joined if one.generation == other.generation else min(one, other, key=lambda a: a.generation)
 
     vars(catalog)["join"] = join
 
@@ -243,13 +250,13 @@
 
 def forgets_list() -> None:
     """Servers are forgotten when the list does not answer."""
-    real = Proxy._list_failed
+    real = EndpointListFollower.on_watch_failed
 
-    def failed(self: Proxy) -> None:
+    def on_watch_failed(self: EndpointListFollower) -> None:
         real(self)
-        self._listed(interface.UpdateKind.FULL_SNAPSHOT, EndpointList(self._index, True, ()))
+        self.apply(interface.UpdateKind.FULL_SNAPSHOT, EndpointList(self.revision, True, ()))
 
-    Proxy._list_failed = failed  # type: ignore[method-assign]
+    EndpointListFollower.on_watch_failed = on_watch_failed  # type: ignore[method-assign]
     obeys_lists()
 
 
@@ -309,7 +316,7 @@
     if defect in SERVICE_DEFECTS:
         from loadbalancer.registry import server
 
-        told = server.read_file(Path(sys.argv[-1]))
+        told = server.read_configuration(Path(sys.argv[-1]))
         server.serve(told, server.open_service(told))
         return 0
     from loadbalancer.__main__ import main as run
--- a/loadbalancer/scale/registrar.py
+++ b/loadbalancer/scale/registrar.py
@@ -15,8 +15,8 @@
 from loadbalancer.drill.clock import RealClock
 from loadbalancer.drill.servers.specification import Place, follow, read_spec, say
 from loadbalancer.net import discovery
-from loadbalancer.net.config import read_address
-from loadbalancer.registry.lease import RENEW_PART
+from loadbalancer.net.address import parse_address
+from loadbalancer.registry.lease import RENEWAL_RATIO
 from loadbalancer.scale.counting import Tally, in_background, run, tell_each_second
 from loadbalancer.scale.plan import Plan, name_of, registration
 
@@ -63,7 +63,7 @@
         async with asyncio.timeout(PATIENCE_S):
             link = self._links.get(at)
             if link is None or link.closed:
-                link = self._links[at] = await discovery._connect(read_address(at))
+                link = self._links[at] = await discovery._connect(parse_address(at))
             self._tally.calls[at] += 1
             try:
                 answer = await link.call(request)
@@ -131,7 +131,7 @@
             if upstream.silent:
                 upstream.held = False  # who speaks for it again has to put it up anew
                 continue
-            lease_ms, part = self._spec.plan.lease_s * 1_000, RENEW_PART
+            lease_ms, part = self._spec.plan.lease_s * 1_000, RENEWAL_RATIO
             first = not upstream.held
             wait_ms = lease_ms * part
             if not await self._keep(links, upstream):
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,7 +15,9 @@
 import pytest
 import uvloop
 
-from loadbalancer.net.config import EndpointList, decode_endpoint_list, read_config
+from loadbalancer.net.config import EndpointList
+from loadbalancer.net.config_reader import read_config
+from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
 from loadbalancer.net.proxy import Proxy
 from loadbalancer.net.upstream import ConnectionPool, UpstreamConnection
 
@@ -209,16 +211,16 @@
     await over.wait()
 
 
-def unreleased_resources(driver: Proxy) -> list[str]:
+def unreleased_resources(proxy: Proxy) -> list[str]:
     """What a balancer that has nothing to do still holds: nothing, if all that ended let go."""
     held = {
-        "requests": len(driver._requests),
-        "the module's requests": len(driver.balancer._requests.open_requests),
-        "waiting": len(driver.balancer._requests.wait_queue),
-        "bytes": driver.buffers.used_bytes,
-        "calls in flight": sum(s.in_flight for s in driver.balancer._endpoints.servers.values()),
-        "connections in use": driver.upstreams.open_connections
-        - sum(len(p.idle_connections) for p in driver.upstreams._pools.values()),
+        "requests": len(proxy.requests.by_id),
+        "the module's requests": len(proxy.balancer._requests.open_requests),
+        "waiting": len(proxy.balancer._requests.wait_queue),
+        "bytes": proxy.buffers.used_bytes,
+        "calls in flight": sum(s.in_flight for s in proxy.balancer._endpoints.servers.values()),
+        "connections in use": proxy.upstreams.open_connections
+        - sum(len(p.idle_connections) for p in proxy.upstreams._pools.values()),
     }
     return [f"{count} {name}" for name, count in held.items() if count]
 
@@ -254,7 +256,7 @@
 
     async def connect(self) -> HttpClient:
         caller = HttpClient()
-        caller.reader, caller.writer = await asyncio.open_connection(*self.proxy.callers.address[:2])
+        caller.reader, caller.writer = await asyncio.open_connection(*self.proxy.downstream.address[:2])
         return caller
 
     async def request(self, *args: Any, **more: Any) -> HttpMessage:
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -14,8 +14,9 @@
 from loadbalancer import configuration
 from loadbalancer.interface import EndpointListUpdate, UpdateKind
 from loadbalancer.membership.messages import GossipMessage, decode_message, encode_message
-from loadbalancer.net.config import decode_endpoint_list, encode_endpoint_list, read_config
+from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.cordon_file import CordonFile
+from loadbalancer.net.endpoint_list_codec import decode_endpoint_list, encode_endpoint_list
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
 from loadbalancer.net.membership import fleet_tag
 from loadbalancer.policy import Balancer
@@ -175,5 +176,5 @@
 
 
 def test_annotated_configuration_of_the_page_holds_the_recorded_keys_and_values() -> None:
-    page = configuration.tables_of(ROOT / "docs" / "irondrum.toml")
-    assert page == configuration.tables_of(GOLDEN / "irondrum.toml")
+    page = configuration.load_tables(ROOT / "docs" / "irondrum.toml")
+    assert page == configuration.load_tables(GOLDEN / "irondrum.toml")
