--- a/loadbalancer/policy/endpoints.py
+++ b/loadbalancer/policy/endpoints.py
@@ -158,18 +158,17 @@
         stays = is_ready and server.is_ready and endpoint.zone == server.endpoint.zone
         if server.is_ready and not stays:
             self.ready.remove(server)
-        if stays:
-            self.ready.total_capacity -= server.registered_capacity
+        previous_capacity = server.registered_capacity
         server.endpoint = endpoint
         server.is_ready = is_ready
         server.registered_capacity = _valid_capacity(endpoint)
         server.started_at_ms = max(endpoint.started_at_ms, self._uncordoned_at_ms.get(name, 0.0))
         if is_ready:
-            self.ready.total_capacity += server.registered_capacity
             self.last_started_at_ms = max(self.last_started_at_ms, server.started_at_ms)
-        if is_ready and not stays:
+        if stays:
+            self.ready.replace_capacity(previous_capacity, server.registered_capacity)
+        elif is_ready:
             self.ready.add(server)
-        self.ready.update_subset_size()
 
 
 def _valid_capacity(endpoint: interface.Endpoint) -> float:
--- a/loadbalancer/policy/list_backoff.py
+++ b/loadbalancer/policy/list_backoff.py
@@ -21,15 +21,13 @@
         self._settings = settings
         self._random = chance
         self._failures = 0
-
-    @property
-    def has_failed(self) -> bool:
+        self.has_failed = False
         """Whether the last request failed."""
-        return self._failures > 0
 
     def reset(self) -> None:
         """Start anew after a request that succeeded."""
         self._failures = 0
+        self.has_failed = False
 
     def next_delay_ms(self, retry_within_ms: float) -> float:
         """Count a failure, and return the time until the next request: at most `retry_within_ms`."""
@@ -43,4 +41,5 @@
             retry_within_ms / (1 + LIST_RETRY_JITTER),
         )
         self._failures += 1
+        self.has_failed = True
         return backoff_ms * self._random.uniform(1 - LIST_RETRY_JITTER, 1 + LIST_RETRY_JITTER)
--- a/loadbalancer/policy/ready_servers.py
+++ b/loadbalancer/policy/ready_servers.py
@@ -67,12 +67,14 @@
         end = RANK_AFTER_ALL
         if self.subset_size < len(self._ranked):
             end = self._ranked[self.subset_size]
+        changed = self._changed
+        self._changed = {}
+        if end == self._subset_end:
+            return changed
         low, high = sorted((end, self._subset_end))
         between = self._ranked[bisect_left(self._ranked, low) : bisect_left(self._ranked, high)]
-        changed = self._changed | dict.fromkeys(name for _, name in between)
         self._subset_end = end
-        self._changed = {}
-        return changed
+        return changed | dict.fromkeys(name for _, name in between)
 
     def nearby(self) -> list[Server]:
         """Return the servers of our zone nearest to our place, with servers and balancers on one ring.
@@ -90,13 +92,15 @@
         self._changed[name] = None
 
     def add(self, server: Server) -> None:
-        """Add a server; its capacity is counted apart."""
+        """Add a server and its capacity."""
         name = server.endpoint.server
+        self.total_capacity += server.registered_capacity
         self.by_name[name] = server
         self._cached_subset = None
         insort(self._ranked, (server.rank, name))
         insort(self._names, name)
         insort(self.names_by_zone.setdefault(server.endpoint.zone, []), name)
+        self._update_subset_size()
 
     def remove(self, server: Server) -> None:
         """Remove a server and its capacity, before its endpoint changes."""
@@ -111,8 +115,14 @@
         if not ring:
             del self.names_by_zone[zone]
         self.total_capacity -= server.registered_capacity
+        self._update_subset_size()
+
+    def replace_capacity(self, previous: float, current: float) -> None:
+        """Count a changed capacity of a server that stays."""
+        self.total_capacity -= previous
+        self.total_capacity += current
 
-    def update_subset_size(self) -> None:
+    def _update_subset_size(self) -> None:
         """Set the size of the subset by the number of servers.
 
         A balancer that used hundreds of servers would call each too seldom to learn its capacity, or to use
--- a/loadbalancer/policy/requests.py
+++ b/loadbalancer/policy/requests.py
@@ -100,8 +100,16 @@
 
     def has_attempt_in_flight(self) -> bool:
         """Return whether an attempt has no outcome yet."""
-        return any(a.is_in_flight for a in self.attempts)
+        # `any` would make a generator several times for each decision.
+        for attempt in self.attempts:  # noqa: SIM110
+            if attempt.is_in_flight:
+                return True
+        return False
 
     def may_have_run(self) -> bool:
         """Return whether a server may have executed an attempt of it."""
-        return any(a.may_have_run for a in self.attempts)
+        # `any` would make a generator several times for each decision.
+        for attempt in self.attempts:  # noqa: SIM110
+            if attempt.may_have_run:
+                return True
+        return False
--- a/loadbalancer/policy/server_selection.py
+++ b/loadbalancer/policy/server_selection.py
@@ -99,7 +99,7 @@
 
     def _may_get(self, request: Request, server: Server, now: float) -> bool:
         """Return whether a server can accept the next attempt, and has had none of this request."""
-        if any(a.server is server for a in request.attempts):
+        if request.attempts and any(a.server is server for a in request.attempts):
             return False
         if not self._limits.can_accept(request, server):
             return False
