--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,11 +1,11 @@
-"""What a decision and a change of the list cost, by the number of servers.
+"""Measure what a decision and a change of the endpoint list cost, by the number of servers.
 
     python -m benchmarks.decisions
     python -m benchmarks.decisions --beside 70b82b3
 
-A decision is a request that arrives, its send, its answer and what is booked for it, with eight calls out at
-a time and four balancers. A change is one entry of the list, each time of another server. Times are medians
-of several rounds in µs, on the machine that runs it.
+A decision is a request that arrives, its attempt, and the end of one, with eight calls in flight and four
+balancers. A change is a delta of one endpoint, each time of another server. Times are medians of several
+rounds in µs, on the machine that runs it.
 """
 
 from __future__ import annotations
@@ -31,55 +31,56 @@
 )
 from loadbalancer.policy import Balancer
 
-SIZES = (10, 100, 1_000, 10_000)
-ROUNDS, OUT = 7, 8
+SERVER_COUNTS = (10, 100, 1_000, 10_000)
+ROUNDS = 7
+CALLS_IN_FLIGHT = 8
 
 
-class Bench:
-    """One balancer with a list, kept busy."""
+class BusyBalancer:
+    """A balancer that always has calls in flight."""
 
     def __init__(self, servers: int) -> None:
         read = RequestClass("read", 1_000, 3_000, Idempotency.IDEMPOTENT)
         pay = RequestClass("pay", 1_000, 3_000, Idempotency.NOT_IDEMPOTENT, priority_weight=10)
         self._balancer = Balancer(Settings((read, pay), balancer_count=4, zone="a", max_attempts=3), seed=1)
-        self._members = [
+        self._endpoints = [
             Endpoint(f"s{i:05}", zone="ab"[i % 2], registered_capacity=1.0 + i % 2) for i in range(servers)
         ]
         self._now = 1_000.0
-        self._numbers = itertools.count()
-        self._out: list[tuple[int, str]] = []
-        self._balancer.handle(EndpointListUpdate(UpdateKind.FULL_SNAPSHOT, tuple(self._members)), self._now)
+        self._request_ids = itertools.count()
+        self._in_flight: list[tuple[int, str]] = []
+        self._balancer.handle(EndpointListUpdate(UpdateKind.FULL_SNAPSHOT, tuple(self._endpoints)), self._now)
 
     def decide(self) -> None:
-        """One request, and the end of the oldest call that is out."""
+        """Pass one request, and the end of the oldest call in flight."""
         self._now += 5.0
-        number = next(self._numbers)
+        number = next(self._request_ids)
         event = RequestArrived(number, "pay" if number % 5 == 0 else "read", 2_500)
         for action in self._balancer.handle(event, self._now):
             if isinstance(action, SendAttempt):
-                self._out.append((number, action.server))
-        if len(self._out) >= OUT:
-            request, server = self._out.pop(0)
+                self._in_flight.append((number, action.server))
+        if len(self._in_flight) >= CALLS_IN_FLIGHT:
+            request, server = self._in_flight.pop(0)
             self._balancer.handle(AttemptEnded(request, 0, server, Outcome.SERVED, True), self._now)
 
     def change(self, number: int) -> None:
-        """One entry of the list has changed."""
-        member = self._members[number * 7 % len(self._members)]
-        self._balancer.handle(EndpointListUpdate(UpdateKind.DELTA, (member,)), self._now)
+        """Pass a delta of one endpoint."""
+        endpoint = self._endpoints[number * 7 % len(self._endpoints)]
+        self._balancer.handle(EndpointListUpdate(UpdateKind.DELTA, (endpoint,)), self._now)
 
 
 def measure(servers: int) -> tuple[float, float]:
-    """The cost of a decision and of a change, in µs."""
-    bench = Bench(servers)
+    """Return the cost of a decision and of a change, in µs."""
+    balancer = BusyBalancer(servers)
     count = max(20, min(2_000, 400_000 // servers))
     decisions, changes = [], []
     for _ in range(ROUNDS):
         began = time.perf_counter()
         for _ in range(count):
-            bench.decide()
+            balancer.decide()
         between = time.perf_counter()
         for number in range(count):
-            bench.change(number)
+            balancer.change(number)
         decisions.append((between - began) / count)
         changes.append((time.perf_counter() - between) / count)
     return statistics.median(decisions) * 1e6, statistics.median(changes) * 1e6
@@ -91,7 +92,7 @@
     parser.add_argument("--beside", metavar="COMMIT", help="measure the package at a commit as well")
     parser.add_argument("--json", action="store_true", help="the figures alone")
     args = parser.parse_args()
-    now = {str(size): measure(size) for size in SIZES}
+    now = {str(size): measure(size) for size in SERVER_COUNTS}
     if args.json:
         print(json.dumps(now))
         return 0
@@ -100,10 +101,12 @@
         from benchmarks.commits import run_at  # only this tree has it
 
         tables[args.beside] = run_at(args.beside, "benchmarks/decisions.py", "--json")
-    print("servers".ljust(24), *(f"{size:>10,}" for size in SIZES))
+    print("servers".ljust(24), *(f"{size:>10,}" for size in SERVER_COUNTS))
     for name, figures in tables.items():
         for row, what in enumerate(("decision", "list change")):
-            print(f"{what}, {name}"[:24].ljust(24), *(f"{figures[str(s)][row]:>8.0f} µs" for s in SIZES))
+            print(
+                f"{what}, {name}"[:24].ljust(24), *(f"{figures[str(s)][row]:>8.0f} µs" for s in SERVER_COUNTS)
+            )
     return 0
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: settings of their own, and a small host that carries out actions."""
+"""Share settings, endpoints and a small host of the decision module among tests."""
 
 from __future__ import annotations
 
@@ -30,6 +30,7 @@
 
 
 def settings(**changes: Any) -> Settings:
+    """Return settings with changes."""
     base: dict[str, Any] = {
         "classes": CLASSES,
         "max_attempts": 4,
@@ -43,11 +44,12 @@
 
 
 def make_endpoints(count: int, **changes: Any) -> tuple[Endpoint, ...]:
+    """Return endpoints s0, s1, … of two zones, with two servers a cell."""
     return tuple(Endpoint(f"s{i}", zone=f"z{i % 2}", cell=i // 2, **changes) for i in range(count))
 
 
 class BalancerHost:
-    """A balancer with a list, and the time and request numbers kept for it."""
+    """A host without I/O: it keeps a balancer's clock, request IDs and actions."""
 
     def __init__(self, count: int = 4, seed: int = 1, **changes: Any) -> None:
         self.balancer = Balancer(settings(**changes), seed)
@@ -57,26 +59,30 @@
         self.last_request_id = 0
 
     def handle(self, event: Any) -> list[Action]:
+        """Pass an event to the balancer, and return its actions."""
         actions = self.balancer.handle(event, self.now)
         self.actions.extend(actions)
         return actions
 
     def update_list(self, *entries: Endpoint, kind: UpdateKind = UpdateKind.FULL_SNAPSHOT) -> list[Action]:
+        """Pass an endpoint list, a full snapshot unless another kind is given."""
         return self.handle(EndpointListUpdate(kind, entries))
 
     def receive_request(
         self, cls: RequestClass = READ, remaining: float = 3_000, **more: Any
     ) -> tuple[int, list[Action]]:
+        """Let a request arrive, and return its ID and the actions."""
         self.last_request_id += 1
         return self.last_request_id, self.handle(
             RequestArrived(self.last_request_id, cls.name, remaining, **more)
         )
 
     def end_attempt(self, request: int, attempt: int, server: str, outcome: Outcome) -> list[Action]:
+        """End an attempt; its response is final if it was served."""
         return self.handle(AttemptEnded(request, attempt, server, outcome, outcome is Outcome.SERVED))
 
     def serve_request(self, cls: RequestClass = READ, takes: float | dict[str, float] = 50.0) -> str:
-        """One request, served by whichever server it is sent to; each may take its own time."""
+        """Let one request be served, and return by which server; each may take its own time."""
         request, actions = self.receive_request(cls)
         server = sent_attempts(actions)[0].server
         self.now += takes[server] if isinstance(takes, dict) else takes
@@ -85,10 +91,12 @@
 
 
 def sent_attempts(actions: list[Action]) -> list[SendAttempt]:
+    """Return the attempts among actions."""
     return [a for a in actions if isinstance(a, SendAttempt)]
 
 
 def actions_of(actions: list[Action], *kinds: type) -> list[Action]:
+    """Return the actions of some kinds."""
     return [a for a in actions if isinstance(a, kinds)]
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -31,7 +31,7 @@
 
 
 def count_admitted(host: BalancerHost, takes: float, cls: RequestClass, rounds: int = 40) -> int:
-    """Requests one after another, all answered after `takes`; how many were let in."""
+    """Pass requests one after another, each served after `takes`; return how many were admitted."""
     admitted = 0
     for _ in range(rounds):
         request, actions = host.receive_request(cls)
@@ -63,9 +63,9 @@
 
 
 def count_admitted_under_load(
-    host: BalancerHost, takes: float, *asks: tuple[RequestClass, str | None], rounds: int = 200
+    host: BalancerHost, takes: float, *requests: tuple[RequestClass, str | None], rounds: int = 200
 ) -> Counter[str]:
-    """Rounds of these requests, one each 20 ms, answered after `takes`; who was let in, at once or later."""
+    """Pass rounds of requests, one each 20 ms, served after `takes`; return what was admitted, by class."""
     admitted: Counter[str] = Counter()
     names: dict[int, str] = {}
     due: list[tuple[float, int, str]] = []  # when a call is answered, or a request has waited long enough
@@ -89,7 +89,7 @@
         host.now = until
 
     for _ in range(rounds):
-        for cls, tenant in asks:
+        for cls, tenant in requests:
             pass_time(host.now + 20)
             names[host.last_request_id + 1] = tenant or cls.name
             follow(host.receive_request(cls, tenant=tenant)[1])
@@ -99,7 +99,7 @@
 
 
 def test_one_late_response_sheds_nothing() -> None:
-    """At light load a tenth was refused: each late answer shut the door until many good ones had come."""
+    """At light load a tenth was rejected: each late response shed load until many timely ones had come."""
     host = BalancerHost(4)
     count_admitted(host, 50.0, READ, 20)
     count_admitted(host, 1_000.0, READ, 1)
@@ -107,9 +107,11 @@
 
 
 def test_calls_in_flight_near_their_objective_shed_load_before_the_first_late_response() -> None:
-    """Many balancers' surges crowd a fleet into its slow state before the first late answer is seen."""
+    """Surges at many balancers overload a fleet before the first late response is seen."""
     host = BalancerHost(8)
-    assert all(sent_attempts(host.receive_request()[1]) for _ in range(30)), "a crowd alone is no trouble yet"
+    assert all(sent_attempts(host.receive_request()[1]) for _ in range(30)), (
+        "many calls alone are no overload yet"
+    )
     host.now += 700
     assert sum(bool(sent_attempts(host.receive_request()[1])) for _ in range(100)) < 20
 
@@ -129,7 +131,7 @@
 def test_no_server_gets_more_than_our_part_of_its_concurrency_limit(
     balancers: int, size: float, most: int
 ) -> None:
-    """Servers with far more calls than cores turned slow and stayed so; 85% was refused from then on."""
+    """Servers with far more calls than cores turned slow and stayed so; 85% was rejected from then on."""
     host = BalancerHost(0, balancer_count=balancers)
     host.update_list(*make_endpoints(3, registered_capacity=size))
     got = Counter(server for _, server in fill_servers(host))
@@ -137,17 +139,17 @@
 
 
 def test_fractional_parts_of_a_limit_add_up_over_the_balancers() -> None:
-    """Five calls among three balancers: two each would be more than there is room for."""
-    held: Counter[str] = Counter()
+    """Five calls among three balancers: two each would exceed the limit."""
+    calls: Counter[str] = Counter()
     for number in range(90):
         host = BalancerHost(0, balancer_count=3, balancer_index=number % 3, seed=number)
         host.update_list(*make_endpoints(4))
-        held.update(server for _, server in fill_servers(host))
-    assert all(125 < count < 175 for count in held.values()), "30 times 5, near enough"
+        calls.update(server for _, server in fill_servers(host))
+    assert all(125 < count < 175 for count in calls.values()), "30 times 5, near enough"
 
 
 def test_a_fraction_of_the_limit_is_reserved_for_the_highest_priority_weight() -> None:
-    """Cheap calls crowded servers, and the dearest, heavy ones came late for it."""
+    """Calls of low weight filled servers, and the long ones of the highest weight were late."""
     host = BalancerHost(2, classes=(LOW_WEIGHT, HIGH_WEIGHT))
     assert len(fill_servers(host, LOW_WEIGHT)) == 6
     host.handle(ClientDisconnected(max(host.balancer._requests.open_requests)))
@@ -155,7 +157,7 @@
 
 
 def test_request_without_capacity_waits_and_is_sent_when_there_is_some() -> None:
-    """Refused callers asked again within a millisecond, four times, and met the same full servers."""
+    """Rejected clients retried within a millisecond, four times, and met the same full servers."""
     host = BalancerHost(2)
     first, server = fill_servers(host)[0]
     waiting = max(host.balancer._requests.open_requests)
@@ -165,7 +167,7 @@
 
 
 def test_waiting_request_is_rejected_when_its_wait_is_over() -> None:
-    """Waiting takes a tenth of the aim at the most, and never half of the caller's time."""
+    """A wait takes a tenth of the objective at the most, and never half of the client's time."""
     for remaining, patience in ((3_000.0, 100.0), (100.0, 45.0)):
         host = BalancerHost(1)
         fill_servers(host)
@@ -187,7 +189,7 @@
         [s.request_id for s in sent_attempts(host.end_attempt(request, 0, server, Outcome.SERVED))]
         for request, server in out[:5]
     ]
-    assert turns == [[first], [last], [], [], [cheap]], "what is cheap fills no more than its part"
+    assert turns == [[first], [last], [], [], [cheap]], "a low weight uses no more than its part"
 
 
 def test_full_wait_queue_rejects_the_lowest_priority_weight() -> None:
@@ -197,7 +199,7 @@
     request, actions = host.receive_request(HIGH_WEIGHT)
     assert not sent_attempts(actions) and actions_of(actions, Reject) == [Reject(line[-1], 0.0)]
     request, actions = host.receive_request(LOW_WEIGHT)
-    assert Reject(request, 0.0) in actions, "no dearer than those who wait, and last"
+    assert Reject(request, 0.0) in actions, "of no higher weight than those that wait, and last"
 
 
 def test_waiting_request_of_a_disconnected_client_is_dropped() -> None:
@@ -210,7 +212,7 @@
 
 
 def test_rejection_has_retry_after_where_settings_allow_it() -> None:
-    """Refused callers asked again within a millisecond, up to four times, and were refused each time."""
+    """Rejected clients retried within a millisecond, up to four times, and were rejected each time."""
     for longest, wanted in ((0.0, 0.0), (60.0, 60.0), (2_000.0, 100.0)):
         host = BalancerHost(0, max_retry_after_ms=longest)
         request, actions = host.receive_request(READ)
@@ -232,7 +234,7 @@
 
 
 def test_shedding_ends_within_seconds_after_the_overload() -> None:
-    """The level once rose with answers alone, and those were few because it was low."""
+    """The admitted fraction once rose with responses alone, which were few because it was low."""
     host = BalancerHost(8)
     count_admitted_under_load(host, 950.0, (READ, None))
     host.now += 2_000
@@ -279,14 +281,14 @@
 
 
 def test_client_retries_do_not_use_up_their_tenants_quota() -> None:
-    """Refused callers asked again up to four times, and what was asked for once passed for excess."""
+    """Rejected clients retried up to four times, and one request counted as several."""
     host = BalancerHost(1, tenants=(Tenant("big", 2.0),), over_quota_weight_factor=0.1)
 
     def over(repeat: bool) -> bool:
         return host.balancer._requests._quotas.charge(RequestArrived(1, "read", 900, "big", repeat), host.now)
 
     assert not any(over(repeat=True) for _ in range(20))
-    assert [over(repeat=False) for _ in range(5)] == [False] * 4 + [True], "two seconds of its share at once"
+    assert [over(repeat=False) for _ in range(5)] == [False] * 4 + [True], "two seconds of its quota at once"
     assert over(repeat=True), "a repeat of excess is excess"
 
 
@@ -327,7 +329,7 @@
 
 
 def test_small_calls_with_a_tight_objective_do_not_shed_the_large_ones() -> None:
-    """One balancer of a small site shed a fifth at light load: its lookups usually take half their aim."""
+    """One balancer of a small site shed a fifth at light load: its lookups usually take half their objective."""
     tight = RequestClass("tight", 300, 900, READ.idempotency)
     host = BalancerHost(4, classes=(tight, PAY))
     for n in range(200):
@@ -341,7 +343,7 @@
 
 
 def test_long_uncongested_latency_sheds_nothing() -> None:
-    """A class whose usual time is a good part of its aim looked like a crowd, and others were refused."""
+    """A class whose usual latency is a good part of its objective looked congested, and others were rejected."""
     host = BalancerHost(4)
     for _ in range(200):
         host.serve_request(READ, takes=249.0)  # steady, and a quarter of its aim
@@ -353,7 +355,7 @@
 
 
 def test_responses_within_half_their_objective_shed_nothing() -> None:
-    """Calls through two tiers take up to half their aim with no crowd: most were refused."""
+    """Calls through two tiers take up to half their objective without congestion: most were rejected."""
     host = BalancerHost(4)
     for _ in range(100):
         for takes in (200.0, 350.0, 500.0):
--- a/tests/test_connect_limits.py
+++ b/tests/test_connect_limits.py
@@ -1,4 +1,4 @@
-"""Connections that are later than they usually are: what is waited for, and who gets the request instead."""
+"""Limits on the time to connect, and where a request goes whose connection is late."""
 
 from __future__ import annotations
 
@@ -120,17 +120,17 @@
 
 
 def test_suspected_server_has_no_connect_limit() -> None:
-    """A late connection would count against it as if it were gone."""
+    """A late connection would count against it as if it were dead."""
     host = BalancerHost(6, suspect_stale_fraction=0.5)
     for _ in range(30):
         serve_request(host, 1.0)
     event = EndpointListUpdate(UpdateKind.FULL_SNAPSHOT, make_endpoints(2))
     host.handle(host.balancer.validate(event))
-    doubted = set(host.balancer.suspected_stale_servers())
-    assert doubted
+    suspected = set(host.balancer.suspected_stale_servers())
+    assert suspected
     sends = [serve_on_pooled_connection(host) for _ in range(60)]
-    assert {send.server for send in sends} > doubted
-    assert {send.server for send in sends if send.connect_within_ms == math.inf} == doubted
+    assert {send.server for send in sends} > suspected
+    assert {send.server for send in sends if send.connect_within_ms == math.inf} == suspected
 
 
 def test_failed_connection_closes_no_idle_connections() -> None:
--- a/tests/test_decision_rules.py
+++ b/tests/test_decision_rules.py
@@ -1,4 +1,4 @@
-"""An independent checker of the four rules, driven by seeded random days: legal, odd, with restarts.
+"""Check the four rules independently under seeded random events: legal, unusual, with restarts.
 
 The checker knows only events and actions; it shares no code with the decisions.
 """
@@ -44,6 +44,8 @@
 
 @dataclass
 class SentAttempt:
+    """An attempt as the checker knows it."""
+
     server: str
     cell: int
     zone: str
@@ -54,6 +56,8 @@
 
 @dataclass
 class RequestRecord:
+    """A request as the checker knows it."""
+
     request_class: RequestClass
     deadline_ms: float
     attempts: list[SentAttempt] = field(default_factory=list)
@@ -61,27 +65,105 @@
     is_disconnected: bool = False
 
 
-class RandomDay:
-    """Plays random events against one balancer and checks each action as it comes."""
+class RuleChecker:
+    """Keeps what was sent and answered, and checks each attempt and response against the rules."""
 
-    def __init__(self, seed: int, **changes: object) -> None:
-        self.random = random.Random(seed)
-        self.settings: Settings = settings(**({"tier": 1} | changes))
+    def __init__(self, own: Settings) -> None:
+        self.settings = own
         self.now = 50_000.0
-        self.scheduled_events: list[tuple[float, int, Event]] = []
-        self.event_count = 0
-        self.cases: dict[int, RequestRecord] = {}
+        self.requests: dict[int, RequestRecord] = {}
         self.finished_count = 0
         self.final_responses = {"served": 0, "refused": 0, "failed": 0}
-        self.retry_count = 0
         self.endpoints: dict[str, Endpoint] = {}
         self.send_times: dict[str, list[float]] = {}
+        self.most_calls_at_warm_server = 0
+
+    def finish(self, case: RequestRecord, how: str) -> None:
+        """Record a final response, and check that it is the only one and in time."""
+        assert case.final is None, "two final answers"
+        if not case.is_disconnected:
+            assert self.now <= case.deadline_ms + RESPONSE_TOLERANCE_MS, "answered too late"
+        case.final = how
+        self.finished_count += 1
+        self.final_responses[how] += 1
+
+    def check_send(self, case: RequestRecord, server: str) -> None:
+        """Check an attempt against the rules on deadlines, draining, retries and deduplication."""
+        assert case.final is None and not case.is_disconnected, "sent after the end"
+        assert self.now <= case.deadline_ms, "sent after the deadline"
+        assert len(case.attempts) < self.settings.max_attempts, "more attempts than allowed"
+        endpoint = self.endpoints.get(server)
+        assert endpoint is not None and endpoint.readiness is Readiness.READY, (
+            "sent to a draining or dead server"
+        )
+        if not self.settings.may_hedge:
+            assert not any(t.is_in_flight for t in case.attempts), "two attempts in flight"
+        maybe = [t for t in case.attempts if t.may_have_run]
+        if maybe and case.request_class.idempotency is not Idempotency.IDEMPOTENT:
+            assert case.request_class.idempotency is Idempotency.WITH_KEY, (
+                "a non-idempotent request sent twice"
+            )
+            assert self.now < maybe[0].sent_at_ms + case.request_class.deduplication_window_ms, (
+                "repeated after the window"
+            )
+            for earlier in maybe:
+                if case.request_class.deduplication_scope is DeduplicationScope.CELL:
+                    assert earlier.cell == endpoint.cell, "repeated outside the cell"
+                if case.request_class.deduplication_scope is DeduplicationScope.ZONE:
+                    assert earlier.zone == endpoint.zone, "repeated outside the zone"
+        self.check_slow_start(endpoint)
+
+    def check_slow_start(self, endpoint: Endpoint) -> None:
+        """Check that a warming server gets one call in a window, or its fraction of what a warm one got."""
+        window = self.settings.slow_start_window_ms
+        mine = self.send_times.setdefault(endpoint.server, [])
+        fraction = self.warm_up_fraction(endpoint)
+        if fraction < 1:
+            most = self.settings.slow_start_overload_factor * fraction * self.most_calls_at_warm_server
+            count = 1 + sum(t > self.now - window for t in mine)
+            assert count <= max(1, most), f"a warming server overloaded: {count} calls, at most {most}"
+        else:
+            recent = sum(t > self.now - window for t in mine)
+            self.most_calls_at_warm_server = max(self.most_calls_at_warm_server, recent)
+        mine.append(self.now)
+
+    def warm_up_fraction(self, endpoint: Endpoint) -> float:
+        """Return the fraction of its capacity that a server has by its age."""
+        age = self.now - endpoint.started_at_ms
+        if not endpoint.started_at_ms or age >= self.settings.slow_start_ms:
+            return 1.0
+        return (
+            self.settings.slow_start_initial_fraction
+            + (1 - self.settings.slow_start_initial_fraction) * age / self.settings.slow_start_ms
+        )
+
+    def check_overdue(self) -> None:
+        """Check that no request without a response is past its deadline."""
+        for number, case in self.requests.items():
+            late = (
+                case.final is None
+                and not case.is_disconnected
+                and self.now > case.deadline_ms + RESPONSE_TOLERANCE_MS
+            )
+            assert not late, f"request {number} was lost"
+
+
+class RandomDay(RuleChecker):
+    """Passes random events to one balancer, carries out its actions and checks each of them."""
+
+    def __init__(self, seed: int, **changes: object) -> None:
+        super().__init__(settings(**({"tier": 1} | changes)))
+        self.random = random.Random(seed)
+        self.scheduled_events: list[tuple[float, int, Event]] = []
+        self.event_count = 0
+        self.retry_count = 0
         self.watch_opened_at_ms = -1.0
         self.restart()
 
     def restart(self) -> None:
+        """Start a balancer anew, with the cached list and without requests."""
         self.scheduled_events = []
-        self.cases = {}
+        self.requests = {}
         self.send_times = {}
         self.most_calls_at_warm_server = 0
         self.balancer = Balancer(self.settings, self.random.getrandbits(40))
@@ -91,32 +173,35 @@
         self.handle(EndpointListUpdate(UpdateKind.CACHED, tuple(self.endpoints.values())))
 
     def schedule(self, at: float, event: Event) -> None:
+        """Let an event come at a time."""
         self.event_count += 1
         heapq.heappush(self.scheduled_events, (at, self.event_count, event))
 
     def handle(self, event: Event) -> None:
+        """Pass an event to the balancer, and carry out its actions."""
         for action in self.balancer.handle(event, self.now):
             self.carry_out(action)
 
     def carry_out(self, action: Action) -> None:
+        """Check an action and do what a host would."""
         match action:
             case SendAttempt(request, server, timeout):
-                self.check_send(self.cases[request], server)
+                self.check_send(self.requests[request], server)
                 self.start(request, server, timeout)
             case Reject(request):
-                case = self.cases[request]
+                case = self.requests[request]
                 maybe = [t for t in case.attempts if t.may_have_run]
                 once_more = case.request_class.idempotency is Idempotency.IDEMPOTENT or (
                     case.request_class.idempotency is Idempotency.WITH_KEY
                     and case.request_class.deduplication_scope is DeduplicationScope.ALL
                 )
-                assert not maybe or once_more, "refused what may have run"
+                assert not maybe or once_more, "rejected what may have run"
                 self.finish(case, "refused")
             case Fail(request):
-                self.finish(self.cases[request], "failed")
+                self.finish(self.requests[request], "failed")
             case CancelAttempt(request, attempt):
                 assert self.settings.may_cancel
-                case = self.cases[request]
+                case = self.requests[request]
                 assert attempt < len(case.attempts), "cancelled an attempt never made"
                 if case.attempts[attempt].is_in_flight:
                     self.schedule(self.now, self.attempt_ended(request, attempt, Outcome.CANCELLED))
@@ -132,57 +217,14 @@
                         EndpointListUpdate(UpdateKind.FULL_SNAPSHOT, tuple(self.endpoints.values())),
                     )
 
-    def check_send(self, case: RequestRecord, server: str) -> None:
-        assert case.final is None and not case.is_disconnected, "sent after the end"
-        assert self.now <= case.deadline_ms, "sent after the deadline"
-        assert len(case.attempts) < self.settings.max_attempts, "more attempts than allowed"
-        member = self.endpoints.get(server)
-        assert member is not None and member.readiness is Readiness.READY, "sent to what drains or is gone"
-        if not self.settings.may_hedge:
-            assert not any(t.is_in_flight for t in case.attempts), "two attempts out"
-        maybe = [t for t in case.attempts if t.may_have_run]
-        if maybe and case.request_class.idempotency is not Idempotency.IDEMPOTENT:
-            assert case.request_class.idempotency is Idempotency.WITH_KEY, "an unsafe request sent twice"
-            assert self.now < maybe[0].sent_at_ms + case.request_class.deduplication_window_ms, (
-                "repeated after the window"
-            )
-            for earlier in maybe:
-                if case.request_class.deduplication_scope is DeduplicationScope.CELL:
-                    assert earlier.cell == member.cell, "repeated outside the cell"
-                if case.request_class.deduplication_scope is DeduplicationScope.ZONE:
-                    assert earlier.zone == member.zone, "repeated outside the zone"
-        self.check_slow_start(member)
-
-    def check_slow_start(self, member: Endpoint) -> None:
-        """A cold server may get one call in a window, or what its warmth allows of the busiest warm one."""
-        window = self.settings.slow_start_window_ms
-        mine = self.send_times.setdefault(member.server, [])
-        warmth = self.warm_up_fraction(member)
-        if warmth < 1:
-            most = self.settings.slow_start_overload_factor * warmth * self.most_calls_at_warm_server
-            count = 1 + sum(t > self.now - window for t in mine)
-            assert count <= max(1, most), f"a cold server pushed over: {count} calls, at most {most}"
-        else:
-            recent = sum(t > self.now - window for t in mine)
-            self.most_calls_at_warm_server = max(self.most_calls_at_warm_server, recent)
-        mine.append(self.now)
-
-    def warm_up_fraction(self, member: Endpoint) -> float:
-        age = self.now - member.started_at_ms
-        if not member.started_at_ms or age >= self.settings.slow_start_ms:
-            return 1.0
-        return (
-            self.settings.slow_start_initial_fraction
-            + (1 - self.settings.slow_start_initial_fraction) * age / self.settings.slow_start_ms
-        )
-
     def start(self, request: int, server: str, timeout: float) -> None:
-        case = self.cases[request]
-        member = self.endpoints[server]
+        """Send an attempt, whose outcome is random."""
+        case = self.requests[request]
+        endpoint = self.endpoints[server]
         attempt = len(case.attempts)
         if attempt:
             self.retry_count += 1
-        case.attempts.append(SentAttempt(server, member.cell, member.zone, self.now))
+        case.attempts.append(SentAttempt(server, endpoint.cell, endpoint.zone, self.now))
         limit = case.deadline_ms - self.now
         limit = min(limit, timeout) if timeout > 0 else limit
         takes = self.random.expovariate(1 / 80)
@@ -202,19 +244,13 @@
             self.schedule(self.now + limit, self.attempt_ended(request, attempt, Outcome.TIMED_OUT))
 
     def attempt_ended(self, request: int, attempt: int, outcome: Outcome) -> AttemptEnded:
-        return AttemptEnded(request, attempt, self.cases[request].attempts[attempt].server, outcome)
-
-    def finish(self, case: RequestRecord, how: str) -> None:
-        assert case.final is None, "two final answers"
-        if not case.is_disconnected:
-            assert self.now <= case.deadline_ms + RESPONSE_TOLERANCE_MS, "answered too late"
-        case.final = how
-        self.finished_count += 1
-        self.final_responses[how] += 1
+        """Return the event of an attempt's end."""
+        return AttemptEnded(request, attempt, self.requests[request].attempts[attempt].server, outcome)
 
     def deliver(self, event: Event) -> None:
+        """Pass a scheduled event on, unless it is void by now."""
         if isinstance(event, AttemptEnded):
-            case = self.cases[event.request_id]
+            case = self.requests[event.request_id]
             this = case.attempts[event.attempt_index]
             if not this.is_in_flight:
                 return
@@ -225,7 +261,7 @@
             answered = case.final is not None or case.is_disconnected
             event = AttemptEnded(event.request_id, event.attempt_index, event.server, event.outcome, answered)
         if isinstance(event, ClientDisconnected):
-            case = self.cases[event.request_id]
+            case = self.requests[event.request_id]
             if case.final is not None:
                 return
             case.is_disconnected = True
@@ -236,6 +272,7 @@
         self.handle(event)
 
     def change_list(self) -> None:
+        """Let a random server drain, die or restart."""
         name = self.random.choice(list(self.endpoints))
         old = self.endpoints[name]
         choice = self.random.random()
@@ -250,6 +287,7 @@
         self.handle(EndpointListUpdate(UpdateKind.DELTA, (new,)))
 
     def shorten_list(self) -> None:
+        """Remove a server from the list, or add four if few are left."""
         if len(self.endpoints) > 3:
             del self.endpoints[self.random.choice(list(self.endpoints))]
         else:
@@ -260,6 +298,7 @@
         self.handle(EndpointListUpdate(UpdateKind.FULL_SNAPSHOT, tuple(self.endpoints.values())))
 
     def run(self, steps: int) -> None:
+        """Let random events happen."""
         number = 0
         for _ in range(steps):
             until = self.now + self.random.expovariate(1 / 15)
@@ -279,20 +318,11 @@
             else:
                 number += 1
                 cls = self.random.choice(self.settings.classes)
-                left = self.random.choice((0.0, 1.0, 40.0, 400.0, 2_500.0))
-                self.cases[number] = RequestRecord(cls, self.now + left)
-                self.handle(RequestArrived(number, cls.name, left))
+                remaining_ms = self.random.choice((0.0, 1.0, 40.0, 400.0, 2_500.0))
+                self.requests[number] = RequestRecord(cls, self.now + remaining_ms)
+                self.handle(RequestArrived(number, cls.name, remaining_ms))
                 if self.random.random() < 0.05:
-                    self.schedule(self.now + self.random.random() * left, ClientDisconnected(number))
-
-    def check_overdue(self) -> None:
-        for number, case in self.cases.items():
-            late = (
-                case.final is None
-                and not case.is_disconnected
-                and self.now > case.deadline_ms + RESPONSE_TOLERANCE_MS
-            )
-            assert not late, f"request {number} was lost"
+                    self.schedule(self.now + self.random.random() * remaining_ms, ClientDisconnected(number))
 
 
 VARIANTS: list[dict[str, object]] = [
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("balancers", [4, 40, 100])
 def test_fleet_requests_the_list_after_an_outage_no_faster_than_discovery_can_bear(balancers: int) -> None:
-    """Every balancer asked again within 750 ms, however many there were."""
+    """Every balancer requested the list again within 750 ms, however many there were."""
     again: list[float] = []
     for seed in range(balancers):
         host = BalancerHost(balancer_count=balancers, polls_endpoint_list=True, seed=seed)
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_uncordoned_server_is_used_soon_where_calls_are_few(seed: int) -> None:
-    """By the draw alone a cold one of many got its first call after 5 s and more, on quiet balancers."""
+    """By its weight alone a warming server got its first call after 5 s and more, on quiet balancers."""
     host = BalancerHost(12, seed=seed, balancer_count=5, tier=1)
     for _ in range(100):
         host.serve_request()
--- a/tests/test_event_order.py
+++ b/tests/test_event_order.py
@@ -1,4 +1,4 @@
-"""The decisions alone, with every ending in every order: hypothesis chooses what comes next."""
+"""Pass every kind of event in every order to the decision module: hypothesis chooses what comes next."""
 
 from __future__ import annotations
 
--- a/tests/test_request_attempts.py
+++ b/tests/test_request_attempts.py
@@ -171,10 +171,10 @@
     copy = sent_attempts(actions)[0]
     assert copy.server != first.server
     assert actions.index(CloseIdleConnections(copy.server)) < actions.index(copy), (
-        "on a connection that is surely whole"
+        "on a connection that is surely alive"
     )
     assert cls is READ or int(copy.server[1]) // 2 == int(first.server[1]) // 2, "inside its group"
-    assert not sent_attempts(host.handle(TimerExpired(timer.token))), "one copy, not more"
+    assert not sent_attempts(host.handle(TimerExpired(timer.token))), "one hedged request, not more"
     host.now += 40
     assert CancelAttempt(request, 0) in host.end_attempt(request, 1, copy.server, Outcome.SERVED)
 
@@ -183,7 +183,7 @@
     assert not actions_of(BalancerHost(4).receive_request(PAY)[1], SetTimer)
     actions = BalancerHost(4, may_hedge=False).receive_request(READ)[1]
     assert not actions_of(actions, SetTimer)
-    assert sent_attempts(actions)[0].timeout_ms == pytest.approx(800), "given up in time for another instead"
+    assert sent_attempts(actions)[0].timeout_ms == pytest.approx(800), "timed out in time for a retry instead"
     assert sent_attempts(BalancerHost(4, max_attempts=1).receive_request(READ)[1])[
         0
     ].timeout_ms == pytest.approx(1_000)
@@ -191,7 +191,7 @@
 
 @pytest.mark.parametrize("takes", [240.0, 400.0, 800.0])
 def test_usual_latency_is_waited_for_and_not_hedged(takes: float) -> None:
-    """At half of its time a second copy went out, though usual answers took as long: a tenth of all calls."""
+    """A tenth of all calls was hedged: at half of their time, though usual latencies were as long."""
     host = BalancerHost(4, tier=1)
     for _ in range(200):
         host.serve_request(takes=takes)
@@ -223,8 +223,8 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED])
 def test_attempts_that_never_ran_do_not_cost_retry_budget(outcome: Outcome) -> None:
-    """With half of all connections refused the ration ran out before the third try that would serve."""
-    assert count_retries(outcome) == 300 * 3, "up to the most attempts allowed"
+    """With half of all connections refused the budget ran out before the third attempt, which would serve."""
+    assert count_retries(outcome) == 300 * 3, "up to the maximum of attempts"
 
 
 def opens_new_connection(host: BalancerHost, pause: float) -> bool:
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -1,4 +1,4 @@
-"""Cold servers under the sum of what all callers send, in virtual time (`benchmarks/cold.py`)."""
+"""Warming servers under what all balancers send together, in virtual time (`benchmarks/cold.py`)."""
 
 from __future__ import annotations
 
--- a/tests/test_stale_list_suspicion.py
+++ b/tests/test_stale_list_suspicion.py
@@ -1,4 +1,4 @@
-"""Lists that are not believed at once: emptied, halved, gone back; and what ends the doubt."""
+"""Suspect stale lists: emptied, halved, rolled back; and what ends the suspicion."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 NAMES = [f"s{i}" for i in range(6)]
 
 
-def make_host(doubt: float = 0.3) -> BalancerHost:
-    return BalancerHost(count=6, suspect_stale_fraction=doubt)
+def make_host(suspect_stale_fraction: float = 0.3) -> BalancerHost:
+    return BalancerHost(count=6, suspect_stale_fraction=suspect_stale_fraction)
 
 
 def update_list(
-    host: BalancerHost, *listed: Endpoint, whole: bool = True, rewound: bool = False
+    host: BalancerHost, *listed: Endpoint, is_full: bool = True, is_rolled_back: bool = False
 ) -> list[Action]:
-    kind = UpdateKind.FULL_SNAPSHOT if whole else UpdateKind.DELTA
-    return host.handle(host.balancer.validate(EndpointListUpdate(kind, listed, rewound)))
+    kind = UpdateKind.FULL_SNAPSHOT if is_full else UpdateKind.DELTA
+    return host.handle(host.balancer.validate(EndpointListUpdate(kind, listed, is_rolled_back)))
 
 
 def ready_servers(host: BalancerHost) -> list[str]:
@@ -33,8 +33,8 @@
 
 
 def send_until(host: BalancerHost, server: str, outcome: Outcome) -> None:
-    """Let requests come until one goes to a server, and end that attempt; the others are served."""
-    host.now += 20_000.0  # what was held against it has faded
+    """Let requests arrive until one is sent to a server, and end that attempt; the others are served."""
+    host.now += 20_000.0  # the evidence against it has decayed
     for _ in range(500):
         out = sent_attempts(host.receive_request()[1])
         for number, send in enumerate(out):  # a retry follows behind
@@ -51,10 +51,10 @@
 
 def test_servers_stay_if_a_list_omits_too_many_and_it_is_logged_once() -> None:
     host = make_host()
-    told = update_list(host, *make_endpoints(3))
+    actions = update_list(host, *make_endpoints(3))
     assert ready_servers(host) == NAMES
     assert host.balancer.suspected_stale_servers() == ["s3", "s4", "s5"]
-    assert told[0] == LogMessage("endpoint list omits 3 of 6 ready servers: suspected stale, kept for now")
+    assert actions[0] == LogMessage("endpoint list omits 3 of 6 ready servers: suspected stale, kept for now")
 
 
 def test_empty_list_is_suspected_stale_however_few_servers_there_were() -> None:
@@ -75,7 +75,7 @@
     drained = tuple(Endpoint(name, Readiness.DRAINING) for name in NAMES[:5])
     update_list(host, *drained, *make_endpoints(6)[5:])
     assert ready_servers(host) == ["s5"]
-    update_list(host, *[Endpoint(name, Readiness.DEAD) for name in NAMES], whole=False)
+    update_list(host, *[Endpoint(name, Readiness.DEAD) for name in NAMES], is_full=False)
     assert ready_servers(host) == []
 
 
@@ -112,7 +112,7 @@
 def test_server_that_is_listed_again_is_no_longer_suspected() -> None:
     host = make_host()
     update_list(host, *make_endpoints(3))
-    update_list(host, *make_endpoints(6)[3:5], whole=False)
+    update_list(host, *make_endpoints(6)[3:5], is_full=False)
     assert host.balancer.suspected_stale_servers() == ["s5"]
     update_list(host, *make_endpoints(6))
     assert host.balancer.suspected_stale_servers() == []
@@ -124,21 +124,21 @@
     host = make_host()
     update_list(host, *[Endpoint(f"n{i}") for i in range(6)])
     assert len(ready_servers(host)) == 12
-    update_list(host, Endpoint("n0", Readiness.DEAD), whole=False)
+    update_list(host, Endpoint("n0", Readiness.DEAD), is_full=False)
     assert "n0" not in ready_servers(host)
 
 
 def test_list_is_followed_at_once_where_suspicion_is_off() -> None:
-    host = make_host(doubt=1.0)
+    host = make_host(suspect_stale_fraction=1.0)
     update_list(host)
     assert ready_servers(host) == []
 
 
 def test_rolled_back_list_does_not_end_draining() -> None:
     host = make_host()
-    update_list(host, Endpoint("s1", Readiness.DRAINING, started_at_ms=5.0), whole=False)
+    update_list(host, Endpoint("s1", Readiness.DRAINING, started_at_ms=5.0), is_full=False)
     old = Endpoint("s1", started_at_ms=5.0)
-    update_list(host, *make_endpoints(1), old, *make_endpoints(6)[2:], rewound=True)
+    update_list(host, *make_endpoints(1), old, *make_endpoints(6)[2:], is_rolled_back=True)
     assert "s1" not in ready_servers(host)
-    update_list(host, Endpoint("s1", started_at_ms=6.0), whole=False, rewound=True)
+    update_list(host, Endpoint("s1", started_at_ms=6.0), is_full=False, is_rolled_back=True)
     assert "s1" in ready_servers(host), "a later start is a new server"
--- a/tests/test_weighted_sampling.py
+++ b/tests/test_weighted_sampling.py
@@ -1,4 +1,4 @@
-"""Draws whose cost does not grow with the fleet: the tree itself, and a balancer of thousands."""
+"""Sample at a cost that does not grow with the fleet: the tree itself, and a balancer of thousands."""
 
 from __future__ import annotations
 
--- a/tests/test_zone_evacuation.py
+++ b/tests/test_zone_evacuation.py
@@ -1,4 +1,4 @@
-"""Zones by hand: left and come back to in steps, over restarts, and refused where the rest has no room."""
+"""Evacuate and restore zones gradually, over restarts, and not where the rest lacks capacity."""
 
 from __future__ import annotations
 
