--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -329,7 +329,7 @@
 
 
 def test_small_calls_with_a_tight_objective_do_not_shed_the_large_ones() -> None:
-    """One balancer of a small site shed a fifth at light load: its lookups usually take half their objective."""
+    """One balancer of a small site shed a fifth at light load: its lookups usually took half their time."""
     tight = RequestClass("tight", 300, 900, READ.idempotency)
     host = BalancerHost(4, classes=(tight, PAY))
     for n in range(200):
@@ -343,7 +343,7 @@
 
 
 def test_long_uncongested_latency_sheds_nothing() -> None:
-    """A class whose usual latency is a good part of its objective looked congested, and others were rejected."""
+    """A class with a usual latency near its objective looked congested, and others were rejected."""
     host = BalancerHost(4)
     for _ in range(200):
         host.serve_request(READ, takes=249.0)  # steady, and a quarter of its aim
