--- a/loadbalancer/cli/demo.py
+++ b/loadbalancer/cli/demo.py
@@ -16,18 +16,18 @@
 from rich.table import Table
 from rich.text import Text
 
-from loadbalancer.cli.operate import reports, table_of
-from loadbalancer.cli.screen import screen
+from loadbalancer.cli.operate import fetch_reports, stats_table
+from loadbalancer.cli.screen import output_console
 from loadbalancer.drill import history, open_load
 from loadbalancer.drill.checks import judgement
 from loadbalancer.drill.execution.player import Drive
 from loadbalancer.drill.processes.placement import FIRST, Fleet
 from loadbalancer.drill.scenario import definition
 
-LOOK_S = 0.5
-NOT_HELD = 1
-PARTS = (50.0, 90.0, 99.0, 99.9)
-STORY = """
+REFRESH_INTERVAL_S = 0.5
+EXIT_CHECK_FAILED = 1
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
+DEMO_DRILL = """
 title = "Two balancers, four servers; one is slowed, one is killed, removed, and comes back cold"
 
 [load]
@@ -80,7 +80,7 @@
         try:
             with Live(console=self._console, auto_refresh=False) as live:
                 while not playing.done() and self._asked < drill.load.requests:
-                    await asyncio.wait([playing], timeout=LOOK_S)
+                    await asyncio.wait([playing], timeout=REFRESH_INTERVAL_S)
                     if not playing.done() and self._asked:
                         live.update(await self._look(drive, drill), refresh=True)
             await playing
@@ -95,9 +95,9 @@
 
     async def _look(self, drive: Drive, drill: definition.Script) -> Group:
         names = {spot.console: spot.name for spot in drive.fleet.balancers(FIRST)}
-        told, _ = await asyncio.to_thread(reports, list(names), "/admin/stats")
+        told, _ = await asyncio.to_thread(fetch_reports, list(names), "/admin/stats")
         found = {names[console]: figures for console, figures in told.items()}
-        table = table_of(list(names.values()), found, self._before, LOOK_S)
+        table = stats_table(list(names.values()), found, self._before, REFRESH_INTERVAL_S)
         self._before = found
         return Group(
             table, Text(f"{self._asked} of {drill.load.requests} requests asked"), *self._faults(drive)
@@ -136,8 +136,8 @@
 
     Example: irondrum demo --keep
     """
-    console, began = screen(), time.monotonic()
-    drill = definition.parse(STORY, "demo")
+    console, began = output_console(), time.monotonic()
+    drill = definition.parse(DEMO_DRILL, "demo")
     with tempfile.TemporaryDirectory() as folder:
         out = Path(folder) / "demo"
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -151,7 +151,7 @@
     held = all(check.held for check in found)
     console.print(f"{'Nothing broke' if held else 'Something broke'}, {time.monotonic() - began:.0f} s")
     if not held:
-        raise typer.Exit(NOT_HELD)
+        raise typer.Exit(EXIT_CHECK_FAILED)
 
 
 def load_(
@@ -172,14 +172,14 @@
     tallies = asyncio.run(open_load.run(url, kinds, rate, seconds, seed))
     if as_json:
         told = {
-            name: {"endings": dict(t.endings), "ms": {f"p{p:g}": t.percentile_ms(p) for p in PARTS}}
+            name: {"endings": dict(t.endings), "ms": {f"p{p:g}": t.percentile_ms(p) for p in PERCENTILES}}
             for name, t in tallies.items()
         }
         typer.echo(json.dumps(told))
         return
-    table = Table("class", "requests", "endings", *[f"p{part:g} ms" for part in PARTS])
+    table = Table("class", "requests", "endings", *[f"p{part:g} ms" for part in PERCENTILES])
     for name, tally in tallies.items():
         endings = ", ".join(f"{count} {ending}" for ending, count in sorted(tally.endings.items()))
-        times = [f"{tally.percentile_ms(part):.1f}" for part in PARTS]
+        times = [f"{tally.percentile_ms(part):.1f}" for part in PERCENTILES]
         table.add_row(name, str(sum(tally.endings.values())), endings, *times)
-    screen().print(table)
+    output_console().print(table)
--- a/loadbalancer/cli/directory.py
+++ b/loadbalancer/cli/directory.py
@@ -14,8 +14,8 @@
 import typer
 from rich.table import Table
 
-from loadbalancer.cli.misuse import Misuse
-from loadbalancer.cli.screen import screen
+from loadbalancer.cli.misuse import UsageError
+from loadbalancer.cli.screen import output_console
 from loadbalancer.registry import server
 from loadbalancer.registry.agent import Agent, passes_health_check
 from loadbalancer.registry.agent import run as run_agent
@@ -135,7 +135,7 @@
             marks,
             str(entry["index"]),
         )
-    screen().print(table)
+    output_console().print(table)
     for tier, left in state["doubts"].items():
         typer.echo(f"tier {tier}: many leases ran out at once; nothing lapses for {left / 1_000:.0f} s more")
 
@@ -168,7 +168,7 @@
         table.add_row(
             str(change["index"]), at_s, change["name"], change["what"], change["who"], change["why"]
         )
-    screen().print(table)
+    output_console().print(table)
 
 
 @app.command()
@@ -194,7 +194,7 @@
             entry = json.loads(line)
             told.append((entry.pop("name"), msgspec.convert(entry, type=Registration)))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            raise Misuse(f"{file}: line {number}: {' '.join(str(error).split())}") from None
+            raise UsageError(f"{file}: line {number}: {' '.join(str(error).split())}") from None
     caller = _caller(at)
     for name, registration in told:
         caller.call_server("PUT", name, body=msgspec.to_builtins(registration), why=why)
@@ -208,7 +208,7 @@
     Example: irondrum directory verify /var/lib/irondrum/list.sqlite
     """
     if not database.exists():
-        raise Misuse(f"{database}: there is no such file")
+        raise UsageError(f"{database}: there is no such file")
     try:
         faults = list(CatalogStore(database).verify())
     except CatalogStoreError as error:
--- a/loadbalancer/cli/drill.py
+++ b/loadbalancer/cli/drill.py
@@ -13,8 +13,8 @@
 import uvloop
 from rich.table import Table
 
-from loadbalancer.cli.misuse import Misuse, find_file
-from loadbalancer.cli.screen import screen
+from loadbalancer.cli.misuse import UsageError, find_file
+from loadbalancer.cli.screen import output_console
 from loadbalancer.drill import history, seeded_defects
 from loadbalancer.drill.checks import judgement
 from loadbalancer.drill.checks.timeline import Check
@@ -22,9 +22,9 @@
 from loadbalancer.drill.scenario import definition
 
 app = typer.Typer(no_args_is_help=True, help="A fleet of real processes on this machine, with faults.")
-FOLDER = Path("drills")
-NOT_HELD = 1
-TOLD = ("name", "held", "measured", "bound")  # of each check, by `--json`
+DRILL_FOLDER = Path("drills")
+EXIT_CHECK_FAILED = 1
+PRINTED_CHECK_FIELDS = ("name", "held", "measured", "bound")  # of each check, by `--json`
 
 
 def play(path: Path, drill: definition.Script, seed: int, out: Path, plant: str = "") -> list[Check]:
@@ -33,7 +33,7 @@
         runner.run(Drive(drill, seed, out, plant).run())
     (out / "drill.toml").write_bytes(path.read_bytes())
     found = judgement.judge(drill, history.read(out))
-    verdict = {"seed": seed, "plant": plant} | verdict_of(path.stem, found, Check.__struct_fields__)
+    verdict = {"seed": seed, "plant": plant} | encode_verdict(path.stem, found, Check.__struct_fields__)
     (out / "verdict.json").write_text(json.dumps(verdict) + "\n", encoding="utf-8")
     return found
 
@@ -42,10 +42,10 @@
 def list_() -> None:
     """Tell the drills in `drills/`, and the defects that can be planted."""
     table = Table("drill", "what happens")
-    for path in sorted(FOLDER.glob("*.toml")):
+    for path in sorted(DRILL_FOLDER.glob("*.toml")):
         table.add_row(path.stem, definition.load(path).title)
-    screen().print(table)
-    screen().print(f"--plant: {', '.join(seeded_defects.DEFECTS)}", highlight=False)
+    output_console().print(table)
+    output_console().print(f"--plant: {', '.join(seeded_defects.DEFECTS)}", highlight=False)
 
 
 @app.command()
@@ -61,8 +61,8 @@
     Example: irondrum drill run calm server-killed --seed 2 --out found/drills
     """
     if plant and plant not in seeded_defects.DEFECTS:
-        raise Misuse(f"no defect {plant!r}; there are {', '.join(seeded_defects.DEFECTS)}")
-    paths = [find_file(FOLDER, "drill", name) for name in names]
+        raise UsageError(f"no defect {plant!r}; there are {', '.join(seeded_defects.DEFECTS)}")
+    paths = [find_file(DRILL_FOLDER, "drill", name) for name in names]
     drills = [(path, definition.load(path)) for path in paths]  # all are sound before the first is played
     held = True
     with tempfile.TemporaryDirectory() as spare:
@@ -71,11 +71,11 @@
             found = play(path, drill, seed, into, plant)
             held = held and all(check.held for check in found)
             if as_json:
-                typer.echo(json.dumps(verdict_of(path.stem, found, TOLD)))
+                typer.echo(json.dumps(encode_verdict(path.stem, found, PRINTED_CHECK_FIELDS)))
             else:
                 _show(path.stem, found)
     if not held:
-        raise typer.Exit(NOT_HELD)
+        raise typer.Exit(EXIT_CHECK_FAILED)
 
 
 @app.command()
@@ -91,10 +91,10 @@
     try:
         typer.echo(pages.write(folder))
     except pages.ReportError as error:
-        raise Misuse(str(error)) from None
+        raise UsageError(str(error)) from None
 
 
-def verdict_of(name: str, found: list[Check], fields: Iterable[str]) -> dict[str, Any]:
+def encode_verdict(name: str, found: list[Check], fields: Iterable[str]) -> dict[str, Any]:
     """The verdict of a drill, with these fields of each check."""
     told = [{field: getattr(check, field) for field in fields} for check in found]
     return {"drill": name, "held": all(check.held for check in found), "checks": told}
@@ -107,4 +107,4 @@
         table.add_row(
             check.name, word, f"{check.measured:g}", f"{check.bound:g}", "" if check.held else check.first
         )
-    screen().print(table)
+    output_console().print(table)
--- a/loadbalancer/cli/lab.py
+++ b/loadbalancer/cli/lab.py
@@ -15,18 +15,18 @@
 from rich.console import Console
 from rich.table import Table
 
-from loadbalancer.cli.misuse import Misuse, find_file
+from loadbalancer.cli.misuse import UsageError, find_file
 from loadbalancer.lab import plays, policies
 from loadbalancer.lab.compare import compare as paired
 from loadbalancer.simulation import scenario as scenarios
 
 app = typer.Typer(no_args_is_help=True, help="Experiments on the decisions in virtual time.")
-FOLDER = Path("scenarios")
-MOST_SEEDS = 10_000
-JOBS = max((os.cpu_count() or 2) // 2, 1)
+SCENARIO_FOLDER = Path("scenarios")
+MAX_SEEDS = 10_000
+DEFAULT_JOBS = max((os.cpu_count() or 2) // 2, 1)
 
 
-def seeds_of(text: str) -> list[int]:
+def parse_seeds(text: str) -> list[int]:
     """The seeds that a text such as `1-16` or `1,4,7-9` names; Misuse if it names none."""
     seeds: list[int] = []
     try:
@@ -34,15 +34,15 @@
             first, _, last = part.partition("-")
             seeds += range(int(first), int(last or first) + 1)
     except ValueError:
-        raise Misuse(f"--seeds {text!r}: give numbers such as 3, 1-16 or 1,4,7-9") from None
-    if not 0 < len(seeds) <= MOST_SEEDS:
-        raise Misuse(f"--seeds {text!r}: it names {len(seeds)} seeds; 1 to {MOST_SEEDS:,} can be played")
+        raise UsageError(f"--seeds {text!r}: give numbers such as 3, 1-16 or 1,4,7-9") from None
+    if not 0 < len(seeds) <= MAX_SEEDS:
+        raise UsageError(f"--seeds {text!r}: it names {len(seeds)} seeds; 1 to {MAX_SEEDS:,} can be played")
     return sorted(set(seeds))
 
 
-def find(name: str, changes: list[str]) -> scenarios.Scenario:
+def load_scenario(name: str, changes: list[str]) -> scenarios.Scenario:
     """A scenario by its name or its file, with changes such as `choke.at=5` made to it."""
-    return scenarios.load(find_file(FOLDER, "scenario", name), [_change(text) for text in changes])
+    return scenarios.load(find_file(SCENARIO_FOLDER, "scenario", name), [_change(text) for text in changes])
 
 
 def _change(text: str) -> tuple[list[str], Any]:
@@ -52,13 +52,13 @@
             raise tomllib.TOMLDecodeError
         return where.split("."), tomllib.loads(f"value = {value}")["value"]
     except tomllib.TOMLDecodeError:
-        raise Misuse(f"--set {text!r}: give a key and a TOML value, such as choke.at=5") from None
+        raise UsageError(f"--set {text!r}: give a key and a TOML value, such as choke.at=5") from None
 
 
 @app.command("list")
 def list_scenarios() -> None:
     """List the scenarios and policies there are: `irondrum lab list`."""
-    for path in sorted(FOLDER.glob("*.toml")):
+    for path in sorted(SCENARIO_FOLDER.glob("*.toml")):
         typer.echo(f"{path.stem:16} {scenarios.load(path).title}")
     typer.echo(f"policies: {', '.join(policies.NAMES)}")
 
@@ -85,8 +85,8 @@
     todo = [
         plays.Job(Path(name).stem, seed, which, which + at_rev * (which == policies.OURS), plan)
         for name in names
-        for plan in [find(name, changes or [])]
-        for seed in seeds_of(seeds)
+        for plan in [load_scenario(name, changes or [])]
+        for seed in parse_seeds(seeds)
         for which in wanted
     ]
     errors = Console(stderr=True)
@@ -138,7 +138,7 @@
     try:
         rows = paired(plays.read(before), plays.read(after))
     except (OSError, ValueError) as error:
-        raise Misuse(str(error)) from None
+        raise UsageError(str(error)) from None
     if as_json:
         typer.echo(msgspec.json.encode(rows).decode())
         return
--- a/loadbalancer/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -9,7 +9,7 @@
 import typer
 
 from loadbalancer.cli import demo, directory, drill, lab, operate, scale, serve, zone
-from loadbalancer.cli.misuse import Misuse
+from loadbalancer.cli.misuse import UsageError
 from loadbalancer.configuration import ConfigurationError
 from loadbalancer.drill.open_load import LoadError
 from loadbalancer.drill.processes.supervisor import DriveError
@@ -34,7 +34,7 @@
     app.command()(command)
 app.command("load")(demo.load_)
 MISUSES = (
-    Misuse,
+    UsageError,
     ScenarioError,
     PolicyError,
     ScriptError,
--- a/loadbalancer/cli/misuse.py
+++ b/loadbalancer/cli/misuse.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 
-class Misuse(ValueError):
+class UsageError(ValueError):
     """An argument that can't be used: one line that tells which and why."""
 
 
@@ -14,5 +14,5 @@
     path = Path(name) if name.endswith(".toml") else folder / f"{name}.toml"
     if not path.exists():
         known = ", ".join(p.stem for p in sorted(folder.glob("*.toml"))) or f"none in {folder}"
-        raise Misuse(f"no {kind} {name!r}; there are {known}")
+        raise UsageError(f"no {kind} {name!r}; there are {known}")
     return path
--- a/loadbalancer/cli/operate.py
+++ b/loadbalancer/cli/operate.py
@@ -14,18 +14,18 @@
 from rich.live import Live
 from rich.table import Table
 
-from loadbalancer.cli.misuse import Misuse
-from loadbalancer.cli.screen import screen
+from loadbalancer.cli.misuse import UsageError
+from loadbalancer.cli.screen import output_console
 
-PATIENCE_S = 2.0
-NOT_TAKEN = 1
+CONSOLE_TIMEOUT_S = 2.0
+EXIT_NOT_ACCEPTED = 1
 Consoles = Annotated[
     list[str], typer.Option("--console", help="HOST:PORT of a balancer's console; once for each.")
 ]
 
 
 @dataclass(frozen=True)
-class Answer:
+class ConsoleResponse:
     """What a console said; status 0 where nobody answered."""
 
     console: str
@@ -33,48 +33,48 @@
     text: str
 
     @property
-    def is_yes(self) -> bool:
+    def is_accepted(self) -> bool:
         """Whether it was a yes."""
         return 200 <= self.status < 300
 
 
-def ask(console: str, method: str, path: str, body: str = "") -> Answer:
+def call_console(console: str, method: str, path: str, body: str = "") -> ConsoleResponse:
     """One call to one console; Misuse if that is no address."""
     host, _, port = console.rpartition(":")
     if not host or not port.isdigit():
-        raise Misuse(f"--console {console!r}: give HOST:PORT, such as 127.0.0.1:9901")
-    connection = http.client.HTTPConnection(host, int(port), timeout=PATIENCE_S)
+        raise UsageError(f"--console {console!r}: give HOST:PORT, such as 127.0.0.1:9901")
+    connection = http.client.HTTPConnection(host, int(port), timeout=CONSOLE_TIMEOUT_S)
     try:
         connection.request(method, path, body=body or None)
         answer = connection.getresponse()
-        return Answer(console, answer.status, answer.read().decode(errors="replace").strip())
+        return ConsoleResponse(console, answer.status, answer.read().decode(errors="replace").strip())
     except (OSError, http.client.HTTPException) as error:
-        return Answer(console, 0, f"no answer: {error}")
+        return ConsoleResponse(console, 0, f"no answer: {error}")
     finally:
         connection.close()
 
 
-def ask_all(consoles: list[str], method: str, path: str, body: str = "") -> list[Answer]:
+def call_consoles(consoles: list[str], method: str, path: str, body: str = "") -> list[ConsoleResponse]:
     """The same call to several consoles at once, answers in their order."""
     with ThreadPoolExecutor(min(len(consoles), 32)) as pool:
-        return list(pool.map(lambda console: ask(console, method, path, body), consoles))
+        return list(pool.map(lambda console: call_console(console, method, path, body), consoles))
 
 
-def tell(answers: list[Answer]) -> None:
+def print_responses(answers: list[ConsoleResponse]) -> None:
     """Print who said what; exit 1 if one did not say yes."""
     for answer in answers:
-        typer.echo(f"{answer.console}  {answer.text}", err=not answer.is_yes)
-    no = [answer.console for answer in answers if not answer.is_yes]
+        typer.echo(f"{answer.console}  {answer.text}", err=not answer.is_accepted)
+    no = [answer.console for answer in answers if not answer.is_accepted]
     if no:
         typer.echo(f"irondrum: {len(no)} of {len(answers)} did not say yes: {', '.join(no)}", err=True)
-        raise typer.Exit(NOT_TAKEN)
+        raise typer.Exit(EXIT_NOT_ACCEPTED)
 
 
-def reports(consoles: list[str], path: str) -> tuple[dict[str, Any], list[Answer]]:
+def fetch_reports(consoles: list[str], path: str) -> tuple[dict[str, Any], list[ConsoleResponse]]:
     """What consoles tell at a path, by console, and the answers of those that did not."""
-    answers = ask_all(consoles, "GET", path)
-    told = {answer.console: json.loads(answer.text) for answer in answers if answer.is_yes}
-    return told, [answer for answer in answers if not answer.is_yes]
+    answers = call_consoles(consoles, "GET", path)
+    told = {answer.console: json.loads(answer.text) for answer in answers if answer.is_accepted}
+    return told, [answer for answer in answers if not answer.is_accepted]
 
 
 def health(console: Consoles) -> None:
@@ -82,7 +82,7 @@
 
     Example: irondrum health --console 127.0.0.1:9901 --console 127.0.0.1:9902
     """
-    tell(ask_all(console, "GET", "/admin/health"))
+    print_responses(call_consoles(console, "GET", "/admin/health"))
 
 
 def stats(console: Consoles) -> None:
@@ -90,9 +90,9 @@
 
     Example: irondrum stats --console 127.0.0.1:9901
     """
-    told, missing = reports(console, "/admin/stats")
+    told, missing = fetch_reports(console, "/admin/stats")
     typer.echo(json.dumps(told, indent=1))
-    tell(missing)
+    print_responses(missing)
 
 
 def cordon(server: Annotated[str, typer.Argument(help="The server's ID.")], console: Consoles) -> None:
@@ -100,7 +100,7 @@
 
     Example: irondrum cordon s-5be2a07c --console 127.0.0.1:9901 --console 127.0.0.1:9902
     """
-    tell(ask_all(console, "POST", "/admin/cordon", server))
+    print_responses(call_consoles(console, "POST", "/admin/cordon", server))
 
 
 def uncordon(server: Annotated[str, typer.Argument(help="The server's ID.")], console: Consoles) -> None:
@@ -108,7 +108,7 @@
 
     Example: irondrum uncordon s-5be2a07c --console 127.0.0.1:9901
     """
-    tell(ask_all(console, "POST", "/admin/uncordon", server))
+    print_responses(call_consoles(console, "POST", "/admin/uncordon", server))
 
 
 def top(
@@ -120,26 +120,26 @@
 
     Example: irondrum top --console 127.0.0.1:9901 --console 127.0.0.1:9902
     """
-    with Live(console=screen(), auto_refresh=False) as live:
-        for number, table in enumerate(tables(console, every), 1):
+    with Live(console=output_console(), auto_refresh=False) as live:
+        for number, table in enumerate(watch_tables(console, every), 1):
             live.update(table, refresh=True)
             if number == looks:
                 return
 
 
-def tables(consoles: list[str], every: float) -> Iterator[Table]:
+def watch_tables(consoles: list[str], every: float) -> Iterator[Table]:
     """A table of all balancers, again and again; rates are against the look before."""
     before: dict[str, dict[str, Any]] = {}
     then = time.monotonic()
     while True:
-        found, _ = reports(consoles, "/admin/stats")
+        found, _ = fetch_reports(consoles, "/admin/stats")
         now = time.monotonic()
-        yield table_of(consoles, found, before, max(now - then, 1e-9))
+        yield stats_table(consoles, found, before, max(now - then, 1e-9))
         before, then = found, now
         time.sleep(every)
 
 
-def table_of(
+def stats_table(
     consoles: list[str], found: dict[str, dict[str, Any]], before: dict[str, dict[str, Any]], span_s: float
 ) -> Table:
     """One look: rates a second where there was a look before, and how things stand."""
@@ -167,16 +167,16 @@
 
     Example: irondrum peers --console 127.0.0.1:9901 --console 127.0.0.1:9902
     """
-    views, missing = reports(console, "/admin/peers")
-    table, agreed = views_of(views)
-    screen().print(table)
-    tell(missing)
+    views, missing = fetch_reports(console, "/admin/peers")
+    table, agreed = membership_table(views)
+    output_console().print(table)
+    print_responses(missing)
     if not agreed:
         typer.echo("irondrum: they disagree", err=True)
-        raise typer.Exit(NOT_TAKEN)
+        raise typer.Exit(EXIT_NOT_ACCEPTED)
 
 
-def views_of(views: dict[str, dict[str, Any]]) -> tuple[Table, bool]:
+def membership_table(views: dict[str, dict[str, Any]]) -> tuple[Table, bool]:
     """A row for each member, a column for each view; where views differ, the row is marked."""
     table = Table("member", *views, "")
     agreed = True
@@ -195,12 +195,12 @@
 
     Example: irondrum lists --console 127.0.0.1:9901 --console 127.0.0.1:9902
     """
-    told, missing = reports(console, "/admin/list")
-    screen().print(lists_of(told))
-    tell(missing)
+    told, missing = fetch_reports(console, "/admin/list")
+    output_console().print(endpoint_list_table(told))
+    print_responses(missing)
 
 
-def lists_of(told: dict[str, dict[str, Any]]) -> Table:
+def endpoint_list_table(told: dict[str, dict[str, Any]]) -> Table:
     """A row for each balancer: ages in seconds, and the servers on which list and evidence differ."""
     table = Table(
         "balancer", "from", "version", "heard s", "changed s", "moves", "rewound", "doubted, silent"
--- a/loadbalancer/cli/scale.py
+++ b/loadbalancer/cli/scale.py
@@ -10,7 +10,7 @@
 import typer
 import uvloop
 
-from loadbalancer.cli.screen import screen
+from loadbalancer.cli.screen import output_console
 from loadbalancer.scale.figures import kept
 from loadbalancer.scale.plan import SHORT, Plan
 from loadbalancer.scale.play import Play
@@ -88,7 +88,7 @@
         away_s=away_s, changes=changes, changes_per_s=changes_per_s, settle_s=settle_s,
         patience_s=patience_s,         plant=plant,
     )  # fmt: skip
-    play = Play(plan, out, lambda line: screen().print(line, highlight=False))
+    play = Play(plan, out, lambda line: output_console().print(line, highlight=False))
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(play.run())
     typer.echo(out / "figures.json")
--- a/loadbalancer/cli/screen.py
+++ b/loadbalancer/cli/screen.py
@@ -6,9 +6,9 @@
 
 from rich.console import Console
 
-PIPE_WIDTH = 240
+PIPE_WIDTH_COLUMNS = 240
 
 
-def screen() -> Console:
+def output_console() -> Console:
     """Standard output, as wide as it is, or wide enough where no terminal says."""
-    return Console(width=None if sys.stdout.isatty() else PIPE_WIDTH)
+    return Console(width=None if sys.stdout.isatty() else PIPE_WIDTH_COLUMNS)
--- a/loadbalancer/cli/serve.py
+++ b/loadbalancer/cli/serve.py
@@ -12,7 +12,7 @@
 
 from loadbalancer import __main__ as program
 from loadbalancer import configuration
-from loadbalancer.cli.misuse import Misuse
+from loadbalancer.cli.misuse import UsageError
 from loadbalancer.net.log import Fields, Sink
 
 FORMS = ("text", "json")
@@ -46,7 +46,7 @@
     Example: irondrum serve docs/irondrum.toml --log json
     """
     if log not in FORMS:
-        raise Misuse(f"--log {log!r}; allowed: {', '.join(FORMS)}")
+        raise UsageError(f"--log {log!r}; allowed: {', '.join(FORMS)}")
     config = configuration.read(file, lambda note: typer.echo(f"irondrum: {note}", err=True))
     raise typer.Exit(program.run(config, lambda note: configuration.read(file, note), _sink(log)))
 
@@ -63,7 +63,7 @@
         typer.echo(json.dumps(configuration.schema(), indent=1))
         return
     if file is None:
-        raise Misuse("check: name a file, or give --schema")
+        raise UsageError("check: name a file, or give --schema")
     config = configuration.read(file, lambda note: None)
     known = len(config.initial_list.endpoints)
     typer.echo(f"{file}: can be used; {len(config.settings.classes)} classes, {known} servers known")
--- a/loadbalancer/cli/zone.py
+++ b/loadbalancer/cli/zone.py
@@ -8,9 +8,9 @@
 import typer
 from rich.table import Table
 
-from loadbalancer.cli.misuse import Misuse
-from loadbalancer.cli.operate import Consoles, ask_all, reports, tell
-from loadbalancer.cli.screen import screen
+from loadbalancer.cli.misuse import UsageError
+from loadbalancer.cli.operate import Consoles, call_consoles, fetch_reports, print_responses
+from loadbalancer.cli.screen import output_console
 from loadbalancer.configuration.units import duration_ms
 
 app = typer.Typer(no_args_is_help=True, help="Leave a zone by hand, and come back to it.")
@@ -22,7 +22,7 @@
     try:
         return duration_ms(text) / 1_000
     except ValueError:
-        raise Misuse(f'--over {text!r}: give a time such as "60s", "500ms" or "2m"') from None
+        raise UsageError(f'--over {text!r}: give a time such as "60s", "500ms" or "2m"') from None
 
 
 @app.command()
@@ -35,7 +35,7 @@
     Example: irondrum zone leave east --over 60s --console 127.0.0.1:9901 --console 127.0.0.1:9902
     """
     body = f"{zone} over={_seconds(over):g}" + (" force" if force else "")
-    tell(ask_all(console, "POST", "/admin/zone/leave", body))
+    print_responses(call_consoles(console, "POST", "/admin/zone/leave", body))
 
 
 @app.command("return")
@@ -44,7 +44,7 @@
 
     Example: irondrum zone return east --over 60s --console 127.0.0.1:9901
     """
-    tell(ask_all(console, "POST", "/admin/zone/return", f"{zone} over={_seconds(over):g}"))
+    print_responses(call_consoles(console, "POST", "/admin/zone/return", f"{zone} over={_seconds(over):g}"))
 
 
 @app.command()
@@ -53,15 +53,15 @@
 
     Example: irondrum zone status --console 127.0.0.1:9901 --console 127.0.0.1:9902
     """
-    told, missing = reports(console, "/admin/zones")
+    told, missing = fetch_reports(console, "/admin/zones")
     if as_json:
         typer.echo(json.dumps(told, indent=1))
     else:
-        screen().print(table_of(told))
-    tell(missing)
+        output_console().print(zone_table(told))
+    print_responses(missing)
 
 
-def table_of(told: dict[str, dict[str, Any]]) -> Table:
+def zone_table(told: dict[str, dict[str, Any]]) -> Table:
     """A row for each balancer and zone."""
     table = Table("balancer", "zone", "part drawn from", "ready", "calls out", "room")
     for console, zones in told.items():
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,9 +10,9 @@
 import pytest
 from typer.testing import CliRunner
 
-from loadbalancer.cli.lab import find, seeds_of
+from loadbalancer.cli.lab import load_scenario, parse_seeds
 from loadbalancer.cli.main import app
-from loadbalancer.cli.misuse import Misuse
+from loadbalancer.cli.misuse import UsageError
 from loadbalancer.lab import plays
 from loadbalancer.lab.compare import compare
 from loadbalancer.simulation.scenario import ScenarioError
@@ -79,7 +79,7 @@
     )
     script = (
         "import sys; from pathlib import Path; from loadbalancer.lab import policies, plays\n"
-        "from loadbalancer.cli.lab import find\n"
+        "from loadbalancer.cli.lab import load_scenario\n"
         "policies.use(Path(sys.argv[1]))\n"
         "plan = find('calm', ['load.seconds=3'])\n"
         "print(*(plays.play(plays.Job('calm', 1, name, name, plan)).figure for name in ('ours', 'least')))\n"
@@ -108,16 +108,16 @@
 
 
 def test_seeds_are_read_as_people_write_them() -> None:
-    assert seeds_of("1-3,7,2") == [1, 2, 3, 7]
+    assert parse_seeds("1-3,7,2") == [1, 2, 3, 7]
     for text in ("", "x", "3-1", "1-99999"):
-        with pytest.raises(Misuse, match="--seeds"):
-            seeds_of(text)
+        with pytest.raises(UsageError, match="--seeds"):
+            parse_seeds(text)
 
 
 def test_every_scenario_of_the_repository_can_be_used() -> None:
     names = [path.stem for path in sorted((ROOT / "scenarios").glob("*.toml"))]
     assert len(names) >= 13
-    assert all(find(name, []).title for name in names)
+    assert all(load_scenario(name, []).title for name in names)
     assert "crowd" in run("lab", "list")
 
 
@@ -129,8 +129,8 @@
     ],
 )
 def test_changes_that_are_wrong_are_told_in_one_line(change: str, told: str) -> None:
-    with pytest.raises((Misuse, ScenarioError), match=told) as caught:
-        find("calm", [change])
+    with pytest.raises((UsageError, ScenarioError), match=told) as caught:
+        load_scenario("calm", [change])
     assert "\n" not in str(caught.value)
 
 
--- a/tests/test_membership_udp.py
+++ b/tests/test_membership_udp.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from loadbalancer.cli.operate import views_of
+from loadbalancer.cli.operate import membership_table
 from loadbalancer.membership import MemberState
 from loadbalancer.net.config import Config, ConfigError
 from loadbalancer.net.config_reader import read_config
@@ -145,9 +145,9 @@
 
 def test_differing_views_are_no_agreement() -> None:
     alive, gone = ({"members": [{"state": s, "incarnation": 0}]} for s in ("alive", "gone"))
-    assert views_of({"a": alive, "b": alive})[1]
-    assert not views_of({"a": alive, "b": gone})[1]
-    assert not views_of({"a": alive, "b": {"members": []}})[1]
+    assert membership_table({"a": alive, "b": alive})[1]
+    assert not membership_table({"a": alive, "b": gone})[1]
+    assert not membership_table({"a": alive, "b": {"members": []}})[1]
 
 
 def test_fleet_tag_differs_by_tier() -> None:
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -54,7 +54,7 @@
         env=os.environ | {"TMPDIR": str(tmp_path)},
     ) as process:  # fmt: skip
         try:
-            while not operate.ask(console, "GET", "/admin/health").is_yes:
+            while not operate.call_console(console, "GET", "/admin/health").is_accepted:
                 assert process.poll() is None
             yield Served(process, path, address, console)
         finally:
