--- a/loadbalancer/cli/demo.py
+++ b/loadbalancer/cli/demo.py
@@ -17,7 +17,7 @@
 from rich.text import Text
 
 from loadbalancer.cli.operate import fetch_reports, stats_table
-from loadbalancer.cli.screen import output_console
+from loadbalancer.cli.output import output_console
 from loadbalancer.drill import history, open_load
 from loadbalancer.drill.checks import judgement
 from loadbalancer.drill.execution.player import Drive
--- a/loadbalancer/cli/directory.py
+++ b/loadbalancer/cli/directory.py
@@ -14,8 +14,8 @@
 import typer
 from rich.table import Table
 
-from loadbalancer.cli.misuse import UsageError
-from loadbalancer.cli.screen import output_console
+from loadbalancer.cli.output import output_console
+from loadbalancer.cli.usage_error import UsageError
 from loadbalancer.registry import server
 from loadbalancer.registry.agent import Agent, passes_health_check
 from loadbalancer.registry.agent import run as run_agent
--- a/loadbalancer/cli/drill.py
+++ b/loadbalancer/cli/drill.py
@@ -13,8 +13,8 @@
 import uvloop
 from rich.table import Table
 
-from loadbalancer.cli.misuse import UsageError, find_file
-from loadbalancer.cli.screen import output_console
+from loadbalancer.cli.output import output_console
+from loadbalancer.cli.usage_error import UsageError, find_file
 from loadbalancer.drill import history, seeded_defects
 from loadbalancer.drill.checks import judgement
 from loadbalancer.drill.checks.timeline import Check
--- a/loadbalancer/cli/lab.py
+++ b/loadbalancer/cli/lab.py
@@ -15,7 +15,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from loadbalancer.cli.misuse import UsageError, find_file
+from loadbalancer.cli.usage_error import UsageError, find_file
 from loadbalancer.lab import plays, policies
 from loadbalancer.lab.compare import compare as paired
 from loadbalancer.simulation import scenario as scenarios
--- a/loadbalancer/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -9,7 +9,7 @@
 import typer
 
 from loadbalancer.cli import demo, directory, drill, lab, operate, scale, serve, zone
-from loadbalancer.cli.misuse import UsageError
+from loadbalancer.cli.usage_error import UsageError
 from loadbalancer.configuration import ConfigurationError
 from loadbalancer.drill.open_load import LoadError
 from loadbalancer.drill.processes.supervisor import DriveError
--- a/loadbalancer/cli/operate.py
+++ b/loadbalancer/cli/operate.py
@@ -14,8 +14,8 @@
 from rich.live import Live
 from rich.table import Table
 
-from loadbalancer.cli.misuse import UsageError
-from loadbalancer.cli.screen import output_console
+from loadbalancer.cli.output import output_console
+from loadbalancer.cli.usage_error import UsageError
 
 CONSOLE_TIMEOUT_S = 2.0
 EXIT_NOT_ACCEPTED = 1
--- a/loadbalancer/cli/scale.py
+++ b/loadbalancer/cli/scale.py
@@ -10,7 +10,7 @@
 import typer
 import uvloop
 
-from loadbalancer.cli.screen import output_console
+from loadbalancer.cli.output import output_console
 from loadbalancer.scale.figures import kept
 from loadbalancer.scale.plan import SHORT, Plan
 from loadbalancer.scale.play import Play
--- a/loadbalancer/cli/serve.py
+++ b/loadbalancer/cli/serve.py
@@ -12,7 +12,7 @@
 
 from loadbalancer import __main__ as program
 from loadbalancer import configuration
-from loadbalancer.cli.misuse import UsageError
+from loadbalancer.cli.usage_error import UsageError
 from loadbalancer.net.log import Fields, Sink
 
 FORMS = ("text", "json")
--- a/loadbalancer/cli/zone.py
+++ b/loadbalancer/cli/zone.py
@@ -8,9 +8,9 @@
 import typer
 from rich.table import Table
 
-from loadbalancer.cli.misuse import UsageError
 from loadbalancer.cli.operate import Consoles, call_consoles, fetch_reports, print_responses
-from loadbalancer.cli.screen import output_console
+from loadbalancer.cli.output import output_console
+from loadbalancer.cli.usage_error import UsageError
 from loadbalancer.configuration.units import duration_ms
 
 app = typer.Typer(no_args_is_help=True, help="Leave a zone by hand, and come back to it.")
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,7 +12,7 @@
 
 from loadbalancer.cli.lab import load_scenario, parse_seeds
 from loadbalancer.cli.main import app
-from loadbalancer.cli.misuse import UsageError
+from loadbalancer.cli.usage_error import UsageError
 from loadbalancer.lab import plays
 from loadbalancer.lab.compare import compare
 from loadbalancer.simulation.scenario import ScenarioError
@@ -81,7 +81,7 @@
         "import sys; from pathlib import Path; from loadbalancer.lab import policies, plays\n"
         "from loadbalancer.cli.lab import load_scenario\n"
         "policies.use(Path(sys.argv[1]))\n"
-        "plan = find('calm', ['load.seconds=3'])\n"
+        "plan = load_scenario('calm', ['load.seconds=3'])\n"
         "print(*(plays.play(plays.Job('calm', 1, name, name, plan)).figure for name in ('ours', 'least')))\n"
     )
     told = subprocess.run(
