--- a/loadbalancer/cli/demo.py
+++ b/loadbalancer/cli/demo.py
@@ -1,4 +1,4 @@
-"""`irondrum demo` and `irondrum load`: see it work, and put work on it."""
+"""`irondrum demo` and `irondrum load`: a short drill on the screen, and open load on an address."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 from rich.table import Table
 from rich.text import Text
 
-from loadbalancer.cli.operate import fetch_reports, stats_table
+from loadbalancer.cli.console_client import fetch_reports
+from loadbalancer.cli.console_tables import stats_table
 from loadbalancer.cli.output import output_console
 from loadbalancer.drill import history, open_load
 from loadbalancer.drill.checks import judgement
@@ -25,6 +26,7 @@
 from loadbalancer.drill.scenario import definition
 
 REFRESH_INTERVAL_S = 0.5
+MAX_SHOWN_FAULTS = 5
 EXIT_CHECK_FAILED = 1
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 DEMO_DRILL = """
@@ -66,52 +68,55 @@
 
 
 class Demo:
-    """The demo's screen: what balancers say, and what has been done to the fleet."""
+    """The demo's screen: what balancers report, and what has been done to the fleet."""
 
-    def __init__(self, keep: bool, console: Console) -> None:
-        self._keep, self._console = keep, console
-        self._before: dict[str, dict[str, Any]] = {}
-        self._asked = 0
+    def __init__(self, console: Console, *, stays_up: bool) -> None:
+        self._console = console
+        self._stays_up = stays_up
+        self._last_stats: dict[str, dict[str, Any]] = {}
+        self._request_count = 0
 
     async def play(self, drill: definition.Script, seed: int, out: Path) -> None:
-        """Play the story with a live table; with `keep`, stay up until Ctrl-C."""
-        drive = Drive(drill, seed, out, on_progress=self._progress, on_over=self._stay)
+        """Play the drill with a live table; with `stays_up`, go on until Ctrl-C."""
+        drive = Drive(drill, seed, out, on_progress=self._progress, on_over=self._wait_for_interrupt)
         playing = asyncio.create_task(drive.run())
         try:
             with Live(console=self._console, auto_refresh=False) as live:
-                while not playing.done() and self._asked < drill.load.requests:
+                while not playing.done() and self._request_count < drill.load.requests:
                     await asyncio.wait([playing], timeout=REFRESH_INTERVAL_S)
-                    if not playing.done() and self._asked:
-                        live.update(await self._look(drive, drill), refresh=True)
+                    if not playing.done() and self._request_count:
+                        live.update(await self._render(drive, drill), refresh=True)
             await playing
         except asyncio.CancelledError:
             playing.cancel()
             await asyncio.gather(playing, return_exceptions=True)
-            if not self._keep:
+            if not self._stays_up:
                 raise
 
     def _progress(self, line: dict[str, Any]) -> None:
-        self._asked = line["asked"]
+        self._request_count = line["asked"]
 
-    async def _look(self, drive: Drive, drill: definition.Script) -> Group:
+    async def _render(self, drive: Drive, drill: definition.Script) -> Group:
         names = {spot.console: spot.name for spot in drive.fleet.balancers(FIRST)}
-        told, _ = await asyncio.to_thread(fetch_reports, list(names), "/admin/stats")
-        found = {names[console]: figures for console, figures in told.items()}
-        table = stats_table(list(names.values()), found, self._before, REFRESH_INTERVAL_S)
-        self._before = found
+        reports, _ = await asyncio.to_thread(fetch_reports, list(names), "/admin/stats")
+        stats = {names[console]: report for console, report in reports.items()}
+        table = stats_table(list(names.values()), stats, self._last_stats, REFRESH_INTERVAL_S)
+        self._last_stats = stats
         return Group(
-            table, Text(f"{self._asked} of {drill.load.requests} requests asked"), *self._faults(drive)
+            table,
+            Text(f"{self._request_count} of {drill.load.requests} requests asked"),
+            *self._faults(drive),
         )
 
     def _faults(self, drive: Drive) -> list[Text]:
-        told = [e for e in history.read(drive.out) if e["what"] == "fault"]
+        faults = [e for e in history.read(drive.out) if e["what"] == "fault"]
         return [
             Text(f"  {e['kind']} {' '.join(e['targets'])} {'' if e['on'] else '(over)'}", style="yellow")
-            for e in told[-5:]
+            for e in faults[-MAX_SHOWN_FAULTS:]
         ]
 
-    async def _stay(self, fleet: Fleet) -> None:
-        if not self._keep:
+    async def _wait_for_interrupt(self, fleet: Fleet) -> None:
+        if not self._stays_up:
             return
         front = fleet.balancers(FIRST)[0]
         host, port = fleet.links[f"clients>{front.name}"].address
@@ -141,16 +146,16 @@
     with tempfile.TemporaryDirectory() as folder:
         out = Path(folder) / "demo"
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(Demo(keep, console).play(drill, seed, out))
+            runner.run(Demo(console, stays_up=keep).play(drill, seed, out))
         found = judgement.judge(drill, history.read(out))
     for check in found:
         mark = "[green]held[/green]" if check.held else f"[red]broken: {check.first}[/red]"
         console.print(
             f"  {check.name:<14}{check.measured:>8g}  bound {check.bound:<6g} {mark}", highlight=False
         )
-    held = all(check.held for check in found)
-    console.print(f"{'Nothing broke' if held else 'Something broke'}, {time.monotonic() - began:.0f} s")
-    if not held:
+    is_passed = all(check.held for check in found)
+    console.print(f"{'Nothing broke' if is_passed else 'Something broke'}, {time.monotonic() - began:.0f} s")
+    if not is_passed:
         raise typer.Exit(EXIT_CHECK_FAILED)
 
 
@@ -163,7 +168,7 @@
     anywhere: Annotated[bool, typer.Option(help="Load an address that is not loopback.")] = False,
     as_json: Annotated[bool, typer.Option("--json", help="One line of JSON.")] = False,
 ) -> None:
-    """Ask at a steady rate, whatever the answers, and tell what came of it; times count from when due.
+    """Send requests at a steady rate, whatever the answers, and print the outcome; latency is from when due.
 
     Example: irondrum load http://127.0.0.1:8080 --class map:3:500 --class unlock:1:4000:unsafe --rate 100
     """
@@ -171,11 +176,11 @@
     kinds = [open_load.read_kind(text) for text in kind]
     tallies = asyncio.run(open_load.run(url, kinds, rate, seconds, seed))
     if as_json:
-        told = {
+        summary = {
             name: {"endings": dict(t.endings), "ms": {f"p{p:g}": t.percentile_ms(p) for p in PERCENTILES}}
             for name, t in tallies.items()
         }
-        typer.echo(json.dumps(told))
+        typer.echo(json.dumps(summary))
         return
     table = Table("class", "requests", "endings", *[f"p{part:g} ms" for part in PERCENTILES])
     for name, tally in tallies.items():
--- a/loadbalancer/cli/lab.py
+++ b/loadbalancer/cli/lab.py
@@ -27,7 +27,7 @@
 
 
 def parse_seeds(text: str) -> list[int]:
-    """The seeds that a text such as `1-16` or `1,4,7-9` names; Misuse if it names none."""
+    """Return the seeds that a text such as `1-16` or `1,4,7-9` names; UsageError if it names none."""
     seeds: list[int] = []
     try:
         for part in text.split(","):
@@ -41,11 +41,13 @@
 
 
 def load_scenario(name: str, changes: list[str]) -> scenarios.Scenario:
-    """A scenario by its name or its file, with changes such as `choke.at=5` made to it."""
-    return scenarios.load(find_file(SCENARIO_FOLDER, "scenario", name), [_change(text) for text in changes])
+    """Return a scenario by its name or its file, with changes such as `choke.at=5` made to it."""
+    return scenarios.load(
+        find_file(SCENARIO_FOLDER, "scenario", name), [_parse_change(text) for text in changes]
+    )
 
 
-def _change(text: str) -> tuple[list[str], Any]:
+def _parse_change(text: str) -> tuple[list[str], Any]:
     where, equals, value = text.partition("=")
     try:
         if not equals:
@@ -69,45 +71,50 @@
     out: Annotated[Path, typer.Option(help="The folder for results; a run goes on behind what it holds.")],
     seeds: Annotated[str, typer.Option(help="Such as 1-16 or 1,4,7-9.")] = "1-4",
     policy: Annotated[str, typer.Option(help="Names, with commas between.")] = policies.OURS,
-    jobs: Annotated[int, typer.Option(min=1, help="Days played at once.")] = max(
-        (os.cpu_count() or 2) // 2, 1
-    ),
+    jobs: Annotated[int, typer.Option(min=1, help="Days played at once.")] = DEFAULT_JOBS,
     rev: Annotated[str, typer.Option(help="Play `ours` as it was at this commit.")] = "",
     changes: Annotated[list[str] | None, typer.Option("--set", help="Such as choke.at=5.")] = None,
     as_json: Annotated[bool, typer.Option("--json", help="The summary as JSON.")] = False,
 ) -> None:
     """Play scenarios: `irondrum lab run crowd rush --seeds 1-16 --policy ours,oracle --out results`."""
+    jobs_to_run = _plan_jobs(names, seeds, policy, rev, changes or [])
+    errors = Console(stderr=True)
+    with tempfile.TemporaryDirectory() as folder:
+        decisions = Path(folder) if rev else None
+        if decisions:
+            policies.unpack(rev, Path.cwd(), decisions)
+        with errors.status(f"{len(jobs_to_run)} days") if errors.is_terminal else nullcontext():
+            on_record = _ignore_record if as_json else _print_record
+            records = plays.run(jobs_to_run, out, jobs, decisions, on_record)
+    _print_summary(records, as_json=as_json)
+
+
+def _plan_jobs(names: list[str], seeds: str, policy: str, rev: str, changes: list[str]) -> list[plays.Job]:
+    """Return a job for each scenario, seed and policy; UsageError or PolicyError if there is no such one."""
     wanted = [name.strip() for name in policy.split(",")]
     for name in wanted:
         if name not in policies.NAMES:
             raise policies.PolicyError(f"no policy {name!r}; there are {', '.join(policies.NAMES)}")
     at_rev = f"@{rev}" if rev else ""
-    todo = [
-        plays.Job(Path(name).stem, seed, which, which + at_rev * (which == policies.OURS), plan)
+    return [
+        plays.Job(Path(name).stem, seed, which, which + at_rev * (which == policies.OURS), scenario)
         for name in names
-        for plan in [load_scenario(name, changes or [])]
+        for scenario in [load_scenario(name, changes)]
         for seed in parse_seeds(seeds)
         for which in wanted
     ]
-    errors = Console(stderr=True)
 
-    def tell(record: plays.Record) -> None:
-        if not as_json:
-            broken = f"  BROKEN {record.breaches[0]}" if record.breaches else ""
-            typer.echo(
-                f"{record.scenario:16} {record.seed:>5}  {record.policy:24} {record.figure:.3f}{broken}"
-            )
 
-    with tempfile.TemporaryDirectory() as folder:
-        decisions = Path(folder) if rev else None
-        if decisions:
-            policies.unpack(rev, Path.cwd(), decisions)
-        with errors.status(f"{len(todo)} days") if errors.is_terminal else nullcontext():
-            records = plays.run(todo, out, jobs, decisions, tell)
-    _summary(records, as_json)
+def _print_record(record: plays.Record) -> None:
+    broken = f"  BROKEN {record.breaches[0]}" if record.breaches else ""
+    typer.echo(f"{record.scenario:16} {record.seed:>5}  {record.policy:24} {record.figure:.3f}{broken}")
+
+
+def _ignore_record(record: plays.Record) -> None:
+    """Print nothing: with `--json` the summary alone is printed."""
 
 
-def _summary(records: list[plays.Record], as_json: bool) -> None:
+def _print_summary(records: list[plays.Record], *, as_json: bool) -> None:
     groups: dict[tuple[str, str], list[plays.Record]] = defaultdict(list)
     for record in records:
         groups[record.scenario, record.policy].append(record)
@@ -138,7 +145,7 @@
     try:
         rows = paired(plays.read(before), plays.read(after))
     except (OSError, ValueError) as error:
-        raise UsageError(str(error)) from None
+        raise UsageError(str(error)) from error
     if as_json:
         typer.echo(msgspec.json.encode(rows).decode())
         return
--- a/loadbalancer/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -1,4 +1,4 @@
-"""The commands, each a thin way into a part of the package; errors are one plain line, and status 2."""
+"""The program `loadbalancer` (old name: `irondrum`): commands, each a thin way into a part of the package."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import typer
 
-from loadbalancer.cli import demo, directory, drill, lab, operate, scale, serve, zone
+from loadbalancer.cli import demo, directory, drill, lab, operations, scale, serve, zone
 from loadbalancer.cli.usage_error import UsageError
 from loadbalancer.configuration import ConfigurationError
 from loadbalancer.drill.open_load import LoadError
@@ -28,12 +28,22 @@
 app.add_typer(zone.app, name="zone")
 app.add_typer(scale.app, name="scale")
 for command in (
-    serve.serve, serve.check, operate.health, operate.stats, operate.cordon, operate.uncordon, operate.top,
-    operate.peers, operate.lists, demo.demo,
-):  # fmt: skip
+    serve.serve,
+    serve.check,
+    operations.health,
+    operations.stats,
+    operations.cordon,
+    operations.uncordon,
+    operations.top,
+    operations.peers,
+    operations.lists,
+    demo.demo,
+):
     app.command()(command)
 app.command("load")(demo.load_)
-MISUSES = (
+EXIT_USAGE_ERROR = 2
+EXIT_INTERRUPTED = 130  # as a shell reports SIGINT
+USAGE_ERRORS = (
     UsageError,
     ScenarioError,
     PolicyError,
@@ -56,22 +66,22 @@
 @app.callback()
 def loadbalancer(
     show: Annotated[
-        bool, typer.Option("--version", callback=_show_version, is_eager=True, help="Tell the version.")
+        bool, typer.Option("--version", callback=_show_version, is_eager=True, help="Print the version.")
     ] = False,
 ) -> None:
     """A load balancer for services that call services, and the tools round it."""
 
 
 def main() -> None:
-    """Run a command; what is used wrongly is told in one line on standard error."""
+    """Run a command; a usage error is one line on standard error, and status 2."""
     try:
         app()
     except ConfigurationError as error:
         for line in error.lines:
             print(f"irondrum: {line}", file=sys.stderr)
-        sys.exit(2)
-    except MISUSES as error:
+        sys.exit(EXIT_USAGE_ERROR)
+    except USAGE_ERRORS as error:
         print(f"irondrum: {error}", file=sys.stderr)
-        sys.exit(2)
+        sys.exit(EXIT_USAGE_ERROR)
     except KeyboardInterrupt:
-        sys.exit(130)
+        sys.exit(EXIT_INTERRUPTED)
--- a/loadbalancer/cli/output.py
+++ b/loadbalancer/cli/output.py
@@ -10,5 +10,5 @@
 
 
 def output_console() -> Console:
-    """Standard output, as wide as it is, or wide enough where no terminal says."""
+    """Return standard output, as wide as the terminal, or wide enough where there is none."""
     return Console(width=None if sys.stdout.isatty() else PIPE_WIDTH_COLUMNS)
--- a/loadbalancer/cli/scale.py
+++ b/loadbalancer/cli/scale.py
@@ -32,9 +32,9 @@
 
     Example: irondrum scale keep found/scale benchmarks/figures
     """
-    told = kept(json.loads((folder / "figures.json").read_text(encoding="utf-8")))
-    path = into / f"scale-{told['size']}-{told['mechanism']}.json"
-    path.write_text(json.dumps(told, indent=1) + "\n", encoding="utf-8")
+    figures = kept(json.loads((folder / "figures.json").read_text(encoding="utf-8")))
+    path = into / f"scale-{figures['size']}-{figures['mechanism']}.json"
+    path.write_text(json.dumps(figures, indent=1) + "\n", encoding="utf-8")
     typer.echo(path)
 
 
@@ -73,9 +73,11 @@
     changes: Annotated[int, typer.Option(help="In the step of changes.")] = 60,
     changes_per_s: Annotated[float, typer.Option(help="15,000 a day are 0.17 a second.")] = 3.0,
     settle_s: Annotated[float, typer.Option(help="After each step, part of it.")] = 8.0,
-    patience_s: Annotated[float, typer.Option(help="Past that, for who is stale or untold.")] = 0.0,
+    extra_wait_s: Annotated[
+        float, typer.Option("--patience-s", help="Past that, for who is stale or not notified.")
+    ] = 0.0,
     seed: Annotated[int, typer.Option(help="Chance of what is changed.")] = 1,
-    plant: Annotated[str, typer.Option(help="Start with a known defect.")] = "",
+    defect: Annotated[str, typer.Option("--plant", help="Start with a known defect.")] = "",
 ) -> None:
     """Play the steps and write figures.json.
 
@@ -86,9 +88,13 @@
         instances=instances, services=services, lists=lists, steps=tuple(steps.split(",")), seed=seed,
         part=part, shared_reading=shared_reading, start_s=start_s, quiet_s=quiet_s,
         away_s=away_s, changes=changes, changes_per_s=changes_per_s, settle_s=settle_s,
-        patience_s=patience_s,         plant=plant,
+        patience_s=extra_wait_s, plant=defect,
     )  # fmt: skip
+    _play(plan, out)
+    typer.echo(out / "figures.json")
+
+
+def _play(plan: Plan, out: Path) -> None:
     play = Play(plan, out, lambda line: output_console().print(line, highlight=False))
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(play.run())
-    typer.echo(out / "figures.json")
--- a/loadbalancer/cli/serve.py
+++ b/loadbalancer/cli/serve.py
@@ -1,4 +1,4 @@
-"""`irondrum serve` and `irondrum check`: a configuration of one's own, and what is wrong with it."""
+"""`irondrum serve` and `irondrum check`: run a balancer by a configuration of one's own, and validate it."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from loadbalancer.cli.usage_error import UsageError
 from loadbalancer.net.log import Fields, Sink
 
-FORMS = ("text", "json")
+LOG_FORMATS = ("text", "json")
 
 
-def _sink(form: str) -> Sink:
-    """Events by structlog, as text or as JSON."""
+def _create_sink(log_format: str) -> Sink:
+    """Return a sink that writes events by structlog, as text or as JSON."""
     renderer: structlog.typing.Processor = (
         structlog.processors.JSONRenderer(default=str)
-        if form == "json"
+        if log_format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     logger = structlog.wrap_logger(
@@ -32,6 +32,7 @@
     )
 
     def write(name: str, event: str, text: str, fields: Fields) -> None:
+        """Write one event of the balancer `name`."""
         logger.msg(event, balancer=name, text=text, **fields)
 
     return write
@@ -45,17 +46,18 @@
 
     Example: irondrum serve docs/irondrum.toml --log json
     """
-    if log not in FORMS:
-        raise UsageError(f"--log {log!r}; allowed: {', '.join(FORMS)}")
-    config = configuration.read(file, lambda note: typer.echo(f"irondrum: {note}", err=True))
-    raise typer.Exit(program.run(config, lambda note: configuration.read(file, note), _sink(log)))
+    if log not in LOG_FORMATS:
+        raise UsageError(f"--log {log!r}; allowed: {', '.join(LOG_FORMATS)}")
+    config = configuration.read(file, lambda unknown: typer.echo(f"irondrum: {unknown}", err=True))
+    status = program.run(config, lambda on_unknown: configuration.read(file, on_unknown), _create_sink(log))
+    raise typer.Exit(status)
 
 
 def check(
     file: Annotated[Path | None, typer.Argument(help="The configuration, TOML or .json.")] = None,
     schema: Annotated[bool, typer.Option("--schema", help="Print the JSON Schema instead.")] = False,
 ) -> None:
-    """Tell every fault of a configuration at once, each with its path and what is allowed.
+    """Print all errors of a configuration at once, each with its path and what is allowed.
 
     Example: irondrum check docs/irondrum.toml
     """
@@ -64,6 +66,6 @@
         return
     if file is None:
         raise UsageError("check: name a file, or give --schema")
-    config = configuration.read(file, lambda note: None)
-    known = len(config.initial_list.endpoints)
-    typer.echo(f"{file}: can be used; {len(config.settings.classes)} classes, {known} servers known")
+    config = configuration.read(file, lambda unknown: None)
+    server_count = len(config.initial_list.endpoints)
+    typer.echo(f"{file}: can be used; {len(config.settings.classes)} classes, {server_count} servers known")
--- a/loadbalancer/cli/zone.py
+++ b/loadbalancer/cli/zone.py
@@ -1,14 +1,14 @@
-"""`irondrum zone`: leave a zone by hand, come back to it, and see how it stands, at several balancers."""
+"""`irondrum zone`: evacuate a zone by hand, return to it, and show its state, at several balancers."""
 
 from __future__ import annotations
 
 import json
-from typing import Annotated, Any
+from typing import Annotated
 
 import typer
-from rich.table import Table
 
-from loadbalancer.cli.operate import Consoles, call_consoles, fetch_reports, print_responses
+from loadbalancer.cli.console_client import Consoles, call_consoles, fetch_reports, print_responses
+from loadbalancer.cli.console_tables import zone_table
 from loadbalancer.cli.output import output_console
 from loadbalancer.cli.usage_error import UsageError
 from loadbalancer.configuration.units import duration_ms
@@ -27,10 +27,12 @@
 
 @app.command()
 def leave(
-    zone: Zone, console: Consoles, over: Over = "0s",
-    force: Annotated[bool, typer.Option("--force", help="Go on though the others have no room.")] = False,
-) -> None:  # fmt: skip
-    """Have balancers draw less and less from a zone, until nothing goes there; exit 1 if one did not.
+    zone: Zone,
+    console: Consoles,
+    over: Over = "0s",
+    force: Annotated[bool, typer.Option("--force", help="Go on though the others lack capacity.")] = False,
+) -> None:
+    """Have balancers send less and less to a zone, until it gets nothing; exit 1 if one did not accept it.
 
     Example: irondrum zone leave east --over 60s --console 127.0.0.1:9901 --console 127.0.0.1:9902
     """
@@ -40,7 +42,7 @@
 
 @app.command("return")
 def return_(zone: Zone, console: Consoles, over: Over = "30s") -> None:
-    """Have balancers come back to a zone in steps; exit 1 if one did not take it.
+    """Have balancers return to a zone in steps; exit 1 if one did not accept it.
 
     Example: irondrum zone return east --over 60s --console 127.0.0.1:9901
     """
@@ -49,23 +51,15 @@
 
 @app.command()
 def status(console: Consoles, as_json: Annotated[bool, typer.Option("--json")] = False) -> None:
-    """Show each zone's part in draws, its ready servers, calls out and room; exit 1 if one does not say.
+    """Show each zone's fraction of traffic, ready servers, calls in flight and free capacity.
+
+    Exit 1 if one does not answer.
 
     Example: irondrum zone status --console 127.0.0.1:9901 --console 127.0.0.1:9902
     """
-    told, missing = fetch_reports(console, "/admin/zones")
+    reports, failed = fetch_reports(console, "/admin/zones")
     if as_json:
-        typer.echo(json.dumps(told, indent=1))
+        typer.echo(json.dumps(reports, indent=1))
     else:
-        output_console().print(zone_table(told))
-    print_responses(missing)
-
-
-def zone_table(told: dict[str, dict[str, Any]]) -> Table:
-    """A row for each balancer and zone."""
-    table = Table("balancer", "zone", "part drawn from", "ready", "calls out", "room")
-    for console, zones in told.items():
-        for zone, one in zones.items():
-            figures = [f"{one['share']:.0%}", str(one["ready"]), f"{one['out']:.1f}", f"{one['room']:.1f}"]
-            table.add_row(console, zone or "(none)", *figures)
-    return table
+        output_console().print(zone_table(reports))
+    print_responses(failed)
--- a/tests/test_membership_udp.py
+++ b/tests/test_membership_udp.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from loadbalancer.cli.operate import membership_table
+from loadbalancer.cli.console_tables import membership_table
 from loadbalancer.membership import MemberState
 from loadbalancer.net.config import Config, ConfigError
 from loadbalancer.net.config_reader import read_config
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from loadbalancer.cli import operate
+from loadbalancer.cli.console_client import call_console
 from loadbalancer.drill.open_load import LoadError, check, read_kind
 from loadbalancer.drill.processes.placement import free_port
 
@@ -54,7 +54,7 @@
         env=os.environ | {"TMPDIR": str(tmp_path)},
     ) as process:  # fmt: skip
         try:
-            while not operate.call_console(console, "GET", "/admin/health").is_accepted:
+            while not call_console(console, "GET", "/admin/health").is_accepted:
                 assert process.poll() is None
             yield Served(process, path, address, console)
         finally:
