--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -59,14 +59,14 @@
     ("sockets", "own", "wanted"),
     [(1_024, 20_000, 464), (1_024, 256, 80), (256, resource.RLIM_INFINITY, 80), (16, 20_000, 4)],
 )
-def test_each_side_gets_its_part_of_what_the_configuration_and_the_process_allow(
+def test_each_side_gets_its_fraction_of_what_the_configuration_and_the_process_allow(
     sockets: int, own: int, wanted: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda kind: (own, own))
     assert max_connections_per_side(sockets) == wanted
 
 
-def test_an_accept_for_which_there_is_no_descriptor_is_not_tried_again_at_once() -> None:
+def test_an_accept_for_which_there_is_no_descriptor_is_not_retried_at_once() -> None:
     """The listener stays readable: an accept that fails and is tried at once would spin."""
 
     class Full(socket.socket):
@@ -113,7 +113,7 @@
         self.idle_since_s, self.ended = float("inf"), True
 
 
-def test_who_never_asked_makes_way_before_the_longest_idle_and_who_asks_does_not() -> None:
+def test_connections_without_a_request_are_evicted_before_the_longest_idle_and_busy_ones_never() -> None:
     now = 100.0
     asking = Idle(now - 50.0, asked=True, may_end=False)
     long_idle, idle, busy = (
@@ -137,7 +137,7 @@
     assert order == [stranger, long_idle, idle]
 
 
-def test_places_that_stay_taken_are_freed_faster_up_to_a_bound_until_nobody_waits() -> None:
+def test_evictions_double_up_to_a_bound_until_nobody_waits() -> None:
     eviction, now, counts = IdleEviction(), 100.0, list[int]()
     crowd = [Idle(0.0, asked=False) for _ in range(200)]
     for _ in range(7):
@@ -152,7 +152,7 @@
     assert sum(c.ended for c in crowd) - before == 1
 
 
-def test_who_makes_way_and_takes_no_answer_loses_its_place_all_the_same(
+def test_an_evicted_client_that_reads_no_response_is_closed_all_the_same(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What it had not taken of its answer was waited for without an end."""
--- a/tests/test_endings_callers.py
+++ b/tests/test_endings_callers.py
@@ -52,7 +52,7 @@
 
 
 @may_cancel
-def test_a_caller_whose_end_lies_behind_a_body_that_waits_is_not_sent_on(
+def test_a_request_is_not_forwarded_if_its_clients_end_lies_behind_an_unread_body(
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Reading was paused, so nobody saw its end, and its request was sent when the connection was up."""
@@ -76,7 +76,7 @@
 
 
 @may_cancel
-def test_requests_read_ahead_are_dropped_with_their_caller_though_reading_is_paused(
+def test_pipelined_requests_are_dropped_with_their_client_though_reading_is_paused(
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each was sent on as the one before it was answered, to a caller that had gone long ago."""
@@ -100,7 +100,7 @@
     run_scenario(scenario())
 
 
-def test_a_request_that_lay_in_the_kernel_until_its_caller_had_gone_is_not_sent_on() -> None:
+def test_a_request_that_lay_in_the_kernel_until_its_client_disconnected_is_not_forwarded() -> None:
     """There was no place for its connection; it was sent on when one became free."""
 
     async def scenario() -> None:
@@ -127,7 +127,7 @@
     run_scenario(scenario())
 
 
-def test_a_caller_that_ends_its_sending_and_reads_no_more_frees_all_at_once() -> None:
+def test_a_client_that_ends_its_sending_and_reads_no_more_frees_all_at_once() -> None:
     """While its answer could not leave it was not seen to have gone, and all it had asked for went on."""
 
     async def scenario() -> None:
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize("path", ["/nosuch/x", "/healthz", "/read/x"])
-def test_a_flood_of_bodies_that_are_not_sent_on_leaves_nothing_held(path: str) -> None:
+def test_a_flood_of_bodies_that_are_not_forwarded_leaves_nothing_buffered(path: str) -> None:
     """The bytes of bodies that were turned away counted as held for good, till nobody might send any."""
 
     async def scenario() -> None:
@@ -172,7 +172,7 @@
     run_scenario(scenario())
 
 
-def test_a_connection_that_we_have_aborted_has_nobody_at_its_other_end() -> None:
+def test_a_connection_that_we_have_aborted_counts_as_closed_by_its_peer() -> None:
     """Its descriptor may be another's by now: it is not asked."""
 
     async def scenario() -> None:
@@ -189,7 +189,7 @@
     run_scenario(scenario())
 
 
-def test_hundreds_that_wait_for_room_and_leave_at_once_free_all_they_held() -> None:
+def test_hundreds_of_queued_clients_that_disconnect_at_once_free_all_they_held() -> None:
     async def scenario() -> None:
         upstream = Upstream(never_answer)
         async with ProxyHarness(upstream, classes=[PATIENT]) as rig:
@@ -214,7 +214,7 @@
 
 
 @may_cancel
-def test_a_thousand_whose_connections_are_dialled_leave_at_once_and_none_is_sent_on(
+def test_a_thousand_clients_that_disconnect_while_connections_come_up_have_nothing_forwarded(
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
@@ -245,7 +245,7 @@
     os.write(caller.writer.get_extra_info("socket").fileno(), data)
 
 
-def test_a_first_request_in_the_instant_in_which_our_patience_ends_is_answered(
+def test_a_first_request_in_the_instant_of_the_request_timeout_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It lay in the kernel, unread, when its connection was ended as one that asks for nothing."""
@@ -274,7 +274,7 @@
 
 
 @pytest.mark.parametrize("first", ["deadline", "answer"])
-def test_the_deadline_and_the_answer_in_one_turn_give_one_final_answer(first: str) -> None:
+def test_the_deadline_and_the_response_in_one_turn_give_one_final_response(first: str) -> None:
     async def scenario() -> None:
         upstream = Upstream(never_answer, http_response(200, b"second"))
         async with ProxyHarness(upstream) as rig:
@@ -308,7 +308,7 @@
 
 
 @pytest.mark.parametrize("first", ["leaves", "answer"])
-def test_a_caller_that_leaves_as_its_answer_comes_leaves_nothing_behind(first: str) -> None:
+def test_a_client_that_disconnects_as_its_response_comes_leaves_nothing_behind(first: str) -> None:
     async def scenario() -> None:
         upstream = Upstream(never_answer)
         async with ProxyHarness(upstream) as rig:
@@ -327,7 +327,7 @@
     run_scenario(scenario())
 
 
-def test_what_was_never_written_is_refused_at_its_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_that_was_never_written_is_rejected_at_its_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     """It was answered as failed, though its connection had never come up: nobody might ask again."""
 
     async def scenario() -> None:
@@ -353,7 +353,7 @@
         monkeypatch.setattr(downstream_listener, name, 0.0)
 
 
-def test_requests_behind_one_that_hangs_get_their_answers_at_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_behind_one_that_hangs_are_answered_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     """The first was answered, the next was taken up and sent on, and the process ended under it."""
     end_at_once(monkeypatch)
 
@@ -372,7 +372,7 @@
     run_scenario(scenario())
 
 
-def test_a_slow_reader_gets_the_rest_of_its_answer_before_the_process_goes(
+def test_a_slow_reader_gets_the_rest_of_its_response_before_the_process_exits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Whoever had not read when the time was up found its answer cut off."""
@@ -398,7 +398,7 @@
     run_scenario(scenario())
 
 
-def test_an_answer_that_is_cut_off_by_the_end_is_not_taken_for_whole(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_response_that_is_cut_off_by_shutdown_does_not_look_complete(monkeypatch: pytest.MonkeyPatch) -> None:
     end_at_once(monkeypatch)
     monkeypatch.setattr(downstream_listener, "SHUTDOWN_UNREAD_S", 0.0)
 
@@ -419,7 +419,7 @@
 
 @pytest.mark.parametrize("at", ["while there is time", "when the time is up"])
 @pytest.mark.parametrize("sent", [b"", HEAD[:40], HEAD])
-def test_what_crosses_our_half_close_is_read_and_dropped_and_the_end_is_clean(
+def test_input_that_crosses_our_half_close_is_dropped_and_the_close_is_clean(
     sent: bytes, at: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A close over unread bytes resets the connection, and takes the answer before them with it."""
@@ -457,7 +457,7 @@
     run_scenario(scenario())
 
 
-def test_a_request_that_comes_as_the_time_is_up_is_refused_with_an_answer(
+def test_a_request_that_comes_at_the_shutdown_deadline_is_rejected_with_a_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It lay in the kernel when its connection was ended, and had no answer."""
@@ -487,7 +487,7 @@
     run_scenario(scenario())
 
 
-def test_what_waits_for_a_place_when_the_process_is_told_to_end_is_answered(
+def test_a_connection_in_the_kernels_queue_at_shutdown_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """All places were taken: it was reset with the listener, though the machine had accepted it."""
@@ -515,7 +515,7 @@
     run_scenario(scenario())
 
 
-def test_a_body_that_comes_in_as_the_time_is_up_is_answered_and_read_to_its_end(
+def test_a_body_that_comes_in_at_the_shutdown_deadline_is_answered_and_read_to_its_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     end_at_once(monkeypatch)
@@ -543,7 +543,7 @@
     run_scenario(scenario())
 
 
-def test_the_program_ends_with_every_answer_out_whatever_signals_come(tmp_path: Path) -> None:
+def test_the_program_exits_with_every_response_sent_whatever_signals_come(tmp_path: Path) -> None:
     """In flight past its deadline, half a request, idle, pipelined; a second SIGTERM and SIGHUP meanwhile."""
 
     async def scenario() -> None:
@@ -576,7 +576,7 @@
     run_scenario(scenario())
 
 
-def test_a_flood_of_peers_that_send_much_and_go_leaves_the_program_as_it_was(tmp_path: Path) -> None:
+def test_a_flood_of_peers_that_send_much_and_disconnect_leaves_the_program_as_it_was(tmp_path: Path) -> None:
     """Descriptors and memory of the process itself are looked at: what is not counted shows here, too."""
 
     async def scenario() -> None:
--- a/tests/test_endings_upstreams.py
+++ b/tests/test_endings_upstreams.py
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("order", ["before it is up", "right when it is up"])
 @pytest.mark.parametrize("ending", ENDINGS)
-def test_a_dial_that_comes_up_as_its_attempt_ends_leaves_no_connection_and_sends_nothing(
+def test_a_connection_that_comes_up_as_its_attempt_ends_is_closed_and_sends_nothing(
     ending: str, order: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A dial for a server that had started anew meanwhile went to the new process; `open` counted late."""
@@ -101,7 +101,7 @@
     run_scenario(scenario())
 
 
-def test_many_dials_at_once_keep_to_the_bound_on_connections(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_many_connects_at_once_keep_to_the_bound_on_connections(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each was counted when it began to connect, in a later turn of the loop: a burst went over the bound."""
 
     async def scenario() -> None:
@@ -119,7 +119,7 @@
     run_scenario(scenario())
 
 
-def test_a_time_out_of_the_dial_and_the_dial_in_one_turn_end_the_attempt_once(
+def test_a_connect_and_its_timeout_in_one_turn_end_the_attempt_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("path", ["/read/x", "/pay/x"])
-def test_a_client_that_leaves_while_its_connection_is_dialled_is_not_sent_on(
+def test_a_client_that_disconnects_while_its_connection_comes_up_has_nothing_forwarded(
     may_cancel: bool, path: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Where the settings forbid cancelling the dial went on, and the request was sent when it was up."""
@@ -163,7 +163,7 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_a_client_that_leaves_behind_half_a_body_frees_the_upstream_at_once(may_cancel: bool) -> None:
+def test_a_client_that_disconnects_behind_half_a_body_frees_the_upstream_at_once(may_cancel: bool) -> None:
     """Where the settings forbid cancelling, the attempt stayed out until nothing had moved for 20 s."""
 
     async def scenario() -> None:
@@ -202,7 +202,7 @@
     run_scenario(scenario())
 
 
-def test_the_copy_of_an_answered_request_is_not_written_when_its_dial_comes_up(
+def test_the_hedge_of_an_answered_request_is_not_written_when_its_connection_comes_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Where the settings forbid cancelling, a second attempt was sent after the final answer had gone out."""
@@ -237,7 +237,7 @@
 # ---- repeats that are late ----------------------------------------------------------------------
 
 
-def test_a_repeat_whose_connection_comes_up_after_its_window_is_not_written(
+def test_a_retry_whose_connection_comes_up_after_its_window_is_not_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It was allowed when it was decided, and was sent when the servers had forgotten the first attempt."""
@@ -260,7 +260,7 @@
     run_scenario(scenario())
 
 
-def test_the_last_byte_of_a_repeat_leaves_within_its_window_or_never() -> None:
+def test_the_last_byte_of_a_retry_leaves_within_its_window_or_never() -> None:
     """The upstream reads nothing: most of the request is still with us when the time is over."""
 
     async def scenario() -> None:
@@ -282,7 +282,7 @@
     run_scenario(scenario())
 
 
-def test_a_repeat_that_was_written_in_time_is_waited_for() -> None:
+def test_a_retry_that_was_written_in_time_is_waited_for() -> None:
     async def scenario() -> None:
         upstream = Upstream(never_answer)
         upstreams = make_pools(await upstream.start())
@@ -299,7 +299,7 @@
 # ---- answers that cross -------------------------------------------------------------------------
 
 
-def test_an_answer_before_the_last_byte_of_its_request_is_none() -> None:
+def test_a_response_before_the_last_byte_of_its_request_is_none() -> None:
     """Nobody begins before the last byte has come: it is for what was asked on this connection before."""
 
     async def scenario() -> None:
@@ -317,7 +317,7 @@
     run_scenario(scenario())
 
 
-def test_a_second_answer_that_comes_late_meets_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_second_response_that_comes_late_meets_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """It came when its connection had just been taken again, and was passed on as the next one's answer."""
     monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 3_600.0)  # however slow the machine is
 
@@ -339,7 +339,7 @@
     run_scenario(scenario())
 
 
-def test_a_rested_connection_is_taken_again_and_a_resting_one_is_kept(
+def test_a_rested_connection_is_reused_and_a_resting_one_stays_idle(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -363,7 +363,7 @@
 
 
 @pytest.mark.parametrize("begun", [b"HTTP/1.1 20", b"HTTP/1.1 200 OK\r\nContent-Le"])
-def test_half_a_line_and_then_nothing_times_out_and_closes(begun: bytes) -> None:
+def test_half_a_status_line_and_then_nothing_times_out_and_closes(begun: bytes) -> None:
     async def scenario() -> None:
         async def half(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
             writer.write(begun)
@@ -379,7 +379,7 @@
 
 
 @pytest.mark.parametrize("path", ["/read/x", "/pay/x"])
-def test_an_answer_with_no_length_that_is_reset_has_no_end(path: str) -> None:
+def test_a_response_with_no_length_that_is_reset_is_not_complete(path: str) -> None:
     """A reset is no end: what is safe is asked for again, and nobody is given the part that came."""
 
     async def scenario() -> None:
@@ -398,7 +398,7 @@
 
 
 @pytest.mark.parametrize("version", [b"1.0", b"1.1"])
-def test_a_caller_can_tell_that_an_answer_with_no_length_broke_off(version: bytes) -> None:
+def test_a_client_can_tell_that_a_response_with_no_length_broke_off(version: bytes) -> None:
     """To one of HTTP/1.0 a proper end of the connection is the end of the answer: it took a part for all."""
 
     async def scenario() -> None:
@@ -435,7 +435,7 @@
 
 
 @pytest.mark.parametrize("path", ["/read/x", "/pay/x"])
-def test_an_answer_that_claims_more_than_there_can_be_is_none(path: str) -> None:
+def test_a_response_that_announces_more_than_the_body_limit_is_none(path: str) -> None:
     """Its beginning was passed on, so nobody else could be asked, and its caller waited for the rest."""
 
     async def scenario() -> None:
@@ -452,7 +452,7 @@
     run_scenario(scenario())
 
 
-def test_an_answer_that_grows_past_all_bounds_is_broken_off(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_response_that_grows_past_the_body_limit_is_broken_off(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_response, "MAX_BODY_BYTES", 200_000)
 
     async def scenario() -> None:
@@ -474,7 +474,7 @@
     run_scenario(scenario())
 
 
-def test_an_answer_that_never_ends_ends_with_its_caller() -> None:
+def test_a_response_that_never_ends_ends_with_its_client() -> None:
     async def scenario() -> None:
         async def endless(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
             writer.write(NO_LENGTH)
@@ -497,7 +497,7 @@
 
 @pytest.mark.parametrize("what", [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmore", b"\r\n", b""])
 @pytest.mark.parametrize("read", ["before its reuse", "at its reuse"])
-def test_bytes_or_an_end_that_nobody_asked_for_are_no_answer_to_the_next(what: bytes, read: str) -> None:
+def test_bytes_or_an_end_on_an_idle_connection_are_no_response_to_the_next_request(what: bytes, read: str) -> None:
     async def scenario() -> None:
         upstream = Upstream()
         upstreams = make_pools(await upstream.start())
@@ -520,7 +520,7 @@
 
 
 @pytest.mark.parametrize("first", ["we", "they"])
-def test_idle_time_outs_of_both_sides_at_once_close_a_connection_once(first: str) -> None:
+def test_idle_timeouts_of_both_sides_at_once_close_a_connection_once(first: str) -> None:
     async def scenario() -> None:
         upstream = Upstream()
         upstreams = make_pools(await upstream.start(), connIdle=1_000.0)
@@ -536,7 +536,7 @@
     run_scenario(scenario())
 
 
-def test_no_connection_is_left_when_attempts_are_quiet_and_the_server_goes() -> None:
+def test_no_connection_stays_open_when_its_server_is_removed() -> None:
     async def scenario() -> None:
         upstream = Upstream()
         upstreams = make_pools(await upstream.start())
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -91,7 +91,7 @@
 
 @leaving
 @may_cancel
-def test_a_dial_that_comes_up_late_begins_nothing_for_a_caller_that_has_gone(
+def test_a_connection_that_comes_up_late_sends_nothing_for_a_disconnected_client(
     cancel: bool, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
@@ -111,7 +111,7 @@
 
 
 @may_cancel
-def test_a_failed_attempt_is_not_repeated_for_a_caller_that_has_gone(cancel: bool) -> None:
+def test_a_failed_attempt_is_not_retried_for_a_disconnected_client(cancel: bool) -> None:
     async def scenario() -> None:
         upstreams = Upstream(never_answer), Upstream(never_answer)
         async with ProxyHarness(*upstreams, limits=LIMITS | {"mayCancel": cancel}) as rig:
@@ -128,7 +128,7 @@
 
 
 @may_cancel
-def test_no_copy_is_sent_for_a_caller_that_has_gone(cancel: bool) -> None:
+def test_no_hedged_request_is_sent_for_a_disconnected_client(cancel: bool) -> None:
     """The first server is silent, and the copy's time comes when nobody waits any more."""
 
     async def scenario() -> None:
@@ -162,7 +162,7 @@
 
 
 @may_cancel
-def test_a_request_that_waits_for_room_is_not_sent_when_there_is_some_and_its_caller_has_gone(
+def test_a_queued_request_is_not_sent_when_there_is_capacity_and_its_client_has_disconnected(
     cancel: bool,
 ) -> None:
     async def scenario() -> None:
@@ -195,7 +195,7 @@
 
 
 @may_cancel
-def test_a_loop_that_was_busy_begins_nothing_for_a_caller_that_went_meanwhile(cancel: bool) -> None:
+def test_a_loop_that_was_busy_sends_nothing_for_a_client_that_disconnected_meanwhile(cancel: bool) -> None:
     """Its end is in the kernel by then; the loop would read it next, and the attempt comes first."""
 
     async def scenario() -> None:
@@ -218,7 +218,7 @@
     run_scenario(scenario())
 
 
-def test_a_first_attempt_begins_for_nobody_when_request_and_end_are_read_late() -> None:
+def test_a_first_attempt_is_not_sent_when_request_and_disconnect_are_read_late() -> None:
     """The request and the end behind it came while the loop was busy: both are there when it is read."""
 
     async def scenario() -> None:
@@ -238,7 +238,7 @@
 
 
 @may_cancel
-def test_the_last_byte_of_a_long_body_does_not_go_on_when_its_caller_has_gone(cancel: bool) -> None:
+def test_the_last_byte_of_a_long_body_is_not_forwarded_for_a_disconnected_client(cancel: bool) -> None:
     """The upstream reads slowly: the rest of the body, and the end behind it, wait in the kernel."""
 
     async def scenario() -> None:
@@ -283,12 +283,12 @@
 # ---- what must go on ----------------------------------------------------------------------------
 
 
-def test_between_looks_there_is_well_under_what_is_allowed() -> None:
+def test_the_disconnect_poll_interval_is_well_under_what_is_allowed() -> None:
     """Bytes of a request that are still with us leave by themselves: there only the looks help."""
     assert LOOKS_EVERY_S <= ALLOWED_S / 2
 
 
-def test_callers_that_stay_are_served_through_every_ask(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clients_that_stay_are_served_through_every_disconnect_check(monkeypatch: pytest.MonkeyPatch) -> None:
     """Bytes that wait unread, and a connection that has long been idle, are no end."""
 
     async def scenario() -> None:
@@ -307,7 +307,7 @@
     run_scenario(scenario())
 
 
-def test_a_caller_that_was_answered_before_its_body_was_whole_may_end_its_sending_behind_it() -> None:
+def test_a_client_that_was_answered_before_its_body_was_complete_may_end_its_sending_behind_it() -> None:
     """Its answer is out, and what still comes is dropped: to let go of it then would reset the answer."""
 
     async def scenario() -> None:
@@ -323,7 +323,7 @@
     run_scenario(scenario())
 
 
-def test_what_was_written_runs_on_for_a_caller_that_has_gone_where_cancelling_is_forbidden() -> None:
+def test_a_written_attempt_runs_on_for_a_disconnected_client_where_cancelling_is_forbidden() -> None:
     async def scenario() -> None:
         upstream = Upstream(never_answer)
         async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": False}) as rig:
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -64,7 +64,7 @@
     return script
 
 
-def test_a_long_answer_goes_to_a_slow_reader_whole_and_under_the_bound() -> None:
+def test_a_long_response_reaches_a_slow_reader_complete_and_within_the_buffer_budget() -> None:
     data = LONG * 24
 
     async def scenario() -> None:
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("form", ["length", "chunks"])
-def test_a_long_request_goes_to_its_upstream_whole_and_under_the_bound(form: str) -> None:
+def test_a_long_request_reaches_its_upstream_complete_and_within_the_buffer_budget(form: str) -> None:
     data = LONG * 16
 
     async def scenario() -> None:
@@ -108,7 +108,7 @@
     run_scenario(scenario())
 
 
-def test_more_bodies_at_once_than_may_be_held_all_get_through() -> None:
+def test_more_bodies_at_once_than_may_be_buffered_all_get_through() -> None:
     data = LONG[:60_000]
 
     async def scenario() -> None:
@@ -149,7 +149,7 @@
     return told
 
 
-def test_an_answer_that_breaks_after_its_first_byte_went_on_is_not_asked_for_again() -> None:
+def test_a_response_that_breaks_after_its_first_byte_was_forwarded_is_not_retried() -> None:
     async def cut(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(http_response(200, LONG)[:500_000])
         await writer.drain()
@@ -170,7 +170,7 @@
     run_scenario(scenario())
 
 
-def test_an_answer_that_breaks_while_it_is_held_is_asked_for_again() -> None:
+def test_a_response_that_breaks_while_it_is_buffered_is_retried() -> None:
     async def cut(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(http_response(200, LONG[:50_000])[:40_000])
         writer.close()
@@ -185,7 +185,7 @@
 
 
 @pytest.mark.parametrize("kind", ["reset before its end", "turned away at its end"])
-def test_a_long_request_that_fails_is_refused_and_not_sent_again(kind: str) -> None:
+def test_a_long_request_that_fails_is_rejected_and_not_retried(kind: str) -> None:
     async def scenario() -> None:
         connections = 0
 
@@ -222,7 +222,7 @@
     run_scenario(scenario())
 
 
-def test_a_long_request_that_no_upstream_takes_is_refused_before_its_end() -> None:
+def test_a_long_request_that_no_upstream_takes_is_rejected_before_its_end() -> None:
     async def scenario() -> None:
         async with ProxyHarness() as rig:
             caller = await rig.connect()
@@ -234,7 +234,7 @@
     run_scenario(scenario())
 
 
-def test_a_caller_that_leaves_frees_the_upstream_at_once() -> None:
+def test_a_client_that_disconnects_frees_the_upstream_at_once() -> None:
     async def scenario() -> None:
         upstream = Upstream(long_answer(LONG * 32))
         async with ProxyHarness(upstream) as rig:
@@ -249,7 +249,7 @@
     run_scenario(scenario())
 
 
-def test_a_slow_reader_gets_the_end_of_an_answer_that_closes_its_connection(
+def test_a_slow_reader_gets_the_end_of_a_response_that_closes_its_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What waited in our buffer for half a second after the last byte had come was cut off."""
@@ -283,7 +283,7 @@
     run_scenario(scenario())
 
 
-def test_times_of_a_long_answer_watch_its_progress_and_not_the_whole(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_timeouts_of_a_long_response_watch_its_progress_and_not_the_whole(monkeypatch: pytest.MonkeyPatch) -> None:
     gate = asyncio.Event()
 
     async def slow(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
@@ -327,7 +327,7 @@
     ],
 )
 @pytest.mark.parametrize("at_once", [True, False])
-def test_answers_of_all_forms_are_passed_on(answer: bytes, ends: bool, at_once: bool) -> None:
+def test_responses_of_all_forms_are_forwarded(answer: bytes, ends: bool, at_once: bool) -> None:
     async def script(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
         for i in range(0, len(answer), len(answer) if at_once else 1):
             writer.write(answer[i : i + (len(answer) if at_once else 1)])
@@ -347,7 +347,7 @@
 
 
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-def test_a_long_answer_of_unknown_length_ends_so_that_the_caller_can_tell(version: str) -> None:
+def test_a_long_response_of_unknown_length_ends_so_that_the_client_can_tell(version: str) -> None:
     async def script(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(OK + b"Transfer-Encoding: chunked\r\n\r\n")
         await pieces(writer, chunked(LONG, 100_000))
@@ -375,7 +375,7 @@
         b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\ntile",
     ],
 )
-def test_an_ambiguous_answer_is_a_failed_attempt_that_may_have_run(answer: bytes) -> None:
+def test_an_ambiguous_response_is_a_failed_attempt_that_may_have_run(answer: bytes) -> None:
     async def script(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(answer)
 
@@ -408,7 +408,7 @@
     ],
 )
 @pytest.mark.parametrize("at_once", [True, False])
-def test_requests_of_all_forms_are_taken(raw: bytes, line: str, body: bytes, at_once: bool) -> None:
+def test_requests_of_all_forms_are_accepted(raw: bytes, line: str, body: bytes, at_once: bool) -> None:
     async def scenario() -> None:
         upstream = Upstream()
         async with ProxyHarness(upstream) as rig:
@@ -424,7 +424,7 @@
     run_scenario(scenario())
 
 
-def test_a_caller_that_asks_first_is_told_to_go_on_in_its_turn() -> None:
+def test_a_client_that_expects_100_continue_gets_it_in_its_turn() -> None:
     async def scenario() -> None:
         upstream = Upstream()
         async with ProxyHarness(upstream) as rig:
@@ -471,7 +471,7 @@
     run_scenario(scenario())
 
 
-def test_a_chunk_that_goes_bad_in_a_long_request_ends_it_and_its_attempt() -> None:
+def test_a_malformed_chunk_in_a_long_request_ends_it_and_its_attempt() -> None:
     async def scenario() -> None:
         upstream = Upstream()
         async with ProxyHarness(upstream) as rig:
@@ -489,7 +489,7 @@
 
 
 @pytest.mark.parametrize("pace", [10, 1_000_000])
-def test_a_body_may_take_as_long_as_its_part_that_has_come_buys(
+def test_a_body_may_take_as_long_as_its_received_part_allows(
     pace: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(downstream_timeout, "REQUEST_TIMEOUT_S", 0.05)
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -103,7 +103,7 @@
     run_scenario(scenario())
 
 
-def test_a_time_out_before_anything_was_written_never_ran() -> None:
+def test_an_attempt_that_times_out_before_anything_was_written_never_ran() -> None:
     async def scenario() -> None:
         async with full_backlog() as address:
             upstreams = make_pools(address, connectTimeout=60_000.0)
@@ -112,7 +112,7 @@
     run_scenario(scenario())
 
 
-def test_a_break_before_the_last_byte_left_never_ran() -> None:
+def test_an_attempt_that_breaks_before_its_last_byte_left_never_ran() -> None:
     """The upstream takes the head and resets while the rest is still in our buffer."""
 
     async def scenario() -> None:
@@ -132,7 +132,7 @@
     run_scenario(scenario())
 
 
-def test_an_attempt_ends_once_though_a_cancel_crosses_its_answer() -> None:
+def test_an_attempt_ends_once_though_a_cancel_crosses_its_response() -> None:
     async def scenario() -> None:
         upstream = Upstream(never_answer)
         upstreams = make_pools(await upstream.start())
@@ -148,7 +148,7 @@
     run_scenario(scenario())
 
 
-def test_a_send_still_connecting_does_not_begin_after_the_grace() -> None:
+def test_an_attempt_that_still_connects_is_not_sent_after_the_drain_grace() -> None:
     async def scenario() -> None:
         upstream = Upstream()
         address = await upstream.start()
@@ -164,7 +164,7 @@
     run_scenario(scenario())
 
 
-def test_idle_connections_go_when_asked_aged_moved_or_gone() -> None:
+def test_idle_connections_close_on_request_with_age_and_when_their_server_moves_or_is_removed() -> None:
     async def scenario() -> None:
         upstream, moved = Upstream(), Upstream()
         address = await upstream.start()
@@ -196,7 +196,7 @@
     run_scenario(scenario())
 
 
-def test_a_second_response_behind_the_answer_is_dropped_with_its_connection() -> None:
+def test_a_second_response_behind_the_first_is_dropped_with_its_connection() -> None:
     """It took the place of the answer, and a caller was given what was made for no request of its own."""
 
     async def scenario() -> None:
@@ -209,7 +209,7 @@
     run_scenario(scenario())
 
 
-def test_at_the_cap_the_longest_idle_makes_way_and_else_no_more_is_opened() -> None:
+def test_at_the_connection_limit_the_longest_idle_closes_or_no_more_is_opened() -> None:
     async def scenario() -> None:
         upstream, other = Upstream(http_response(), never_answer), Upstream(never_answer)
         upstreams = make_pools(await upstream.start())
@@ -226,7 +226,7 @@
     run_scenario(scenario())
 
 
-def test_the_known_list_comes_first_and_a_late_send_is_not_sent() -> None:
+def test_the_cached_list_comes_first_and_an_attempt_after_the_response_is_not_sent() -> None:
     async def scenario() -> None:
         upstream = Upstream()
         async with ProxyHarness(upstream) as rig:
@@ -250,7 +250,7 @@
     run_scenario(scenario())
 
 
-def test_what_was_known_is_told_before_all_else() -> None:
+def test_the_cached_list_is_taken_before_the_first_turn_of_the_loop() -> None:
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as rig:
             assert rig.proxy.balancer._endpoints.ready  # before a single turn of the loop
