--- a/tests/test_endings_callers.py
+++ b/tests/test_endings_downstream.py
@@ -327,7 +327,9 @@
     run_scenario(scenario())
 
 
-def test_a_request_that_was_never_written_is_rejected_at_its_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_that_was_never_written_is_rejected_at_its_deadline(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """It was answered as failed, though its connection had never come up: nobody might ask again."""
 
     async def scenario() -> None:
@@ -398,7 +400,9 @@
     run_scenario(scenario())
 
 
-def test_a_response_that_is_cut_off_by_shutdown_does_not_look_complete(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_response_that_is_cut_off_by_shutdown_does_not_look_complete(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     end_at_once(monkeypatch)
     monkeypatch.setattr(downstream_listener, "SHUTDOWN_UNREAD_S", 0.0)
 
--- a/tests/test_endings_list.py
+++ b/tests/test_endings_list.py
@@ -25,7 +25,7 @@
     wait_until,
 )
 from tests.recorded_events import record_events
-from tests.test_upstreams import full_backlog
+from tests.test_upstream_attempts import full_backlog
 
 NEVER = 3_600.0
 
--- a/tests/test_endings_upstreams.py
+++ b/tests/test_endings_upstream.py
@@ -31,7 +31,7 @@
     wait_at_least,
     wait_until,
 )
-from tests.test_upstreams import IgnoredAttempt, RecordedAttempt, make_pools
+from tests.test_upstream_attempts import IgnoredAttempt, RecordedAttempt, make_pools
 
 LIMITS = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 5_000.0, "mayDuplicate": True}
 KEYED = {
@@ -497,7 +497,9 @@
 
 @pytest.mark.parametrize("what", [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmore", b"\r\n", b""])
 @pytest.mark.parametrize("read", ["before its reuse", "at its reuse"])
-def test_bytes_or_an_end_on_an_idle_connection_are_no_response_to_the_next_request(what: bytes, read: str) -> None:
+def test_bytes_or_an_end_on_an_idle_connection_are_no_response_to_the_next_request(
+    what: bytes, read: str
+) -> None:
     async def scenario() -> None:
         upstream = Upstream()
         upstreams = make_pools(await upstream.start())
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -26,7 +26,7 @@
     status_of,
     wait_until,
 )
-from tests.test_upstreams import RecordedAttempt, full_backlog, make_pools
+from tests.test_upstream_attempts import RecordedAttempt, full_backlog, make_pools
 
 PATIENCE_MS = 0.1 * PAY.latency_objective_ms  # the most that a request of the class waits before it is sent
 
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -283,7 +283,9 @@
     run_scenario(scenario())
 
 
-def test_timeouts_of_a_long_response_watch_its_progress_and_not_the_whole(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_timeouts_of_a_long_response_watch_its_progress_and_not_the_whole(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     gate = asyncio.Event()
 
     async def slow(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -39,7 +39,7 @@
 from loadbalancer.policy import Balancer
 from loadbalancer.policy.endpoints import EndpointSet
 from tests.loopback import config_text, endpoint_entry, http_response
-from tests.test_upstreams import full_backlog
+from tests.test_upstream_attempts import full_backlog
 
 BUDGET_S = CHANGE_DEADLINE_S - SLACK_S
 HERE = endpoint_entry("s0", "127.0.0.1:5000")
