--- a/loadbalancer/net/descriptors.py
+++ b/loadbalancer/net/descriptors.py
@@ -1,4 +1,4 @@
-"""How a process's descriptors are shared out, and who makes way once callers hold all of theirs."""
+"""Limits on connections by the process's descriptors, and eviction of idle clients at the limit."""
 
 from __future__ import annotations
 
@@ -6,80 +6,84 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-SIDE_FRACTION = 0.5  # of the descriptors are for callers, as many for upstreams
+SIDE_FRACTION = 0.5  # of the descriptors are for clients, as many for upstreams
 # Less on each side: for the event loop, the logs, discovery, the console, sockets that are closing.
 RESERVED_SOCKETS_PER_SIDE = 48
-MIN_CONNECTIONS_PER_SIDE = 4  # however few there are
-EVICTION_INTERVAL_S = 0.05  # between passes: who was told to end needs a moment to do so
-MAX_EVICTIONS_PER_PASS = 16  # in one pass: each that comes in its place costs processor time
-MIN_EVICTABLE_IDLE_S = 1.0  # a caller that asked for nothing for so long may have to make way
+MIN_CONNECTIONS_PER_SIDE = 4  # however few descriptors there are
+EVICTION_INTERVAL_S = 0.05  # between passes: an evicted client needs a moment to close
+MAX_EVICTIONS_PER_PASS = 16  # each connection that comes in place of an evicted one costs processor time
+MIN_EVICTABLE_IDLE_S = 1.0  # a client that has sent no request for so long may be evicted
 NEW_CONNECTION_GRACE_S = 0.1  # a connection is opened for a request, which follows
 
 
 def max_connections_per_side(sockets: int) -> int:
-    """How many connections callers may hold, or upstreams: `sockets` is what the configuration allows.
+    """Return how many connections each side may have; `sockets` is what the configuration allows.
 
-    The process's own limit (RLIMIT_NOFILE) may be lower. Where it was passed over, idle callers filled it,
-    and nothing was left for the list's dial, upstreams and the console.
+    The process's own limit (RLIMIT_NOFILE) may be lower. Where it was not heeded, idle clients filled it, and
+    nothing was left for connections to the list service, to upstreams and to the console.
     """
-    own, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    allowed = sockets if own == resource.RLIM_INFINITY else min(sockets, own)
+    process_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    allowed = sockets if process_limit == resource.RLIM_INFINITY else min(sockets, process_limit)
     return max(int(allowed * SIDE_FRACTION) - RESERVED_SOCKETS_PER_SIDE, MIN_CONNECTIONS_PER_SIDE)
 
 
 class Evictable(Protocol):
-    """A connection that may have to make way for another."""
+    """A connection that may be evicted for another."""
 
     idle_since_s: float
-    """When it last had an answer, or came, on the monotonic clock."""
+    """When it last had a response, or was accepted, on the monotonic clock."""
 
     def has_received_request(self) -> bool:
-        """Whether a whole request has ever come."""
+        """Return whether a complete request has ever come."""
 
     def can_close(self) -> bool:
-        """Whether it can be ended, once, with nothing lost; asks the kernel."""
+        """Return whether it can be closed, once, with nothing lost; asks the kernel."""
 
     def evict(self) -> None:
-        """End."""
+        """Close for another connection."""
 
 
 class IdleEviction:
-    """Ends idle connections while all places are taken and others wait for one.
+    """Evicts idle connections while the limit is reached and others wait to be accepted.
 
-    Those that never asked go first, then the longest idle. As long as places stay taken, each pass ends twice
-    as many as the one before, up to a bound, and leaves half the idleness: a crowd that comes again at once
-    would else keep a request that waits behind it in the kernel's queue for longer than its deadline.
+    Those that never sent a request go first, then the longest idle. As long as the limit stays reached, each
+    pass evicts twice as many as the one before, up to a bound, and asks for half the idleness: a crowd that
+    connects again at once would else keep a request that waits behind it in the kernel's queue for longer
+    than its deadline.
     """
 
     def __init__(self) -> None:
-        self._count = 1
-        self._next = 0.0
+        self._max_evictions = 1  # in the next pass
+        self._next_pass_s = 0.0
 
     def reset(self) -> None:
-        """Nobody waits any more."""
-        self._count = 1
+        """Start anew with one eviction a pass: nobody waits any more."""
+        self._max_evictions = 1
 
     def evict_idle(self, connections: Iterable[Evictable], now: float) -> None:
-        """End some, unless the last pass was a moment ago; `now` is on the monotonic clock, in seconds."""
-        if now < self._next:
+        """Evict some, unless the last pass was a moment ago; `now` is on the monotonic clock, in seconds."""
+        if now < self._next_pass_s:
             return
-        self._next = now + EVICTION_INTERVAL_S
-        asked_before = now - max(MIN_EVICTABLE_IDLE_S / self._count, NEW_CONNECTION_GRACE_S)
-        strangers, idle = list[Evictable](), list[Evictable]()
+        self._next_pass_s = now + EVICTION_INTERVAL_S
+        idle_limit_s = now - max(MIN_EVICTABLE_IDLE_S / self._max_evictions, NEW_CONNECTION_GRACE_S)
+        without_request: list[Evictable] = []
+        idle: list[Evictable] = []
         for connection in connections:
             if connection.has_received_request():
-                if connection.idle_since_s < asked_before:
+                if connection.idle_since_s < idle_limit_s:
                     idle.append(connection)
             elif connection.idle_since_s < now - NEW_CONNECTION_GRACE_S:
-                strangers.append(connection)
-        left = self._count
-        for connection in (*sorted(strangers, key=_idle_since), *sorted(idle, key=_idle_since)):
-            if left and connection.can_close():
+                without_request.append(connection)
+        without_request.sort(key=_idle_since_s)
+        idle.sort(key=_idle_since_s)
+        remaining = self._max_evictions
+        for connection in (*without_request, *idle):
+            if remaining and connection.can_close():
                 connection.evict()
-                left -= 1
-        if not left:
-            self._count = min(self._count * 2, MAX_EVICTIONS_PER_PASS)
+                remaining -= 1
+        if not remaining:
+            self._max_evictions = min(self._max_evictions * 2, MAX_EVICTIONS_PER_PASS)
 
 
-def _idle_since(connection: Evictable) -> float:
+def _idle_since_s(connection: Evictable) -> float:
     return connection.idle_since_s
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""What the socket tests share: scripted upstreams, a scripted discovery and a caller, all on loopback."""
+"""What the socket tests share: scripted upstreams, a scripted discovery and a client, all on loopback."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class HttpMessage:
-    """A request as an upstream saw it."""
+    """A request or a response as its receiver read it."""
 
     def __init__(self, head: bytes, body: bytes) -> None:
         self.start_line, *rest = head.decode("latin-1").split("\r\n")
@@ -35,24 +35,26 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> HttpMessage:
+    """Read a request or a response whose length its head gives. Raises IncompleteReadError at the end."""
     head = await reader.readuntil(b"\r\n\r\n")
-    asked = HttpMessage(head[:-4], b"")
-    if asked.headers.get("transfer-encoding") == "chunked":
+    request = HttpMessage(head[:-4], b"")
+    if request.headers.get("transfer-encoding") == "chunked":
         while size := int((await reader.readuntil(b"\r\n")).split(b";")[0], 16):
-            asked.body += (await reader.readexactly(size + 2))[:-2]
+            request.body += (await reader.readexactly(size + 2))[:-2]
         await reader.readline()
     else:
-        asked.body = await reader.readexactly(int(asked.headers.get("content-length", "0")))
-    return asked
+        request.body = await reader.readexactly(int(request.headers.get("content-length", "0")))
+    return request
 
 
 def http_response(status_code: int = 200, body: bytes = b"tile", *headers: str) -> bytes:
+    """Return a response with a Content-Length and these lines of headers."""
     lines = [f"HTTP/1.1 {status_code} Any", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 class Upstream:
-    """Answers the nth request by the nth script, the last one again from then on."""
+    """A scripted upstream: it answers the nth request by the nth script, later ones by the last script."""
 
     def __init__(self, *scripts: ResponseScript | bytes) -> None:
         self._scripts = scripts or (http_response(),)
@@ -63,6 +65,7 @@
         self.connection_ended = asyncio.Event()  # a connection was ended by the balancer
 
     async def start(self) -> str:
+        """Listen; return the address."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
@@ -72,36 +75,37 @@
         self.writers.append(writer)
         try:
             while True:
-                asked = await read_message(reader)
+                request = await read_message(reader)
                 script = self._scripts[min(len(self.requests), len(self._scripts) - 1)]
-                self.requests.append(asked)
+                self.requests.append(request)
                 self.request_received.set()
                 if isinstance(script, bytes):
                     writer.write(script)
                 else:
-                    await script(asked, writer)
+                    await script(request, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             self.connection_ended.set()
             writer.close()
 
 
-async def never_answer(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+async def never_answer(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
     """Never answer."""
 
 
-async def reset_connection(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
-    """Drop the connection instead of an answer."""
+async def reset_connection(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
+    """Reset the connection instead of an answer."""
     writer.transport.abort()
 
 
 class ListServer:
-    """Discovery: each call takes the next answer put in; with none there it waits, as a watch does."""
+    """A scripted list service: a request takes the next response put in, or waits for one as a watch does."""
 
     def __init__(self) -> None:
         self.responses: asyncio.Queue[bytes] = asyncio.Queue()
         self.request_lines: asyncio.Queue[str] = asyncio.Queue()
 
     async def start(self) -> str:
+        """Listen; return the address."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
@@ -109,19 +113,20 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
-                asked = await read_message(reader)
-                self.request_lines.put_nowait(asked.start_line)
+                request = await read_message(reader)
+                self.request_lines.put_nowait(request.start_line)
                 writer.write(await self.responses.get())
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
     def publish(self, index: int, *entries: dict[str, Any], snapshot: bool = False) -> None:
+        """Answer the next request by these entries, as a delta or a full snapshot."""
         body = json.dumps({"index": index, "snapshot": snapshot, "endpoints": entries}).encode()
         self.responses.put_nowait(http_response(200, body))
 
 
 def endpoint_entry(name: str, address: str, **more: Any) -> dict[str, Any]:
-    # Large, so that what these tests hold at once fits in one server.
+    """Return an endpoint list's entry for a server whose weight lets it take all requests of a test."""
     base = {"name": name, "address": address, "zone": "a", "type": "m", "group": 0, "weight": 40.0}
     return base | {"status": "in_service", "since_ms": 0} | more
 
@@ -174,15 +179,16 @@
 
 
 class PausedConnects:
-    """Connections to upstreams, or to one, come up when the test says so; then `then` is done at once."""
+    """Connections to upstreams, or to one, come up when the test says so; `on_connected` runs right then."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, server: str = "") -> None:
-        self.started, self._gate = asyncio.Event(), asyncio.Event()
+        self.started = asyncio.Event()  # the first of them
+        self._gate = asyncio.Event()
         self.on_connected: Callable[[], object] = lambda: None
         self.count = 0
         connect = ConnectionPool.connect
 
-        async def held(pool: ConnectionPool, connection: UpstreamConnection) -> None:
+        async def gated_connect(pool: ConnectionPool, connection: UpstreamConnection) -> None:
             if server in ("", pool.server):
                 self.count += 1
                 self.started.set()
@@ -190,7 +196,7 @@
             await connect(pool, connection)
             self.on_connected()
 
-        monkeypatch.setattr(ConnectionPool, "connect", held)
+        monkeypatch.setattr(ConnectionPool, "connect", gated_connect)
 
     def release(self) -> None:
         """Let them come up from now on."""
@@ -198,7 +204,7 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Let the loop turn until something holds; the scenario's own time bounds it."""
+    """Let the loop turn until the condition is true; the scenario's timeout bounds it."""
     while not condition():
         await asyncio.sleep(0)
 
@@ -211,8 +217,8 @@
 
 
 def unreleased_resources(proxy: Proxy) -> list[str]:
-    """What a balancer that has nothing to do still holds: nothing, if all that ended let go."""
-    held = {
+    """Return what an idle balancer still holds: nothing, if all that ended was released."""
+    counts = {
         "requests": len(proxy.requests.by_id),
         "the module's requests": len(proxy.balancer._requests.open_requests),
         "waiting": len(proxy.balancer._requests.wait_queue),
@@ -221,11 +227,11 @@
         "connections in use": proxy.upstreams.open_connections
         - sum(len(p.idle_connections) for p in proxy.upstreams._pools.values()),
     }
-    return [f"{count} {name}" for name, count in held.items() if count]
+    return [f"{count} {name}" for name, count in counts.items() if count]
 
 
 class ProxyHarness:
-    """A balancer in this process, with its upstreams and discovery."""
+    """A balancer in this process, with its upstreams and its list service."""
 
     def __init__(
         self,
@@ -235,8 +241,11 @@
         memory_mb: float = 192,
         **settings: Any,
     ) -> None:
-        self.upstreams, self._settings, self._memory_mb = upstreams, settings, memory_mb
-        self._console, self._folder = console, folder
+        self.upstreams = upstreams
+        self._settings = settings
+        self._memory_mb = memory_mb
+        self._console = console
+        self._folder = folder
         self.discovery = ListServer()
         self.entries: list[dict[str, Any]] = []
         self.proxy: Proxy
@@ -254,20 +263,22 @@
         return
 
     async def connect(self) -> HttpClient:
-        caller = HttpClient()
-        caller.reader, caller.writer = await asyncio.open_connection(*self.proxy.downstream.address[:2])
-        return caller
+        """Return a client on a new connection to the balancer."""
+        client = HttpClient()
+        client.reader, client.writer = await asyncio.open_connection(*self.proxy.downstream.address[:2])
+        return client
 
     async def request(self, *args: Any, **more: Any) -> HttpMessage:
-        caller = await self.connect()
-        caller.send_request(*args, **more)
-        answer = await caller.read_response()
-        caller.writer.close()
+        """Send one request on a connection of its own, and return the response."""
+        client = await self.connect()
+        client.send_request(*args, **more)
+        answer = await client.read_response()
+        client.writer.close()
         return answer
 
 
 class HttpClient:
-    """A client on one connection."""
+    """An HTTP client on one connection."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -279,6 +290,7 @@
         deadline: str = "4000m",
         **headers: str,
     ) -> None:
+        """Write a request; a header's `-` is `_` here, and an empty one is left out."""
         method = "POST" if body else "GET"
         named = {"x-request-id": "9b1f03aa", "x-class": path[1:].partition("/")[0], "x-deadline": deadline}
         named |= {n.replace("_", "-"): v for n, v in headers.items()}
@@ -287,12 +299,13 @@
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
     async def read_response(self) -> HttpMessage:
+        """Read the next response."""
         return await read_message(self.reader)
 
 
 @asynccontextmanager
 async def running_program(config: Path) -> AsyncIterator[asyncio.subprocess.Process]:
-    """The program itself, as the platform starts it; it is killed if it has not ended by then."""
+    """Run the program as the platform starts it; it is killed if it has not ended by then."""
     started = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "loadbalancer", env=os.environ | {"LB_CONFIG": str(config)}
     )
@@ -315,4 +328,5 @@
 
 
 def status_of(answer: HttpMessage) -> int:
+    """Return the status of a response."""
     return int(answer.start_line.split(" ")[1])
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,6 +1,6 @@
-"""Nothing begins for a caller that has gone, though the loop has not seen its end.
+"""Nothing begins for a client that has gone, though the loop has not seen its end.
 
-An attempt that begins over 0.1 s after its caller's close is a break. Here the end stays unseen for as long
+An attempt that begins over 0.1 s after its client's close is a break. Here the end stays unseen for as long
 as the test likes: reading is paused, and the looks that pass the time meanwhile are put off.
 """
 
@@ -35,21 +35,21 @@
     wait_until,
 )
 
-ALLOWED_S = 0.1  # after the close, for what is on its way
-LOOKS_EVERY_S = downstream_flow.DISCONNECT_POLL_INTERVAL_S
+MAX_LATE_START_S = 0.1  # after the close, for what is on its way
+POLL_INTERVAL_S = downstream_flow.DISCONNECT_POLL_INTERVAL_S
 LIMITS = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 5_000.0, "mayDuplicate": True}
 HEAD = b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 4000m\r\n\r\n"
 may_cancel = pytest.mark.parametrize("cancel", [True, False])
-leaving = pytest.mark.parametrize("how", ["closes", "ends its sending", "resets"])
+by_each_way_of_disconnecting = pytest.mark.parametrize("how", ["closes", "ends its sending", "resets"])
 
 
-class Unseen:
-    """A caller whose end the loop does not see: it has sent more than is read."""
+class UnseenClient:
+    """A client whose end the loop does not see: it has sent more than is read."""
 
-    def __init__(self, caller: HttpClient, connection: DownstreamConnection) -> None:
-        self._caller, self._connection = caller, connection
+    def __init__(self, client: HttpClient, connection: DownstreamConnection) -> None:
+        self._caller, self._connection = client, connection
 
-    async def leave(self, how: str = "closes") -> None:
+    async def disconnect(self, how: str = "closes") -> None:
         """Go; over once the kernel knows, and what is on its way has had its time."""
         writer, transport = self._caller.writer, self._connection._transport
         if how == "ends its sending":
@@ -60,51 +60,51 @@
             writer.close()
         assert transport is not None
         await wait_until(lambda: has_peer_closed(transport))
-        await wait_at_least(ALLOWED_S)
+        await wait_at_least(MAX_LATE_START_S)
 
 
-async def ask_unseen(rig: ProxyHarness) -> Unseen:
+async def send_unseen_request(harness: ProxyHarness) -> UnseenClient:
     """Send a request, and so many behind it that reading is paused."""
-    known = set(rig.proxy.downstream._connections)
-    caller = await rig.connect()
-    caller.writer.write(HEAD * 40)
+    known = set(harness.proxy.downstream._connections)
+    client = await harness.connect()
+    client.writer.write(HEAD * 40)
     await wait_until(
-        lambda: any(c.reader.control.is_paused for c in rig.proxy.downstream._connections - known)
+        lambda: any(c.reader.control.is_paused for c in harness.proxy.downstream._connections - known)
     )
-    (connection,) = rig.proxy.downstream._connections - known
-    return Unseen(caller, connection)
+    (connection,) = harness.proxy.downstream._connections - known
+    return UnseenClient(client, connection)
 
 
 @pytest.fixture(autouse=True)
-def _nobody_looks(monkeypatch: pytest.MonkeyPatch) -> None:
+def _no_disconnect_polls(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(downstream_flow, "DISCONNECT_POLL_INTERVAL_S", 3_600.0)
 
 
-async def all_let_go(rig: ProxyHarness) -> None:
+async def wait_until_released(harness: ProxyHarness) -> None:
     """Wait until nothing is kept for who has gone."""
-    await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
-    await wait_until(lambda: not unreleased_resources(rig.proxy))
+    await wait_until(lambda: harness.proxy.downstream.connection_count() == 0)
+    await wait_until(lambda: not unreleased_resources(harness.proxy))
 
 
 # ---- each way in which an attempt begins --------------------------------------------------------
 
 
-@leaving
+@by_each_way_of_disconnecting
 @may_cancel
 def test_a_connection_that_comes_up_late_sends_nothing_for_a_disconnected_client(
     cancel: bool, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        dials, upstream = PausedConnects(monkeypatch), Upstream()
-        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
-            caller = await ask_unseen(rig)
-            await dials.started.wait()
-            await caller.leave(how)
+        connects, upstream = PausedConnects(monkeypatch), Upstream()
+        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as harness:
+            client = await send_unseen_request(harness)
+            await connects.started.wait()
+            await client.disconnect(how)
             await wait_at_least(0.4)
-            dials.release()
-            await all_let_go(rig)
+            connects.release()
+            await wait_until_released(harness)
             assert not upstream.requests
-            assert status_of(await rig.request()) == 200
+            assert status_of(await harness.request()) == 200
             assert len(upstream.requests) == 1
 
     run_scenario(scenario())
@@ -114,14 +114,14 @@
 def test_a_failed_attempt_is_not_retried_for_a_disconnected_client(cancel: bool) -> None:
     async def scenario() -> None:
         upstreams = Upstream(never_answer), Upstream(never_answer)
-        async with ProxyHarness(*upstreams, limits=LIMITS | {"mayCancel": cancel}) as rig:
-            caller = await ask_unseen(rig)
+        async with ProxyHarness(*upstreams, limits=LIMITS | {"mayCancel": cancel}) as harness:
+            client = await send_unseen_request(harness)
             await wait_until(lambda: any(u.requests for u in upstreams))
-            await caller.leave()
+            await client.disconnect()
             for upstream in upstreams:
                 for writer in upstream.writers:
                     writer.transport.abort()
-            await all_let_go(rig)
+            await wait_until_released(harness)
             assert sum(len(u.requests) for u in upstreams) == 1
 
     run_scenario(scenario())
@@ -133,8 +133,8 @@
 
     async def scenario() -> None:
         first, second = Upstream(never_answer), Upstream(never_answer)
-        async with ProxyHarness(first, second, limits=LIMITS | {"mayCancel": cancel}) as rig:
-            handle, due = rig.proxy.balancer.handle, list[str]()
+        async with ProxyHarness(first, second, limits=LIMITS | {"mayCancel": cancel}) as harness:
+            handle, due = harness.proxy.balancer.handle, list[str]()
 
             def copying(event: interface.Event, now: float) -> list[interface.Action]:
                 if isinstance(event, interface.TimerExpired) and event.token == "copy":
@@ -148,14 +148,14 @@
                     else []
                 )
 
-            rig.proxy.balancer.handle = copying  # type: ignore[method-assign]
-            caller = await ask_unseen(rig)
+            harness.proxy.balancer.handle = copying  # type: ignore[method-assign]
+            client = await send_unseen_request(harness)
             await first.request_received.wait()
-            await caller.leave()
-            rig.proxy._decisions.dispatch(interface.TimerExpired("copy"))
-            assert due and not any(r.is_open for r in rig.proxy.requests.by_id.values())
+            await client.disconnect()
+            harness.proxy._decisions.dispatch(interface.TimerExpired("copy"))
+            assert due and not any(r.is_open for r in harness.proxy.requests.by_id.values())
             first.writers[0].transport.abort()
-            await wait_until(lambda: not rig.proxy.requests.by_id)
+            await wait_until(lambda: not harness.proxy.requests.by_id)
             assert (len(first.requests), len(second.requests), second.connection_count) == (1, 0, 0)
 
     run_scenario(scenario())
@@ -167,28 +167,28 @@
 ) -> None:
     async def scenario() -> None:
         upstream = Upstream(never_answer)
-        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
-            rig.proxy.endpoint_list.apply(
+        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as harness:
+            harness.proxy.endpoint_list.apply(
                 UpdateKind.FULL_SNAPSHOT,
-                endpoint_list(rig.entries[0] | {"weight": 1.0}, is_full_snapshot=True),
+                endpoint_list(harness.entries[0] | {"weight": 1.0}, is_full_snapshot=True),
             )
             others = list[HttpClient]()
-            while not rig.proxy.balancer._requests.wait_queue:
-                others.append(await rig.connect())
+            while not harness.proxy.balancer._requests.wait_queue:
+                others.append(await harness.connect())
                 others[-1].send_request()
-                await wait_until(lambda: len(rig.proxy.requests.by_id) == len(others))
+                await wait_until(lambda: len(harness.proxy.requests.by_id) == len(others))
             others.pop().writer.close()
-            await wait_until(lambda: not rig.proxy.balancer._requests.wait_queue)
+            await wait_until(lambda: not harness.proxy.balancer._requests.wait_queue)
             await wait_until(lambda: len(upstream.requests) == len(others))
-            caller = await ask_unseen(rig)
-            assert len(rig.proxy.balancer._requests.wait_queue) == 1
-            await caller.leave()
+            client = await send_unseen_request(harness)
+            assert len(harness.proxy.balancer._requests.wait_queue) == 1
+            await client.disconnect()
             for writer in upstream.writers:
                 writer.write(http_response())
             for other in others:
                 assert status_of(await other.read_response()) == 200
                 other.writer.close()
-            await all_let_go(rig)
+            await wait_until_released(harness)
             assert len(upstream.requests) == len(others)
 
     run_scenario(scenario())
@@ -200,19 +200,19 @@
 
     async def scenario() -> None:
         upstream = Upstream(never_answer)
-        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
-            handle = rig.proxy.balancer.handle
-            rig.proxy.balancer.handle = lambda event, now: (  # type: ignore[method-assign]
+        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as harness:
+            handle = harness.proxy.balancer.handle
+            harness.proxy.balancer.handle = lambda event, now: (  # type: ignore[method-assign]
                 [interface.SendAttempt(1, "s0", 1_000.0)] if isinstance(event, interface.TimerExpired) else []
             )
-            with socket.create_connection(rig.proxy.downstream.address) as caller:
-                caller.sendall(HEAD)
-                await wait_until(lambda: bool(rig.proxy.requests.by_id))
+            with socket.create_connection(harness.proxy.downstream.address) as client:
+                client.sendall(HEAD)
+                await wait_until(lambda: bool(harness.proxy.requests.by_id))
             time.sleep(0.3)  # the loop is busy: this is the scenario, and waits for nothing
-            rig.proxy._decisions.dispatch(interface.TimerExpired("copy"))
-            assert not rig.proxy.requests.by_id
-            rig.proxy.balancer.handle = handle  # type: ignore[method-assign]
-            await all_let_go(rig)
+            harness.proxy._decisions.dispatch(interface.TimerExpired("copy"))
+            assert not harness.proxy.requests.by_id
+            harness.proxy.balancer.handle = handle  # type: ignore[method-assign]
+            await wait_until_released(harness)
             assert not upstream.connection_count
 
     run_scenario(scenario())
@@ -223,15 +223,15 @@
 
     async def scenario() -> None:
         upstream = Upstream()
-        async with ProxyHarness(upstream) as rig:
-            assert status_of(await rig.request()) == 200  # its connection idles: no dial delays the next
-            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
+        async with ProxyHarness(upstream) as harness:
+            assert status_of(await harness.request()) == 200  # its connection idles: no dial delays the next
+            await wait_until(lambda: harness.proxy.downstream.connection_count() == 0)
             await wait_at_least(0.01)
-            with socket.create_connection(rig.proxy.downstream.address) as caller:
-                await wait_until(lambda: rig.proxy.downstream.connection_count() == 1)
-                caller.sendall(HEAD)
+            with socket.create_connection(harness.proxy.downstream.address) as client:
+                await wait_until(lambda: harness.proxy.downstream.connection_count() == 1)
+                client.sendall(HEAD)
             time.sleep(0.3)
-            await all_let_go(rig)
+            await wait_until_released(harness)
             assert len(upstream.requests) == 1
 
     run_scenario(scenario())
@@ -259,23 +259,23 @@
             writer.close()
 
         server = await asyncio.start_server(slow, "127.0.0.1", 0, limit=4_096)
-        async with ProxyHarness(Upstream(), limits=LIMITS | {"mayCancel": cancel}) as rig:
+        async with ProxyHarness(Upstream(), limits=LIMITS | {"mayCancel": cancel}) as harness:
             port = server.sockets[0].getsockname()[1]
-            rig.proxy.endpoint_list.apply(
+            harness.proxy.endpoint_list.apply(
                 UpdateKind.FULL_SNAPSHOT,
                 endpoint_list(endpoint_entry("s0", f"127.0.0.1:{port}"), is_full_snapshot=True),
             )
-            caller = await rig.connect()
-            caller.send_request("/pay/x", b"x" * size, deadline="60000m")
+            client = await harness.connect()
+            client.send_request("/pay/x", b"x" * size, deadline="60000m")
             await begun.wait()
-            (connection,) = rig.proxy.downstream._connections
+            (connection,) = harness.proxy.downstream._connections
             await wait_until(lambda: connection.reader.control.is_paused)
-            caller.writer.close()  # the kernel sends on what we still hold for it
-            await wait_at_least(ALLOWED_S)
+            client.writer.close()  # the kernel sends on what we still hold for it
+            await wait_at_least(MAX_LATE_START_S)
             go_on.set()
             await over.wait()
             assert got[0] < size
-            await all_let_go(rig)
+            await wait_until_released(harness)
 
     run_scenario(scenario())
 
@@ -285,24 +285,24 @@
 
 def test_the_disconnect_poll_interval_is_well_under_what_is_allowed() -> None:
     """Bytes of a request that are still with us leave by themselves: there only the looks help."""
-    assert LOOKS_EVERY_S <= ALLOWED_S / 2
+    assert POLL_INTERVAL_S <= MAX_LATE_START_S / 2
 
 
 def test_clients_that_stay_are_served_through_every_disconnect_check(monkeypatch: pytest.MonkeyPatch) -> None:
     """Bytes that wait unread, and a connection that has long been idle, are no end."""
 
     async def scenario() -> None:
-        dials, upstream = PausedConnects(monkeypatch), Upstream()
-        async with ProxyHarness(upstream) as rig:
-            caller = await rig.connect()
-            caller.writer.write(HEAD * 40)
-            await dials.started.wait()
-            dials.release()
+        connects, upstream = PausedConnects(monkeypatch), Upstream()
+        async with ProxyHarness(upstream) as harness:
+            client = await harness.connect()
+            client.writer.write(HEAD * 40)
+            await connects.started.wait()
+            connects.release()
             for _ in range(40):
-                assert status_of(await caller.read_response()) == 200
+                assert status_of(await client.read_response()) == 200
             assert len(upstream.requests) == 40
-            caller.writer.close()
-            await all_let_go(rig)
+            client.writer.close()
+            await wait_until_released(harness)
 
     run_scenario(scenario())
 
@@ -311,14 +311,14 @@
     """Its answer is out, and what still comes is dropped: to let go of it then would reset the answer."""
 
     async def scenario() -> None:
-        async with ProxyHarness(Upstream()) as rig:
-            caller = await rig.connect()
-            caller.send_request("/nosuch/x", b"x" * 3_000_000)
-            caller.writer.write_eof()
-            assert status_of(await caller.read_response()) == 404
-            assert await caller.reader.read() == b""
-            caller.writer.close()
-            await all_let_go(rig)
+        async with ProxyHarness(Upstream()) as harness:
+            client = await harness.connect()
+            client.send_request("/nosuch/x", b"x" * 3_000_000)
+            client.writer.write_eof()
+            assert status_of(await client.read_response()) == 404
+            assert await client.reader.read() == b""
+            client.writer.close()
+            await wait_until_released(harness)
 
     run_scenario(scenario())
 
@@ -326,16 +326,16 @@
 def test_a_written_attempt_runs_on_for_a_disconnected_client_where_cancelling_is_forbidden() -> None:
     async def scenario() -> None:
         upstream = Upstream(never_answer)
-        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": False}) as rig:
-            caller = await rig.connect()
-            caller.send_request("/pay/x", b"debit")
+        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": False}) as harness:
+            client = await harness.connect()
+            client.send_request("/pay/x", b"debit")
             await upstream.request_received.wait()
-            caller.writer.close()
-            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
+            client.writer.close()
+            await wait_until(lambda: harness.proxy.downstream.connection_count() == 0)
             assert not upstream.connection_ended.is_set()
             upstream.writers[0].write(http_response())
-            await all_let_go(rig)
-            (pool,) = rig.proxy.upstreams._pools.values()
+            await wait_until_released(harness)
+            (pool,) = harness.proxy.upstreams._pools.values()
             assert len(pool.idle_connections) == 1 and isinstance(
                 pool.idle_connections[0], UpstreamConnection
             )
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -44,10 +44,10 @@
 )
 
 HOST = "127.0.0.1"
-LEAST = 256  # sockets that a balancer gets
+MIN_SOCKETS = 256  # sockets that a balancer gets
 CROWD = 600
-DOWN_S = 2.0  # that discovery is away, with all places taken
-WELL_S = 6.0  # after its return
+OUTAGE_S = 2.0  # that discovery is away, with all places taken
+RECOVERY_S = 6.0  # after its return
 DRAIN_GRACE_S = 0.5  # as the configuration has it
 HEAD = b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 5000m\r\n\r\n"
 
@@ -70,23 +70,23 @@
     """The listener stays readable: an accept that fails and is tried at once would spin."""
 
     class Full(socket.socket):
-        tries = 0
+        attempts = 0
 
         def accept(self) -> Any:
-            Full.tries += 1
+            Full.attempts += 1
             raise OSError(errno.EMFILE, "no descriptor")
 
     async def scenario() -> None:
-        async with ProxyHarness(Upstream()) as rig:
-            ours = rig.proxy.downstream
+        async with ProxyHarness(Upstream()) as harness:
+            ours = harness.proxy.downstream
             ours._stop_reading()
             ours.listening_socket = Full(fileno=ours.listening_socket.detach())
             ours._start_reading()
             with socket.create_connection(ours.address):
-                await wait_until(lambda: Full.tries > 0)
+                await wait_until(lambda: Full.attempts > 0)
                 for _ in range(1_000):
                     await asyncio.sleep(0)
-                assert Full.tries <= 2
+                assert Full.attempts <= 2
                 ours.listening_socket = socket.socket(fileno=ours.listening_socket.detach())
                 await wait_until(lambda: ours.connection_count() == 1)
 
@@ -99,15 +99,17 @@
 class Idle:
     """A connection that has been idle since some moment."""
 
-    def __init__(self, idle_since: float, asked: bool, may_end: bool = True) -> None:
-        self.idle_since_s, self._asked, self._may_end = idle_since, asked, may_end
+    def __init__(self, idle_since_s: float, has_received_request: bool, can_close: bool = True) -> None:
+        self.idle_since_s = idle_since_s
+        self._has_received_request = has_received_request
+        self._can_close = can_close
         self.ended = False
 
     def has_received_request(self) -> bool:
-        return self._asked
+        return self._has_received_request
 
     def can_close(self) -> bool:
-        return self._may_end and not self.ended
+        return self._can_close and not self.ended
 
     def evict(self) -> None:
         self.idle_since_s, self.ended = float("inf"), True
@@ -115,31 +117,29 @@
 
 def test_connections_without_a_request_are_evicted_before_the_longest_idle_and_busy_ones_never() -> None:
     now = 100.0
-    asking = Idle(now - 50.0, asked=True, may_end=False)
-    long_idle, idle, busy = (
-        Idle(now - s, asked=True) for s in (9.0, 2 * MIN_EVICTABLE_IDLE_S, MIN_EVICTABLE_IDLE_S / 2)
-    )
-    stranger, fresh = (
-        Idle(now - 2 * NEW_CONNECTION_GRACE_S, asked=False),
-        Idle(now - NEW_CONNECTION_GRACE_S / 2, asked=False),
-    )
-    everyone = [asking, busy, idle, long_idle, fresh, stranger]
+    asking = Idle(now - 50.0, has_received_request=True, can_close=False)
+    long_idle = Idle(now - 9.0, has_received_request=True)
+    idle = Idle(now - 2 * MIN_EVICTABLE_IDLE_S, has_received_request=True)
+    busy = Idle(now - MIN_EVICTABLE_IDLE_S / 2, has_received_request=True)
+    stranger = Idle(now - 2 * NEW_CONNECTION_GRACE_S, has_received_request=False)
+    fresh = Idle(now - NEW_CONNECTION_GRACE_S / 2, has_received_request=False)
+    clients = [asking, busy, idle, long_idle, fresh, stranger]
     eviction, order = IdleEviction(), list[Idle]()
     for _ in range(4):
         eviction.reset()  # one at a time
-        eviction.evict_idle(everyone, now)
-        order += [c for c in everyone if c.ended and c not in order]
+        eviction.evict_idle(clients, now)
+        order += [c for c in clients if c.ended and c not in order]
         now += EVICTION_INTERVAL_S / 4
-        eviction.evict_idle(everyone, now)  # too soon
-        assert len([c for c in everyone if c.ended]) == len(order)
-        eviction._next = 0.0
+        eviction.evict_idle(clients, now)  # too soon
+        assert len([c for c in clients if c.ended]) == len(order)
+        eviction._next_pass_s = 0.0
         now = 100.0
     assert order == [stranger, long_idle, idle]
 
 
 def test_evictions_double_up_to_a_bound_until_nobody_waits() -> None:
     eviction, now, counts = IdleEviction(), 100.0, list[int]()
-    crowd = [Idle(0.0, asked=False) for _ in range(200)]
+    crowd = [Idle(0.0, has_received_request=False) for _ in range(200)]
     for _ in range(7):
         before = sum(c.ended for c in crowd)
         eviction.evict_idle(crowd, now)
@@ -161,20 +161,20 @@
     monkeypatch.setattr(descriptors, "MIN_EVICTABLE_IDLE_S", 0.0)
 
     async def scenario() -> None:
-        async with ProxyHarness(Upstream(http_response(200, b"x" * 60_000), http_response())) as rig:
-            rig.proxy.downstream.max_connections = 1
-            with socket.socket() as deaf:
-                deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-                deaf.connect(rig.proxy.downstream.address)
-                await wait_until(lambda: rig.proxy.downstream.connection_count() == 1)
-                (connection,) = rig.proxy.downstream._connections
+        async with ProxyHarness(Upstream(http_response(200, b"x" * 60_000), http_response())) as harness:
+            harness.proxy.downstream.max_connections = 1
+            with socket.socket() as unreading:
+                unreading.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+                unreading.connect(harness.proxy.downstream.address)
+                await wait_until(lambda: harness.proxy.downstream.connection_count() == 1)
+                (connection,) = harness.proxy.downstream._connections
                 await wait_until(lambda: connection._transport is not None)
                 assert connection._transport is not None
                 ours = connection._transport.get_extra_info("socket")
                 ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-                deaf.sendall(HEAD)
+                unreading.sendall(HEAD)
                 await wait_until(lambda: connection.pipeline.unsent.size_bytes > 0 and connection.is_idle())
-                assert status_of(await rig.request()) == 200
+                assert status_of(await harness.request()) == 200
 
     run_scenario(scenario())
 
@@ -201,7 +201,7 @@
                         await read_message(reader)
                     await reader.read()
                     if self._kind == "that never close":
-                        await wait_at_least(WELL_S)
+                        await wait_at_least(RECOVERY_S)
                 finally:
                     writer.transport.abort()
             await asyncio.sleep(0)
@@ -255,7 +255,7 @@
     path.write_text(json.dumps(raw), encoding="utf-8")
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "loadbalancer", env=os.environ | {"LB_CONFIG": str(path)},
-        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (LEAST, LEAST)),
+        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (MIN_SOCKETS, MIN_SOCKETS)),
     )  # fmt: skip
     balancer = Balancer(process.pid, port, console)
     try:
@@ -288,11 +288,11 @@
 @pytest.mark.parametrize(
     ("kind", "away", "sockets"),
     [
-        ("that send nothing", "refuses", LEAST),
-        ("that send nothing", "is silent", LEAST),
-        ("that asked once", "refuses", LEAST),
-        ("that never close", "is silent", LEAST),
-        ("that send nothing", "refuses", 4 * LEAST),
+        ("that send nothing", "refuses", MIN_SOCKETS),
+        ("that send nothing", "is silent", MIN_SOCKETS),
+        ("that asked once", "refuses", MIN_SOCKETS),
+        ("that never close", "is silent", MIN_SOCKETS),
+        ("that send nothing", "refuses", 4 * MIN_SOCKETS),
     ],
 )
 def test_idle_clients_take_no_descriptor_of_the_list_upstreams_or_console(
@@ -308,7 +308,7 @@
                 console = asyncio.create_task(watch_console(balancer))
                 while crowd.connected < CROWD:
                     await wait_at_least(0.01)
-                await wait_at_least(DOWN_S)
+                await wait_at_least(OUTAGE_S)
                 await discovery.come_back(address)
                 draining = entries[0] | {"status": "terminating"}
                 for _ in range(
@@ -317,7 +317,7 @@
                     discovery.publish(9, draining, entries[1], snapshot=True)
                 answers = list[int]()
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(WELL_S):
+                    async with asyncio.timeout(RECOVERY_S):
                         while json.loads((await balancer.call("/admin/list")).body)["index"] != 9:
                             await wait_at_least(0.02)
                         await wait_at_least(DRAIN_GRACE_S)
@@ -332,7 +332,7 @@
         while True:
             async with asyncio.timeout(2.0):
                 assert status_of(await balancer.call("/admin/stats")) == 200
-            assert balancer.open_descriptors() < LEAST - 32
+            assert balancer.open_descriptors() < MIN_SOCKETS - 32
             await wait_at_least(0.05)
 
     async def bounded() -> None:
--- a/tests/test_endings_downstream.py
+++ b/tests/test_endings_downstream.py
@@ -1,4 +1,4 @@
-"""What is owed in the instant in which a caller leaves, or the process ends."""
+"""What is owed in the instant in which a client leaves, or the process ends."""
 
 from __future__ import annotations
 
@@ -44,7 +44,13 @@
 
 HEAD = b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 4000m\r\n\r\n"
 LIMITS = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 5_000.0}
-PATIENT = {"name": "read", "target": 90_000.0, "deadline": 99_000.0, "effect": "retryable", "worth": 1.0}
+LONG_DEADLINE_CLASS = {
+    "name": "read",
+    "target": 90_000.0,
+    "deadline": 99_000.0,
+    "effect": "retryable",
+    "worth": 1.0,
+}
 may_cancel = pytest.mark.parametrize("cancel", [True, False])
 
 
@@ -58,18 +64,18 @@
     """Reading was paused, so nobody saw its end, and its request was sent when the connection was up."""
 
     async def scenario() -> None:
-        dials, upstream = PausedConnects(monkeypatch), Upstream()
-        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
-            caller = await rig.connect()
-            caller.send_request("/pay/x", b"x" * 70_000)
-            await dials.started.wait()
-            (connection,) = rig.proxy.downstream._connections
+        connects, upstream = PausedConnects(monkeypatch), Upstream()
+        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as harness:
+            client = await harness.connect()
+            client.send_request("/pay/x", b"x" * 70_000)
+            await connects.started.wait()
+            (connection,) = harness.proxy.downstream._connections
             await wait_until(lambda: connection.reader.control.is_paused)
-            caller.writer.close()
-            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
-            assert not unreleased_resources(rig.proxy)
-            dials.release()
-            assert status_of(await rig.request()) == 200
+            client.writer.close()
+            await wait_until(lambda: harness.proxy.downstream.connection_count() == 0)
+            assert not unreleased_resources(harness.proxy)
+            connects.release()
+            assert status_of(await harness.request()) == 200
             assert len(upstream.requests) == 1
 
     run_scenario(scenario())
@@ -79,22 +85,22 @@
 def test_pipelined_requests_are_dropped_with_their_client_though_reading_is_paused(
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each was sent on as the one before it was answered, to a caller that had gone long ago."""
+    """Each was sent on as the one before it was answered, to a client that had gone long ago."""
     monkeypatch.setattr(downstream_flow, "DISCONNECT_POLL_INTERVAL_S", 0.005)
 
     async def scenario() -> None:
         upstream = Upstream(never_answer)
-        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
-            caller = await rig.connect()
-            caller.writer.write(HEAD * 40)
-            (connection,) = rig.proxy.downstream._connections
+        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as harness:
+            client = await harness.connect()
+            client.writer.write(HEAD * 40)
+            (connection,) = harness.proxy.downstream._connections
             await wait_until(lambda: connection.reader.control.is_paused)
             await upstream.request_received.wait()
             await wait_at_least(0.02)  # some looks that see a caller that is there
-            caller.writer.close()
-            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
+            client.writer.close()
+            await wait_until(lambda: harness.proxy.downstream.connection_count() == 0)
             upstream.writers[0].write(http_response())
-            await wait_until(lambda: not unreleased_resources(rig.proxy))
+            await wait_until(lambda: not unreleased_resources(harness.proxy))
             assert len(upstream.requests) == 1
 
     run_scenario(scenario())
@@ -105,9 +111,9 @@
 
     async def scenario() -> None:
         upstream = Upstream()
-        async with ProxyHarness(upstream) as rig:
-            rig.proxy.downstream.max_connections = 1
-            first, late = await rig.connect(), await rig.connect()
+        async with ProxyHarness(upstream) as harness:
+            harness.proxy.downstream.max_connections = 1
+            first, late = await harness.connect(), await harness.connect()
             first.send_request()
             assert (
                 status_of(await first.read_response()) == 200
@@ -117,12 +123,12 @@
             late.writer.close()
             await late.writer.wait_closed()
             first.writer.close()
-            last = await rig.connect()  # behind it in the kernel's queue
+            last = await harness.connect()  # behind it in the kernel's queue
             last.send_request("/pay/last")
             assert status_of(await last.read_response()) == 200
             assert [a.start_line.split()[1] for a in upstream.requests] == ["/read/x?y=1", "/pay/last"]
             last.writer.close()
-            await wait_until(lambda: not unreleased_resources(rig.proxy))
+            await wait_until(lambda: not unreleased_resources(harness.proxy))
 
     run_scenario(scenario())
 
@@ -132,42 +138,42 @@
 
     async def scenario() -> None:
         upstream = Upstream(http_response(200, b"x" * 30_000_000), http_response())
-        async with ProxyHarness(upstream) as rig:
-            with socket.socket() as deaf:
-                deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-                deaf.connect(rig.proxy.downstream.address)
-                deaf.sendall(HEAD * 2)
+        async with ProxyHarness(upstream) as harness:
+            with socket.socket() as unreading:
+                unreading.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+                unreading.connect(harness.proxy.downstream.address)
+                unreading.sendall(HEAD * 2)
                 await upstream.request_received.wait()
-                (connection,) = rig.proxy.downstream._connections
+                (connection,) = harness.proxy.downstream._connections
                 await wait_until(
                     lambda: connection.pipeline.is_streaming and connection.pipeline.unsent.size_bytes > 0
                 )
-                deaf.shutdown(socket.SHUT_WR)
-                await wait_until(lambda: not rig.proxy.requests.by_id)
+                unreading.shutdown(socket.SHUT_WR)
+                await wait_until(lambda: not harness.proxy.requests.by_id)
                 assert len(upstream.requests) == 1
-            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
-            assert not unreleased_resources(rig.proxy)
+            await wait_until(lambda: harness.proxy.downstream.connection_count() == 0)
+            assert not unreleased_resources(harness.proxy)
 
     run_scenario(scenario())
 
 
 @pytest.mark.parametrize("path", ["/nosuch/x", "/healthz", "/read/x"])
-def test_a_flood_of_bodies_that_are_not_forwarded_leaves_nothing_buffered(path: str) -> None:
+def test_a_flood_of_bodies_that_are_not_forwarded_keeps_nothing_buffered(path: str) -> None:
     """The bytes of bodies that were turned away counted as held for good, till nobody might send any."""
 
     async def scenario() -> None:
-        async with ProxyHarness(Upstream()) as rig:
-            everyone = [await rig.connect() for _ in range(50)]
-            for caller in everyone:
-                caller.send_request(path, b"x" * 60_000, x_class="other")
-                caller.writer.write(b"GET /read/x HTTP/1.1\r\n")  # and part of another behind it
-            for caller in everyone[:25]:
-                caller.writer.transport.abort()
-            for caller in everyone[25:]:
-                assert status_of(await caller.read_response()) >= 400
-                caller.writer.close()
-            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
-            assert not unreleased_resources(rig.proxy)
+        async with ProxyHarness(Upstream()) as harness:
+            clients = [await harness.connect() for _ in range(50)]
+            for client in clients:
+                client.send_request(path, b"x" * 60_000, x_class="other")
+                client.writer.write(b"GET /read/x HTTP/1.1\r\n")  # and part of another behind it
+            for client in clients[:25]:
+                client.writer.transport.abort()
+            for client in clients[25:]:
+                assert status_of(await client.read_response()) >= 400
+                client.writer.close()
+            await wait_until(lambda: harness.proxy.downstream.connection_count() == 0)
+            assert not unreleased_resources(harness.proxy)
 
     run_scenario(scenario())
 
@@ -176,11 +182,11 @@
     """Its descriptor may be another's by now: it is not asked."""
 
     async def scenario() -> None:
-        async with ProxyHarness(Upstream()) as rig:
-            caller = await rig.connect()
-            caller.send_request()
-            assert status_of(await caller.read_response()) == 200
-            (connection,) = rig.proxy.downstream._connections
+        async with ProxyHarness(Upstream()) as harness:
+            client = await harness.connect()
+            client.send_request()
+            assert status_of(await client.read_response()) == 200
+            (connection,) = harness.proxy.downstream._connections
             transport = connection._transport
             assert transport is not None and not has_peer_closed(transport)
             transport.abort()
@@ -189,22 +195,22 @@
     run_scenario(scenario())
 
 
-def test_hundreds_of_queued_clients_that_disconnect_at_once_free_all_they_held() -> None:
+def test_hundreds_of_queued_clients_that_disconnect_at_once_release_all_they_used() -> None:
     async def scenario() -> None:
         upstream = Upstream(never_answer)
-        async with ProxyHarness(upstream, classes=[PATIENT]) as rig:
-            everyone = [await rig.connect() for _ in range(200)]
-            for caller in everyone:
-                caller.send_request(deadline="90000m")
-            await wait_until(lambda: len(rig.proxy.balancer._requests.wait_queue) == 100)
-            for caller in everyone:
-                caller.writer.close()
-            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
-            await wait_until(lambda: not unreleased_resources(rig.proxy))
+        async with ProxyHarness(upstream, classes=[LONG_DEADLINE_CLASS]) as harness:
+            clients = [await harness.connect() for _ in range(200)]
+            for client in clients:
+                client.send_request(deadline="90000m")
+            await wait_until(lambda: len(harness.proxy.balancer._requests.wait_queue) == 100)
+            for client in clients:
+                client.writer.close()
+            await wait_until(lambda: harness.proxy.downstream.connection_count() == 0)
+            await wait_until(lambda: not unreleased_resources(harness.proxy))
             assert len(upstream.requests) <= 100
             seen = len(upstream.requests)
             upstream.request_received.clear()
-            last = await rig.connect()
+            last = await harness.connect()
             last.send_request()
             await upstream.request_received.wait()
             assert len(upstream.requests) == seen + 1
@@ -218,31 +224,33 @@
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        dials, upstream = PausedConnects(monkeypatch), Upstream()
-        async with ProxyHarness(upstream, classes=[PATIENT], limits=LIMITS | {"mayCancel": cancel}) as rig:
-            rig.proxy.downstream.max_connections = rig.proxy.upstreams.max_connections = 1_100
-            rig.proxy.endpoint_list.apply(
+        connects, upstream = PausedConnects(monkeypatch), Upstream()
+        async with ProxyHarness(
+            upstream, classes=[LONG_DEADLINE_CLASS], limits=LIMITS | {"mayCancel": cancel}
+        ) as harness:
+            harness.proxy.downstream.max_connections = harness.proxy.upstreams.max_connections = 1_100
+            harness.proxy.endpoint_list.apply(
                 UpdateKind.FULL_SNAPSHOT,
-                endpoint_list(rig.entries[0] | {"weight": 1_000.0}, is_full_snapshot=True),
+                endpoint_list(harness.entries[0] | {"weight": 1_000.0}, is_full_snapshot=True),
             )
-            everyone = [await rig.connect() for _ in range(1_000)]
-            for caller in everyone:
-                caller.send_request(deadline="90000m")
-            await wait_until(lambda: dials.count == 1_000)
-            for caller in everyone:
-                caller.writer.close()
-            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
-            assert not unreleased_resources(rig.proxy)
-            dials.release()
-            assert status_of(await rig.request()) == 200
+            clients = [await harness.connect() for _ in range(1_000)]
+            for client in clients:
+                client.send_request(deadline="90000m")
+            await wait_until(lambda: connects.count == 1_000)
+            for client in clients:
+                client.writer.close()
+            await wait_until(lambda: harness.proxy.downstream.connection_count() == 0)
+            assert not unreleased_resources(harness.proxy)
+            connects.release()
+            assert status_of(await harness.request()) == 200
             assert len(upstream.requests) == 1
 
     run_scenario(scenario())
 
 
-def at_once(caller: HttpClient, data: bytes) -> None:
+def send_now(client: HttpClient, data: bytes) -> None:
     """Put bytes into the kernel in this very instant."""
-    os.write(caller.writer.get_extra_info("socket").fileno(), data)
+    os.write(client.writer.get_extra_info("socket").fileno(), data)
 
 
 def test_a_first_request_in_the_instant_of_the_request_timeout_is_answered(
@@ -252,23 +260,23 @@
     monkeypatch.setattr(downstream_timeout, "REQUEST_TIMEOUT_S", 0.0)
 
     async def scenario() -> None:
-        async with ProxyHarness(Upstream()) as rig:
-            look, crossed = RequestReader._on_timeout, list[int]()
-            caller = HttpClient()
+        async with ProxyHarness(Upstream()) as harness:
+            on_timeout, crossed = RequestReader._on_timeout, list[int]()
+            client = HttpClient()
 
             def crossing(reader: RequestReader) -> None:
-                if not crossed and caller.writer is not None:
+                if not crossed and client.writer is not None:
                     crossed.append(1)
-                    at_once(caller, HEAD)
-                look(reader)
+                    send_now(client, HEAD)
+                on_timeout(reader)
 
-            caller.writer = None  # type: ignore[assignment]
+            client.writer = None  # type: ignore[assignment]
             monkeypatch.setattr(RequestReader, "_on_timeout", crossing)
-            pending = socket.create_connection(rig.proxy.downstream.address)
-            caller.reader, caller.writer = await asyncio.open_connection(sock=pending)
-            answer = await caller.read_response()
+            pending = socket.create_connection(harness.proxy.downstream.address)
+            client.reader, client.writer = await asyncio.open_connection(sock=pending)
+            answer = await client.read_response()
             assert crossed and status_of(answer) == 200
-            caller.writer.close()
+            client.writer.close()
 
     run_scenario(scenario())
 
@@ -277,11 +285,11 @@
 def test_the_deadline_and_the_response_in_one_turn_give_one_final_response(first: str) -> None:
     async def scenario() -> None:
         upstream = Upstream(never_answer, http_response(200, b"second"))
-        async with ProxyHarness(upstream) as rig:
-            caller = await rig.connect()
-            caller.writer.write(HEAD * 2)
+        async with ProxyHarness(upstream) as harness:
+            client = await harness.connect()
+            client.writer.write(HEAD * 2)
             await upstream.request_received.wait()
-            proxy = rig.proxy
+            proxy = harness.proxy
             ((number, _),) = proxy.requests.by_id.items()
             ended = proxy.attempts.on_attempt_ended
 
@@ -295,34 +303,34 @@
 
             proxy.attempts.on_attempt_ended = crossing  # type: ignore[method-assign, assignment]
             upstream.writers[0].write(http_response(200, b"first"))
-            answer = await caller.read_response()
+            answer = await client.read_response()
             assert (status_of(answer), answer.body) == (
                 (502, b"") if first == "deadline" else (200, b"first")
             )
-            assert (await caller.read_response()).body == b"second"
-            caller.writer.close()
-            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
+            assert (await client.read_response()).body == b"second"
+            client.writer.close()
+            await wait_until(lambda: harness.proxy.downstream.connection_count() == 0)
             assert not unreleased_resources(proxy)
 
     run_scenario(scenario())
 
 
 @pytest.mark.parametrize("first", ["leaves", "answer"])
-def test_a_client_that_disconnects_as_its_response_comes_leaves_nothing_behind(first: str) -> None:
+def test_a_client_that_disconnects_as_its_response_comes_keeps_nothing_reserved(first: str) -> None:
     async def scenario() -> None:
         upstream = Upstream(never_answer)
-        async with ProxyHarness(upstream) as rig:
-            caller = await rig.connect()
-            caller.send_request("/pay/x", b"debit")
+        async with ProxyHarness(upstream) as harness:
+            client = await harness.connect()
+            client.send_request("/pay/x", b"debit")
             await upstream.request_received.wait()
             if first == "leaves":
-                caller.writer.transport.abort()
+                client.writer.transport.abort()
                 upstream.writers[0].write(http_response())
             else:
                 upstream.writers[0].write(http_response())
-                caller.writer.transport.abort()
-            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
-            await wait_until(lambda: not unreleased_resources(rig.proxy))
+                client.writer.transport.abort()
+            await wait_until(lambda: harness.proxy.downstream.connection_count() == 0)
+            await wait_until(lambda: not unreleased_resources(harness.proxy))
 
     run_scenario(scenario())
 
@@ -333,15 +341,15 @@
     """It was answered as failed, though its connection had never come up: nobody might ask again."""
 
     async def scenario() -> None:
-        dials = PausedConnects(monkeypatch)
-        async with ProxyHarness(Upstream(), limits=LIMITS) as rig:
-            caller = await rig.connect()
-            caller.send_request("/pay/x", b"debit", deadline="60000m")
-            await dials.started.wait()
-            ((number, _),) = rig.proxy.requests.by_id.items()
-            rig.proxy.requests.rescue(number)
-            assert status_of(await caller.read_response()) == 503
-            await wait_until(lambda: not unreleased_resources(rig.proxy))
+        connects = PausedConnects(monkeypatch)
+        async with ProxyHarness(Upstream(), limits=LIMITS) as harness:
+            client = await harness.connect()
+            client.send_request("/pay/x", b"debit", deadline="60000m")
+            await connects.started.wait()
+            ((number, _),) = harness.proxy.requests.by_id.items()
+            harness.proxy.requests.rescue(number)
+            assert status_of(await client.read_response()) == 503
+            await wait_until(lambda: not unreleased_resources(harness.proxy))
 
     run_scenario(scenario())
 
@@ -349,7 +357,7 @@
 # ---- the process ends ---------------------------------------------------------------------------
 
 
-def end_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def shut_down_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """The time to stay is over as soon as it begins."""
     for name in ("SHUTDOWN_ACCEPT_S", "MAX_SHUTDOWN_S", "SHUTDOWN_FINAL_S"):
         monkeypatch.setattr(downstream_listener, name, 0.0)
@@ -357,19 +365,19 @@
 
 def test_requests_behind_one_that_hangs_are_answered_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     """The first was answered, the next was taken up and sent on, and the process ended under it."""
-    end_at_once(monkeypatch)
+    shut_down_at_once(monkeypatch)
 
     async def scenario() -> None:
         upstream = Upstream(never_answer)
-        async with ProxyHarness(upstream) as rig:
-            caller = await rig.connect()
-            caller.writer.write(HEAD * 3)
+        async with ProxyHarness(upstream) as harness:
+            client = await harness.connect()
+            client.writer.write(HEAD * 3)
             await upstream.request_received.wait()
-            await rig.proxy.downstream.shut_down()
-            assert [status_of(await caller.read_response()) for _ in range(3)] == [502, 503, 503]
-            assert await caller.reader.read() == b""
+            await harness.proxy.downstream.shut_down()
+            assert [status_of(await client.read_response()) for _ in range(3)] == [502, 503, 503]
+            assert await client.reader.read() == b""
             assert len(upstream.requests) == 1
-            assert not unreleased_resources(rig.proxy)
+            assert not unreleased_resources(harness.proxy)
 
     run_scenario(scenario())
 
@@ -378,45 +386,45 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Whoever had not read when the time was up found its answer cut off."""
-    end_at_once(monkeypatch)
+    shut_down_at_once(monkeypatch)
 
     async def scenario() -> None:
         large = b"x" * 8_000_000
-        async with ProxyHarness(Upstream(http_response(200, large))) as rig:
-            caller = await rig.connect()
-            caller.send_request()
-            (connection,) = rig.proxy.downstream._connections
+        async with ProxyHarness(Upstream(http_response(200, large))) as harness:
+            client = await harness.connect()
+            client.send_request()
+            (connection,) = harness.proxy.downstream._connections
             await wait_until(lambda: connection.pipeline.is_streaming)
-            ending = asyncio.ensure_future(rig.proxy.downstream.shut_down())
-            await wait_until(lambda: rig.proxy.intake.is_closed)
+            ending = asyncio.ensure_future(harness.proxy.downstream.shut_down())
+            await wait_until(lambda: harness.proxy.intake.is_closed)
             await wait_at_least(0.05)
             assert not ending.done()
-            assert (await caller.read_response()).body == large
-            assert await caller.reader.read() == b""
-            caller.writer.close()
+            assert (await client.read_response()).body == large
+            assert await client.reader.read() == b""
+            client.writer.close()
             await ending
-            assert not unreleased_resources(rig.proxy)
+            assert not unreleased_resources(harness.proxy)
 
     run_scenario(scenario())
 
 
-def test_a_response_that_is_cut_off_by_shutdown_does_not_look_complete(
+def test_a_response_that_is_cut_off_by_shutdown_is_seen_to_be_incomplete(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    end_at_once(monkeypatch)
+    shut_down_at_once(monkeypatch)
     monkeypatch.setattr(downstream_listener, "SHUTDOWN_UNREAD_S", 0.0)
 
     async def scenario() -> None:
-        async def part(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+        async def part(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\n\r\npart")
 
-        async with ProxyHarness(Upstream(part)) as rig:
-            caller = await rig.connect()
-            caller.writer.write(HEAD.replace(b"HTTP/1.1", b"HTTP/1.0"))
-            assert b"part" in await caller.reader.readuntil(b"part")
-            await rig.proxy.downstream.shut_down()
+        async with ProxyHarness(Upstream(part)) as harness:
+            client = await harness.connect()
+            client.writer.write(HEAD.replace(b"HTTP/1.1", b"HTTP/1.0"))
+            assert b"part" in await client.reader.readuntil(b"part")
+            await harness.proxy.downstream.shut_down()
             with pytest.raises(ConnectionResetError):
-                await caller.reader.read()
+                await client.reader.read()
 
     run_scenario(scenario())
 
@@ -427,7 +435,7 @@
     sent: bytes, at: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A close over unread bytes resets the connection, and takes the answer before them with it."""
-    end_at_once(monkeypatch)
+    shut_down_at_once(monkeypatch)
     monkeypatch.setattr(downstream_listener, "SHUTDOWN_FINAL_S", 5.0)
     if at == "while there is time":
         monkeypatch.setattr(downstream_listener, "MAX_SHUTDOWN_S", 5.0)
@@ -437,24 +445,24 @@
 
     async def scenario() -> None:
         upstream = Upstream()
-        async with ProxyHarness(upstream) as rig:
-            caller = await rig.connect()
-            caller.send_request()
+        async with ProxyHarness(upstream) as harness:
+            client = await harness.connect()
+            client.send_request()
             await upstream.request_received.wait()
-            (connection,) = rig.proxy.downstream._connections
+            (connection,) = harness.proxy.downstream._connections
             half_close = connection.half_close
 
             def crossing() -> None:
                 half_close()
-                at_once(caller, sent)  # in our kernel, unread, right after the half-close
+                send_now(client, sent)  # in our kernel, unread, right after the half-close
 
             monkeypatch.setattr(connection, "half_close", crossing)
-            await wait_until(lambda: not rig.proxy.requests.by_id)
-            ending = asyncio.ensure_future(rig.proxy.downstream.shut_down())
-            answer = await caller.read_response()
+            await wait_until(lambda: not harness.proxy.requests.by_id)
+            ending = asyncio.ensure_future(harness.proxy.downstream.shut_down())
+            answer = await client.read_response()
             assert status_of(answer) == 200 and answer.body == b"tile"
-            assert await caller.reader.read() == b""
-            caller.writer.close()
+            assert await client.reader.read() == b""
+            client.writer.close()
             await ending
             assert len(upstream.requests) == 1
 
@@ -465,26 +473,26 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It lay in the kernel when its connection was ended, and had no answer."""
-    end_at_once(monkeypatch)
+    shut_down_at_once(monkeypatch)
     monkeypatch.setattr(downstream_listener, "SHUTDOWN_FINAL_S", 5.0)
 
     async def scenario() -> None:
         upstream = Upstream()
-        async with ProxyHarness(upstream) as rig:
-            caller = await rig.connect()
-            caller.send_request()
-            assert status_of(await caller.read_response()) == 200
-            close = rig.proxy.intake.on_shutdown_deadline
+        async with ProxyHarness(upstream) as harness:
+            client = await harness.connect()
+            client.send_request()
+            assert status_of(await client.read_response()) == 200
+            close = harness.proxy.intake.on_shutdown_deadline
 
             def crossing() -> None:
-                at_once(caller, HEAD)
+                send_now(client, HEAD)
                 close()
 
-            monkeypatch.setattr(rig.proxy.intake, "on_shutdown_deadline", crossing)
-            ending = asyncio.ensure_future(rig.proxy.downstream.shut_down())
-            assert status_of(await caller.read_response()) == 503
-            assert await caller.reader.read() == b""
-            caller.writer.close()
+            monkeypatch.setattr(harness.proxy.intake, "on_shutdown_deadline", crossing)
+            ending = asyncio.ensure_future(harness.proxy.downstream.shut_down())
+            assert status_of(await client.read_response()) == 503
+            assert await client.reader.read() == b""
+            client.writer.close()
             await ending
             assert len(upstream.requests) == 1
 
@@ -499,15 +507,15 @@
 
     async def scenario() -> None:
         upstream = Upstream(never_answer, http_response())
-        async with ProxyHarness(upstream) as rig:
-            rig.proxy.downstream.max_connections = 1
-            first, late = await rig.connect(), await rig.connect()
+        async with ProxyHarness(upstream) as harness:
+            harness.proxy.downstream.max_connections = 1
+            first, late = await harness.connect(), await harness.connect()
             first.send_request()
             await upstream.request_received.wait()
             late.send_request()
             await late.writer.drain()
-            ending = asyncio.ensure_future(rig.proxy.downstream.shut_down())
-            await wait_until(lambda: rig.proxy.downstream.is_shutting_down)
+            ending = asyncio.ensure_future(harness.proxy.downstream.shut_down())
+            await wait_until(lambda: harness.proxy.downstream.is_shutting_down)
             await wait_at_least(0.05)
             upstream.writers[0].write(http_response())
             assert status_of(await first.read_response()) == 200
@@ -522,27 +530,27 @@
 def test_a_body_that_comes_in_at_the_shutdown_deadline_is_answered_and_read_to_its_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    end_at_once(monkeypatch)
+    shut_down_at_once(monkeypatch)
     monkeypatch.setattr(downstream_listener, "SHUTDOWN_FINAL_S", 5.0)
 
     async def scenario() -> None:
-        async with ProxyHarness(Upstream()) as rig:
-            caller = await rig.connect()
-            whole = HEAD.replace(b"GET /read", b"POST /pay").replace(b": read", b": pay")
-            caller.writer.write(whole[:-2] + b"Content-Length: 400000\r\n\r\n" + b"x" * 100_000)
-            await wait_until(lambda: bool(rig.proxy.requests.by_id))
-            ending = asyncio.ensure_future(rig.proxy.downstream.shut_down())
-            await wait_until(lambda: rig.proxy.intake.is_closed)
-            (connection,) = rig.proxy.downstream._connections
-            at_once(caller, b"x" * 1_000)  # more of it is there each time we look
+        async with ProxyHarness(Upstream()) as harness:
+            client = await harness.connect()
+            request_head = HEAD.replace(b"GET /read", b"POST /pay").replace(b": read", b": pay")
+            client.writer.write(request_head[:-2] + b"Content-Length: 400000\r\n\r\n" + b"x" * 100_000)
+            await wait_until(lambda: bool(harness.proxy.requests.by_id))
+            ending = asyncio.ensure_future(harness.proxy.downstream.shut_down())
+            await wait_until(lambda: harness.proxy.intake.is_closed)
+            (connection,) = harness.proxy.downstream._connections
+            send_now(client, b"x" * 1_000)  # more of it is there each time we look
             connection.close_at_shutdown()
             assert connection._is_half_closed
-            caller.writer.write(b"x" * 299_000)
-            assert status_of(await caller.read_response()) >= 500
-            assert await caller.reader.read() == b""
-            caller.writer.close()
+            client.writer.write(b"x" * 299_000)
+            assert status_of(await client.read_response()) >= 500
+            assert await client.reader.read() == b""
+            client.writer.close()
             await ending
-            assert not unreleased_resources(rig.proxy)
+            assert not unreleased_resources(harness.proxy)
 
     run_scenario(scenario())
 
@@ -570,9 +578,9 @@
             assert status_of(await flight.read_response()) in (502, 503)
             assert status_of(await flight.read_response()) in (502, 503)
             assert status_of(await half.read_response()) in (502, 503)
-            for caller in (flight, half):
-                assert await caller.reader.read() == b"", "no reset"
-                caller.writer.close()
+            for client in (flight, half):
+                assert await client.reader.read() == b"", "no reset"
+                client.writer.close()
             idle.writer.close()
             assert await process.wait() == 0
             assert {a.headers["x-request-id"] for a in upstream.requests} == {"1"}, "nothing that crossed"
@@ -580,7 +588,9 @@
     run_scenario(scenario())
 
 
-def test_a_flood_of_peers_that_send_much_and_disconnect_leaves_the_program_as_it_was(tmp_path: Path) -> None:
+def test_a_flood_of_peers_that_send_much_and_disconnect_changes_nothing_in_the_program(
+    tmp_path: Path,
+) -> None:
     """Descriptors and memory of the process itself are looked at: what is not counted shows here, too."""
 
     async def scenario() -> None:
@@ -636,11 +646,11 @@
 
 
 async def connected(port: int) -> HttpClient:
-    """A caller of a program that is starting."""
-    caller = HttpClient()
+    """A client of a program that is starting."""
+    client = HttpClient()
     while True:
         try:
-            caller.reader, caller.writer = await asyncio.open_connection("127.0.0.1", port)
-            return caller
+            client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
+            return client
         except ConnectionRefusedError:
             await asyncio.sleep(0.01)
--- a/tests/test_endings_upstream.py
+++ b/tests/test_endings_upstream.py
@@ -34,7 +34,7 @@
 from tests.test_upstream_attempts import IgnoredAttempt, RecordedAttempt, make_pools
 
 LIMITS = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 5_000.0, "mayDuplicate": True}
-KEYED = {
+DEDUPLICATED_CLASS = {
     "name": "book", "target": 2_000.0, "deadline": 5_000.0, "effect": "dedup", "keyScope": "all",
     "repeatWindow": 300.0, "worth": 1.0,
 }  # fmt: skip
@@ -79,18 +79,18 @@
     end, wanted = ENDINGS[ending]
 
     async def scenario() -> None:
-        dials, upstream = PausedConnects(monkeypatch), Upstream()
+        connects, upstream = PausedConnects(monkeypatch), Upstream()
         address = await upstream.start()
         grace_ms = 0.0 if ending == "drained" else 60_000.0
         upstreams = make_pools(address, connectTimeout=60_000.0, contract={"drainGrace": grace_ms})
         attempt = RecordedAttempt(upstreams)
         assert upstreams.open_connections == 1, "it counts from the dial on"
-        await dials.started.wait()
+        await connects.started.wait()
         if order == "before it is up":
             end(upstreams, address, attempt)
         else:
-            dials.on_connected = lambda: end(upstreams, address, attempt)
-        dials.release()
+            connects.on_connected = lambda: end(upstreams, address, attempt)
+        connects.release()
         assert await attempt.outcome() is wanted
         assert wanted in OUTCOMES_WITHOUT_EFFECT or wanted is Outcome.CANCELLED
         if upstream.connection_count:
@@ -105,15 +105,15 @@
     """Each was counted when it began to connect, in a later turn of the loop: a burst went over the bound."""
 
     async def scenario() -> None:
-        dials = PausedConnects(monkeypatch)
+        connects = PausedConnects(monkeypatch)
         upstreams = make_pools(await Upstream().start())
         upstreams.max_connections = 3
-        tries = [RecordedAttempt(upstreams) for _ in range(10)]
+        attempts = [RecordedAttempt(upstreams) for _ in range(10)]
         assert upstreams.open_connections == 3
-        await wait_until(lambda: sum(t.ended.is_set() for t in tries) == 7)
-        assert dials.count == 3
-        dials.release()
-        for attempt in tries:
+        await wait_until(lambda: sum(t.ended.is_set() for t in attempts) == 7)
+        assert connects.count == 3
+        connects.release()
+        for attempt in attempts:
             await attempt.outcome()
 
     run_scenario(scenario())
@@ -123,11 +123,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        dials, upstream = PausedConnects(monkeypatch), Upstream()
+        connects, upstream = PausedConnects(monkeypatch), Upstream()
         upstreams = make_pools(await upstream.start(), connectTimeout=1.0)
         attempt = RecordedAttempt(upstreams)
-        dials.on_connected = lambda: attempt.attempt._on_timeout()
-        dials.release()
+        connects.on_connected = lambda: attempt.attempt._on_timeout()
+        connects.release()
         assert await attempt.outcome() is Outcome.CONNECT_FAILED
         await wait_until(lambda: upstreams.open_connections == 0)
         assert not upstream.requests
@@ -146,17 +146,17 @@
     """Where the settings forbid cancelling the dial went on, and the request was sent when it was up."""
 
     async def scenario() -> None:
-        dials, upstream = PausedConnects(monkeypatch), Upstream()
-        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": may_cancel}) as rig:
+        connects, upstream = PausedConnects(monkeypatch), Upstream()
+        async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": may_cancel}) as harness:
             for _ in range(20):
-                caller = await rig.connect()
-                caller.send_request(path, b"debit")
-                await dials.started.wait()
-                caller.writer.close()
-            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
-            assert not unreleased_resources(rig.proxy)
-            dials.release()
-            assert status_of(await rig.request()) == 200
+                client = await harness.connect()
+                client.send_request(path, b"debit")
+                await connects.started.wait()
+                client.writer.close()
+            await wait_until(lambda: harness.proxy.downstream.connection_count() == 0)
+            assert not unreleased_resources(harness.proxy)
+            connects.release()
+            assert status_of(await harness.request()) == 200
             assert [asked.start_line for asked in upstream.requests] == ["GET /read/x?y=1 HTTP/1.1"]
 
     run_scenario(scenario())
@@ -179,25 +179,25 @@
             writer.close()
 
         server = await asyncio.start_server(take, "127.0.0.1", 0)
-        async with ProxyHarness(Upstream(), limits=LIMITS | {"mayCancel": may_cancel}) as rig:
+        async with ProxyHarness(Upstream(), limits=LIMITS | {"mayCancel": may_cancel}) as harness:
             port = server.sockets[0].getsockname()[1]
-            rig.proxy.endpoint_list.apply(
+            harness.proxy.endpoint_list.apply(
                 UpdateKind.FULL_SNAPSHOT,
                 endpoint_list(endpoint_entry("s0", f"127.0.0.1:{port}"), is_full_snapshot=True),
             )
-            caller = await rig.connect()
-            caller.send_request("/pay/x", b"x" * 200_000)
+            client = await harness.connect()
+            client.send_request("/pay/x", b"x" * 200_000)
             await arrived.wait()
-            caller.send_request("/pay/x", b"")  # bytes behind it that nobody will read
-            partial = await rig.connect()
+            client.send_request("/pay/x", b"")  # bytes behind it that nobody will read
+            partial = await harness.connect()
             partial.writer.write(
                 b"POST /pay/x HTTP/1.1\r\nX-Class: pay\r\nX-Request-Id: 2\r\nX-Deadline: 900m\r\n"
                 b"Content-Length: 200000\r\n\r\n" + b"x" * 100_000
             )
-            caller.writer.close()
+            client.writer.close()
             partial.writer.transport.abort()
             await ended.wait()
-            await wait_until(lambda: not unreleased_resources(rig.proxy))
+            await wait_until(lambda: not unreleased_resources(harness.proxy))
 
     run_scenario(scenario())
 
@@ -209,23 +209,23 @@
 
     async def scenario() -> None:
         first, second = Upstream(), Upstream()
-        async with ProxyHarness(first, second, limits=LIMITS | {"mayCancel": False}) as rig:
-            told = list[interface.Event]()
+        async with ProxyHarness(first, second, limits=LIMITS | {"mayCancel": False}) as harness:
+            events = list[interface.Event]()
 
             def send_both(event: interface.Event, now: float) -> list[interface.Action]:
-                told.append(event)
+                events.append(event)
                 if not isinstance(event, interface.RequestArrived):
                     return []
                 return [interface.SendAttempt(event.request_id, name, 1_000.0) for name in ("s0", "s1")]
 
-            rig.proxy.balancer.handle = send_both  # type: ignore[method-assign]
-            dials = PausedConnects(monkeypatch, "s1")
-            assert status_of(await rig.request()) == 200
-            await wait_until(lambda: not rig.proxy.requests.by_id)
-            dials.release()
+            harness.proxy.balancer.handle = send_both  # type: ignore[method-assign]
+            connects = PausedConnects(monkeypatch, "s1")
+            assert status_of(await harness.request()) == 200
+            await wait_until(lambda: not harness.proxy.requests.by_id)
+            connects.release()
             ends = [
                 (e.attempt_index, e.outcome, e.is_final)
-                for e in told
+                for e in events
                 if isinstance(e, interface.AttemptEnded)
             ]
             assert ends == [(0, Outcome.SERVED, True), (1, Outcome.NOT_SENT, True)]
@@ -244,23 +244,23 @@
 
     async def scenario() -> None:
         upstreams = Upstream(reset_connection), Upstream(reset_connection)
-        classes = [KEYED | {"repeatWindow": 150.0}]
-        async with ProxyHarness(*upstreams, classes=classes, limits=LIMITS) as rig:
-            caller = await rig.connect()
-            caller.send_request("/book/x", b"seat")
+        classes = [DEDUPLICATED_CLASS | {"repeatWindow": 150.0}]
+        async with ProxyHarness(*upstreams, classes=classes, limits=LIMITS) as harness:
+            client = await harness.connect()
+            client.send_request("/book/x", b"seat")
             await wait_until(lambda: any(u.requests for u in upstreams))
-            dials = PausedConnects(monkeypatch)
-            await dials.started.wait()  # the repeat
+            connects = PausedConnects(monkeypatch)
+            await connects.started.wait()  # the repeat
             await wait_at_least(0.2)
-            dials.release()
-            assert status_of(await caller.read_response()) == 502
-            assert not unreleased_resources(rig.proxy)
+            connects.release()
+            assert status_of(await client.read_response()) == 502
+            assert not unreleased_resources(harness.proxy)
             assert sum(len(u.requests) for u in upstreams) == 1
 
     run_scenario(scenario())
 
 
-def test_the_last_byte_of_a_retry_leaves_within_its_window_or_never() -> None:
+def test_the_last_byte_of_a_retry_is_sent_within_its_window_or_never() -> None:
     """The upstream reads nothing: most of the request is still with us when the time is over."""
 
     async def scenario() -> None:
@@ -322,7 +322,7 @@
     monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 3_600.0)  # however slow the machine is
 
     async def scenario() -> None:
-        async def late(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+        async def late(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
             for earlier in upstream.writers[-2:]:  # its own, if there was no rest
                 if len(upstream.requests) > 1:
                     earlier.write(http_response(200, b"another's"))
@@ -330,11 +330,11 @@
             writer.write(http_response(200, b"mine"))
 
         upstream = Upstream(late)
-        async with ProxyHarness(upstream) as rig:
+        async with ProxyHarness(upstream) as harness:
             for _ in range(5):
-                assert (await rig.request()).body == b"mine"
+                assert (await harness.request()).body == b"mine"
             assert upstream.connection_count == 5, "none is taken again before it has rested"
-            await wait_until(lambda: rig.proxy.upstreams.open_connections == 1)
+            await wait_until(lambda: harness.proxy.upstreams.open_connections == 1)
 
     run_scenario(scenario())
 
@@ -365,15 +365,15 @@
 @pytest.mark.parametrize("begun", [b"HTTP/1.1 20", b"HTTP/1.1 200 OK\r\nContent-Le"])
 def test_half_a_status_line_and_then_nothing_times_out_and_closes(begun: bytes) -> None:
     async def scenario() -> None:
-        async def half(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+        async def half(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
             writer.write(begun)
 
         upstream = Upstream(half)
-        async with ProxyHarness(upstream) as rig:
-            assert status_of(await rig.request("/pay/x", b"debit", deadline="150m")) == 502
+        async with ProxyHarness(upstream) as harness:
+            assert status_of(await harness.request("/pay/x", b"debit", deadline="150m")) == 502
             await upstream.connection_ended.wait()
             assert len(upstream.requests) == 1
-            await wait_until(lambda: not unreleased_resources(rig.proxy))
+            await wait_until(lambda: not unreleased_resources(harness.proxy))
 
     run_scenario(scenario())
 
@@ -383,47 +383,47 @@
     """A reset is no end: what is safe is asked for again, and nobody is given the part that came."""
 
     async def scenario() -> None:
-        async def cut(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+        async def cut(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
             writer.write(NO_LENGTH + b"par")
             await writer.drain()
             end_with_reset(writer)
 
         upstream = Upstream(cut, http_response(200, b"whole"))
-        async with ProxyHarness(upstream) as rig:
-            answer = await rig.request(path, b"" if path == "/read/x" else b"debit")
+        async with ProxyHarness(upstream) as harness:
+            answer = await harness.request(path, b"" if path == "/read/x" else b"debit")
             assert (status_of(answer), answer.body) == ((200, b"whole") if path == "/read/x" else (502, b""))
-            await wait_until(lambda: not unreleased_resources(rig.proxy))
+            await wait_until(lambda: not unreleased_resources(harness.proxy))
 
     run_scenario(scenario())
 
 
 @pytest.mark.parametrize("version", [b"1.0", b"1.1"])
-def test_a_client_can_tell_that_a_response_with_no_length_broke_off(version: bytes) -> None:
+def test_a_response_with_no_length_that_breaks_off_is_seen_to_be_incomplete(version: bytes) -> None:
     """To one of HTTP/1.0 a proper end of the connection is the end of the answer: it took a part for all."""
 
     async def scenario() -> None:
-        gone_on = asyncio.Event()
+        may_break_off = asyncio.Event()
 
-        async def cut(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+        async def cut(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
             writer.write(NO_LENGTH + b"part")
-            await gone_on.wait()
+            await may_break_off.wait()
             end_with_reset(writer)
 
-        async with ProxyHarness(Upstream(cut)) as rig:
-            caller = await rig.connect()
-            caller.writer.write(
+        async with ProxyHarness(Upstream(cut)) as harness:
+            client = await harness.connect()
+            client.writer.write(
                 b"GET /read/x HTTP/" + version + b"\r\nX-Class: read\r\nX-Request-Id: 1\r\n"
                 b"X-Deadline: 4000m\r\n\r\n"
             )
-            assert b"200" in await caller.reader.readuntil(b"\r\n\r\n")
-            assert b"part" in await caller.reader.readuntil(b"part")
-            gone_on.set()
+            assert b"200" in await client.reader.readuntil(b"\r\n\r\n")
+            assert b"part" in await client.reader.readuntil(b"part")
+            may_break_off.set()
             if version == b"1.0":
                 with pytest.raises(ConnectionResetError):
-                    await caller.reader.read()
+                    await client.reader.read()
             else:
-                assert not (await caller.reader.read()).endswith(b"0\r\n\r\n")
-            await wait_until(lambda: not unreleased_resources(rig.proxy))
+                assert not (await client.reader.read()).endswith(b"0\r\n\r\n")
+            await wait_until(lambda: not unreleased_resources(harness.proxy))
 
     run_scenario(scenario())
 
@@ -436,18 +436,18 @@
 
 @pytest.mark.parametrize("path", ["/read/x", "/pay/x"])
 def test_a_response_that_announces_more_than_the_body_limit_is_none(path: str) -> None:
-    """Its beginning was passed on, so nobody else could be asked, and its caller waited for the rest."""
+    """Its beginning was passed on, so nobody else could be asked, and its client waited for the rest."""
 
     async def scenario() -> None:
-        async def endless(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+        async def endless(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 100_000)
 
         upstream = Upstream(endless, http_response(200, b"whole"))
-        async with ProxyHarness(upstream) as rig:
-            answer = await rig.request(path, b"" if path == "/read/x" else b"debit")
+        async with ProxyHarness(upstream) as harness:
+            answer = await harness.request(path, b"" if path == "/read/x" else b"debit")
             assert (status_of(answer), answer.body) == ((200, b"whole") if path == "/read/x" else (502, b""))
             await upstream.connection_ended.wait()
-            await wait_until(lambda: not unreleased_resources(rig.proxy))
+            await wait_until(lambda: not unreleased_resources(harness.proxy))
 
     run_scenario(scenario())
 
@@ -456,27 +456,27 @@
     monkeypatch.setattr(upstream_response, "MAX_BODY_BYTES", 200_000)
 
     async def scenario() -> None:
-        async def endless(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+        async def endless(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             while True:
                 writer.write(b"3e8\r\n" + b"x" * 1_000 + b"\r\n")
                 await writer.drain()
 
         upstream = Upstream(endless)
-        async with ProxyHarness(upstream) as rig:
-            caller = await rig.connect()
-            caller.send_request()
+        async with ProxyHarness(upstream) as harness:
+            client = await harness.connect()
+            client.send_request()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                await caller.read_response()
+                await client.read_response()
             await upstream.connection_ended.wait()
-            await wait_until(lambda: not unreleased_resources(rig.proxy))
+            await wait_until(lambda: not unreleased_resources(harness.proxy))
 
     run_scenario(scenario())
 
 
 def test_a_response_that_never_ends_ends_with_its_client() -> None:
     async def scenario() -> None:
-        async def endless(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+        async def endless(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
             writer.write(NO_LENGTH)
             while True:
                 writer.write(b"x" * 1_000)
@@ -484,13 +484,13 @@
                 await asyncio.sleep(0)
 
         upstream = Upstream(endless)
-        async with ProxyHarness(upstream) as rig:
-            caller = await rig.connect()
-            caller.send_request()
-            await caller.reader.readexactly(100_000)
-            caller.writer.transport.abort()
+        async with ProxyHarness(upstream) as harness:
+            client = await harness.connect()
+            client.send_request()
+            await client.reader.readexactly(100_000)
+            client.writer.transport.abort()
             await upstream.connection_ended.wait()
-            await wait_until(lambda: not unreleased_resources(rig.proxy))
+            await wait_until(lambda: not unreleased_resources(harness.proxy))
 
     run_scenario(scenario())
 
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -38,28 +38,28 @@
     return b"".join(lines) + b"0\r\n" + trailer + b"\r\n"
 
 
-class Watch:
+class PeakUsage:
     """The most that was held at once."""
 
-    def __init__(self, rig: ProxyHarness) -> None:
-        self._buffers, self.most = rig.proxy.buffers, 0
-        self._task = asyncio.ensure_future(self._look())
+    def __init__(self, harness: ProxyHarness) -> None:
+        self._buffers, self.peak_bytes = harness.proxy.buffers, 0
+        self._task = asyncio.ensure_future(self._record())
 
-    async def _look(self) -> None:
+    async def _record(self) -> None:
         while True:
-            self.most = max(self.most, self._buffers.used_bytes)
+            self.peak_bytes = max(self.peak_bytes, self._buffers.used_bytes)
             await asyncio.sleep(0)
 
 
-async def pieces(writer: asyncio.StreamWriter, data: bytes, size: int = 50_000) -> None:
+async def write_in_parts(writer: asyncio.StreamWriter, data: bytes, size: int = 50_000) -> None:
     for i in range(0, len(data), size):
         writer.write(data[i : i + size])
         await writer.drain()
 
 
-def long_answer(data: bytes) -> Callable[[HttpMessage, asyncio.StreamWriter], Awaitable[None]]:
-    async def script(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
-        await pieces(writer, http_response(200, data))
+def long_response(data: bytes) -> Callable[[HttpMessage, asyncio.StreamWriter], Awaitable[None]]:
+    async def script(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
+        await write_in_parts(writer, http_response(200, data))
 
     return script
 
@@ -68,16 +68,16 @@
     data = LONG * 24
 
     async def scenario() -> None:
-        async with ProxyHarness(Upstream(long_answer(data)), memory_mb=4) as rig:
-            watch = Watch(rig)
-            caller = await rig.connect()
-            caller.send_request()
-            while not rig.proxy.buffers.used_bytes:  # until it waits for us to read
+        async with ProxyHarness(Upstream(long_response(data)), memory_mb=4) as harness:
+            usage = PeakUsage(harness)
+            client = await harness.connect()
+            client.send_request()
+            while not harness.proxy.buffers.used_bytes:  # until it waits for us to read
                 await asyncio.sleep(0)
-            answer = await caller.read_response()
+            answer = await client.read_response()
             assert (status_of(answer), answer.body == data) == (200, True)
-            assert 0 < watch.most <= rig.proxy.buffers.max_bytes
-            assert rig.proxy.buffers.used_bytes == 0
+            assert 0 < usage.peak_bytes <= harness.proxy.buffers.max_bytes
+            assert harness.proxy.buffers.used_bytes == 0
 
     run_scenario(scenario())
 
@@ -88,22 +88,22 @@
 
     async def scenario() -> None:
         upstream = Upstream()
-        async with ProxyHarness(upstream, memory_mb=4) as rig:
-            watch = Watch(rig)
-            caller = await rig.connect()
+        async with ProxyHarness(upstream, memory_mb=4) as harness:
+            usage = PeakUsage(harness)
+            client = await harness.connect()
             if form == "length":
-                caller.writer.write(head(more=f"Content-Length: {len(data)}\r\n"))
-                await pieces(caller.writer, data)
+                client.writer.write(head(more=f"Content-Length: {len(data)}\r\n"))
+                await write_in_parts(client.writer, data)
             else:
-                caller.writer.write(head(more="Transfer-Encoding: chunked\r\n"))
-                await pieces(caller.writer, chunked(data, 30_000, b";a=b", b"X-Class: read\r\n"))
-            assert status_of(await caller.read_response()) == 200
-            (asked,) = upstream.requests
-            assert asked.body == data
-            assert asked.headers["x-class"] == "pay"  # a trailer is no header
-            assert watch.most <= rig.proxy.buffers.max_bytes + message_body.MAX_READ_BYTES
-            caller.send_request()  # the connection goes on
-            assert status_of(await caller.read_response()) == 200
+                client.writer.write(head(more="Transfer-Encoding: chunked\r\n"))
+                await write_in_parts(client.writer, chunked(data, 30_000, b";a=b", b"X-Class: read\r\n"))
+            assert status_of(await client.read_response()) == 200
+            (request,) = upstream.requests
+            assert request.body == data
+            assert request.headers["x-class"] == "pay"  # a trailer is no header
+            assert usage.peak_bytes <= harness.proxy.buffers.max_bytes + message_body.MAX_READ_BYTES
+            client.send_request()  # the connection goes on
+            assert status_of(await client.read_response()) == 200
 
     run_scenario(scenario())
 
@@ -113,72 +113,72 @@
 
     async def scenario() -> None:
         upstream = Upstream()
-        async with ProxyHarness(upstream, memory_mb=2) as rig:
-            watch = Watch(rig)
-            crowd = [await rig.connect() for _ in range(60)]
-            for caller in crowd:
-                caller.writer.write(head(more="Content-Length: 60000\r\n") + data[:59_000])
-            while rig.proxy.buffers.used_bytes < rig.proxy.buffers.max_bytes:
+        async with ProxyHarness(upstream, memory_mb=2) as harness:
+            usage = PeakUsage(harness)
+            crowd = [await harness.connect() for _ in range(60)]
+            for client in crowd:
+                client.writer.write(head(more="Content-Length: 60000\r\n") + data[:59_000])
+            while harness.proxy.buffers.used_bytes < harness.proxy.buffers.max_bytes:
                 await asyncio.sleep(0)
-            for caller in crowd:
-                caller.writer.write(data[59_000:])
-            for caller in crowd:
-                assert status_of(await caller.read_response()) == 200
-            assert all(asked.body == data for asked in upstream.requests)
+            for client in crowd:
+                client.writer.write(data[59_000:])
+            for client in crowd:
+                assert status_of(await client.read_response()) == 200
+            assert all(request.body == data for request in upstream.requests)
             assert (
-                watch.most
-                <= rig.proxy.buffers.max_bytes
+                usage.peak_bytes
+                <= harness.proxy.buffers.max_bytes
                 + len(crowd) * message_body.MIN_READ_BYTES
                 + message_body.MAX_READ_BYTES
             )
-            assert rig.proxy.buffers.used_bytes == 0
+            assert harness.proxy.buffers.used_bytes == 0
 
     run_scenario(scenario())
 
 
-def outcomes(rig: ProxyHarness) -> list[Any]:
-    told: list[Any] = []
-    handle = rig.proxy.balancer.handle
+def record_outcomes(harness: ProxyHarness) -> list[Any]:
+    ended: list[Any] = []
+    handle = harness.proxy.balancer.handle
 
     def spy(event: interface.Event, now: float) -> list[interface.Action]:
         if isinstance(event, interface.AttemptEnded):
-            told.append(event.outcome)
+            ended.append(event.outcome)
         return handle(event, now)
 
-    rig.proxy.balancer.handle = spy  # type: ignore[method-assign]
-    return told
+    harness.proxy.balancer.handle = spy  # type: ignore[method-assign]
+    return ended
 
 
 def test_a_response_that_breaks_after_its_first_byte_was_forwarded_is_not_retried() -> None:
-    async def cut(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+    async def cut(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(http_response(200, LONG)[:500_000])
         await writer.drain()
         writer.transport.abort()
 
     async def scenario() -> None:
         upstream = Upstream(cut)
-        async with ProxyHarness(upstream) as rig:
-            told = outcomes(rig)
-            caller = await rig.connect()
-            caller.send_request()
+        async with ProxyHarness(upstream) as harness:
+            ended = record_outcomes(harness)
+            client = await harness.connect()
+            client.send_request()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                await caller.read_response()
-            assert (len(upstream.requests), told) == (1, [Outcome.RESET])
-            figures = rig.proxy.stats()
+                await client.read_response()
+            assert (len(upstream.requests), ended) == (1, [Outcome.RESET])
+            figures = harness.proxy.stats()
             assert figures.failed == {"read": 1, "pay": 0} and figures.requests_in_flight == 0
 
     run_scenario(scenario())
 
 
 def test_a_response_that_breaks_while_it_is_buffered_is_retried() -> None:
-    async def cut(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+    async def cut(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(http_response(200, LONG[:50_000])[:40_000])
         writer.close()
 
     async def scenario() -> None:
         upstream = Upstream(cut, http_response())
-        async with ProxyHarness(upstream) as rig:
-            assert (await rig.request()).body == b"tile"
+        async with ProxyHarness(upstream) as harness:
+            assert (await harness.request()).body == b"tile"
             assert len(upstream.requests) == 2
 
     run_scenario(scenario())
@@ -199,52 +199,52 @@
                 await read_message(reader)
                 writer.write(http_response(503, b"", "X-Not-Run: 1"))
 
-        async with ProxyHarness(Upstream(), Upstream()) as rig:
-            for upstream in rig.upstreams:
+        async with ProxyHarness(Upstream(), Upstream()) as harness:
+            for upstream in harness.upstreams:
                 upstream.server.close()
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
-            there = [e | {"address": f"127.0.0.1:{port}"} for e in rig.entries]
-            rig.discovery.publish(8, *there, snapshot=True)
-            await rig.discovery.request_lines.get()
-            await rig.discovery.request_lines.get()
-            caller = await rig.connect()
-            caller.writer.write(head(more=f"Content-Length: {len(LONG)}\r\n"))
+            there = [e | {"address": f"127.0.0.1:{port}"} for e in harness.entries]
+            harness.discovery.publish(8, *there, snapshot=True)
+            await harness.discovery.request_lines.get()
+            await harness.discovery.request_lines.get()
+            client = await harness.connect()
+            client.writer.write(head(more=f"Content-Length: {len(LONG)}\r\n"))
             # The last bytes stay here until the answer has come: they can't have left before the reset.
-            held_back = 1_000 if kind == "reset before its end" else 0
-            await pieces(caller.writer, LONG[: len(LONG) - held_back])
-            assert status_of(await caller.read_response()) == 503  # it never ran
+            withheld_bytes = 1_000 if kind == "reset before its end" else 0
+            await write_in_parts(client.writer, LONG[: len(LONG) - withheld_bytes])
+            assert status_of(await client.read_response()) == 503  # it never ran
             assert connections == 1
-            caller.writer.write(LONG[len(LONG) - held_back :])
+            client.writer.write(LONG[len(LONG) - withheld_bytes :])
             if kind == "reset before its end":  # what still came of the body was no request
-                assert await caller.reader.read() == b""
+                assert await client.reader.read() == b""
 
     run_scenario(scenario())
 
 
 def test_a_long_request_that_no_upstream_takes_is_rejected_before_its_end() -> None:
     async def scenario() -> None:
-        async with ProxyHarness() as rig:
-            caller = await rig.connect()
-            caller.writer.write(head(more=f"Content-Length: {len(LONG)}\r\n"))
-            assert status_of(await caller.read_response()) == 503
-            await pieces(caller.writer, LONG)
-            assert await caller.reader.read() == b""
+        async with ProxyHarness() as harness:
+            client = await harness.connect()
+            client.writer.write(head(more=f"Content-Length: {len(LONG)}\r\n"))
+            assert status_of(await client.read_response()) == 503
+            await write_in_parts(client.writer, LONG)
+            assert await client.reader.read() == b""
 
     run_scenario(scenario())
 
 
 def test_a_client_that_disconnects_frees_the_upstream_at_once() -> None:
     async def scenario() -> None:
-        upstream = Upstream(long_answer(LONG * 32))
-        async with ProxyHarness(upstream) as rig:
-            caller = await rig.connect()
-            caller.send_request()
-            await caller.reader.readexactly(1_000)
-            caller.writer.transport.abort()
+        upstream = Upstream(long_response(LONG * 32))
+        async with ProxyHarness(upstream) as harness:
+            client = await harness.connect()
+            client.send_request()
+            await client.reader.readexactly(1_000)
+            client.writer.transport.abort()
             await upstream.connection_ended.wait()
-            assert rig.proxy.stats().requests_in_flight == 0
-            assert rig.proxy.buffers.used_bytes == 0
+            assert harness.proxy.stats().requests_in_flight == 0
+            assert harness.proxy.buffers.used_bytes == 0
 
     run_scenario(scenario())
 
@@ -257,54 +257,54 @@
     data = LONG * 2
 
     async def scenario() -> None:
-        async with ProxyHarness(Upstream(long_answer(data))) as rig:
+        async with ProxyHarness(Upstream(long_response(data))) as harness:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            sock.connect(rig.proxy.downstream.address[:2])
-            caller = HttpClient()
-            caller.reader, caller.writer = await asyncio.open_connection(sock=sock, limit=4_096)
-            while not (held := rig.proxy.downstream._connections):
+            sock.connect(harness.proxy.downstream.address[:2])
+            client = HttpClient()
+            client.reader, client.writer = await asyncio.open_connection(sock=sock, limit=4_096)
+            while not (held := harness.proxy.downstream._connections):
                 await asyncio.sleep(0)
             (connection,) = held
             while connection._transport is None:
                 await asyncio.sleep(0)
             ours = connection._transport.get_extra_info("socket")
             ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-            caller.send_request(connection="close")
-            await caller.reader.readuntil(b"\r\n\r\n")
+            client.send_request(connection="close")
+            await client.reader.readuntil(b"\r\n\r\n")
             got = b""
             while (
                 not connection.reader.is_stopped
             ):  # until the last piece waits in our buffer, and the end behind it
-                got += await caller.reader.read(2_000)
+                got += await client.reader.read(2_000)
             await asyncio.sleep(0.2)
-            assert got + await caller.reader.read() == data
+            assert got + await client.reader.read() == data
 
     run_scenario(scenario())
 
 
-def test_timeouts_of_a_long_response_watch_its_progress_and_not_the_whole(
+def test_timeouts_of_a_long_response_watch_its_progress_and_not_its_duration(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     gate = asyncio.Event()
 
-    async def slow(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+    async def slow(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(http_response(200, LONG)[:200_000])
         await gate.wait()
         writer.write(http_response(200, LONG)[200_000:])
 
     async def scenario() -> None:
-        async with ProxyHarness(Upstream(slow)) as rig:
-            caller = await rig.connect()
-            caller.send_request(deadline="300m")
-            await caller.reader.readuntil(b"\r\n\r\n")
-            first = await caller.reader.readexactly(100_000)
+        async with ProxyHarness(Upstream(slow)) as harness:
+            client = await harness.connect()
+            client.send_request(deadline="300m")
+            await client.reader.readuntil(b"\r\n\r\n")
+            first = await client.reader.readexactly(100_000)
             await asyncio.sleep(0.5)  # past its deadline
             gate.set()
-            assert first + await caller.reader.readexactly(len(LONG) - 100_000) == LONG
+            assert first + await client.reader.readexactly(len(LONG) - 100_000) == LONG
             monkeypatch.setattr(upstream_attempt, "STALL_TIMEOUT_S", 0.05)
             gate.clear()
-            stalled = await rig.connect()
+            stalled = await harness.connect()
             stalled.send_request()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await stalled.read_response()
@@ -330,7 +330,7 @@
 )
 @pytest.mark.parametrize("at_once", [True, False])
 def test_responses_of_all_forms_are_forwarded(answer: bytes, ends: bool, at_once: bool) -> None:
-    async def script(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+    async def script(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
         for i in range(0, len(answer), len(answer) if at_once else 1):
             writer.write(answer[i : i + (len(answer) if at_once else 1)])
             await asyncio.sleep(0)
@@ -338,30 +338,30 @@
             writer.close()
 
     async def scenario() -> None:
-        async with ProxyHarness(Upstream(script)) as rig:
-            caller = await rig.connect()
+        async with ProxyHarness(Upstream(script)) as harness:
+            client = await harness.connect()
             for _ in range(2):
-                caller.send_request()
-                got = await caller.read_response()
+                client.send_request()
+                got = await client.read_response()
                 assert (status_of(got), got.body) == (200, b"tile")
 
     run_scenario(scenario())
 
 
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-def test_a_long_response_of_unknown_length_ends_so_that_the_client_can_tell(version: str) -> None:
-    async def script(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+def test_a_long_response_of_unknown_length_has_an_end_that_its_client_sees(version: str) -> None:
+    async def script(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(OK + b"Transfer-Encoding: chunked\r\n\r\n")
-        await pieces(writer, chunked(LONG, 100_000))
+        await write_in_parts(writer, chunked(LONG, 100_000))
 
     async def scenario() -> None:
-        async with ProxyHarness(Upstream(script)) as rig:
-            caller = await rig.connect()
-            caller.writer.write(head("GET", "/read/x", version))
+        async with ProxyHarness(Upstream(script)) as harness:
+            client = await harness.connect()
+            client.writer.write(head("GET", "/read/x", version))
             if version == "1.1":
-                assert (await caller.read_response()).body == LONG
+                assert (await client.read_response()).body == LONG
             else:
-                assert (await caller.reader.read()).partition(b"\r\n\r\n")[2] == LONG
+                assert (await client.reader.read()).partition(b"\r\n\r\n")[2] == LONG
 
     run_scenario(scenario())
 
@@ -378,15 +378,15 @@
     ],
 )
 def test_an_ambiguous_response_is_a_failed_attempt_that_may_have_run(answer: bytes) -> None:
-    async def script(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
+    async def script(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(answer)
 
     async def scenario() -> None:
         upstream = Upstream(script)
-        async with ProxyHarness(upstream) as rig:
-            told = outcomes(rig)
-            assert status_of(await rig.request("/pay/x", b"debit")) == 502
-            assert (told, len(upstream.requests)) == ([Outcome.RESET], 1)
+        async with ProxyHarness(upstream) as harness:
+            ended = record_outcomes(harness)
+            assert status_of(await harness.request("/pay/x", b"debit")) == 502
+            assert (ended, len(upstream.requests)) == ([Outcome.RESET], 1)
 
     run_scenario(scenario())
 
@@ -413,14 +413,14 @@
 def test_requests_of_all_forms_are_accepted(raw: bytes, line: str, body: bytes, at_once: bool) -> None:
     async def scenario() -> None:
         upstream = Upstream()
-        async with ProxyHarness(upstream) as rig:
-            caller = await rig.connect()
+        async with ProxyHarness(upstream) as harness:
+            client = await harness.connect()
             for _ in range(2):
                 for i in range(0, len(raw), len(raw) if at_once else 1):
-                    caller.writer.write(raw[i : i + (len(raw) if at_once else 1)])
+                    client.writer.write(raw[i : i + (len(raw) if at_once else 1)])
                     await asyncio.sleep(0)
-                assert status_of(await caller.read_response()) == 200
-            assert [(asked.start_line, asked.body) for asked in upstream.requests] == [(line, body)] * 2
+                assert status_of(await client.read_response()) == 200
+            assert [(request.start_line, request.body) for request in upstream.requests] == [(line, body)] * 2
             assert "upgrade" not in upstream.requests[0].headers
 
     run_scenario(scenario())
@@ -429,14 +429,14 @@
 def test_a_client_that_expects_100_continue_gets_it_in_its_turn() -> None:
     async def scenario() -> None:
         upstream = Upstream()
-        async with ProxyHarness(upstream) as rig:
-            caller = await rig.connect()
-            caller.send_request()
-            caller.writer.write(head(more="Expect: 100-continue\r\nContent-Length: 5\r\n"))
-            assert status_of(await caller.read_response()) == 200
-            assert status_of(await caller.read_response()) == 100
-            caller.writer.write(b"debit")
-            assert status_of(await caller.read_response()) == 200
+        async with ProxyHarness(upstream) as harness:
+            client = await harness.connect()
+            client.send_request()
+            client.writer.write(head(more="Expect: 100-continue\r\nContent-Length: 5\r\n"))
+            assert status_of(await client.read_response()) == 200
+            assert status_of(await client.read_response()) == 100
+            client.writer.write(b"debit")
+            assert status_of(await client.read_response()) == 200
             assert upstream.requests[1].body == b"debit"
             assert "expect" not in upstream.requests[1].headers
 
@@ -463,11 +463,11 @@
 def test_an_ambiguous_request_gets_400_and_a_close(raw: bytes) -> None:
     async def scenario() -> None:
         upstream = Upstream()
-        async with ProxyHarness(upstream) as rig:
-            caller = await rig.connect()
-            caller.writer.write(raw + head("GET", "/read/x"))
-            assert status_of(await caller.read_response()) == 400
-            assert await caller.reader.read() == b""
+        async with ProxyHarness(upstream) as harness:
+            client = await harness.connect()
+            client.writer.write(raw + head("GET", "/read/x"))
+            assert status_of(await client.read_response()) == 400
+            assert await client.reader.read() == b""
             assert not upstream.requests
 
     run_scenario(scenario())
@@ -476,16 +476,16 @@
 def test_a_malformed_chunk_in_a_long_request_ends_it_and_its_attempt() -> None:
     async def scenario() -> None:
         upstream = Upstream()
-        async with ProxyHarness(upstream) as rig:
-            caller = await rig.connect()
-            caller.writer.write(head(more="Transfer-Encoding: chunked\r\n") + chunked(LONG, 50_000)[:300_000])
+        async with ProxyHarness(upstream) as harness:
+            client = await harness.connect()
+            client.writer.write(head(more="Transfer-Encoding: chunked\r\n") + chunked(LONG, 50_000)[:300_000])
             while not upstream.connection_count:
                 await asyncio.sleep(0)
-            caller.writer.write(b"no chunk" * 10_000)
-            assert status_of(await caller.read_response()) == 400
+            client.writer.write(b"no chunk" * 10_000)
+            assert status_of(await client.read_response()) == 400
             await upstream.connection_ended.wait()
             assert not upstream.requests
-            assert rig.proxy.stats().requests_in_flight == 0
+            assert harness.proxy.stats().requests_in_flight == 0
 
     run_scenario(scenario())
 
@@ -498,14 +498,14 @@
     monkeypatch.setattr(downstream_timeout, "MIN_BODY_BYTES_PER_S", pace)
 
     async def scenario() -> None:
-        async with ProxyHarness(Upstream()) as rig:
-            caller = await rig.connect()
-            caller.writer.write(head(more="Content-Length: 100\r\n") + b"x" * 99)
+        async with ProxyHarness(Upstream()) as harness:
+            client = await harness.connect()
+            client.writer.write(head(more="Content-Length: 100\r\n") + b"x" * 99)
             if pace == 10:
                 await asyncio.sleep(0.3)
-                caller.writer.write(b"x")
-                assert status_of(await caller.read_response()) == 200
+                client.writer.write(b"x")
+                assert status_of(await client.read_response()) == 200
             else:
-                assert status_of(await caller.read_response()) == 408
+                assert status_of(await client.read_response()) == 408
 
     run_scenario(scenario())
--- a/tests/test_upstream_attempts.py
+++ b/tests/test_upstream_attempts.py
@@ -112,7 +112,7 @@
     run_scenario(scenario())
 
 
-def test_an_attempt_that_breaks_before_its_last_byte_left_never_ran() -> None:
+def test_an_attempt_that_breaks_before_its_last_byte_is_sent_never_ran() -> None:
     """The upstream takes the head and resets while the rest is still in our buffer."""
 
     async def scenario() -> None:
@@ -164,9 +164,9 @@
     run_scenario(scenario())
 
 
-def test_idle_connections_close_on_request_with_age_and_when_their_server_moves_or_is_removed() -> None:
+def test_idle_connections_close_on_request_when_old_and_when_their_server_changes_or_is_removed() -> None:
     async def scenario() -> None:
-        upstream, moved = Upstream(), Upstream()
+        upstream, new_address_upstream = Upstream(), Upstream()
         address = await upstream.start()
         upstreams = make_pools(address)
 
@@ -185,10 +185,10 @@
         upstreams.close_expired()
         assert upstreams.open_connections == 0
         await serve()
-        upstreams.update_endpoints(endpoint_list(endpoint_entry("s0", await moved.start())))
+        upstreams.update_endpoints(endpoint_list(endpoint_entry("s0", await new_address_upstream.start())))
         assert upstreams.open_connections == 0
         await serve()
-        assert len(moved.requests) == 1
+        assert len(new_address_upstream.requests) == 1
         upstreams.update_endpoints(endpoint_list(is_full_snapshot=True))
         assert upstreams.open_connections == 0
         assert upstreams.start_attempt("s0", 1.0, IgnoredAttempt()) is None
@@ -197,13 +197,13 @@
 
 
 def test_a_second_response_behind_the_first_is_dropped_with_its_connection() -> None:
-    """It took the place of the answer, and a caller was given what was made for no request of its own."""
+    """It took the place of the answer, and a client was given what was made for no request of its own."""
 
     async def scenario() -> None:
         upstream = Upstream(http_response() + http_response(200, b"other"), http_response())
-        async with ProxyHarness(upstream) as rig:
-            assert (await rig.request()).body == b"tile"
-            assert (await rig.request()).body == b"tile"
+        async with ProxyHarness(upstream) as harness:
+            assert (await harness.request()).body == b"tile"
+            assert (await harness.request()).body == b"tile"
             assert upstream.connection_count == 2
 
     run_scenario(scenario())
@@ -229,8 +229,8 @@
 def test_the_cached_list_comes_first_and_an_attempt_after_the_response_is_not_sent() -> None:
     async def scenario() -> None:
         upstream = Upstream()
-        async with ProxyHarness(upstream) as rig:
-            proxy, events = rig.proxy, list[interface.Event]()
+        async with ProxyHarness(upstream) as harness:
+            proxy, events = harness.proxy, list[interface.Event]()
 
             def answer_then_send(event: interface.Event, now: float) -> list[interface.Action]:
                 events.append(event)
@@ -242,7 +242,7 @@
                 return []
 
             proxy.balancer.handle = answer_then_send  # type: ignore[method-assign]
-            answer = await rig.request()
+            answer = await harness.request()
             assert (status_of(answer), answer.headers["retry-after"]) == (503, "0.250")
             assert events[1:] == [interface.AttemptEnded(1, 0, "s0", Outcome.NOT_SENT, True)]
             assert not upstream.requests and not proxy.requests.by_id
@@ -252,8 +252,8 @@
 
 def test_the_cached_list_is_taken_before_the_first_turn_of_the_loop() -> None:
     async def scenario() -> None:
-        async with ProxyHarness(Upstream()) as rig:
-            assert rig.proxy.balancer._endpoints.ready  # before a single turn of the loop
-            assert rig.discovery.request_lines.empty()
+        async with ProxyHarness(Upstream()) as harness:
+            assert harness.proxy.balancer._endpoints.ready  # before a single turn of the loop
+            assert harness.discovery.request_lines.empty()
 
     run_scenario(scenario())
