--- a/loadbalancer/net/upstream_pool.py
+++ b/loadbalancer/net/upstream_pool.py
@@ -8,7 +8,8 @@
 from bisect import bisect_right
 
 from loadbalancer.interface import Readiness
-from loadbalancer.net.config import Address, AddressedEndpoint, Config, EndpointList
+from loadbalancer.net.address import Address
+from loadbalancer.net.config import AddressedEndpoint, Config, EndpointList
 from loadbalancer.net.descriptors import max_connections_per_side
 from loadbalancer.net.message_body import BufferBudget
 from loadbalancer.net.upstream_attempt import Attempt, AttemptHandler
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,7 +15,9 @@
 import pytest
 import uvloop
 
-from loadbalancer.net.config import EndpointList, decode_endpoint_list, read_config
+from loadbalancer.net.config import EndpointList
+from loadbalancer.net.config_reader import read_config
+from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
 from loadbalancer.net.proxy import Proxy
 from loadbalancer.net.upstream_connection import UpstreamConnection
 from loadbalancer.net.upstream_pool import ConnectionPool
@@ -303,6 +305,11 @@
         return await read_message(self.reader)
 
 
+def send_now(client: HttpClient, data: bytes) -> None:
+    """Put bytes into the kernel in this very instant."""
+    os.write(client.writer.get_extra_info("socket").fileno(), data)
+
+
 @asynccontextmanager
 async def running_program(config: Path) -> AsyncIterator[asyncio.subprocess.Process]:
     """Run the program as the platform starts it; it is killed if it has not ended by then."""
