--- a/loadbalancer/drill/seeded_defects.py
+++ b/loadbalancer/drill/seeded_defects.py
@@ -153,10 +153,10 @@
 
 def believes_lapses() -> None:
     """The list service takes every lease that runs out for a server that is gone."""
-    from loadbalancer.registry import Catalog
+    from loadbalancer.registry.lease_expiry import LeaseExpiry
     from loadbalancer.registry.self_preservation import SelfPreservation
 
-    Catalog._detect_mass_expiry = lambda self, tier, now: None  # type: ignore[method-assign]
+    LeaseExpiry._detect_mass_expiry = lambda self, tier, now: None  # type: ignore[method-assign]
     SelfPreservation.must_keep = lambda self, entry: False  # type: ignore[method-assign]
 
 
@@ -172,7 +172,7 @@
     def goes_on(self: Catalog, services: tuple[str, ...], after: int, now: float) -> bool:
         return real(self, services, min(after, self.revision), now)
 
-    Catalog.resume_watch = goes_on  # type: ignore[method-assign]
+    Catalog.resume_watch = goes_on  # type: ignore[assignment, method-assign]
 
 
 def lapses_unheard() -> None:
@@ -180,7 +180,7 @@
     from loadbalancer.registry import Catalog
 
     real = Catalog.expire_leases
-    Catalog.expire_leases = lambda self, now, heard=0.0: real(self, now)  # type: ignore[method-assign]
+    Catalog.expire_leases = lambda self, now, peers_known_since=0.0: real(self, now)  # type: ignore[method-assign]
 
 
 def takes_drains_back() -> None:
--- a/loadbalancer/registry/anti_entropy.py
+++ b/loadbalancer/registry/anti_entropy.py
@@ -1,13 +1,14 @@
-"""How instances of the list keep one another up to date: told the time and what arrives, without I/O.
+"""How instances of the registry keep one another up to date: given the time and what arrives, without I/O.
 
-    exchange = Exchange(catalog, number=0, count=3, life=1)
-    question = exchange.question(2)                       # to instance 2, every so often and after a change
-    answer, changes = other.heard_from(question, now)      # there; `changes` go to the disk before the answer
-    changes = exchange.answered(2, answer, asked_at, now)  # here, before anybody sees them
+    anti_entropy = AntiEntropy(catalog, number=0, count=3, incarnation=1)
+    request = anti_entropy.make_request(2)                # to instance 2, regularly and after a change
+    answer, changes = other.handle_request(request, now)  # there; `changes` are stored before the answer
+    changes = anti_entropy.handle_response(2, answer, requested_ms, now)  # here, before anybody sees them
 
-Anti-entropy, after Demers et al. (1987): each message carries what has moved since the other one's last word,
-renewals as bare counts, and a fingerprint of all else. Where two are quiet and their fingerprints differ, all
-is told again. Nothing is ordered by clocks; `asked_at` and `now` are this instance's own, in ms.
+Anti-entropy after Demers et al. (1987): each message has what was updated since the peer's last
+acknowledgement, renewals as bare counts, and a fingerprint of all else. Where two instances have nothing else
+to send and their fingerprints differ, all is sent again. Nothing is ordered by clocks; `requested_ms` and
+`now` are this instance's own, in ms.
 """
 
 from __future__ import annotations
@@ -17,18 +18,30 @@
 
 import msgspec
 
-from loadbalancer.registry.catalog import Catalog, Change
-from loadbalancer.registry.merge import SharedEntry, to_shared
+from loadbalancer.registry.catalog import Catalog
+from loadbalancer.registry.changes import Change, RegistryError
+from loadbalancer.registry.merge import Generation, SharedEntry, to_shared
 
 MAX_INSTANCES = 8
-MAX_ENTRIES_PER_MESSAGE = 2_000  # entries in one message; the rest follows in the next
-MAX_FINGERPRINT_MISMATCHES = (
-    3  # quiet messages in a row with another fingerprint, after which all is told again
-)
-UNREACHABLE_AFTER_MS = 5_000.0  # another instance that has not answered for so long is shown as out of reach
+MAX_ENTRIES_PER_MESSAGE = 2_000  # the rest follows in the next message
+# Messages in a row with nothing to send and another fingerprint, after which all is sent again: one or two
+# differ while an update is on its way.
+MAX_FINGERPRINT_MISMATCHES = 3
+UNREACHABLE_AFTER_MS = 5_000.0  # without an answer, as operators see it
 
-Beat = tuple[str, float, int, int]
-"""A renewal: name, start, life, beats."""
+
+class RenewalCount(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """How often the lease of one server's generation was renewed."""
+
+    name: str
+    since_ms: float
+    incarnation: int
+    renewal_count: int
+
+    @property
+    def generation(self) -> Generation:
+        """The start and the incarnation that the count belongs to."""
+        return Generation(self.since_ms, self.incarnation)
 
 
 # The keys of messages on the wire, by the fields' names.
@@ -43,24 +56,24 @@
 
 
 class SyncMessage(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, rename=MESSAGE_KEYS):
-    """A question or its answer."""
+    """A request or its answer."""
 
     sender: int
     incarnation: int
-    """Drawn at the sender's start: its counts begin anew with it."""
+    """Drawn at the sender's start: its sequence numbers begin anew with it."""
     after_sequence: int
     sequence: int
-    """The sender's counts between which this message tells all."""
+    """The message has all updates of the sender after the one and up to the other."""
     known_incarnation: int = 0
     known_sequence: int = 0
-    """The receiver's life and count up to which the sender knows it."""
+    """The receiver's incarnation and sequence number up to which the sender knows its updates."""
     fingerprint: int = 0
     entries: tuple[SharedEntry, ...] = ()
-    renewals: tuple[Beat, ...] = ()
+    renewals: tuple[RenewalCount, ...] = ()
 
 
-class InstanceMismatchError(ValueError):
-    """A message from somebody who is no other instance of this list: one line."""
+class InstanceMismatchError(RegistryError, ValueError):
+    """A message from a sender that is no other instance of this registry: one line."""
 
 
 @dataclass
@@ -68,74 +81,80 @@
     """What we know of another instance, and what it knows of us."""
 
     incarnation: int = 0
-    known_sequence: int = 0  # its count up to which we know it
-    acknowledged_sequence: int = 0  # our count up to which it knows us
-    last_request_ms: float = -math.inf  # when the last question that it answered was asked
-    complete_as_of_ms: float = -math.inf  # the same, of one whose answer held all that it knew
+    known_sequence: int = 0  # its number up to which we know its updates
+    acknowledged_sequence: int = 0  # our number up to which it knows ours
+    last_request_ms: float = -math.inf  # when the last request that it answered was made
+    complete_as_of_ms: float = -math.inf  # the same, of one whose answer had all that it knew
     mismatch_count: int = 0
     repair_count: int = 0
 
 
 class AntiEntropy:
-    """One instance's side of it, towards all others."""
+    """One instance's side of it, towards all peers."""
 
     def __init__(self, catalog: Catalog, number: int, count: int, incarnation: int) -> None:
         """`incarnation` is new with each start; ValueError if there are too many instances."""
         if not 0 <= number < count <= MAX_INSTANCES:
             raise ValueError(f"instance {number} of {count}: at most {MAX_INSTANCES}, from 0")
-        self._catalog, self.number, self._incarnation = catalog, number, incarnation
-        self.peers = {other: PeerState() for other in range(count) if other != number}
+        self.number = number
+        self.peers = {peer: PeerState() for peer in range(count) if peer != number}
+        self._catalog = catalog
+        self._updates = catalog.updates
+        self._incarnation = incarnation
 
     @property
     def complete_as_of_ms(self) -> float:
-        """Since when all other instances' renewals are known here: see `Catalog.lapse`."""
-        return min((other.complete_as_of_ms for other in self.peers.values()), default=math.inf)
+        """The time up to which all peers' renewals are known here: see `Catalog.expire_leases`."""
+        return min((peer.complete_as_of_ms for peer in self.peers.values()), default=math.inf)
 
     def make_request(self, to: int) -> SyncMessage:
-        """What to tell another instance now; it answers with the same of itself."""
+        """Return the message for a peer; it answers with one of its own."""
         return self._make_message(self.peers[to])
 
-    def _make_message(self, other: PeerState) -> SyncMessage:
-        told = other.acknowledged_sequence
-        moved = list(self._catalog.updated_since(told))
-        late = moved[:-MAX_ENTRIES_PER_MESSAGE] if len(moved) > MAX_ENTRIES_PER_MESSAGE else []
-        some = moved[len(late) :]  # the oldest moves first: what follows begins where these end
-        upto = self._catalog.sequence if not late else self._catalog.sequence_of(some[0].name)
-        entries, beats = [], []
-        for entry in some:
-            if self._catalog.change_sequence_of(entry.name) > told:
+    def _make_message(self, peer: PeerState) -> SyncMessage:
+        after = peer.acknowledged_sequence
+        updated = list(self._catalog.updated_since(after))  # the latest first
+        sequence = self._updates.sequence
+        if len(updated) > MAX_ENTRIES_PER_MESSAGE:  # the oldest first: the next message begins where they end
+            updated = updated[-MAX_ENTRIES_PER_MESSAGE:]
+            sequence = self._updates.sequence_of(updated[0].name)
+        entries = []
+        renewals = []
+        for entry in updated:
+            if self._updates.change_sequence_of(entry.name) > after:
                 entries.append(to_shared(entry))
             else:
-                beats.append(
-                    (entry.name, entry.registration.since_ms, entry.incarnation, entry.renewal_count)
-                )
+                since_ms = entry.registration.since_ms
+                renewals.append(RenewalCount(entry.name, since_ms, entry.incarnation, entry.renewal_count))
         return SyncMessage(
             sender=self.number,
             incarnation=self._incarnation,
-            after_sequence=told,
-            sequence=upto,
-            known_incarnation=other.incarnation,
-            known_sequence=other.known_sequence,
-            fingerprint=self._catalog.fingerprint,
+            after_sequence=after,
+            sequence=sequence,
+            known_incarnation=peer.incarnation,
+            known_sequence=peer.known_sequence,
+            fingerprint=self._updates.fingerprint,
             entries=tuple(entries),
-            renewals=tuple(beats),
+            renewals=tuple(renewals),
         )
 
     def handle_request(self, message: SyncMessage, now: float) -> tuple[SyncMessage, list[Change]]:
-        """Another instance's question: our answer, and the changes to keep before it goes out."""
-        other = self._peer(message.sender)
-        changes = self._merge_message(other, message, now)
-        return self._make_message(other), changes
-
-    def handle_response(self, by: int, answer: SyncMessage, asked_at: float, now: float) -> list[Change]:
-        """The answer to a question that was asked at `asked_at`; the changes to keep."""
-        if answer.sender != by:
-            raise InstanceMismatchError(f"instance {by} answers as {answer.sender}")
-        other = self.peers[by]
-        changes = self._merge_message(other, answer, now)
-        other.last_request_ms = asked_at
+        """Return the answer to a peer's request, and the changes to store before it goes out."""
+        peer = self._peer(message.sender)
+        changes = self._merge_message(peer, message, now)
+        return self._make_message(peer), changes
+
+    def handle_response(
+        self, sender: int, answer: SyncMessage, requested_ms: float, now: float
+    ) -> list[Change]:
+        """Take a peer's answer to the request made at `requested_ms`; return the changes to store."""
+        if answer.sender != sender:
+            raise InstanceMismatchError(f"instance {sender} answers as {answer.sender}")
+        peer = self.peers[sender]
+        changes = self._merge_message(peer, answer, now)
+        peer.last_request_ms = requested_ms
         if len(answer.entries) + len(answer.renewals) < MAX_ENTRIES_PER_MESSAGE:
-            other.complete_as_of_ms = asked_at
+            peer.complete_as_of_ms = requested_ms
         return changes
 
     def _peer(self, number: int) -> PeerState:
@@ -143,58 +162,50 @@
             raise InstanceMismatchError(f"{number} is no other instance: this is {self.number}")
         return self.peers[number]
 
-    def _merge_message(self, other: PeerState, message: SyncMessage, now: float) -> list[Change]:
-        """Take what is told, and note up to where each knows the other."""
-        if message.incarnation != other.incarnation:
-            other.incarnation, other.known_sequence = message.incarnation, 0
-        other.acknowledged_sequence = (
-            message.known_sequence if message.known_incarnation == self._incarnation else 0
-        )
+    def _merge_message(self, peer: PeerState, message: SyncMessage, now: float) -> list[Change]:
+        """Merge what a peer sends, and note up to where each knows the other."""
+        if message.incarnation != peer.incarnation:
+            peer.incarnation = message.incarnation
+            peer.known_sequence = 0
+        knows_this_start = message.known_incarnation == self._incarnation
+        peer.acknowledged_sequence = message.known_sequence if knows_this_start else 0
         who = f"instance {message.sender}"
         changes = [self._catalog.merge(entry, now, who) for entry in message.entries]
         changes += [
-            self._catalog.merge_renewals(name, (since, life), beats, now)
-            for name, since, life, beats in message.renewals
+            self._catalog.merge_renewals(renewal.name, renewal.generation, renewal.renewal_count, now)
+            for renewal in message.renewals
         ]
-        if (
-            message.after_sequence <= other.known_sequence
-        ):  # else something between is missing, and is asked for again
-            other.known_sequence = max(other.known_sequence, message.sequence)
-        self._check_fingerprint(other, message)
+        if message.after_sequence <= peer.known_sequence:  # else what is between is missing: it comes again
+            peer.known_sequence = max(peer.known_sequence, message.sequence)
+        self._check_fingerprint(peer, message)
         return [change for change in changes if change is not None]
 
-    def _check_fingerprint(self, other: PeerState, message: SyncMessage) -> None:
-        quiet = not message.entries and self._has_only_renewals_for(other)
-        other.mismatch_count = (
-            other.mismatch_count + 1 if quiet and message.fingerprint != self._catalog.fingerprint else 0
-        )
-        if other.mismatch_count >= MAX_FINGERPRINT_MISMATCHES:
-            other.mismatch_count, other.known_sequence, other.acknowledged_sequence = (
-                0,
-                0,
-                0,
-            )  # all is told again, both ways
-            other.repair_count += 1
-
-    def _has_only_renewals_for(self, other: PeerState) -> bool:
-        """Whether we have nothing to tell it but renewals."""
-        told = other.acknowledged_sequence
-        return all(
-            self._catalog.change_sequence_of(entry.name) <= told
-            for entry in self._catalog.updated_since(told)
-        )
+    def _check_fingerprint(self, peer: PeerState, message: SyncMessage) -> None:
+        is_quiet = not message.entries and self._has_only_renewals_for(peer)
+        is_mismatch = is_quiet and message.fingerprint != self._updates.fingerprint
+        peer.mismatch_count = peer.mismatch_count + 1 if is_mismatch else 0
+        if peer.mismatch_count >= MAX_FINGERPRINT_MISMATCHES:
+            peer.mismatch_count = 0
+            peer.known_sequence = 0  # all is sent again, both ways
+            peer.acknowledged_sequence = 0
+            peer.repair_count += 1
+
+    def _has_only_renewals_for(self, peer: PeerState) -> bool:
+        after = peer.acknowledged_sequence
+        updated = self._updates.updated_since(after)
+        return all(self._updates.change_sequence_of(name) <= after for name in updated)
 
     def report(self, now: float) -> list[dict[str, object]]:
-        """How it stands with each other instance, for operators; times in ms, None for never."""
-        return [
-            {
-                "instance": number,
-                "reached": now - other.last_request_ms < UNREACHABLE_AFTER_MS,
-                "heard_ms_ago": round(now - other.last_request_ms)
-                if math.isfinite(other.last_request_ms)
-                else None,
-                "agrees": not other.mismatch_count,
-                "repaired": other.repair_count,
-            }
-            for number, other in self.peers.items()
-        ]
+        """Return the state of each peer as operators see it; times in ms, None for never."""
+        return [_peer_report(number, peer, now) for number, peer in self.peers.items()]
+
+
+def _peer_report(number: int, peer: PeerState, now: float) -> dict[str, object]:
+    since_request_ms = now - peer.last_request_ms
+    return {
+        "instance": number,
+        "reached": since_request_ms < UNREACHABLE_AFTER_MS,
+        "heard_ms_ago": round(since_request_ms) if math.isfinite(since_request_ms) else None,
+        "agrees": not peer.mismatch_count,
+        "repaired": peer.repair_count,
+    }
--- a/loadbalancer/registry/change_index.py
+++ b/loadbalancer/registry/change_index.py
@@ -1,8 +1,8 @@
-"""Which servers each service has, and has had, in the order in which its watches must hear of them.
+"""Which servers each service has, and has had, in the order in which its watchers must hear of them.
 
-    places = Places()
-    places.put(entry)                    # after each change; also where it has left one service for another
-    for name, version in places.latest("orders"): ...
+    change_index = ChangeIndex()
+    change_index.put(entry)      # after each change; also where it has left one service for another
+    for name, revision in change_index.latest_changes("orders"): ...
 
 A service is what a registration calls its `tier`. A change of one service costs the others nothing.
 """
@@ -13,85 +13,86 @@
 
 from loadbalancer.registry.entries import Entry
 
-MAX_FORMER_SERVICES = (
-    8  # services that a server is remembered to have left; who has seen it in others gets the whole
-)
+# Services that a server is remembered to have left; a watcher that saw it in others gets a full snapshot.
+MAX_FORMER_SERVICES = 8
 
 
 class ChangeIndex:
-    """By service: its servers' names, with the version at which each changed there last."""
+    """By service: its servers' names, with the revision at which each changed there last."""
 
     def __init__(self) -> None:
         self._revisions_by_service: dict[str, dict[str, int]] = {}
         self.compaction_revisions: dict[str, int] = {}  # by service: up to where removals are forgotten
-        self.change_counts: dict[str, int] = {}  # by service: grows with each change of it
+        self.change_counts: dict[str, int] = {}  # by service
 
     def put(self, entry: Entry) -> None:
-        """A server has changed; the oldest of too many places that it left are forgotten."""
+        """Record that a server has changed; the oldest of too many services that it left are forgotten."""
         while len(entry.former_zones) > MAX_FORMER_SERVICES:
-            service = min(entry.former_zones, key=lambda left: max(entry.former_zones[left].values()))
-            self.compaction_revisions[service] = max(
-                self.compaction_revisions.get(service, 0), *entry.former_zones.pop(service).values()
-            )
+            service = min(entry.former_zones, key=lambda former: max(entry.former_zones[former].values()))
+            self._compact_up_to(service, max(entry.former_zones.pop(service).values()))
             self._revisions_by_service.get(service, {}).pop(entry.name, None)
         self._record(entry.registration.tier, entry.name, entry.revision)
         for service, zones in entry.former_zones.items():
             if service != entry.registration.tier:
                 self._record(service, entry.name, max(zones.values()))
 
-    def _record(self, service: str, name: str, version: int) -> None:
-        known = self._revisions_by_service.setdefault(service, {})
-        if known.get(name) != version:
-            known.pop(name, None)
-            known[name] = version
-            self.change_counts[service] = self.change_counts.get(service, 0) + 1
+    def _record(self, service: str, name: str, revision: int) -> None:
+        revisions = self._revisions_by_service.setdefault(service, {})
+        if revisions.get(name) != revision:
+            revisions.pop(name, None)
+            revisions[name] = revision
+            self._count_change(service)
 
-    def discard(self, entry: Entry, *, buried: bool = False) -> None:
-        """A server is not remembered any more; if it is `buried`, watches that are behind get the whole."""
+    def _count_change(self, service: str) -> None:
+        self.change_counts[service] = self.change_counts.get(service, 0) + 1
+
+    def _compact_up_to(self, service: str, revision: int) -> None:
+        self.compaction_revisions[service] = max(self.compaction_revisions.get(service, 0), revision)
+
+    def discard(self, entry: Entry, *, is_compaction: bool = False) -> None:
+        """Forget a server; after a compaction, watchers that are behind get a full snapshot."""
         for service in {entry.registration.tier, *entry.former_zones}:
-            known = self._revisions_by_service.get(service, {})
-            version = known.pop(entry.name, 0)
-            self.change_counts[service] = self.change_counts.get(service, 0) + 1
-            if buried:
-                self.compaction_revisions[service] = max(self.compaction_revisions.get(service, 0), version)
-            if not known:
+            revisions = self._revisions_by_service.get(service, {})
+            revision = revisions.pop(entry.name, 0)
+            self._count_change(service)
+            if is_compaction:
+                self._compact_up_to(service, revision)
+            if not revisions:
                 self._revisions_by_service.pop(service, None)
 
     def restore_order(self) -> None:
-        """Put all in the order of versions again, after some have gone back."""
-        for service, known in self._revisions_by_service.items():
-            self._revisions_by_service[service] = dict(sorted(known.items(), key=lambda item: item[1]))
+        """Put all in the order of revisions again, after some have got earlier ones back."""
+        for service, revisions in self._revisions_by_service.items():
+            self._revisions_by_service[service] = dict(sorted(revisions.items(), key=lambda item: item[1]))
 
     def latest_changes(self, service: str) -> Iterator[tuple[str, int]]:
-        """Names and versions, the latest change first."""
+        """Yield names and revisions of a service's servers, the latest change first."""
         return reversed(self._revisions_by_service.get(service, {}).items())
 
     def server_names(self, service: str) -> Iterator[str]:
-        """All that the service has or has had and that are remembered."""
+        """Yield the names of all servers that a service has or has had and that are remembered."""
         return iter(self._revisions_by_service.get(service, ()))
 
     def compaction_revision(self, services: tuple[str, ...] | None) -> int:
-        """The version up to which removals of some services, or of any, are forgotten."""
+        """Return the revision up to which removals of some services, or of any (None), are forgotten."""
         if services is None:
             return max(self.compaction_revisions.values(), default=0)
         return max((self.compaction_revisions.get(service, 0) for service in services), default=0)
 
 
 def former_zones_after(before: Entry | None, entry: Entry) -> dict[str, dict[str, int]]:
-    """Where a server has been, by service and zone, and the version at which it was there last.
+    """Return where a server has been, by service and zone, with the revision at which it was there last.
 
-    `before` is the entry as it was at its last change, None for a new one; `entry` bears its new version.
+    `before` is the entry as it was at its last change, None for a new one; `entry` has its new revision.
     """
     if before is None:
         return entry.former_zones
-    old, new = (
-        (before.registration.tier, before.registration.zone),
-        (entry.registration.tier, entry.registration.zone),
-    )
-    if old == new:
+    old_service, old_zone = before.registration.tier, before.registration.zone
+    new_service, new_zone = entry.registration.tier, entry.registration.zone
+    if (old_service, old_zone) == (new_service, new_zone):
         return before.former_zones
-    left = {service: dict(zones) for service, zones in before.former_zones.items()}
-    # One that had ended there was told as ended at its own version.
-    left.setdefault(old[0], {})[old[1]] = entry.revision if before.is_listed else before.revision
-    left.get(new[0], {}).pop(new[1], None)
-    return {service: zones for service, zones in left.items() if zones}
+    former = {service: dict(zones) for service, zones in before.former_zones.items()}
+    # One that had ended there was told as ended at its own revision.
+    former.setdefault(old_service, {})[old_zone] = entry.revision if before.is_listed else before.revision
+    former.get(new_service, {}).pop(new_zone, None)
+    return {service: zones for service, zones in former.items() if zones}
--- a/loadbalancer/registry/client.py
+++ b/loadbalancer/registry/client.py
@@ -7,10 +7,12 @@
 from typing import Any
 from urllib.parse import quote, urlencode
 
+from loadbalancer.registry.changes import RegistryError
+
 CALL_TIMEOUT_S = 10.0
 
 
-class RegistryCallError(RuntimeError):
+class RegistryCallError(RegistryError, RuntimeError):
     """A call that was refused, or that nobody answered: one line. `status` is 0 for nobody."""
 
     def __init__(self, status: int, why: str) -> None:
--- a/loadbalancer/registry/interests.py
+++ b/loadbalancer/registry/interests.py
@@ -24,8 +24,9 @@
 import msgspec
 import xxhash
 
-from loadbalancer.registry.catalog import Catalog, as_terminated
+from loadbalancer.registry.catalog import Catalog
 from loadbalancer.registry.entries import Entry
+from loadbalancer.registry.entry_table import as_terminated
 
 SLICES_PER_SERVER = 4  # slices that each server is in: 64 bits of its hash, 16 for each
 MAX_LEVEL = 12
--- a/loadbalancer/registry/list_query.py
+++ b/loadbalancer/registry/list_query.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from loadbalancer.registry.catalog import WriteRejectedError
+from loadbalancer.registry.changes import WriteRejectedError
 from loadbalancer.registry.entries import Name
 from loadbalancer.registry.interests import Interest, Levels, SubsetSpec, decode_levels, watcher_position
 
--- a/loadbalancer/registry/merge.py
+++ b/loadbalancer/registry/merge.py
@@ -1,29 +1,36 @@
 """What instances tell one another of a server, and how two accounts of it become one.
 
-    ours, theirs = share(entry), Shared(...)
+    ours, theirs = to_shared(entry), SharedEntry(...)
     joined = join(ours, theirs)          # the same whatever the order, and however often
 
 Neither clock decides. A later start of the server goes before an earlier one, and a registration after a
-removal (`life`) before that removal. Within one life each field joins by itself: what was said only goes on
-from serving to draining to removed; of two entries the one that was changed more often stands; renewals are
-counted (`beats`), and a lapse takes off the list only a server whose lease nobody has renewed since.
+removal (`incarnation`) before that removal. Within one generation each field joins by itself: the reported
+status only goes on from serving to draining to removed; of two registrations the one of the entry that was
+changed more often stands; renewals are counted, and expiry takes off the list only a server whose lease
+nobody has renewed since.
 """
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 
 from loadbalancer.registry.entries import Entry, Registration, Status
 
-STATUS_ORDER = (
-    Status.IN_SERVICE,
-    Status.TERMINATING,
-    Status.TERMINATED,
-)  # in the order in which they replace
+# In the order in which they replace one another.
+STATUS_ORDER = (Status.IN_SERVICE, Status.TERMINATING, Status.TERMINATED)
+
+
+class Generation(NamedTuple):
+    """What orders two accounts of a server: the later one stands, whatever the earlier one says."""
+
+    since_ms: float
+    incarnation: int
 
 
 class SharedEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One server as instances tell it; leases, marks and versions are each instance's own."""
+    """One server as instances tell it; leases, marks and revisions are each instance's own."""
 
     name: str
     registration: Registration
@@ -35,13 +42,13 @@
     is_pinned: bool
 
     @property
-    def generation(self) -> tuple[float, int]:
-        """Which of two accounts is of a later server."""
-        return self.registration.since_ms, self.incarnation
+    def generation(self) -> Generation:
+        """The start and the incarnation that this is an account of."""
+        return Generation(self.registration.since_ms, self.incarnation)
 
 
 def to_shared(entry: Entry) -> SharedEntry:
-    """What others are told of an entry."""
+    """Return what other instances are told of an entry."""
     return SharedEntry(
         entry.name,
         entry.registration,
@@ -54,12 +61,12 @@
     )
 
 
-def _order(one: SharedEntry) -> tuple[int, bytes]:
-    return one.change_count, msgspec.json.encode((one.registration, one.is_pinned))
+def _order(account: SharedEntry) -> tuple[int, bytes]:
+    return account.change_count, msgspec.json.encode((account.registration, account.is_pinned))
 
 
 def join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
-    """Both accounts of a server as one."""
+    """Return both accounts of a server as one."""
     if one.generation != other.generation:
         return max(one, other, key=lambda account: account.generation)
     later = max(one, other, key=_order)
@@ -76,9 +83,6 @@
 
 
 def is_conflict(one: SharedEntry, other: SharedEntry) -> bool:
-    """Whether two accounts were made without knowing of one another: one of them is lost in the join."""
-    return (
-        one.generation == other.generation
-        and one.change_count == other.change_count
-        and _order(one) != _order(other)
-    )
+    """Return whether two accounts were made without knowing of one another: a join loses one of them."""
+    is_same_age = one.generation == other.generation and one.change_count == other.change_count
+    return is_same_age and _order(one) != _order(other)
--- a/loadbalancer/registry/query_evaluation.py
+++ b/loadbalancer/registry/query_evaluation.py
@@ -129,10 +129,10 @@
         return self._encode(asked, asked.after_revision, view, changed)
 
     def _can_resume(self, asked: ListQuery) -> bool:
-        first, now = self._catalog.start_revision, time.time() * 1_000
+        first, now = self._catalog.revisions.start, time.time() * 1_000
         goes_on = self._catalog.resume_watch(_services(asked), asked.after_revision, now)
-        if self._catalog.start_revision != first:
-            self._store.record_revision_jump(self._catalog.start_revision)
+        if self._catalog.revisions.start != first:
+            self._store.record_revision_jump(self._catalog.revisions.start)
         return goes_on
 
     def _encode_snapshot(self, asked: ListQuery) -> bytes:
--- a/loadbalancer/registry/server.py
+++ b/loadbalancer/registry/server.py
@@ -10,6 +10,7 @@
 from aiohttp import web
 
 from loadbalancer.registry.anti_entropy import MAX_INSTANCES
+from loadbalancer.registry.changes import RegistryError
 from loadbalancer.registry.entries import Address, Rules
 from loadbalancer.registry.service import RegistryService
 from loadbalancer.registry.store import CatalogStore
@@ -17,7 +18,7 @@
 SHUTDOWN_TIMEOUT_S = 1.0
 
 
-class RegistryServerError(ValueError):
+class RegistryServerError(RegistryError, ValueError):
     """What can't be served: one line."""
 
 
--- a/loadbalancer/registry/store.py
+++ b/loadbalancer/registry/store.py
@@ -9,8 +9,9 @@
 
 import msgspec
 
-from loadbalancer.registry.catalog import Change
+from loadbalancer.registry.changes import Change, RegistryError
 from loadbalancer.registry.entries import Entry
+from loadbalancer.registry.revisions import RevisionRange
 
 SCHEMA_VERSION = 2
 MAX_HISTORY_CHANGES = 100_000  # changes that are remembered
@@ -28,7 +29,7 @@
 """
 
 
-class CatalogStoreError(RuntimeError):
+class CatalogStoreError(RegistryError, RuntimeError):
     """A file that can't be used: one line."""
 
 
@@ -95,9 +96,10 @@
         rows = self._db.execute("select key, value from meta where key like 'floor:%'").fetchall()
         return self._meta("base"), {key.removeprefix("floor:"): value for key, value in rows}
 
-    def incarnations(self) -> list[tuple[int, int]]:
+    def incarnations(self) -> list[RevisionRange]:
         """First and last version of each life of this file, the oldest first."""
-        return self._db.execute("select first, last from lives order by first").fetchall()
+        rows = self._db.execute("select first, last from lives order by first").fetchall()
+        return [RevisionRange(first, last) for first, last in rows]
 
     def begin_incarnation(
         self, index: int, floor: int, kept: Container[str], floors: Mapping[str, int] | None = None
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -56,7 +56,7 @@
 
 
 def catalog(*names: str, now: float = 0.0, **more: Any) -> Catalog:
-    made = Catalog(RULES, start_index=100)
+    made = Catalog(RULES, start_revision=100)
     for name in names:
         made.register(name, told(**more), now)
     return made
@@ -146,7 +146,7 @@
 def test_the_first_of_many_lapses_is_not_believed_before_the_others_are_seen() -> None:
     """In a storm the first lease to run out was taken for a single server's end."""
     rules = msgspec.structs.replace(RULES, settle_ms=500.0)
-    one = Catalog(rules, start_index=100)
+    one = Catalog(rules, start_revision=100)
     for at, name in enumerate(("s0", "s1", "s2", "s3")):
         one.register(name, told(), 100.0 * at)
     assert one.expire_leases(1_050.0) == [] and one.entries["s0"].is_preserved
@@ -177,7 +177,7 @@
     with pytest.raises(WriteRejectedError, match="come and gone too often"):
         one.register("s0", told(), now + 1_000.0)
     assert one.register("s0", told(), now + RULES.damping_ms) is not None
-    one.set_pinned("s1", True, now)
+    one.set_pinned("s1", now, is_pinned=True)
     later = now + RULES.damping_ms + 5_000.0
     renew(one, later, "s2", "s3", "s4", "s5")
     assert [c.name for c in one.expire_leases(later)] == ["s0"]
@@ -442,7 +442,7 @@
 def test_a_reader_of_a_long_list_that_takes_nothing_is_cut_off_and_holds_little() -> None:
     async def scenario() -> None:
         async with serving() as (service, at), aiohttp.ClientSession() as http:
-            service.stalled_reader_timeout_s = 0.2
+            service.api.stalled_reader_timeout_s = 0.2
             for number in range(20_000):
                 service.catalog.register(f"server-{number}", told(zone="z" * 150), 0.0)
             host, port = at.split(":")
@@ -450,7 +450,7 @@
                 reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
                 reader.connect((host, int(port)))
                 reader.sendall(b"GET /v1/servers HTTP/1.1\r\nHost: h\r\n\r\n")
-                while not service.stalled_reader_count:
+                while not service.api.stalled_reader_count:
                     await asyncio.sleep(0.02)
             async with http.get(f"http://{at}/v1/servers") as answer:
                 assert len((await answer.json())["endpoints"]) == 20_000, "who reads gets all of it"
--- a/tests/test_directory_floors.py
+++ b/tests/test_directory_floors.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from loadbalancer.registry import Catalog, Entry, Registration, Rules, Status
-from loadbalancer.registry.merge import to_shared
+from loadbalancer.registry.merge import Generation, to_shared
 
 RULES = Rules(
     mass_expiry_ratio=1.0,
@@ -117,7 +117,7 @@
         there.merge(to_shared(entry), 0.0, "0")
     for n in range(2, 8):
         here.renew(f"s{n}", 0.0, 9_000.0)
-        there.merge_renewals(f"s{n}", (0.0, 0), here.entries[f"s{n}"].renewal_count, 9_000.0)
+        there.merge_renewals(f"s{n}", Generation(0.0, 0), here.entries[f"s{n}"].renewal_count, 9_000.0)
     assert [change.name for change in here.expire_leases(9_500.0)] == ["s0", "s1"]
     for name in ("s0", "s1"):
         there.merge(to_shared(here.entries[name]), 9_600.0, "0")
--- a/tests/test_directory_instances.py
+++ b/tests/test_directory_instances.py
@@ -173,9 +173,9 @@
 def test_letting_go_of_a_pinned_server_gives_it_a_lease_at_every_instance() -> None:
     """Only the instance that was told let its lease run anew; the others took the server off at once."""
     made = two("s0")
-    made.catalogs[0].set_pinned("s0", True, 0.0)
+    made.catalogs[0].set_pinned("s0", 0.0, is_pinned=True)
     made.pass_by(5 * LEASE_MS)
-    made.catalogs[0].set_pinned("s0", False, made.now)
+    made.catalogs[0].set_pinned("s0", made.now, is_pinned=False)
     made.pass_by(LEASE_MS / 2)
     assert made.listed(0) == made.listed(1) == {"s0": "in_service"}
     made.pass_by(LEASE_MS)
@@ -205,7 +205,7 @@
     assert len(weights) == 1 and weights <= {2.0, 3.0}
     assert made.listed(0)["s1"] == made.listed(1)["s1"] == "terminating"
     assert sum(c.conflict_counts["s0"] for c in made.catalogs) >= 1
-    assert made.catalogs[0].fingerprint == made.catalogs[1].fingerprint
+    assert made.catalogs[0].updates.fingerprint == made.catalogs[1].updates.fingerprint
 
 
 def test_one_that_lost_its_memory_has_it_back_from_the_others() -> None:
@@ -222,7 +222,7 @@
     catalog = made.catalogs[1]
     catalog.entries["s0"].reported_status = Status.TERMINATING
     catalog._record_change(catalog.entries["s0"])
-    catalog._change_sequences["s0"] = catalog._sequences["s0"] = 1  # and nobody knows that it moved
+    catalog.updates._changes["s0"] = catalog.updates._updates["s0"] = 1  # and nobody knows that it moved
     for _ in range(2 * MAX_FINGERPRINT_MISMATCHES + 2):
         made.ask_all()
     assert made.listed(0) == made.listed(1) == {"s0": "terminating", "s1": "in_service"}
@@ -245,7 +245,7 @@
     made = two("s0", "s1")
     one, other = made.catalogs
     for _ in range(20):
-        one.set_pinned("s0", True, 1.0)
+        one.set_pinned("s0", 1.0, is_pinned=True)
     seen = one.revision
     assert seen > other.revision and one.changes_since("first", seen, 1.0) == []
     stayed = other.revision
@@ -323,7 +323,7 @@
             self.made.ask_all()
         lists = [self.made.listed(number) for number in range(3)]
         assert lists[0] == lists[1] == lists[2]
-        assert len({catalog.fingerprint for catalog in self.made.catalogs}) == 1
+        assert len({catalog.updates.fingerprint for catalog in self.made.catalogs}) == 1
 
     def _try(self, write: Any, number: int) -> None:
         with suppress(WriteRejectedError):
--- a/tests/test_interest.py
+++ b/tests/test_interest.py
@@ -80,7 +80,7 @@
         self.catalog.restore(store.entries(), now, store.incarnations(), *store.compaction_revisions())
         store.begin_incarnation(
             self.catalog.revision,
-            self.catalog.oldest_revision,
+            self.catalog.revisions.oldest,
             self.catalog.entries,
             self.catalog.change_index.compaction_revisions,
         )
