--- a/benchmarks/interest.py
+++ b/benchmarks/interest.py
@@ -28,7 +28,8 @@
 
 from benchmarks.directory import allow_files, served
 from loadbalancer.registry import Catalog, Registration, Rules
-from loadbalancer.registry.interests import SubsetCache, SubsetSpec, SubsetView, watcher_position
+from loadbalancer.registry.interest import SubsetSpec, SubsetView, watcher_position
+from loadbalancer.registry.subset_cache import SubsetCache
 
 KINDS = ("whole", "service", "part")
 SIZES = (500, 2_000, 6_000, 18_000)  # of the list in a balancer
--- a/loadbalancer/registry/list_query.py
+++ b/loadbalancer/registry/list_query.py
@@ -1,4 +1,4 @@
-"""What a call for the list asks, from its query: one clear line for what can't be."""
+"""What a call for the list asks, read from its query string; a bad one is rejected with one line and 400."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 
 from loadbalancer.registry.changes import WriteRejectedError
 from loadbalancer.registry.entries import Name
-from loadbalancer.registry.interests import Interest, Levels, SubsetSpec, decode_levels, watcher_position
+from loadbalancer.registry.interest import Interest, Levels, SubsetSpec, decode_levels, watcher_position
 
 MAX_WAIT_MS = 60_000.0
 MAX_SERVICES = 32  # of one watch
 MAX_SUBSET_SERVERS = 100_000
 MAX_BALANCERS = 1_000_000
 MAX_TEXT_LENGTH = 200
-NO_REVISION = -1  # in place of a version that was seen: none, and so the whole list
-INTEREST_KEYS = ("part", "of", "zone", "balancers", "held", "ticket", "waited_ms")
+NO_REVISION = -1  # in place of a revision that was seen: the answer is a full snapshot
+DEFAULT_TIER = "first"
+INTEREST_KEYS = ("part", "of", "zone", "balancers", "held", "ticket", "waited_ms")  # only with `services`
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,29 +28,33 @@
 
     interest: Interest
     after_revision: int
+    """The revision that the watcher has seen, or `NO_REVISION`."""
     wait_ms: float
     held_levels: Levels | None = None
-    """What the watcher says it holds at its version; None if it does not say."""
+    """What the watcher says it holds at its revision; None if it does not say."""
     is_single_tier: bool = False
-    """It asks for one tier, by the call that knows of no interests."""
+    """It is the platform's call, for one tier, that knows of no interests."""
     ticket: int | None = None
+    """Of an earlier answer that told it to come again."""
     waited_ms: float = 0.0
+    """How long the watcher has tried already, after a failed call."""
 
 
 def parse_list_query(query: Mapping[str, str]) -> ListQuery:
-    """What a query asks; Refused, with 400, says what is wrong."""
-    after, wait_ms = (
-        int(read_number(query, "after", NO_REVISION)),
-        min(read_number(query, "wait_ms", 0.0), MAX_WAIT_MS),
-    )
+    """Return what a query string asks; rejected with 400 if it is wrong."""
+    after = int(read_number(query, "after", NO_REVISION))
+    wait_ms = min(read_number(query, "wait_ms", 0.0), MAX_WAIT_MS)
     if "services" not in query:
         if extra := [key for key in INTEREST_KEYS if key in query]:
             raise WriteRejectedError(400, f"{extra[0]}: is only for a call with services=NAME,...")
-        return ListQuery(Interest((query.get("tier", "first"),)), after, wait_ms, is_single_tier=True)
+        interest = Interest((query.get("tier", DEFAULT_TIER),))
+        return ListQuery(interest, after, wait_ms, is_single_tier=True)
     ticket = read_number(query, "ticket", -1.0)
     return ListQuery(
         Interest(
-            _read_services(query["services"]), _read_subset(query), watcher_position(_read_text(query, "of"))
+            _read_services(query["services"]),
+            _read_subset(query),
+            watcher_position(_read_text(query, "of")),
         ),
         after,
         wait_ms,
@@ -60,7 +65,7 @@
 
 
 def read_number(query: Mapping[str, str], key: str, default: float) -> float:
-    """A number of a query; Refused if it is none."""
+    """Return a number of a query string; rejected with 400 if it is none."""
     text = query.get(key)
     try:
         value = float(text) if text is not None else default
@@ -75,10 +80,10 @@
     names = text.split(",")
     try:
         msgspec.convert(names, type=list[Name])
-    except msgspec.ValidationError:
+    except msgspec.ValidationError as error:
         raise WriteRejectedError(
             400, f"services={text[:80]!r}: must be names of services, commas between"
-        ) from None
+        ) from error
     if len(set(names)) < len(names) or len(names) > MAX_SERVICES:
         raise WriteRejectedError(
             400, f"services: {len(names)} names; allowed: {MAX_SERVICES} at most, each once"
@@ -92,17 +97,17 @@
             if key in query:
                 raise WriteRejectedError(400, f"{key}: is only for a call with part=SERVERS")
         return None
-    part = _read_count(query, "part", 1, MAX_SUBSET_SERVERS)
+    min_servers = _read_count(query, "part", 1, MAX_SUBSET_SERVERS)
     if not query.get("of"):
         raise WriteRejectedError(400, "part: needs of=NAME, the watcher's own: it says which part is meant")
-    balancers = _read_count(query, "balancers", 0, MAX_BALANCERS) if "balancers" in query else 0
-    return SubsetSpec(part, _read_text(query, "zone"), balancers)
+    balancer_count = _read_count(query, "balancers", 0, MAX_BALANCERS) if "balancers" in query else 0
+    return SubsetSpec(min_servers, _read_text(query, "zone"), balancer_count)
 
 
-def _read_count(query: Mapping[str, str], key: str, least: int, most: int) -> int:
+def _read_count(query: Mapping[str, str], key: str, minimum: int, maximum: int) -> int:
     text = query[key]
-    if not text.isdecimal() or not least <= int(text[:20]) <= most:
-        raise WriteRejectedError(400, f"{key}={text[:40]!r}; allowed: {least} to {most}")
+    if not text.isdecimal() or not minimum <= int(text[:20]) <= maximum:
+        raise WriteRejectedError(400, f"{key}={text[:40]!r}; allowed: {minimum} to {maximum}")
     return int(text)
 
 
@@ -121,4 +126,4 @@
     except ValueError as error:
         raise WriteRejectedError(
             400, f"held: not what this service told: {' '.join(str(error).split())[:120]}"
-        ) from None
+        ) from error
--- a/loadbalancer/registry/watcher_index.py
+++ b/loadbalancer/registry/watcher_index.py
@@ -1,8 +1,8 @@
-"""The watches that wait, found by what they hold: a change costs those whose interest holds it.
+"""The watches that wait, found by what they hold: a change costs those whose interest includes it.
 
-    waits = Waits(parts)
-    with waits.waiting(view, shape) as woken: await woken     # a future of the running loop
-    count = waits.wake(catalog.changed_since(index), index)   # those who wait for one of these
+    watchers = WatcherIndex(subsets)
+    with watchers.subscribe(view, subset) as woken: await woken        # a future of the running loop
+    count = watchers.wake_affected(catalog.changed_since(revision), revision)
 
 State grows with the watches that wait, and ends with them.
 """
@@ -15,14 +15,9 @@
 from typing import NamedTuple
 
 from loadbalancer.registry.entries import Entry
-from loadbalancer.registry.interests import (
-    MAX_LEVEL,
-    SubsetCache,
-    SubsetSpec,
-    SubsetView,
-    server_positions,
-    zones_left_since,
-)
+from loadbalancer.registry.interest import MAX_LEVEL, SubsetSpec, SubsetView, server_positions
+from loadbalancer.registry.interest_changes import zones_left_since
+from loadbalancer.registry.subset_cache import SubsetCache
 
 WakeFuture = asyncio.Future[None]
 
@@ -35,23 +30,22 @@
 
 
 class WatcherIndex:
-    """Who waits for what, by the services, the slices and the shapes of parts."""
+    """Which watch waits for what, by services, slices and specifications of subsets."""
 
-    def __init__(self, parts: SubsetCache) -> None:
-        self._subsets = parts
+    def __init__(self, subsets: SubsetCache) -> None:
+        self._subsets = subsets
         self._futures: dict[Hashable, set[WakeFuture]] = {}
-        self._watched_levels: dict[
-            str, dict[SubsetSpec, dict[str, int]]
-        ] = {}  # by service, the parts that are waited for
+        # By service: the subsets that are waited for, with their levels at the last wake.
+        self._watched_levels: dict[str, dict[SubsetSpec, dict[str, int]]] = {}
 
     def __len__(self) -> int:
         return sum(map(len, self._futures.values()))
 
     @contextmanager
-    def subscribe(self, view: SubsetView, shape: SubsetSpec | None) -> Iterator[WakeFuture]:
-        """Wait for changes of what a view holds, and of the levels of its parts, until the block ends."""
+    def subscribe(self, view: SubsetView, subset: SubsetSpec | None) -> Iterator[WakeFuture]:
+        """Wait for changes of what a view holds, and of the levels of its subsets, until the block ends."""
         woken: WakeFuture = asyncio.get_running_loop().create_future()
-        keys = list(self._subscription_keys(view, shape))
+        keys = list(self._subscription_keys(view, subset))
         for key in keys:
             self._futures.setdefault(key, set()).add(woken)
         try:
@@ -61,66 +55,64 @@
                 self._futures[key].discard(woken)
                 if not self._futures[key]:
                     del self._futures[key]
-            if shape is not None:
-                self._release_subsets(view, shape)
+            if subset is not None:
+                self._release_subsets(view, subset)
 
-    def _subscription_keys(self, view: SubsetView, shape: SubsetSpec | None) -> Iterator[Hashable]:
+    def _subscription_keys(self, view: SubsetView, subset: SubsetSpec | None) -> Iterator[Hashable]:
         for service, zones in view.levels.items():
-            if shape is None:
+            if subset is None:
                 yield service
                 continue
-            best = self._subsets.finest_levels(service, shape)
-            self._watched_levels.setdefault(service, {}).setdefault(shape, best)
-            yield service, shape
-            for zone in best.keys() | zones.keys():
+            finest = self._subsets.finest_levels(service, subset)
+            self._watched_levels.setdefault(service, {}).setdefault(subset, finest)
+            yield service, subset
+            for zone in finest.keys() | zones.keys():
                 level = zones.get(zone, 0)
                 yield service, zone, level, view.position & ((1 << level) - 1)
 
-    def _release_subsets(self, view: SubsetView, shape: SubsetSpec) -> None:
+    def _release_subsets(self, view: SubsetView, subset: SubsetSpec) -> None:
         for service in view.levels:
-            if (service, shape) not in self._futures and service in self._watched_levels:
-                self._watched_levels[service].pop(shape, None)
+            if (service, subset) not in self._futures and service in self._watched_levels:
+                self._watched_levels[service].pop(subset, None)
                 if not self._watched_levels[service]:
                     del self._watched_levels[service]
 
     def wake_affected(self, changed: Iterable[Entry], after: int) -> int:
-        """Wake those who wait for one of the servers that have changed since a version; how many."""
+        """Wake those that wait for a server that has changed since a revision; return how many."""
         return self.wake(self.find_affected(changed, after))
 
-    def wake(self, found: AffectedWatchers) -> int:
-        """Wake whom a look of this very moment has found; how many."""
-        for one in found.futures:
-            if not one.done():
-                one.set_result(None)
-        for service in found.services & self._watched_levels.keys():
-            for shape in self._watched_levels[service]:
-                self._watched_levels[service][shape] = self._subsets.finest_levels(service, shape)
-        return len(found.futures)
+    def wake(self, affected: AffectedWatchers) -> int:
+        """Wake those that were found at this very moment; return how many."""
+        for future in affected.futures:
+            if not future.done():
+                future.set_result(None)
+        for service in affected.services & self._watched_levels.keys():
+            for subset in self._watched_levels[service]:
+                self._watched_levels[service][subset] = self._subsets.finest_levels(service, subset)
+        return len(affected.futures)
 
     def find_affected(self, changed: Iterable[Entry], after: int) -> AffectedWatchers:
-        """Whom the servers that have changed since a version would wake."""
-        found: set[WakeFuture] = set()
+        """Return those whom the servers that have changed since a revision would wake."""
+        futures: set[WakeFuture] = set()
         services: set[str] = set()
         for entry in changed:
-            for service, zone in (
-                (entry.registration.tier, entry.registration.zone),
-                *zones_left_since(entry, after),
-            ):
+            current = entry.registration.tier, entry.registration.zone
+            for service, zone in (current, *zones_left_since(entry, after)):
                 services.add(service)
-                found |= self._futures.get(service, set())
+                futures |= self._futures.get(service, set())
                 if service in self._watched_levels:
                     for key in _slice_keys(service, zone, entry.name):
-                        found |= self._futures.get(key, set())
+                        futures |= self._futures.get(key, set())
         for service in services & self._watched_levels.keys():
-            for shape, best in self._watched_levels[service].items():
-                if self._subsets.finest_levels(service, shape) != best:
-                    found |= self._futures.get((service, shape), set())
-        return AffectedWatchers(found, services)
+            for subset, levels in self._watched_levels[service].items():
+                if self._subsets.finest_levels(service, subset) != levels:
+                    futures |= self._futures.get((service, subset), set())
+        return AffectedWatchers(futures, services)
 
 
 def _slice_keys(service: str, zone: str, name: str) -> Iterator[Hashable]:
-    """The keys of all slices that a server is in."""
+    """Yield the keys of all slices that a server is in."""
     for level in range(MAX_LEVEL + 1):
         mask = (1 << level) - 1
-        for place in {one & mask for one in server_positions(name)}:
-            yield service, zone, level, place
+        for position in {own & mask for own in server_positions(name)}:
+            yield service, zone, level, position
--- a/loadbalancer/scale/seeded_defects.py
+++ b/loadbalancer/scale/seeded_defects.py
@@ -31,7 +31,7 @@
     """Each change tells each watch the whole list."""
     from loadbalancer.registry.query_evaluation import QueryEvaluator
 
-    QueryEvaluator._can_resume = lambda self, asked: False  # type: ignore[method-assign]
+    QueryEvaluator._can_resume = lambda self, query: False  # type: ignore[method-assign]
 
 
 def never_backs_off() -> None:
--- a/tests/test_interest.py
+++ b/tests/test_interest.py
@@ -30,10 +30,8 @@
     AdmissionQueue,
 )
 from loadbalancer.registry.anti_entropy import MAX_INSTANCES, AntiEntropy
-from loadbalancer.registry.interests import (
-    BALANCERS_PER_SERVER,
+from loadbalancer.registry.interest import (
     SLICES_PER_SERVER,
-    SubsetCache,
     SubsetSpec,
     SubsetView,
     decode_levels,
@@ -43,6 +41,7 @@
 from loadbalancer.registry.list_query import ListQuery, parse_list_query
 from loadbalancer.registry.query_evaluation import QueryEvaluator
 from loadbalancer.registry.store import CatalogStore
+from loadbalancer.registry.subset_cache import BALANCERS_PER_SERVER, SubsetCache
 from tests.loopback import ProxyHarness, Upstream, config_text, endpoint_entry, run_scenario
 from tests.test_directory import serving
 
