--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -22,7 +22,7 @@
 from loadbalancer.policy.endpoints import BALANCERS_PER_SERVER
 from loadbalancer.registry.entries import Rules
 from loadbalancer.registry.lease import RENEWAL_RATIO
-from loadbalancer.registry.rate_limiter import ANSWER_COST_S, MAX_WAKE_CPU_SHARE, MIN_WAKE_INTERVAL_S
+from loadbalancer.registry.rate_limiter import ANSWER_COST_S, MAX_WAKE_CPU_FRACTION, MIN_WAKE_INTERVAL_S
 
 DAY_S = 86_400.0
 ENTRY_ROOM = 2  # changes that a failed machine makes: it lapses, and another one starts
@@ -206,7 +206,7 @@
     def wake_s(self) -> float:
         """Between two wakes of an instance's watches: as it paces them, or as answering them takes."""
         watches = self.size / self.instances
-        paced = max(ANSWER_COST_S * watches / MAX_WAKE_CPU_SHARE, MIN_WAKE_INTERVAL_S)
+        paced = max(ANSWER_COST_S * watches / MAX_WAKE_CPU_FRACTION, MIN_WAKE_INTERVAL_S)
         return max(paced, self.at("watch_change", watches) / 1e3)
 
     def return_s(self, instances: float) -> float:
--- a/loadbalancer/registry/admission_queue.py
+++ b/loadbalancer/registry/admission_queue.py
@@ -14,7 +14,7 @@
 import random
 from dataclasses import dataclass
 
-MAX_CPU_SHARE = 0.7  # of the service's time for those that return; the rest is for writes and for changes
+MAX_CPU_FRACTION = 0.7  # of the service's time for those that return; the rest is for writes and for changes
 BURST_S = 0.25  # of work that is admitted at once
 CALL_COST_S = 350e-6  # for a call (benchmarks/interest_subscription.py)
 ENTRY_COST_S = 5e-6  # and for each entry of its answer
@@ -49,7 +49,7 @@
         """
         if ticket is not None and now - MAX_DELAY_S <= ticket / 1_000 <= now + TICKET_TOLERANCE_S:
             return None
-        self._backlog_end_s = max(self._backlog_end_s, now) + cost_s / MAX_CPU_SHARE
+        self._backlog_end_s = max(self._backlog_end_s, now) + cost_s / MAX_CPU_FRACTION
         delay_s = self._backlog_end_s - now - BURST_S
         if delay_s <= 0:
             return None
--- a/loadbalancer/registry/agent.py
+++ b/loadbalancer/registry/agent.py
@@ -1,4 +1,4 @@
-"""Speaks for a server that can't: checks its health, renews its lease meanwhile, drains it at the end."""
+"""Registers a server that can't do so itself: checks its health, renews its lease, drains it at the end."""
 
 from __future__ import annotations
 
@@ -14,10 +14,8 @@
 
 HEALTH_CHECK_INTERVAL_S = 1.0
 HEALTH_CHECK_TIMEOUT_S = 1.0
-HEALTHY_THRESHOLD, UNHEALTHY_THRESHOLD = (
-    2,
-    3,
-)  # checks in a row that must pass to register, and fail to let go
+HEALTHY_THRESHOLD = 2  # checks in a row that must pass to register
+UNHEALTHY_THRESHOLD = 3  # checks in a row that must fail to deregister
 
 
 @dataclass
@@ -27,16 +25,17 @@
     is_healthy: bool = False
     _streak: int = 0
 
-    def record_check(self, passed: bool) -> bool:
-        """Take a check; whether the server counts as well now."""
-        self._streak = 0 if passed == self.is_healthy else self._streak + 1
-        if self._streak >= (HEALTHY_THRESHOLD if passed else UNHEALTHY_THRESHOLD):
-            self.is_healthy, self._streak = passed, 0
+    def record_check(self, *, has_passed: bool) -> bool:
+        """Record a check; return whether the server counts as healthy now."""
+        self._streak = 0 if has_passed == self.is_healthy else self._streak + 1
+        if self._streak >= (HEALTHY_THRESHOLD if has_passed else UNHEALTHY_THRESHOLD):
+            self.is_healthy = has_passed
+            self._streak = 0
         return self.is_healthy
 
 
 def passes_health_check(address: str, path: str) -> bool:
-    """Whether a server answers its health check with 200 in time."""
+    """Return whether a server answers its health check with 200 in time."""
     host, _, port = address.rpartition(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=HEALTH_CHECK_TIMEOUT_S)
     try:
@@ -49,31 +48,34 @@
 
 
 class Agent:
-    """The agent of one server: `step` is called again and again, and says when it wants to be next."""
+    """The agent of one server: `step` is called again and again, and returns when it is to be called next."""
 
     def __init__(
         self,
         name: str,
-        told: Registration,
-        caller: RegistryClient,
-        is_well: Callable[[], bool],
+        registration: Registration,
+        client: RegistryClient,
+        passes_check: Callable[[], bool],
         log: Callable[[str], None],
         now_ms: Callable[[], float] = lambda: time.time() * 1_000,
     ) -> None:
-        self._name, self._passes_check, self._log = name, is_well, log
-        self._lease = Lease(caller, name, told, now_ms)
+        """`log` is called with a line for each change of what the registry has answered."""
+        self._name = name
+        self._passes_check = passes_check
+        self._log = log
+        self._lease = Lease(client, name, registration, now_ms)
         self._health = Health()
         self._last_message = ""
 
     def step(self) -> float:
-        """Check, and register, renew or let go; seconds until the next step."""
-        was = self._health.is_healthy
-        well = self._health.record_check(self._passes_check())
-        if well and not was:
-            self._lease.begin_new_start()  # whatever it was, it may be cold
-        if well:
+        """Check, and register, renew or deregister; return the seconds until the next step."""
+        was_healthy = self._health.is_healthy
+        is_healthy = self._health.record_check(has_passed=self._passes_check())
+        if is_healthy and not was_healthy:
+            self._lease.begin_new_start()  # whatever it was before, it may have to warm up
+        if is_healthy:
             self._attempt(self._register_or_renew)
-        elif was:
+        elif was_healthy:
             self._attempt(lambda: self._lease.deregister("health checks fail"), "health checks fail: removed")
         return min(HEALTH_CHECK_INTERVAL_S, self._lease.renewal_interval_s)
 
@@ -82,24 +84,24 @@
             self._log_once("registered")
 
     def drain(self) -> None:
-        """The server is to end what it has."""
+        """Let the server end the requests that it has."""
         if self._lease.is_registered:
             self._attempt(lambda: self._lease.drain("it is told to end"), "draining")
 
     def deregister(self) -> None:
-        """The server is gone."""
+        """Take the server off the list."""
         if self._lease.is_registered:
             self._attempt(lambda: self._lease.deregister("it has ended"), "removed")
 
-    def _attempt(self, call: Callable[[], None], done: str = "") -> None:
-        """Make a call, and say what came of it."""
+    def _attempt(self, call: Callable[[], None], message: str = "") -> None:
+        """Make a call, and log what came of it."""
         try:
             call()
         except RegistryCallError as error:
             self._log_once(f"the list service: {error}")
         else:
-            if done:
-                self._log_once(done)
+            if message:
+                self._log_once(message)
 
     def _log_once(self, text: str) -> None:
         if text != self._last_message:
@@ -108,7 +110,7 @@
 
 
 async def run(agent: Agent, stop: asyncio.Event, grace_s: float) -> None:
-    """Speak for a server until `stop`, then drain it, wait, and remove it."""
+    """Run an agent until `stop`; then drain its server, wait for the grace period, and deregister it."""
     while not stop.is_set():
         wait_s = await asyncio.to_thread(agent.step)
         try:
--- a/loadbalancer/registry/client.py
+++ b/loadbalancer/registry/client.py
@@ -1,50 +1,59 @@
-"""Calls to the service for tools and agents: one call, one answer, one line of error."""
+"""Calls to the registry for tools and agents: one call, one answer, one line of error."""
 
 from __future__ import annotations
 
 import http.client
 import json
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import quote, urlencode
 
 from loadbalancer.registry.changes import RegistryError
 
 CALL_TIMEOUT_S = 10.0
+NO_ANSWER = 0  # in place of a status
 
 
 class RegistryCallError(RegistryError, RuntimeError):
-    """A call that was refused, or that nobody answered: one line. `status` is 0 for nobody."""
+    """A call that was rejected or got no answer: one line. `status` is `NO_ANSWER` for the latter."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
         self.status = status
 
 
+class _Instance(NamedTuple):
+    host: str
+    port: int
+
+
 class RegistryClient:
-    """The service at an address, or at those of its instances: the next is asked if one does not answer."""
+    """The registry at an address, or at those of its instances: the next is called if one does not answer."""
 
     def __init__(self, address: str, who: str = "", timeout_s: float = CALL_TIMEOUT_S) -> None:
-        """`address` is HOST:PORT, or several with commas between; CallError if one is none."""
-        self._instances: list[tuple[str, int]] = []
-        for one in address.split(","):
-            host, _, port = one.strip().rpartition(":")
+        """`address` is HOST:PORT, or several with commas between; `RegistryCallError` if one is none."""
+        self._instances: list[_Instance] = []
+        for part in address.split(","):
+            host, _, port = part.strip().rpartition(":")
             if not host or not port.isdigit():
-                raise RegistryCallError(0, f"{one!r} is no address: give HOST:PORT, such as 127.0.0.1:8500")
-            self._instances.append((host, int(port)))
-        self._who, self._timeout_s = who, timeout_s
+                raise RegistryCallError(
+                    NO_ANSWER, f"{part!r} is no address: give HOST:PORT, such as 127.0.0.1:8500"
+                )
+            self._instances.append(_Instance(host, int(port)))
+        self._who = who
+        self._timeout_s = timeout_s
 
     def call(
         self, method: str, path: str, body: object = None, *, why: str = "", if_match: int | None = None
     ) -> Any:
-        """The answer's JSON; CallError tells what was wrong, as the last instance that was asked has it.
+        """Return the answer's JSON; `RegistryCallError` has the error of the last instance that was called.
 
-        A call that nobody answered may have been carried out: at another instance it is a call of its own.
+        A call that got no answer may have been carried out: at another instance it is a call of its own.
         """
-        for left in reversed(range(len(self._instances))):
+        for remaining in reversed(range(len(self._instances))):
             try:
                 return self._call(method, path, body, why, if_match)
             except RegistryCallError as error:
-                if error.status not in (0, 503) or not left:
+                if error.status not in (NO_ANSWER, 503) or not remaining:
                     raise
                 self._instances.append(self._instances.pop(0))
         raise AssertionError("there is always an instance")
@@ -58,31 +67,31 @@
         try:
             data = json.dumps(body).encode() if body is not None else None
             connection.request(method, path, data, headers)
-            answer = connection.getresponse()
-            told = json.loads(answer.read())
+            response = connection.getresponse()
+            answer = json.loads(response.read())
         except (OSError, ValueError, http.client.HTTPException) as error:
-            raise RegistryCallError(0, f"{host}:{port} gave no answer: {error}") from None
+            raise RegistryCallError(NO_ANSWER, f"{host}:{port} gave no answer: {error}") from error
         finally:
             connection.close()
-        if answer.status >= 300:
-            raise RegistryCallError(answer.status, str(told.get("error", told)))
-        return told
+        if response.status >= 300:
+            raise RegistryCallError(response.status, str(answer.get("error", answer)))
+        return answer
 
     def call_server(
         self,
         method: str,
         name: str,
-        what: str = "",
+        action: str = "",
         body: object = None,
         *,
         why: str = "",
         if_match: int | None = None,
     ) -> Any:
-        """A call about one server."""
-        path = f"/v1/servers/{quote(name, safe='')}{what}"
+        """Make a call about one server; `action` is the path after its name, such as `/drain`."""
+        path = f"/v1/servers/{quote(name, safe='')}{action}"
         return self.call(method, path, body, why=why, if_match=if_match)
 
     def list_endpoints(self, tier: str, after: int = -1, wait_ms: float = 0.0) -> Any:
-        """The list of a tier, or what changed since a version, after a wait at the most."""
+        """Return the list of a tier, or what has changed since a revision, after `wait_ms` at the most."""
         query = {"tier": tier} | ({"after": after, "wait_ms": wait_ms} if after >= 0 else {})
         return self.call("GET", f"/v1/servers?{urlencode(query)}")
--- a/loadbalancer/registry/lease.py
+++ b/loadbalancer/registry/lease.py
@@ -1,4 +1,4 @@
-"""One entry of the list, held: registered, renewed when that is due, told anew when it was forgotten."""
+"""One server's lease, kept up: registered, renewed when that is due, registered anew when it was lost."""
 
 from __future__ import annotations
 
@@ -14,37 +14,41 @@
 
 
 class Lease:
-    """A server's place on the list; every call raises CallError if the service refuses or is not there."""
+    """A server's entry in the registry; calls raise `RegistryCallError` if rejected or unanswered."""
 
     def __init__(
         self,
-        caller: RegistryClient,
+        client: RegistryClient,
         name: str,
-        told: Registration,
+        registration: Registration,
         now_ms: Callable[[], float] = lambda: time.time() * 1_000,
     ) -> None:
-        self._client, self._name, self._now_ms = caller, name, now_ms
-        self.registration, self.is_registered = told, False
+        """Nothing is registered yet."""
+        self._client = client
+        self._name = name
+        self._now_ms = now_ms
         self._last_renewal_ms = float("-inf")
+        self.registration = registration
+        self.is_registered = False
 
     @property
     def renewal_interval_s(self) -> float:
-        """How long `keep` may wait to be called again."""
+        """How long `register_or_renew` may wait to be called again."""
         return RENEWAL_RATIO * self.registration.lease_ms / 1_000
 
     def begin_new_start(self) -> None:
-        """The server has started just now: the list is to be told of a new start."""
+        """Register a new start of the server with the next call: it has started just now."""
         since_ms = max(self.registration.since_ms, self._now_ms())
-        self.registration, self.is_registered = (
-            msgspec.structs.replace(self.registration, since_ms=since_ms),
-            False,
-        )
+        self.registration = msgspec.structs.replace(self.registration, since_ms=since_ms)
+        self.is_registered = False
 
     def register_or_renew(self, why: str = "") -> bool:
-        """Register, or renew if that is due; whether it was registered."""
+        """Register, or renew if that is due; return whether it was registered."""
         if not self.is_registered:
-            self._client.call_server("PUT", self._name, body=msgspec.to_builtins(self.registration), why=why)
-            self.is_registered, self._last_renewal_ms = True, self._now_ms()
+            body = msgspec.to_builtins(self.registration)
+            self._client.call_server("PUT", self._name, body=body, why=why)
+            self.is_registered = True
+            self._last_renewal_ms = self._now_ms()
             return True
         if self._now_ms() - self._last_renewal_ms >= RENEWAL_RATIO * self.registration.lease_ms:
             self._renew()
@@ -55,15 +59,15 @@
             self._client.call_server("POST", self._name, "/renew", {"since_ms": self.registration.since_ms})
             self._last_renewal_ms = self._now_ms()
         except RegistryCallError as error:
-            if error.status == 404:  # it has lapsed, or the service has lost its memory
+            if error.status == 404:  # it has expired, or the registry has lost its database
                 self.is_registered = False
             raise
 
     def drain(self, why: str) -> None:
-        """The server is to end what it has."""
+        """Let the server end the requests that it has."""
         self._client.call_server("POST", self._name, "/drain", why=why)
 
     def deregister(self, why: str) -> None:
-        """The server is gone."""
+        """Take the server off the list."""
         self._client.call_server("DELETE", self._name, why=why)
         self.is_registered = False
--- a/loadbalancer/registry/list_query.py
+++ b/loadbalancer/registry/list_query.py
@@ -30,7 +30,7 @@
     after_revision: int
     """The revision that the watcher has seen, or `NO_REVISION`."""
     wait_ms: float
-    held_levels: Levels | None = None
+    known_levels: Levels | None = None
     """What the watcher says it holds at its revision; None if it does not say."""
     is_single_tier: bool = False
     """It is the platform's call, for one tier, that knows of no interests."""
--- a/loadbalancer/registry/query_evaluation.py
+++ b/loadbalancer/registry/query_evaluation.py
@@ -43,7 +43,7 @@
 class _Views(NamedTuple):
     """What a watcher holds at its revision, and what it is to hold from now on."""
 
-    held: SubsetView
+    previous: SubsetView
     next: SubsetView
 
 
@@ -107,7 +107,7 @@
     def evaluate(self, query: ListQuery, *, may_wait: bool) -> Evaluation:
         """Return the answer as it is now, and what is held with it; no body if it may wait for a change."""
         views = self._views(query, is_snapshot=False)
-        waits = may_wait and views.held.key == views.next.key and self._is_up_to_date(query)
+        waits = may_wait and views.previous.key == views.next.key and self._is_up_to_date(query)
         body = None if waits else self._cached_changes(query, views)
         if body is None and not may_wait:
             body = self._encode(query, query.after_revision, views.next, [])
@@ -115,10 +115,11 @@
 
     def _views(self, query: ListQuery, *, is_snapshot: bool) -> _Views:
         interest = query.interest
-        held = complete_levels(interest.services) if query.is_single_tier else query.held_levels
-        levels = self._subsets.choose_levels(interest, held, is_snapshot=is_snapshot)
+        known_levels = complete_levels(interest.services) if query.is_single_tier else query.known_levels
+        levels = self._subsets.choose_levels(interest, known_levels, is_snapshot=is_snapshot)
         view = SubsetView(levels, interest.position)
-        return _Views(view if held is None else SubsetView(held, interest.position), view)
+        previous = view if known_levels is None else SubsetView(known_levels, interest.position)
+        return _Views(previous, view)
 
     def _is_up_to_date(self, query: ListQuery) -> bool:
         """Return whether a watcher knows all that was announced at the last wake.
@@ -126,14 +127,14 @@
         What came since is announced at the next one: else each watch would call again for each change.
         """
         is_current = self._notified_revision <= query.after_revision <= self._catalog.revision
-        knows_levels = query.is_single_tier or query.held_levels is not None
+        knows_levels = query.is_single_tier or query.known_levels is not None
         return is_current and knows_levels and self.has_history_for(query)
 
     def _cached_changes(self, query: ListQuery, views: _Views) -> bytes | None:
         """Return what all get that have seen a revision of the same; None if nothing has changed."""
         key = (
             query.is_single_tier,
-            views.held.key,
+            views.previous.key,
             views.next.key,
             query.after_revision,
             self._catalog.revision,
@@ -147,11 +148,11 @@
         return body
 
     def _encode_changes(self, query: ListQuery, views: _Views) -> bytes | None:
-        knows_levels = query.is_single_tier or query.held_levels is not None
+        knows_levels = query.is_single_tier or query.known_levels is not None
         if query.after_revision < 0 or not knows_levels or not self._can_resume(query):
             return self._encode_snapshot(query)
-        changes = changes_for(self._catalog, views.held, views.next, query.after_revision)
-        if not changes and views.held.key == views.next.key:
+        changes = changes_for(self._catalog, views.previous, views.next, query.after_revision)
+        if not changes and views.previous.key == views.next.key:
             return None
         return self._encode(query, query.after_revision, views.next, changes)
 
@@ -222,4 +223,4 @@
 
 def _services_of(query: ListQuery) -> tuple[str, ...]:
     """Return all services that a watcher must have heard of: what it wants and what it says it holds."""
-    return tuple(dict.fromkeys((*query.interest.services, *(query.held_levels or ()))))
+    return tuple(dict.fromkeys((*query.interest.services, *(query.known_levels or ()))))
--- a/loadbalancer/registry/server.py
+++ b/loadbalancer/registry/server.py
@@ -1,4 +1,4 @@
-"""Serves the list from a file that says where: what `irondrum directory serve` does."""
+"""Serves the registry as a file says: what the command `directory serve` does."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class RegistryServerError(RegistryError, ValueError):
-    """What can't be served: one line."""
+    """A file that is wrong, or an address that can't be used: one line."""
 
 
 class RegistryConfiguration(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the service is told."""
+    """The registry's file; the fields' names are its keys."""
 
     listen: Address
     """Loopback, or a named address: there is no sign-in."""
@@ -36,27 +36,34 @@
 
 
 def read_configuration(path: Path) -> RegistryConfiguration:
-    """The service's file; HostError tells in a line what is wrong with it."""
+    """Return what a file says; `RegistryServerError` has in a line what is wrong with it."""
     try:
-        told = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), type=RegistryConfiguration)
-        count = len(told.instances)
-        if count > MAX_INSTANCES or len(set(told.instances)) < count:
-            raise ValueError(f"instances: {count}; allowed: {MAX_INSTANCES} at most, each once")
-        if told.instance >= max(count, 1):
-            raise ValueError(f"instance: {told.instance}; allowed: 0 to {max(count, 1) - 1}")
-        return told
+        text = path.read_text(encoding="utf-8")
+        configuration = msgspec.convert(tomllib.loads(text), type=RegistryConfiguration)
+        _check_instances(configuration)
     except (OSError, ValueError) as error:
-        raise RegistryServerError(f"{path}: {' '.join(str(error).split())}") from None
+        raise RegistryServerError(f"{path}: {' '.join(str(error).split())}") from error
+    return configuration
 
 
-def open_service(told: RegistryConfiguration) -> RegistryService:
-    """The service with all that its database holds; StoreError if that can't be used."""
-    return RegistryService(CatalogStore(told.database), told.rules, told.instances, told.instance)
+def _check_instances(configuration: RegistryConfiguration) -> None:
+    instances = configuration.instances
+    if len(instances) > MAX_INSTANCES or len(set(instances)) < len(instances):
+        raise ValueError(f"instances: {len(instances)}; allowed: {MAX_INSTANCES} at most, each once")
+    highest = max(len(instances), 1) - 1
+    if configuration.instance > highest:
+        raise ValueError(f"instance: {configuration.instance}; allowed: 0 to {highest}")
 
 
-def serve(told: RegistryConfiguration, service: RegistryService) -> None:
-    """Serve until SIGTERM; HostError if the address can't be had."""
-    host, _, port = told.listen.rpartition(":")
+def open_service(configuration: RegistryConfiguration) -> RegistryService:
+    """Return the service with all that its database holds; `CatalogStoreError` if that can't be used."""
+    store = CatalogStore(configuration.database)
+    return RegistryService(store, configuration.rules, configuration.instances, configuration.instance)
+
+
+def serve(configuration: RegistryConfiguration, service: RegistryService) -> None:
+    """Serve until SIGTERM; `RegistryServerError` if the address can't be used."""
+    host, _, port = configuration.listen.rpartition(":")
     try:
         web.run_app(
             service.create_application(),
@@ -67,4 +74,4 @@
             shutdown_timeout=SHUTDOWN_TIMEOUT_S,
         )
     except OSError as error:
-        raise RegistryServerError(f"can't listen on {told.listen}: {error}") from None
+        raise RegistryServerError(f"can't listen on {configuration.listen}: {error}") from error
--- a/loadbalancer/registry/store.py
+++ b/loadbalancer/registry/store.py
@@ -1,4 +1,8 @@
-"""The catalog in SQLite: what was answered is on the disk, and what can't be read is told in a line."""
+"""The registry's database in SQLite: what was answered is on the disk.
+
+The names of tables, columns and keys are those of files that exist: a version is a revision, a life an
+incarnation, a floor a compaction revision, and the form is the version of the schema.
+"""
 
 from __future__ import annotations
 
@@ -6,6 +10,7 @@
 from collections.abc import Container, Iterator, Mapping, Sequence
 from contextlib import closing
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 
@@ -14,9 +19,9 @@
 from loadbalancer.registry.revisions import RevisionRange
 
 SCHEMA_VERSION = 2
-MAX_HISTORY_CHANGES = 100_000  # changes that are remembered
-TRIM_INTERVAL_CHANGES = 1_000
-MAX_INCARNATIONS = 100  # that are remembered; who has seen an earlier one gets the whole list
+MAX_STORED_CHANGES = 100_000  # in the history
+TRIM_INTERVAL_CHANGES = 1_000  # between two trims of the history
+MAX_INCARNATIONS = 100  # that are remembered; a watcher that has seen an earlier one gets a full snapshot
 _TABLES = """
 create table if not exists meta (key text primary key, value integer not null);
 create table if not exists entries (name text primary key, entry blob not null);
@@ -33,179 +38,206 @@
     """A file that can't be used: one line."""
 
 
+class CompactionRevisions(NamedTuple):
+    """Up to where removals are forgotten: of all services, and later ones of single services."""
+
+    all_services: int
+    by_service: dict[str, int]
+
+
+class _Statement(NamedTuple):
+    sql: str
+    values: tuple[object, ...] = ()
+
+
+def _set_meta(key: str, value: int) -> _Statement:
+    return _Statement("insert or replace into meta values (?, ?)", (key, value))
+
+
 class CatalogStore:
     """One file. All calls come from one thread."""
 
     def __init__(self, path: Path | str) -> None:
-        """Open or make the file; StoreError if it can't be used."""
-        self._writes = 0
+        """Open or make the file; `CatalogStoreError` if it can't be used."""
+        self._changes_since_trim = 0
         try:
             self._db = sqlite3.connect(path, check_same_thread=False, isolation_level=None)
             self._db.execute("pragma journal_mode = wal")
             self._db.execute("pragma synchronous = full")  # durable before it is answered
             self._db.executescript(_TABLES)
-            form = self._meta("form")
-            if form == 1:
+            schema_version = self._meta("form")
+            if schema_version == 1:
                 self._upgrade_schema()
-            elif form not in (0, SCHEMA_VERSION):
+            elif schema_version not in (0, SCHEMA_VERSION):
                 raise CatalogStoreError(
-                    f"{path}: it is of form {form}; this program reads form {SCHEMA_VERSION}"
+                    f"{path}: it is of form {schema_version}; this program reads form {SCHEMA_VERSION}"
                 )
             self._db.execute("insert or replace into meta values ('form', ?)", (SCHEMA_VERSION,))
         except sqlite3.Error as error:
-            raise CatalogStoreError(f"{path}: can't be used: {error}") from None
+            raise CatalogStoreError(f"{path}: can't be used: {error}") from error
 
     def _meta(self, key: str) -> int:
         row = self._db.execute("select value from meta where key = ?", (key,)).fetchone()
         return int(row[0]) if row else 0
 
     def _upgrade_schema(self) -> None:
-        """Entries of form 1 as form 2 has them: one instance's list, whose lapses were a status."""
-        steps: list[tuple[str, tuple[object, ...]]] = []
+        """Rewrite the entries of version 1: one instance's list, whose expirations were a status."""
+        statements: list[_Statement] = []
         for table, key in (("entries", "name"), ("history", "version")):
             for row, data in self._db.execute(f"select {key}, entry from {table}").fetchall():
                 old = msgspec.json.decode(data)
-                lapsed = old.pop("by_lapse", False)
-                old |= {"said": "in_service" if lapsed else old.pop("status"), "lapsed_at": int(lapsed) - 1}
+                is_expired = old.pop("by_lapse", False)
+                old["said"] = "in_service" if is_expired else old["status"]
+                old["lapsed_at"] = 0 if is_expired else -1
                 new = msgspec.json.encode(msgspec.convert(old, type=Entry))
-                steps.append((f"update {table} set entry = ? where {key} = ?", (new, row)))
-        self._execute(steps)
+                statements.append(_Statement(f"update {table} set entry = ? where {key} = ?", (new, row)))
+        self._execute(statements)
+
+    # ---- reads ----------------------------------------------------------------------------------
 
     def last_revision(self) -> int:
-        """The highest version that was ever given out."""
+        """Return the highest revision that was ever issued."""
         return self._meta("index")
 
     def entries(self) -> list[Entry]:
-        """All that were kept; StoreError if one can't be read."""
+        """Return all stored entries; `CatalogStoreError` if one can't be read."""
         try:
             rows = self._db.execute("select entry from entries").fetchall()
             return [msgspec.json.decode(row[0], type=Entry) for row in rows]
-        except (sqlite3.Error, msgspec.DecodeError, msgspec.ValidationError) as error:
-            raise CatalogStoreError(f"an entry can't be read: {error}") from None
+        except (sqlite3.Error, msgspec.DecodeError) as error:
+            raise CatalogStoreError(f"an entry can't be read: {error}") from error
 
     def compaction_revision(self) -> int:
-        """The highest version up to which a removal may be forgotten."""
+        """Return the highest revision up to which a removal may be forgotten."""
         return self._meta("floor")
 
-    def compaction_revisions(self) -> tuple[int, dict[str, int]]:
-        """The version before which no removal is remembered, and later ones of single services."""
-        if self._meta("split") != (
-            floor := self.compaction_revision()
-        ):  # a version before this one has kept the file
-            return floor, {}
+    def compaction_revisions(self) -> CompactionRevisions:
+        """Return up to where removals are forgotten, of all services and of single ones."""
+        highest = self.compaction_revision()
+        if self._meta("split") != highest:  # a program that knew only the highest one has written the file
+            return CompactionRevisions(highest, {})
         rows = self._db.execute("select key, value from meta where key like 'floor:%'").fetchall()
-        return self._meta("base"), {key.removeprefix("floor:"): value for key, value in rows}
+        by_service = {key.removeprefix("floor:"): value for key, value in rows}
+        return CompactionRevisions(self._meta("base"), by_service)
 
     def incarnations(self) -> list[RevisionRange]:
-        """First and last version of each life of this file, the oldest first."""
+        """Return the revisions of each incarnation of this file, the oldest first."""
         rows = self._db.execute("select first, last from lives order by first").fetchall()
         return [RevisionRange(first, last) for first, last in rows]
 
+    def history(self, name: str = "", limit: int = 100) -> list[Change]:
+        """Return the newest changes first, of one server or of all."""
+        where, values = ("where name = ?", (name,)) if name else ("", ())
+        rows = self._db.execute(
+            f"select * from history {where} order by version desc limit ?", (*values, limit)
+        ).fetchall()
+        return [
+            Change(revision, at_ms, server, what, who, why, msgspec.json.decode(data, type=Entry))
+            for revision, at_ms, server, what, who, why, data in rows
+        ]
+
+    # ---- writes ---------------------------------------------------------------------------------
+
     def begin_incarnation(
-        self, index: int, floor: int, kept: Container[str], floors: Mapping[str, int] | None = None
+        self,
+        revision: int,
+        compaction_revision: int,
+        remembered: Container[str],
+        compaction_revisions: Mapping[str, int] | None = None,
     ) -> None:
-        """Take note of the version that a new life starts at, before anybody gets it.
+        """Record the revision that a new incarnation starts at, before anybody gets it.
 
-        Of the entries only those `kept` are remembered; history stays as it is. `floor` is the version
-        before which no removal is remembered, `floors` later ones of single services.
+        Of the entries only those `remembered` are left; the history stays as it is. Removals are forgotten
+        up to `compaction_revision`, and of single services up to `compaction_revisions`.
         """
-        floors = floors or {}
-        highest = max(floor, *floors.values()) if floors else floor
+        by_service = compaction_revisions or {}
+        highest = max(compaction_revision, *by_service.values()) if by_service else compaction_revision
         names = [row[0] for row in self._db.execute("select name from entries").fetchall()]
-        steps: list[tuple[str, tuple[object, ...]]] = [
-            ("delete from entries where name = ?", (name,)) for name in names if name not in kept
-        ]
-        steps += [
-            ("insert or replace into meta values ('index', ?)", (index,)),
-            ("delete from meta where key like 'floor:%'", ()),
-            ("insert or replace into meta values ('floor', ?)", (highest,)),
-            ("insert or replace into meta values ('split', ?)", (highest,)),
-            ("insert or replace into meta values ('base', ?)", (floor,)),
-            *[
-                ("insert or replace into meta values (?, ?)", (f"floor:{service}", version))
-                for service, version in floors.items()
-            ],
-            ("insert into lives values (?, ?)", (index, index)),
-            (
-                "delete from lives where first <="
-                " (select first from lives order by first desc limit 1 offset ?)",
-                (MAX_INCARNATIONS,),
-            ),
-        ]
-        self._execute(steps)
+        self._execute(
+            [
+                *[
+                    _Statement("delete from entries where name = ?", (name,))
+                    for name in names
+                    if name not in remembered
+                ],
+                _set_meta("index", revision),
+                _Statement("delete from meta where key like 'floor:%'"),
+                _set_meta("floor", highest),
+                _set_meta("split", highest),
+                _set_meta("base", compaction_revision),
+                *[_set_meta(f"floor:{service}", floor) for service, floor in by_service.items()],
+                _Statement("insert into lives values (?, ?)", (revision, revision)),
+                _Statement(
+                    "delete from lives where first <="
+                    " (select first from lives order by first desc limit 1 offset ?)",
+                    (MAX_INCARNATIONS,),
+                ),
+            ]
+        )
 
-    def record_revision_jump(self, index: int) -> None:
-        """The versions given out go on above others that somebody has seen: as if a new life had begun."""
-        self._execute([("insert or replace into lives values (?, ?)", (index, index))])
+    def record_revision_jump(self, revision: int) -> None:
+        """Record that revisions go on above others that somebody has seen, as at a new incarnation."""
+        self._execute([_Statement("insert or replace into lives values (?, ?)", (revision, revision))])
 
     def commit(self, changes: Sequence[Change]) -> None:
-        """Keep changes, all or none, on the disk when this returns; StoreError if that can't be done."""
+        """Store changes, all or none, on the disk when this returns; `CatalogStoreError` for none."""
         if not changes:
             return
-        steps: list[tuple[str, tuple[object, ...]]] = []
+        statements: list[_Statement] = []
         for change in changes:
             data = msgspec.json.encode(change.entry)
-            steps.append(("insert or replace into entries values (?, ?)", (change.name, data)))
             row = (change.revision, change.at_ms, change.name, change.what, change.who, change.why, data)
-            steps.append(("insert into history values (?, ?, ?, ?, ?, ?, ?)", row))
+            statements.append(_Statement("insert or replace into entries values (?, ?)", (change.name, data)))
+            statements.append(_Statement("insert into history values (?, ?, ?, ?, ?, ?, ?)", row))
         last = max(change.revision for change in changes)
-        steps.append(("insert or replace into meta values ('index', ?)", (last,)))
-        steps.append(
-            (
+        statements.append(_set_meta("index", last))
+        statements.append(
+            _Statement(
                 "update lives set last = ? where first = (select max(first) from lives where first <= ?)",
                 (last, last),
             )
         )
-        self._writes += len(changes)
-        if self._writes >= TRIM_INTERVAL_CHANGES:
-            self._writes = 0
-            steps.append(
-                (
+        self._changes_since_trim += len(changes)
+        if self._changes_since_trim >= TRIM_INTERVAL_CHANGES:
+            self._changes_since_trim = 0
+            statements.append(
+                _Statement(
                     "delete from history where version <= (select version from history"
                     " order by version desc limit 1 offset ?)",
-                    (MAX_HISTORY_CHANGES,),
+                    (MAX_STORED_CHANGES,),
                 )
             )
-        self._execute(steps)
+        self._execute(statements)
 
-    def _execute(self, steps: Sequence[tuple[str, tuple[object, ...]]]) -> None:
+    def _execute(self, statements: Sequence[_Statement]) -> None:
         try:
             self._db.execute("begin immediate")
-            for statement, values in steps:
-                self._db.execute(statement, values)
+            for statement in statements:
+                self._db.execute(statement.sql, statement.values)
             self._db.execute("commit")
         except sqlite3.Error as error:
             if self._db.in_transaction:
                 self._db.execute("rollback")
-            raise CatalogStoreError(f"nothing was kept: {error}") from None
+            raise CatalogStoreError(f"nothing was kept: {error}") from error
 
-    def history(self, name: str = "", most: int = 100) -> list[Change]:
-        """The newest changes first, of one server or of all."""
-        where, values = ("where name = ?", (name,)) if name else ("", ())
-        rows = self._db.execute(
-            f"select * from history {where} order by version desc limit ?", (*values, most)
-        ).fetchall()
-        return [
-            Change(version, at_ms, server, what, who, why, msgspec.json.decode(data, type=Entry))
-            for version, at_ms, server, what, who, why, data in rows
-        ]
+    # ---- checks ---------------------------------------------------------------------------------
 
     def verify(self) -> Iterator[str]:
-        """What is wrong with the file, a line each; nothing if all is well."""
-        for (told,) in self._db.execute("pragma integrity_check").fetchall():
-            if told != "ok":
-                yield str(told)
-        versions = [row[0] for row in self._db.execute("select version from history order by version")]
-        if versions and versions[-1] > self.last_revision():
-            yield f"history reaches version {versions[-1]}, the list {self.last_revision()}"
-        kept = {e.name: e for e in self.entries()}
+        """Yield what is wrong with the file, a line each; nothing if all is well."""
+        for (result,) in self._db.execute("pragma integrity_check").fetchall():
+            if result != "ok":
+                yield str(result)
+        revisions = [row[0] for row in self._db.execute("select version from history order by version")]
+        if revisions and revisions[-1] > self.last_revision():
+            yield f"history reaches version {revisions[-1]}, the list {self.last_revision()}"
+        entries = {entry.name: entry for entry in self.entries()}
         with closing(self._db.execute("select name, max(version), entry from history group by name")) as rows:
-            for name, version, data in rows:
-                entry = kept.get(name)
+            for name, revision, data in rows:
+                entry = entries.get(name)
                 if entry is None and not msgspec.json.decode(data, type=Entry).is_listed:
-                    continue  # a removal of long ago, which only history remembers
-                if entry is None or entry.revision != version or msgspec.json.encode(entry) != data:
-                    yield f"{name}: its entry is not what history says of version {version}"
+                    continue  # a removal of long ago, which only the history remembers
+                if entry is None or entry.revision != revision or msgspec.json.encode(entry) != data:
+                    yield f"{name}: its entry is not what history says of version {revision}"
 
     def close(self) -> None:
         """Close the file."""
--- a/loadbalancer/registry/subset_cache.py
+++ b/loadbalancer/registry/subset_cache.py
@@ -127,8 +127,9 @@
         entries = (self._catalog.entries[name] for name in dict.fromkeys(names))
         return [entry for entry in entries if view.includes_entry(entry)]
 
-    def choose_levels(self, interest: Interest, held: Levels | None, *, is_snapshot: bool) -> Levels:
-        """Return what a watcher is to hold from now on; `held` is what it holds, None if that is not known.
+    def choose_levels(self, interest: Interest, known_levels: Levels | None, *, is_snapshot: bool) -> Levels:
+        """Return what a watcher is to hold from now on; `known_levels` are those that it holds, None
+        if it does not say.
 
         A subset stays as it is while it is fine enough, so that a service at the edge of a level does not
         move it to and fro. A full snapshot does not name what it leaves out: it is never finer than what is
@@ -137,10 +138,12 @@
         levels: dict[str, dict[str, int]] = {}
         for service in interest.services:
             finest = self.finest_levels(service, interest.subset) if interest.subset else {}
-            current = held.get(service) if held is not None else None
+            current = known_levels.get(service) if known_levels is not None else None
             levels[service] = finest if current is None else _keep_or_refine(finest, current, is_snapshot)
-        if is_snapshot and held is not None:
-            levels |= {service: dict(zones) for service, zones in held.items() if service not in levels}
+        if is_snapshot and known_levels is not None:
+            levels |= {
+                service: dict(zones) for service, zones in known_levels.items() if service not in levels
+            }
         return levels
 
     def _zones_of(self, service: str) -> dict[str, ZoneSlices]:
@@ -166,10 +169,12 @@
     return cached if cached is not None and cached.names == names else ZoneSlices(names)
 
 
-def _keep_or_refine(finest: Mapping[str, int], held: Mapping[str, int], is_snapshot: bool) -> dict[str, int]:
+def _keep_or_refine(
+    finest: Mapping[str, int], current: Mapping[str, int], is_snapshot: bool
+) -> dict[str, int]:
     levels = {}
-    for zone in finest.keys() | held.keys():
-        finest_level, held_level = finest.get(zone, 0), held.get(zone, 0)
-        is_fine_enough = is_snapshot or finest_level - LEVEL_HYSTERESIS <= held_level
-        levels[zone] = min(held_level, finest_level) if is_fine_enough else finest_level
+    for zone in finest.keys() | current.keys():
+        finest_level, current_level = finest.get(zone, 0), current.get(zone, 0)
+        is_fine_enough = is_snapshot or finest_level - LEVEL_HYSTERESIS <= current_level
+        levels[zone] = min(current_level, finest_level) if is_fine_enough else finest_level
     return levels
--- a/loadbalancer/registry/watcher_index.py
+++ b/loadbalancer/registry/watcher_index.py
@@ -16,7 +16,7 @@
 
 from loadbalancer.registry.entries import Entry
 from loadbalancer.registry.interest import MAX_LEVEL, SubsetSpec, SubsetView, server_positions
-from loadbalancer.registry.interest_changes import zones_left_since
+from loadbalancer.registry.interest_changes import former_zones_since
 from loadbalancer.registry.subset_cache import SubsetCache
 
 WakeFuture = asyncio.Future[None]
@@ -97,7 +97,7 @@
         services: set[str] = set()
         for entry in changed:
             current = entry.registration.tier, entry.registration.zone
-            for service, zone in (current, *zones_left_since(entry, after)):
+            for service, zone in (current, *former_zones_since(entry, after)):
                 services.add(service)
                 futures |= self._futures.get(service, set())
                 if service in self._watched_levels:
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -34,7 +34,7 @@
 )
 from loadbalancer.registry.agent import Agent
 from loadbalancer.registry.client import RegistryCallError, RegistryClient
-from loadbalancer.registry.rate_limiter import ANSWER_COST_S, MAX_WAKE_CPU_SHARE, WakeRateLimiter
+from loadbalancer.registry.rate_limiter import ANSWER_COST_S, MAX_WAKE_CPU_FRACTION, WakeRateLimiter
 from loadbalancer.registry.service import RegistryService
 from loadbalancer.registry.store import CatalogStore, CatalogStoreError
 from tests.loopback import ProxyHarness, Upstream, run_scenario, status_of
@@ -292,8 +292,8 @@
     pace = WakeRateLimiter()
     assert pace.next_wake_s(1_000) == float("-inf")
     pace.record_wake(10.0, 1_000)
-    assert pace.next_wake_s(5) == pytest.approx(10.0 + 1_000 * ANSWER_COST_S / MAX_WAKE_CPU_SHARE)
-    assert pace.next_wake_s(2_000) == pytest.approx(10.0 + 2_000 * ANSWER_COST_S / MAX_WAKE_CPU_SHARE)
+    assert pace.next_wake_s(5) == pytest.approx(10.0 + 1_000 * ANSWER_COST_S / MAX_WAKE_CPU_FRACTION)
+    assert pace.next_wake_s(2_000) == pytest.approx(10.0 + 2_000 * ANSWER_COST_S / MAX_WAKE_CPU_FRACTION)
 
 
 def test_a_stream_of_changes_wakes_watches_no_more_often_than_they_can_be_answered(
@@ -599,10 +599,10 @@
 
     class Desk(RegistryClient):
         def call_server(
-            self, method: str, name: str, what: str = "", body: object = None, **more: Any
+            self, method: str, name: str, action: str = "", body: object = None, **more: Any
         ) -> Any:
-            calls.append((method, what))
-            if what == "/renew" and lapsed[0]:
+            calls.append((method, action))
+            if action == "/renew" and lapsed[0]:
                 lapsed[0] = False
                 raise RegistryCallError(404, "no such server")
 
--- a/tests/test_interest.py
+++ b/tests/test_interest.py
@@ -24,7 +24,7 @@
 from loadbalancer.registry import Catalog, Change, Registration, Rules, WriteRejectedError, first_revision
 from loadbalancer.registry.admission_queue import (
     BURST_S,
-    MAX_CPU_SHARE,
+    MAX_CPU_FRACTION,
     MAX_DELAY_S,
     TICKET_TOLERANCE_S,
     AdmissionQueue,
@@ -765,9 +765,9 @@
     assert back(AdmissionQueue(), 100, 200e-6) == [0.0] * 100
     times = sorted(back(AdmissionQueue(), 10_000, 200e-6))
     at_once = times.count(0.0)
-    assert at_once == int((BURST_S + TICKET_TOLERANCE_S) * MAX_CPU_SHARE / 200e-6)
+    assert at_once == int((BURST_S + TICKET_TOLERANCE_S) * MAX_CPU_FRACTION / 200e-6)
     seconds = Counter(int(at) for at in times if at)
-    assert max(seconds.values()) <= MAX_CPU_SHARE / 200e-6 * 1.05 and times[-1] < MAX_DELAY_S
+    assert max(seconds.values()) <= MAX_CPU_FRACTION / 200e-6 * 1.05 and times[-1] < MAX_DELAY_S
 
 
 def test_a_crowd_beyond_the_pace_is_let_in_within_the_bound_all_the_same() -> None:
