--- a/tests/test_endings_list.py
+++ b/tests/test_endings_list.py
@@ -11,8 +11,8 @@
 from loadbalancer.endpoint_watch import watch
 from loadbalancer.interface import UpdateKind
 from loadbalancer.net import discovery
-from loadbalancer.net.config import read_config
-from loadbalancer.policy import endpoints
+from loadbalancer.net.config_reader import read_config
+from loadbalancer.policy import list_backoff
 from tests.loopback import (
     ListServer,
     ProxyHarness,
@@ -24,7 +24,7 @@
     wait_at_least,
     wait_until,
 )
-from tests.test_net import listen_to
+from tests.recorded_events import record_events
 from tests.test_upstreams import full_backlog
 
 NEVER = 3_600.0
@@ -37,7 +37,7 @@
 @pytest.mark.parametrize("how", ["ask", "push"])
 def test_a_watch_that_fell_silent_is_opened_anew_at_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """What it missed counts as told 2 s after its wait; a large tier's balancers paused up to 5 s more."""
-    monkeypatch.setattr(endpoints, "LIST_RETRY_INITIAL_BACKOFF_MS", NEVER * 1_000)
+    monkeypatch.setattr(list_backoff, "LIST_RETRY_INITIAL_BACKOFF_MS", NEVER * 1_000)
     monkeypatch.setattr(discovery, "PUSH_PAUSE_S", NEVER)
     monkeypatch.setattr(watch, "MAX_WAIT_MS", 10)
     monkeypatch.setattr(watch, "OVERDUE_S", 0.01)
@@ -46,7 +46,7 @@
         upstream, contract = Upstream(), {"drainGrace": 500.0, "askWithin": NEVER * 1_000}
         async with ProxyHarness(upstream, discovery=how, contract=contract) as rig:
             assert status_of(await rig.request()) == 200
-            told = listen_to(rig)
+            told = record_events(rig)
             await rig.discovery.request_lines.get()  # it stays silent
             assert "after=7&" in await rig.discovery.request_lines.get()
             drains = endpoint_entry("s0", rig.entries[0]["address"], status="terminating")
@@ -130,10 +130,10 @@
         upstream, elsewhere = Upstream(), ListServer()
         async with ProxyHarness(upstream) as rig:
             await rig.discovery.request_lines.get()
-            told = listen_to(rig)
+            told = record_events(rig)
             text = config_text(await elsewhere.start(), rig.entries)
             rig.discovery.publish(99, snapshot=True)  # its answer and the signal cross
-            rig.proxy.replace(read_config(text, lambda note: None))
+            rig.proxy.apply_configuration(read_config(text, lambda note: None))
             assert "after" not in await elsewhere.request_lines.get()
             drains = endpoint_entry("s0", rig.entries[0]["address"], status="terminating")
             elsewhere.publish(8, drains, snapshot=True)
@@ -168,8 +168,8 @@
 
 
 def test_a_drain_in_the_first_answer_after_an_outage_is_heeded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(endpoints, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
-    monkeypatch.setattr(endpoints, "LIST_RETRY_MEAN_BACKOFF_MS", 0.0)
+    monkeypatch.setattr(list_backoff, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
+    monkeypatch.setattr(list_backoff, "LIST_RETRY_MEAN_BACKOFF_MS", 0.0)
 
     async def scenario() -> None:
         upstream = Upstream()
--- a/tests/test_peers_net.py
+++ b/tests/test_membership_udp.py
@@ -12,10 +12,11 @@
 
 from loadbalancer.cli.operate import views_of
 from loadbalancer.membership import MemberState
-from loadbalancer.net.config import Config, ConfigError, read_config
+from loadbalancer.net.config import Config, ConfigError
+from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.membership import MembershipHost
+from tests.console_client import call_console
 from tests.loopback import ProxyHarness, Upstream, config_text, run_scenario, status_of
-from tests.test_console import call
 
 HOST = "127.0.0.1"
 
@@ -56,7 +57,7 @@
         await asyncio.sleep(0.01)
 
 
-def test_members_find_a_death_a_return_and_a_leave() -> None:
+def test_members_detect_a_death_a_return_and_a_leave() -> None:
     async def scenario() -> None:
         tier = hosts(some(4))
         assert [p.start() for p in tier] == [""] * 4
@@ -73,7 +74,7 @@
     run_scenario(scenario())
 
 
-def test_strangers_and_garbage_are_counted_and_change_nothing() -> None:
+def test_unknown_senders_and_garbage_are_counted_and_change_nothing() -> None:
     async def scenario() -> None:
         one, other = hosts(some(2))
         assert one.start() == ""
@@ -86,14 +87,13 @@
             while not (one.unknown_sender_count and one.member.counts.dropped):
                 await asyncio.sleep(0.01)
         assert one.count_by_state() == before
-        told = one.console_report()["notes"]
-        assert isinstance(told, dict) and told["dropped"] == {"garbled": 1, "stranger": 1}
+        assert one.report().messages.dropped == {"garbled": 1, "stranger": 1}
         one.stop()
 
     run_scenario(scenario())
 
 
-def test_a_socket_that_cannot_be_had_is_a_line_and_no_end() -> None:
+def test_address_in_use_is_an_error_line_and_no_exception() -> None:
     async def scenario() -> None:
         (config,) = some(1)
         first, second = hosts([config, config])
@@ -107,48 +107,50 @@
 @pytest.mark.parametrize(
     "changes", [{}, {"membership": True}, {"peers": [f"{HOST}:1"], "peer_listen": f"{HOST}:1"}]
 )
-def test_membership_is_off_unless_it_is_wanted_allowed_and_possible(changes: dict[str, Any]) -> None:
+def test_membership_is_off_unless_enabled_allowed_and_possible(changes: dict[str, Any]) -> None:
     config = read_config(json.dumps(raw_config(**changes)), print)
     assert (config.peers, config.peer_listen) == ((), None)
 
 
-def test_it_is_off_where_the_settings_forbid_notes() -> None:
+def test_membership_is_off_where_the_settings_forbid_gossip() -> None:
     raw = raw_config(membership=True, peers=[f"{HOST}:1"], peer_listen=f"{HOST}:1")
     raw["settings"]["limits"]["peers"] = False
     assert read_config(json.dumps(raw), print).peers == ()
 
 
 @pytest.mark.parametrize("peers", [[f"{HOST}:1", f"{HOST}:1"], ["x"]])
-def test_addresses_that_cannot_be_are_told(peers: list[str]) -> None:
+def test_unusable_peer_addresses_are_a_configuration_error(peers: list[str]) -> None:
     raw = raw_config(membership=True, peers=peers, peer_listen=f"{HOST}:1")
     with pytest.raises(ConfigError):
         read_config(json.dumps(raw), print)
 
 
-def test_operators_see_the_members_and_404_where_it_is_off() -> None:
+def test_console_shows_the_members_and_404_where_membership_is_off() -> None:
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as rig:
-            assert status_of(await call(rig, "GET", "/admin/peers")) == 404
+            assert status_of(await call_console(rig, "GET", "/admin/peers")) == 404
             (config,) = some(1)
-            rig.proxy.peers = rig.proxy._make_peers(config)
-            rig.proxy._join_peers()
-            told = json.loads((await call(rig, "GET", "/admin/peers")).body)
+            assert config.peer_listen is not None
+            loop = asyncio.get_running_loop()
+            rig.proxy.membership = MembershipHost(config, config.peer_listen, loop, rig.proxy.clock.now)
+            assert not rig.proxy.membership.start()
+            told = json.loads((await call_console(rig, "GET", "/admin/peers")).body)
             assert (told["me"], told["present"], told["takes_part"]) == (0, 1, True)
-            assert b'irondrum_peers{state="alive"} 1' in (await call(rig, "GET", "/metrics")).body
-            rig.proxy.say_goodbye()
-            assert json.loads((await call(rig, "GET", "/admin/peers")).body)["takes_part"] is False
+            assert b'irondrum_peers{state="alive"} 1' in (await call_console(rig, "GET", "/metrics")).body
+            rig.proxy.announce_shutdown()
+            assert json.loads((await call_console(rig, "GET", "/admin/peers")).body)["takes_part"] is False
 
     run_scenario(scenario())
 
 
-def test_views_that_differ_are_marked() -> None:
+def test_differing_views_are_no_agreement() -> None:
     alive, gone = ({"members": [{"state": s, "incarnation": 0}]} for s in ("alive", "gone"))
     assert views_of({"a": alive, "b": alive})[1]
     assert not views_of({"a": alive, "b": gone})[1]
     assert not views_of({"a": alive, "b": {"members": []}})[1]
 
 
-def test_a_fleet_of_another_kind_is_foreign() -> None:
+def test_fleet_tag_differs_by_tier() -> None:
     from loadbalancer.net.membership import fleet_tag
 
     (config,) = some(1)
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -20,8 +20,8 @@
 )
 from loadbalancer.interface import Outcome, UpdateKind
 from loadbalancer.net import discovery
-from loadbalancer.net.config import read_config
-from loadbalancer.policy import endpoints
+from loadbalancer.net.config_reader import read_config
+from loadbalancer.policy import list_backoff
 from tests.loopback import (
     ListServer,
     ProxyHarness,
@@ -32,7 +32,7 @@
     run_scenario,
     status_of,
 )
-from tests.test_net import listen_to
+from tests.recorded_events import record_events
 
 A, B, C = (("127.0.0.1", port) for port in (1, 2, 3))
 
@@ -160,12 +160,12 @@
 def test_the_next_instance_is_asked_when_one_fails_and_the_list_has_not_failed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(endpoints, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
+    monkeypatch.setattr(list_backoff, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
 
     async def scenario() -> None:
         two = Two()
         async with await two.rig() as rig:
-            told = listen_to(rig)
+            told = record_events(rig)
             assert "after=7&" in await two.one.request_lines.get()
             two.one.responses.put_nowait(http_response(503, b""))
             assert await two.other.request_lines.get() == "GET /v1/servers HTTP/1.1"
@@ -203,7 +203,7 @@
             rig.discovery.publish(4, *rig.entries, snapshot=True)  # to a whole look: a new beginning
             assert "after=4&" in await rig.discovery.request_lines.get()
             assert sorted(rig.proxy.balancer._endpoints.ready) == ["s1"]
-            assert rig.proxy.list_report()["rewound"] == 1
+            assert rig.proxy.endpoint_list_report().rewinds == 1
             for _ in range(4):
                 assert status_of(await rig.request()) == 200
             assert not rig.upstreams[0].requests
@@ -218,13 +218,13 @@
             await rig.discovery.request_lines.get()
             rig.discovery.publish(9, snapshot=True)
             await rig.discovery.request_lines.get()
-            assert rig.proxy.list_report()["doubted"] == ["s0", "s1"]
+            assert rig.proxy.endpoint_list_report().suspected_servers == ["s0", "s1"]
             assert status_of(await rig.request()) == 200
             gone = rig.upstreams[0]
             gone.server.close()
             for writer in gone.writers:
                 writer.transport.abort()
-            while rig.proxy.list_report()["doubted"] != ["s1"]:
+            while rig.proxy.endpoint_list_report().suspected_servers != ["s1"]:
                 assert status_of(await rig.request()) == 200
 
     run_scenario(scenario())
@@ -244,7 +244,7 @@
             assert await two.other.request_lines.get() == "GET /v1/servers HTTP/1.1"
             two.other.publish(3, *rig.entries, snapshot=True)
             assert "after=3&" in await two.other.request_lines.get()
-            assert rig.proxy.list_report()["doubted"] == []
+            assert rig.proxy.endpoint_list_report().suspected_servers == []
             assert len(rig.proxy.balancer._endpoints.ready) == 4
 
     run_scenario(scenario())
@@ -268,7 +268,7 @@
                 two.other.publish(index, rig.entries[0], snapshot=True)
             assert await two.other.request_lines.get() == "GET /v1/servers HTTP/1.1"
             two.other.publish(51, rig.entries[0], snapshot=True)
-            while not rig.proxy.list_report()["stood_still"]:
+            while not rig.proxy.endpoint_list_report().stalls:
                 await asyncio.sleep(0.01)
 
     run_scenario(scenario())
