--- a/benchmarks/capacity_service.py
+++ b/benchmarks/capacity_service.py
@@ -19,7 +19,7 @@
 import aiohttp
 
 from benchmarks.capacity_balancer import HOST, SINCE_MS, cpu_ms, entry, memory_mb
-from benchmarks.directory import SERVE
+from benchmarks.registry import SERVE
 from loadbalancer.drill.processes.placement import free_port
 
 WRITERS, WHOLE_CALLS, ROUNDS, QUIET_S = 64, 12, 4, 2.0
--- a/benchmarks/interest.py
+++ b/benchmarks/interest.py
@@ -26,7 +26,7 @@
 import aiohttp
 import typer
 
-from benchmarks.directory import allow_files, served
+from benchmarks.registry import allow_files, served
 from loadbalancer.registry import Catalog, Registration, Rules
 from loadbalancer.registry.interest import SubsetSpec, SubsetView, watcher_position
 from loadbalancer.registry.subset_cache import SubsetCache
--- a/benchmarks/directory.py
+++ b/benchmarks/registry.py
@@ -1,6 +1,6 @@
 """The list service: how soon thousands of watches hear of a change, and how many writes it keeps a second.
 
-    python -m benchmarks.directory --watches 5000
+    python -m benchmarks.registry --watches 5000
 
 The service is a process of its own on one core; the watches are another. `each` is the same service without
 shared answers, which serializes the list for every watch. Times are in ms, on the machine that runs it.
--- a/loadbalancer/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from loadbalancer.cli import demo, directory, drill, lab, operate, scale, serve, zone
+from loadbalancer.cli import demo, drill, lab, operate, registry, scale, serve, zone
 from loadbalancer.cli.misuse import Misuse
 from loadbalancer.configuration import ConfigurationError
 from loadbalancer.drill.open_load import LoadError
@@ -24,7 +24,7 @@
 app = typer.Typer(no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False)
 app.add_typer(lab.app, name="lab")
 app.add_typer(drill.app, name="drill")
-app.add_typer(directory.app, name="directory")
+app.add_typer(registry.app, name="directory")
 app.add_typer(zone.app, name="zone")
 app.add_typer(scale.app, name="scale")
 for command in (
--- a/loadbalancer/configuration/model.py
+++ b/loadbalancer/configuration/model.py
@@ -136,7 +136,7 @@
 
 
 class ListService(Table, frozen=True, forbid_unknown_fields=True):
-    """How a list service of one's own is asked (docs/directory.md)."""
+    """How a list service of one's own is asked (docs/registry.md)."""
 
     others: tuple[Address, ...] = ()
     """Further instances that hold the same list."""
--- a/loadbalancer/registry/admission_queue.py
+++ b/loadbalancer/registry/admission_queue.py
@@ -16,7 +16,7 @@
 
 MAX_CPU_FRACTION = 0.7  # of the service's time for those that return; the rest is for writes and for changes
 BURST_S = 0.25  # of work that is admitted at once
-CALL_COST_S = 350e-6  # for a call (benchmarks/interest_subscription.py)
+CALL_COST_S = 350e-6  # for a call (benchmarks/interest.py)
 ENTRY_COST_S = 5e-6  # and for each entry of its answer
 MAX_DELAY_S = 4.0  # after an outage, by when the last is admitted, over the rate or not
 TICKET_TOLERANCE_S = 0.02  # a ticket is valid so long before its time: clocks and timers round
--- a/tests/test_interest.py
+++ b/tests/test_interest_subscription.py
@@ -44,7 +44,7 @@
 from loadbalancer.registry.store import CatalogStore
 from loadbalancer.registry.subset_cache import BALANCERS_PER_SERVER, SubsetCache
 from tests.loopback import ProxyHarness, Upstream, config_text, endpoint_entry, run_scenario
-from tests.test_directory import serving
+from tests.test_registry_service import serving
 
 RULES = Rules(settle_ms=0.0, learning_ms=0.0, max_tombstones=3)
 ROOMY = msgspec.structs.replace(RULES, max_tombstones=10_000)
