--- a/benchmarks/interest.py
+++ b/benchmarks/interest.py
@@ -26,7 +26,7 @@
 import aiohttp
 import typer
 
-from benchmarks.registry import allow_files, served
+from benchmarks.registry import allow_files, start_service
 from loadbalancer.registry import Catalog, Registration, Rules
 from loadbalancer.registry.interest import SubsetSpec, SubsetView, watcher_position
 from loadbalancer.registry.subset_cache import SubsetCache
@@ -284,7 +284,7 @@
                 print(json.dumps(told["balancer"][-1]), flush=True)
         for size in map(int, sizes.split(",")) if sizes else WATCHES:
             for kind in KINDS:
-                process, at = served(folder, f"{kind}-{size}", "")
+                process, at = start_service(folder, f"{kind}-{size}", "")
                 try:
                     told["service"].append(asyncio.run(service_row(kind, size, at, process.pid)))
                 finally:
