--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -30,14 +30,14 @@
 def reload(read: ConfigurationReader, proxy: Proxy) -> None:
     """Follow the file after SIGHUP; one that can't be used changes nothing."""
     try:
-        config = read(lambda note: proxy.log.event("setting_unknown", note))
+        config = read(lambda note: proxy.log.event("unknown_setting_ignored", note))
     except (OSError, ValueError) as error:
         reason = " ".join(str(error).split())
-        proxy.log.event("config_kept", f"the configuration stays as it was: {reason}")
+        proxy.log.event("configuration_rejected", f"the configuration stays as it was: {reason}")
         return
     report = proxy.apply_configuration(config)
     proxy.log.event(
-        "config_replaced",
+        "configuration_replaced",
         "the configuration was replaced",
         took=_join_names(report.applied),
         needs_restart=_join_names(report.needs_restart),
@@ -63,7 +63,7 @@
     proxy = Proxy(config, loop, folder, predecessor, sink)
     loop.add_signal_handler(signal.SIGHUP, reload, read, proxy)
     loop.set_exception_handler(
-        lambda _, context: proxy.log.event("loop_error", f"in the event loop: {context!r}"[:2000])
+        lambda _, context: proxy.log.event("event_loop_error", f"in the event loop: {context!r}"[:2000])
     )
     proxy.start()
     gc.collect()
--- a/loadbalancer/net/endpoint_list.py
+++ b/loadbalancer/net/endpoint_list.py
@@ -55,7 +55,7 @@
             self.on_watch_update,
             self.on_watch_failed,
             needs_full_list,
-            lambda text: log.event("list_service", text),
+            lambda text: log.event("interest_subscription_failed", text),
         )
 
     def start(self) -> None:
--- a/loadbalancer/net/takeover.py
+++ b/loadbalancer/net/takeover.py
@@ -74,10 +74,10 @@
             self._start_serving()
         await predecessor.follow_counts(self._limit_connections)
 
-    def _limit_connections(self, held_by_other: DescriptorCounts) -> None:
+    def _limit_connections(self, other_process: DescriptorCounts) -> None:
         """Hold fewer connections by so many as the other process holds."""
-        downstream = self._max_downstream_connections - held_by_other.downstream
-        upstream = self._max_upstream_connections - held_by_other.upstream
+        downstream = self._max_downstream_connections - other_process.downstream
+        upstream = self._max_upstream_connections - other_process.upstream
         self._downstream.max_connections = max(downstream, MIN_CONNECTIONS)
         self._upstreams.max_connections = max(upstream, MIN_CONNECTIONS)
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -143,7 +143,7 @@
     run_scenario(scenario())
 
 
-def test_cordoned_server_gets_no_requests_until_uncordoned_whatever_lists_hold() -> None:
+def test_cordoned_server_gets_no_requests_until_uncordoned_whatever_lists_contain() -> None:
     async def scenario() -> None:
         first, second = Upstream(), Upstream()
         async with ProxyHarness(first, second) as harness:
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -63,7 +63,7 @@
     run_scenario(scenario())
 
 
-def test_replaced_configuration_moves_the_watch_and_ends_nothing(tmp_path: Any) -> None:
+def test_reload_redirects_the_watch_and_the_process_goes_on(tmp_path: Any) -> None:
     """SIGHUP ended the balancer, as it does a program that does not handle it."""
 
     async def scenario() -> None:
@@ -116,7 +116,7 @@
     run_scenario(scenario())
 
 
-def test_outdated_or_malformed_list_leaves_the_last_one_in_use(
+def test_outdated_or_malformed_list_does_not_replace_the_last_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Any name and address was taken, a name twice as well, and an older list in place of a newer one."""
--- a/tests/test_interest.py
+++ b/tests/test_interest.py
@@ -731,10 +731,14 @@
             line = await rig.discovery.request_lines.get()
             assert "held=%7B%22a%22:%7B%7D%7D&after=8" in line, "it holds the whole of it"
             assert list(rig.proxy.endpoint_list.endpoints) == ["s0"]
-            assert [kind for kind, text in said if "knows no interests" in text] == ["list_service"]
+            assert [kind for kind, text in said if "knows no interests" in text] == [
+                "interest_subscription_failed"
+            ]
             rig.discovery.publish(9)
             await rig.discovery.request_lines.get()
-            assert len([kind for kind, _ in said if kind == "list_service"]) == 1, "it is said once"
+            assert len([kind for kind, _ in said if kind == "interest_subscription_failed"]) == 1, (
+                "it is said once"
+            )
         async with ProxyHarness(console="", lists={"services": ["a", "b"]}) as rig:
             said.clear()
             rig.proxy.log.event = lambda kind, text, **_: said.append((kind, text))  # type: ignore[method-assign]
--- a/tests/test_metrics_and_log.py
+++ b/tests/test_metrics_and_log.py
@@ -78,12 +78,17 @@
 
 def test_log_line_is_text_or_json_with_its_fields(capsys: pytest.CaptureFixture[str]) -> None:
     for kind in ("text", "json"):
-        log.Log("n1", log.SINKS[kind]).event("config_replaced", "replaced", took="discovery")
+        log.Log("n1", log.SINKS[kind]).event("configuration_replaced", "replaced", took="discovery")
     text, line = capsys.readouterr().err.splitlines()
     assert text == "n1: replaced took=discovery"
     read = json.loads(line)
     assert read.pop("time") > 1_000_000_000
-    assert read == {"balancer": "n1", "event": "config_replaced", "text": "replaced", "took": "discovery"}
+    assert read == {
+        "balancer": "n1",
+        "event": "configuration_replaced",
+        "text": "replaced",
+        "took": "discovery",
+    }
 
 
 def test_reload_reports_what_was_applied_and_what_needs_a_restart() -> None:
@@ -91,9 +96,9 @@
         async with ProxyHarness(Upstream()) as harness:
             old = read_config(config_text("127.0.0.1:9", []), print)
             harness.proxy.apply_configuration(old)
-            moved = replace(old, discovery=("127.0.0.1", 8), max_sockets=7, seed=old.seed + 1)
-            report = harness.proxy.apply_configuration(moved)
+            new = replace(old, discovery=("127.0.0.1", 8), max_sockets=7, seed=old.seed + 1)
+            report = harness.proxy.apply_configuration(new)
             assert report == ReloadReport(applied=["discovery"], needs_restart=["sockets"])
-            assert harness.proxy.apply_configuration(moved) == ReloadReport(applied=[], needs_restart=[])
+            assert harness.proxy.apply_configuration(new) == ReloadReport(applied=[], needs_restart=[])
 
     run_scenario(scenario())
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -88,10 +88,10 @@
 
     served.path.write_text("listen = ")
     served.process.send_signal(signal.SIGHUP)
-    assert "can't be read" in next_event("config_kept")["text"]
+    assert "can't be read" in next_event("configuration_rejected")["text"]
     served.path.write_text(file_text(f"{HOST}:1", served.console, f"{HOST}:2"))
     served.process.send_signal(signal.SIGHUP)
-    line = next_event("config_replaced")
+    line = next_event("configuration_replaced")
     assert (line["took"], line["needs_restart"]) == ("discovery", "listen")
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -89,7 +89,7 @@
 
 @settings(max_examples=120, deadline=None, derandomize=True)
 @given(site=site_settings, seed=st.integers(0, 3))
-def test_rules_hold_under_settings_of_any_deployment(site: dict[str, Any], seed: int) -> None:
+def test_rules_apply_under_settings_of_any_deployment(site: dict[str, Any], seed: int) -> None:
     own = read_site(site).settings
     day = Day(seed, **{item.name: getattr(own, item.name) for item in fields(own)})
     day.play(150)
