--- a/tests/test_endings_callers.py
+++ b/tests/test_endings_callers.py
@@ -188,7 +188,7 @@
             everyone = [await rig.connect() for _ in range(200)]
             for caller in everyone:
                 caller.send_request(deadline="90000m")
-            await wait_until(lambda: len(rig.proxy.balancer._queue) == 100)
+            await wait_until(lambda: len(rig.proxy.balancer._requests.wait_queue) == 100)
             for caller in everyone:
                 caller.writer.close()
             await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -10,7 +10,7 @@
 from loadbalancer import interface
 from loadbalancer.endpoint_watch import watch
 from loadbalancer.interface import UpdateKind
-from loadbalancer.policy import endpoints
+from loadbalancer.policy import list_backoff
 from tests.loopback import (
     ListServer,
     ProxyHarness,
@@ -120,7 +120,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Any name and address was taken, a name twice as well, and an older list in place of a newer one."""
-    monkeypatch.setattr(endpoints, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
+    monkeypatch.setattr(list_backoff, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as harness:
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -122,7 +122,7 @@
         first, second = Upstream(never_answer), Upstream(never_answer)
         async with ProxyHarness(first, second) as harness:
             events = record_events(harness)
-            harness.proxy.balancer._latencies.smoothed_ms["read"] = (
+            harness.proxy.balancer._estimates.latencies.smoothed_ms["read"] = (
                 100.0  # a usual answer, long overdue when the copy goes out
             )
             client = await harness.connect()
