--- a/loadbalancer/net/discovery.py
+++ b/loadbalancer/net/discovery.py
@@ -22,6 +22,7 @@
 from loadbalancer.net.config import AddressedEndpoint, Config, EndpointList, RegistryConfig
 from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
 from loadbalancer.net.interest_subscription import Held, Wants
+from loadbalancer.net.reports import EndpointListReport
 from loadbalancer.net.upstream import RESPONSE_ERRORS, ResponseReader, UpstreamResponse
 
 PUSH_PAUSE_S = 0.5  # before the agent on this machine is called again, where lists are pushed
@@ -215,20 +216,20 @@
         """A failed call, as the module has to know it: the next one has to begin in time."""
         return EndpointListUpdate(UpdateKind.FAILED, retry_within_ms=self._watch.again_s * 1_000)
 
-    def report(self) -> dict[str, object]:
-        """Where the list is from and how old it is, for operators; times in ms, None for never."""
+    def report(self) -> EndpointListReport:
+        """Return where the list is from and how old it is, by the watch alone."""
         now, watch = asyncio.get_running_loop().time(), self._watch
         host, port = watch.sources.address
-        return {
-            "from": f"{host}:{port}",
-            "index": watch.index,
-            "heard_ms_ago": _ms(now - self._heard),
-            "changed_ms_ago": _ms(now - self._changed),
-            "moves": watch.sources.moves,
-            "rewound": watch.rewound,
-            "stood_still": watch.stood_still,
-            "contradicted": self.witnesses.against(now),
-        }
+        return EndpointListReport(
+            source=f"{host}:{port}",
+            revision=watch.index,
+            last_response_age_ms=_ms(now - self._heard),
+            last_change_age_ms=_ms(now - self._changed),
+            source_changes=watch.sources.moves,
+            rewinds=watch.rewound,
+            stalls=watch.stood_still,
+            contradicted_servers=self.witnesses.against(now),
+        )
 
     async def _follow(self) -> None:
         loop, watch = asyncio.get_running_loop(), self._watch
--- a/loadbalancer/net/endpoint_list.py
+++ b/loadbalancer/net/endpoint_list.py
@@ -7,7 +7,6 @@
 import time
 from collections.abc import Callable
 from dataclasses import replace
-from typing import Any
 
 from loadbalancer import interface
 from loadbalancer.interface import Outcome, Readiness, UpdateKind
@@ -150,25 +149,10 @@
 
     def report(self) -> EndpointListReport:
         """Return where the list is from, how old it is, and which servers it omits that are in use."""
-        watch: dict[str, Any] = self.discovery.report()
-        source: str = watch["from"]
-        response_age_ms: float | None = watch["heard_ms_ago"]
-        suspected_servers: list[str] = []
-        if response_age_ms is not None:
-            suspected_servers = self._balancer.suspected_stale_servers()
-        elif self._snapshot_written_ms is not None:
-            source = "snapshot"
-            response_age_ms = round(max(time.time() * 1_000 - self._snapshot_written_ms, 0.0))
-        else:
-            source = "configuration"
-        return EndpointListReport(
-            source=source,
-            revision=watch["index"],
-            last_response_age_ms=response_age_ms,
-            last_change_age_ms=watch["changed_ms_ago"],
-            source_changes=watch["moves"],
-            rewinds=watch["rewound"],
-            stalls=watch["stood_still"],
-            contradicted_servers=watch["contradicted"],
-            suspected_servers=suspected_servers,
-        )
+        report = self.discovery.report()
+        if report.last_response_age_ms is not None:
+            return replace(report, suspected_servers=self._balancer.suspected_stale_servers())
+        if self._snapshot_written_ms is None:
+            return replace(report, source="configuration")
+        age_ms = round(max(time.time() * 1_000 - self._snapshot_written_ms, 0.0))
+        return replace(report, source="snapshot", last_response_age_ms=age_ms)
--- a/loadbalancer/net/reports.py
+++ b/loadbalancer/net/reports.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     """How often the source was left because its list stood still."""
     contradicted_servers: list[str]
     """Servers whose attempts contradict what the list says of them."""
-    suspected_servers: list[str]
+    suspected_servers: list[str] = field(default_factory=list)
     """Servers in use though the list omits them: it is suspected to be stale."""
 
 
