--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -23,7 +23,7 @@
 from loadbalancer.registry import Catalog, Registration, Rules, first_revision
 from loadbalancer.registry.service import LAPSE_S
 from loadbalancer.simulation.gossip import FLEET, Tier
-from loadbalancer.simulation.watches import Watched
+from loadbalancer.simulation.watches import ListServiceSimulation
 
 SETTLE_MS, LOOK_MS = 4_000.0, 4_000.0
 MEMBER_PERIODS = 200
@@ -73,14 +73,14 @@
 
 def herd(size: int, number: int) -> dict[str, float]:
     """All instances of two are away for 4 s while as many balancers watch as many servers."""
-    fleet = Watched(size, size, 2, number)
+    fleet = ListServiceSimulation(size, size, 2, number)
     fleet.run(10_000)
-    whole = fleet.whole
+    whole = fleet.full_snapshot_count
     fleet.outage(OUTAGE_MS)
     fleet.run(OUTAGE_MS + AFTER_MS)
     found = fleet.figures()
     return {
-        "size": size, "play": number, "whole_lists": fleet.whole - whole,
+        "size": size, "play": number, "whole_lists": fleet.full_snapshot_count - whole,
         "worst_second_calls": found["calls_most_in_a_second"], "busiest": found["busiest_instance"],
     }  # fmt: skip
 
@@ -113,9 +113,16 @@
     settings = Settings(
         classes=CLASSES, balancer_count=size, polls_endpoint_list=True, poll_interval_ms=30_000.0
     )
-    watch = Watch((HOME,), number=0, balancers=size, grace_ms=5_000.0, own=False, seed=number)
+    watch = Watch(
+        (HOME,),
+        balancer_index=0,
+        balancer_count=size,
+        drain_grace_ms=5_000.0,
+        is_own_service=False,
+        seed=number,
+    )
     roster, now, most = EndpointSet(settings, random.Random(number)), 0.0, 0.0
     while now < 30_000.0:
-        at = next(a.at_ms for a in roster.failed(now, watch.again_s * 1e3) if isinstance(a, SetTimer))
+        at = next(a.at_ms for a in roster.failed(now, watch.retry_within_s * 1e3) if isinstance(a, SetTimer))
         most, now = max(most, at - now), at
     return {"size": size, "play": number, "pause_most_s": most / 1_000}
--- a/benchmarks/interest_balancer.py
+++ b/benchmarks/interest_balancer.py
@@ -34,7 +34,7 @@
         gc.collect()
         idle, size = rss_mb(), len(body := Path(told["body"]).read_bytes())
         began = time.process_time()
-        driver._discovery._note(news := read_list(json.loads(body)), 0.0)
+        driver._discovery._record_content(news := read_list(json.loads(body)), 0.0)
         driver._news(news)
         took = time.process_time() - began
         del news, body
--- a/benchmarks/watches.py
+++ b/benchmarks/watches.py
@@ -15,16 +15,16 @@
 import typer
 from matplotlib.figure import Figure
 
-from loadbalancer.simulation.watches import Watched
+from loadbalancer.simulation.watches import ListServiceSimulation
 
 SETTLE_MS = 10_000.0
 
 
 def play(
     balancers: int, servers: int, instances: int, seed: int, release_s: float, outage_s: float
-) -> Watched:
+) -> ListServiceSimulation:
     """A release of all servers over `release_s`, with an outage of all instances in its middle."""
-    fleet = Watched(balancers, servers, instances, seed)
+    fleet = ListServiceSimulation(balancers, servers, instances, seed)
     fleet.run(SETTLE_MS)
     fleet.release(release_s * 1_000)
     fleet.run(release_s * 500)
@@ -33,14 +33,16 @@
     return fleet
 
 
-def draw(fleet: Watched) -> Figure:
+def draw(fleet: ListServiceSimulation) -> Figure:
     """Calls and wrong draws over time."""
     figure = Figure(figsize=(9, 4), layout="constrained")
     calls, wrong = figure.subplots(2, 1, sharex=True)
-    seconds = sorted(fleet.calls)
-    calls.plot(seconds, [fleet.calls[s] for s in seconds], lw=0.8)
+    seconds = sorted(fleet.calls_by_second)
+    calls.plot(seconds, [fleet.calls_by_second[s] for s in seconds], lw=0.8)
     calls.set_ylabel("calls a second")
-    wrong.plot([t / 1_000 for t, _ in fleet.wrong], [100 * share for _, share in fleet.wrong], lw=0.8)
+    wrong.plot(
+        [t / 1_000 for t, _ in fleet.stale_draws], [100 * share for _, share in fleet.stale_draws], lw=0.8
+    )
     wrong.set_ylabel("% of draws that meet an ended server", fontsize=7)
     wrong.set_xlabel("s")
     for axes in (calls, wrong):
--- a/loadbalancer/drill/plants.py
+++ b/loadbalancer/drill/plants.py
@@ -217,16 +217,16 @@
     """The instance that is asked first is asked for ever."""
     from loadbalancer.endpoint_watch.instance_selection import InstanceSelector
 
-    InstanceSelector.failed = lambda self: False  # type: ignore[method-assign]
+    InstanceSelector.record_failure = lambda self: False  # type: ignore[method-assign]
 
 
 def never_compares() -> None:
     """No other instance's list is ever looked at."""
 
-    async def compare(self: discovery.Discovery) -> None:
+    async def compare(self: discovery.DiscoveryClient) -> None:
         return None
 
-    discovery.Discovery._compare = compare  # type: ignore[method-assign]
+    discovery.DiscoveryClient._cross_check = compare  # type: ignore[method-assign]
 
 
 def asks_without_pause() -> None:
--- a/loadbalancer/endpoint_watch/instance_selection.py
+++ b/loadbalancer/endpoint_watch/instance_selection.py
@@ -18,8 +18,8 @@
 
 Address = tuple[str, int]
 PREFERRED_INSTANCE_RETRY_S = 60.0  # after so long, spread by half, the first choice is tried again
-ANSWERS = frozenset({Outcome.SERVED, Outcome.ERROR, Outcome.REJECTED})
-SILENCE = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMED_OUT})
+_ANSWERED_OUTCOMES = frozenset({Outcome.SERVED, Outcome.ERROR, Outcome.REJECTED})
+_UNANSWERED_OUTCOMES = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMED_OUT})
 SILENCE_THRESHOLD_S = 5.0  # a listed server that has answered nothing for so long speaks against the list
 
 
@@ -42,7 +42,7 @@
         self._at, self._failed, self._home_from = 0, 0, math.inf
         self._newest: dict[Address, int] = {}
         self._last: tuple[ListVersion, ListVersion] | None = None
-        self.moves = 0
+        self.switch_count = 0
 
     @property
     def address(self) -> Address:
@@ -50,53 +50,53 @@
         return self._ring[self._at]
 
     @property
-    def others(self) -> int:
+    def other_count(self) -> int:
         """How many there are beside it."""
         return len(self._ring) - 1
 
-    def failed(self) -> bool:
+    def record_failure(self) -> bool:
         """It gave no answer: the next one is asked from now on. Whether there was one that has not failed."""
         self._failed += 1
-        if self.others:
-            self._move(self._at + 1)
+        if self.other_count:
+            self._switch_to(self._at + 1)
         if self._failed % len(self._ring):
             return True
         self._failed = 0
         return False
 
-    def answered(self, index: int, now: float, watched: bool) -> bool:
+    def record_answer(self, index: int, now: float, was_watch: bool) -> bool:
         """It told a list; whether that is of an earlier version than one it told before.
 
         Only a watch that was answered shows that it is well: one that tells whole lists and no more has
         failed as much as one that is down.
         """
-        self._failed = 0 if watched else self._failed
+        self._failed = 0 if was_watch else self._failed
         rewound = index < self._newest.get(self.address, -1)
         self._newest[self.address] = index
         if self._at and self._home_from == math.inf:
             self._home_from = now + PREFERRED_INSTANCE_RETRY_S * (1 + self._random.random()) / 1.5
         return rewound
 
-    def newest(self, address: Address) -> int:
+    def last_index(self, address: Address) -> int:
         """The last version that an instance told; -1 for none."""
         return self._newest.get(address, -1)
 
-    def may_go_home(self, now: float) -> bool:
+    def return_to_preferred(self, now: float) -> bool:
         """Whether it is time to try the first choice again; if so, that is the one to ask."""
         if now < self._home_from:
             return False
-        self._move(0)
+        self._switch_to(0)
         return True
 
-    def _move(self, place: int) -> None:
+    def _switch_to(self, place: int) -> None:
         self._at, self._home_from, self._last = place % len(self._ring), math.inf, None
-        self.moves += 1
+        self.switch_count += 1
 
-    def any_other(self) -> Address:
+    def choose_other(self) -> Address:
         """One of those that are not asked now."""
-        return self._ring[(self._at + 1 + self._random.randrange(self.others)) % len(self._ring)]
+        return self._ring[(self._at + 1 + self._random.randrange(self.other_count)) % len(self._ring)]
 
-    def stands_still(self, ours: ListVersion, other: ListVersion, contradicted: bool) -> bool:
+    def switch_if_stale(self, ours: ListVersion, other: ListVersion, contradicted: bool) -> bool:
         """Whether our instance's list has stood still while another's moved on; if so, ask the other.
 
         Two looks tell: the other's version has grown between them, ours has not, and they differ. One is
@@ -112,7 +112,7 @@
         )
         if not differ or not (contradicted or moved_on):
             return False
-        self._move(self._ring.index(other.address))
+        self._switch_to(self._ring.index(other.address))
         return True
 
 
@@ -122,17 +122,17 @@
     def __init__(self) -> None:
         self._since: dict[str, float] = {}
 
-    def note(self, server: str, outcome: Outcome, now: float) -> None:
+    def record_outcome(self, server: str, outcome: Outcome, now: float) -> None:
         """Take the end of an attempt."""
-        if outcome in SILENCE:
+        if outcome in _UNANSWERED_OUTCOMES:
             self._since.setdefault(server, now)
-        elif self._since and outcome in ANSWERS:
+        elif self._since and outcome in _ANSWERED_OUTCOMES:
             self._since.pop(server, None)
 
-    def forget(self, server: str) -> None:
+    def forget_server(self, server: str) -> None:
         """The list has told something new of a server."""
         self._since.pop(server, None)
 
-    def against(self, now: float) -> list[str]:
+    def silent_servers(self, now: float) -> list[str]:
         """Those that have been silent for so long that the list may be wrong about them."""
         return sorted(name for name, since in self._since.items() if now - since >= SILENCE_THRESHOLD_S)
--- a/loadbalancer/endpoint_watch/time_budget.py
+++ b/loadbalancer/endpoint_watch/time_budget.py
@@ -28,25 +28,38 @@
 from __future__ import annotations
 
 CHANGE_DEADLINE_S = 6.0
-SLACK_S = 1.0
-CALL_PART = 0.9  # of a round, at the most: the rest is for the pause after a call that took all its time
-OWN_CALL_S, PLATFORM_CALL_S = 2.0, 2.25  # the platform works through calls in turn and ends those of over 2 s
-OWN_ANSWER_S, PLATFORM_ANSWER_S = 0.5, PLATFORM_CALL_S  # a service of one's own answers at once
+SCHEDULING_SLACK_S = 1.0
+MAX_CALL_FRACTION = (
+    0.9  # of a round, at the most: the rest is for the pause after a call that took all its time
+)
+OWN_CALL_TIMEOUT_S, PLATFORM_CALL_TIMEOUT_S = (
+    2.0,
+    2.25,
+)  # the platform works through calls in turn and ends those of over 2 s
+OWN_ANSWER_TIME_S, PLATFORM_ANSWER_TIME_S = (
+    0.5,
+    PLATFORM_CALL_TIMEOUT_S,
+)  # a service of one's own answers at once
 
 
-def round_s(instances: int, own: bool) -> float:
+def retry_interval_s(instance_count: int, is_own_service: bool) -> float:
     """Seconds from the beginning of a call that fails to the beginning of the next one, at the most."""
-    return (CHANGE_DEADLINE_S - SLACK_S - answer_s(own)) / instances
+    return (CHANGE_DEADLINE_S - SCHEDULING_SLACK_S - answer_time_s(is_own_service)) / instance_count
 
 
-def call_s(instances: int, own: bool) -> float:
+def call_timeout_s(instance_count: int, is_own_service: bool) -> float:
     """Seconds for a call that need not wait, dial and all, where a list has so many instances."""
-    return min(OWN_CALL_S if own else PLATFORM_CALL_S, CALL_PART * round_s(instances, own))
+    return min(
+        OWN_CALL_TIMEOUT_S if is_own_service else PLATFORM_CALL_TIMEOUT_S,
+        MAX_CALL_FRACTION * retry_interval_s(instance_count, is_own_service),
+    )
 
 
-def answer_s(own: bool) -> float:
+def answer_time_s(is_own_service: bool) -> float:
     """Seconds in which a service that can be reached answers a call that need not wait."""
-    return OWN_ANSWER_S if own else PLATFORM_ANSWER_S
+    return OWN_ANSWER_TIME_S if is_own_service else PLATFORM_ANSWER_TIME_S
 
 
-CONGESTED_ROUND_S = round_s(1, own=True)  # while the platform's is crowded, for large tiers
+CONGESTED_RETRY_INTERVAL_S = retry_interval_s(
+    1, is_own_service=True
+)  # while the platform's is crowded, for large tiers
--- a/loadbalancer/net/discovery.py
+++ b/loadbalancer/net/discovery.py
@@ -19,26 +19,28 @@
 from loadbalancer.endpoint_watch.watch import FULL_SNAPSHOT
 from loadbalancer.interface import EndpointListUpdate, Readiness, UpdateKind
 from loadbalancer.net.config import Address, AddressedEndpoint, Config, Lists, ServerList, read_list
-from loadbalancer.net.interest_subscription import Held, Wants
+from loadbalancer.net.interest_subscription import AnswerView, InterestSubscription
 from loadbalancer.net.upstream import UNREADABLE, ResponseReader, UpstreamResponse
 
-PUSH_PAUSE_S = 0.5  # before the agent on this machine is called again, where lists are pushed
-WHOLE_S = 2.0  # for a look at another instance
-LOOK_S = 1.0  # between looks whether another instance is to be looked at
-LATE_S = 2.0  # after the end of its time, a call's answer is still taken: what is written counts as told
-CONNECT_S = 1.0  # for a connection to come up: the wait of a call is for its answer
-LIST_MAX = 4 * 1024 * 1024
+PUSH_RETRY_PAUSE_S = 0.5  # before the agent on this machine is called again, where lists are pushed
+CROSS_CHECK_TIMEOUT_S = 2.0  # for a look at another instance
+CROSS_CHECK_POLL_INTERVAL_S = 1.0  # between looks whether another instance is to be looked at
+LATE_ANSWER_S = (
+    2.0  # after the end of its time, a call's answer is still taken: what is written counts as told
+)
+CONNECT_TIMEOUT_S = 1.0  # for a connection to come up: the wait of a call is for its answer
+MAX_LIST_BYTES = 4 * 1024 * 1024
 
 
-class SilentError(Exception):
+class ResponseTimeoutError(Exception):
     """A call that was taken has had no answer in its time, nor an end."""
 
 
-class TurnedAwayError(ValueError):
+class RequestRejectedError(ValueError):
     """The service has answered that it does not tell."""
 
 
-class _Link(asyncio.Protocol):
+class Connection(asyncio.Protocol):
     """One connection to discovery, with one call at a time."""
 
     def __init__(self) -> None:
@@ -55,7 +57,7 @@
         """Read on."""
         try:
             whole = self._reader.feed(data)
-            if self._reader.held > LIST_MAX:
+            if self._reader.held > MAX_LIST_BYTES:
                 raise ValueError("too long")
         except (*UNREADABLE, ValueError) as error:
             self._fail(ValueError(f"not an answer: {error!r}"))
@@ -91,7 +93,7 @@
         self._transport.write(request)
         return await self._answer
 
-    async def late(self) -> UpstreamResponse:
+    async def late_answer(self) -> UpstreamResponse:
         """Wait on for the answer to a call that was given up."""
         self._answer = asyncio.get_running_loop().create_future()
         return await self._answer
@@ -109,10 +111,10 @@
     def __init__(self, take: Callable[[ListRequest, UpstreamResponse], None]) -> None:
         """`take` may raise ValueError for an answer that can't be read."""
         self._take = take
-        self._link: _Link | None = None
+        self._link: Connection | None = None
         self._task: asyncio.Task[None] | None = None
 
-    def listen(self, link: _Link, ask: ListRequest) -> None:
+    def listen(self, link: Connection, ask: ListRequest) -> None:
         """Wait for this one's answer, and for no earlier one's."""
         self.drop()
         self._link, self._task = link, asyncio.get_running_loop().create_task(self._hear(link, ask))
@@ -124,55 +126,56 @@
             self._link.close()
         self._link = self._task = None
 
-    async def _hear(self, link: _Link, ask: ListRequest) -> None:
+    async def _hear(self, link: Connection, ask: ListRequest) -> None:
         try:
-            async with asyncio.timeout(LATE_S):
-                self._take(ask, await link.late())
+            async with asyncio.timeout(LATE_ANSWER_S):
+                self._take(ask, await link.late_answer())
         except (OSError, ValueError, TimeoutError, RecursionError):
             pass  # it has failed already
         finally:
             link.close()
 
 
-class Discovery:
+class DiscoveryClient:
     """Watches the list from `subscribe` on until a call fails: the host of `loadbalancer.endpoint_watch`."""
 
     def __init__(
         self,
         config: Config,
-        on_news: Callable[[ServerList], bool],
-        on_failed: Callable[[], None],
-        fresh: bool = False,
+        on_update: Callable[[ServerList], bool],
+        on_failure: Callable[[], None],
+        needs_full_snapshot: bool = False,
         log: Callable[[str], None] = lambda text: None,
     ) -> None:
-        """`on_news` says whether it believes a list; one that it does not is asked for again, whole.
+        """`on_update` says whether it believes a list; one that it does not is asked for again, whole.
 
-        `fresh` asks for the whole list first, which is answered at once, whatever is known. `log` takes a
-        line where a service can't tell what it is asked for.
+        `needs_full_snapshot` asks for the whole list first, which is answered at once, whatever is known.
+        `log` takes a line where a service does not support the request.
         """
-        self._on_news, self._on_failed = on_news, on_failed
+        self._on_update = on_update
+        self._on_failure = on_failure
         self._asked = config.settings.polls_endpoint_list
         self._own, self._home = config.lists, config.discovery
-        self._wants = Wants(config, fresh, log)
-        is_known = config.known.endpoints and not fresh and not self._wants.by_interest
+        self._interest = InterestSubscription(config, needs_full_snapshot, log)
+        is_known = config.known.endpoints and not needs_full_snapshot and not self._interest.names_services
         self._watch = Watch(
             _addresses(config.discovery, self._own),
-            number=config.settings.balancer_index,
-            balancers=config.settings.balancer_count,
-            grace_ms=config.drain_grace_ms,
-            own=self._own is not None,
+            balancer_index=config.settings.balancer_index,
+            balancer_count=config.settings.balancer_count,
+            drain_grace_ms=config.drain_grace_ms,
+            is_own_service=self._own is not None,
             seed=config.seed,
             index=config.known.index if is_known else FULL_SNAPSHOT,
         )
         self._task: asyncio.Task[None] | None = None
-        self._comparing: asyncio.Task[None] | None = None
-        self._link: _Link | None = None
+        self._cross_check_task: asyncio.Task[None] | None = None
+        self._connection: Connection | None = None
         self._linked_to: Address | None = None
         self._late = _Late(self._late_answer)
         self._reopened = False  # and no answer since
         self._content: dict[str, tuple[object, ...]] = {}
         self._heard = self._changed = -math.inf
-        self.witnesses = ContradictionDetector()
+        self.contradictions = ContradictionDetector()
 
     def start(self) -> None:
         """Where lists are pushed, listen from the start: nobody subscribes there."""
@@ -184,72 +187,76 @@
         loop = asyncio.get_running_loop()
         if self._task is None or self._task.done():
             self._task = loop.create_task(self._follow())
-        if self._own is not None and self._comparing is None:
-            self._comparing = loop.create_task(self._compare())
+        if self._own is not None and self._cross_check_task is None:
+            self._cross_check_task = loop.create_task(self._cross_check())
 
-    def move(self, address: Address, lists: Lists | None = None) -> None:
+    def reconfigure(self, address: Address, lists: Lists | None = None) -> None:
         """Discovery is elsewhere from now on, or something else is wanted of it: ask at once.
 
         A call that waits is abandoned. What is held is told with what is wanted now, and the answer says
         outright what has left it; elsewhere, and of a service that knows no interests, it is the whole list.
         """
         has_moved = address != self._home
-        if not self._wants.move(lists) and not has_moved:
+        if not self._interest.change_interest(lists) and not has_moved:
             return
         self._home = address
-        if has_moved or not self._wants.is_known:
-            self._watch.move(_addresses(address, self._own))
+        if has_moved or not self._interest.supports_interests:
+            self._watch.set_addresses(_addresses(address, self._own))
         self._start_anew()
 
     def _start_anew(self) -> None:
         if self._task is not None:
             self._task.cancel()
-        self._close_link()
+        self._close_connection()
         self._late.drop()
         self._task = None
         self.subscribe()
 
-    def failure(self) -> EndpointListUpdate:
+    def failure_update(self) -> EndpointListUpdate:
         """A failed call, as the module has to know it: the next one has to begin in time."""
-        return EndpointListUpdate(UpdateKind.FAILED, retry_within_ms=self._watch.again_s * 1_000)
+        return EndpointListUpdate(UpdateKind.FAILED, retry_within_ms=self._watch.retry_within_s * 1_000)
 
     def report(self) -> dict[str, object]:
         """Where the list is from and how old it is, for operators; times in ms, None for never."""
         now, watch = asyncio.get_running_loop().time(), self._watch
-        host, port = watch.sources.address
+        host, port = watch.instances.address
         return {
             "from": f"{host}:{port}",
             "index": watch.index,
             "heard_ms_ago": _ms(now - self._heard),
             "changed_ms_ago": _ms(now - self._changed),
-            "moves": watch.sources.moves,
-            "rewound": watch.rewound,
-            "stood_still": watch.stood_still,
-            "contradicted": self.witnesses.against(now),
+            "moves": watch.instances.switch_count,
+            "rewound": watch.rewind_count,
+            "stood_still": watch.stale_instance_count,
+            "contradicted": self.contradictions.silent_servers(now),
         }
 
     async def _follow(self) -> None:
         loop, watch = asyncio.get_running_loop(), self._watch
         while True:
             began = loop.time()
-            ask = watch.ask(began)
+            ask = watch.next_request(began)
             try:
                 news = await self._call(ask)
             except RateLimitedError as paced:
-                self._wants.paced(paced)
-                await asyncio.sleep(paced.after_s)
+                self._interest.record_rate_limit(paced)
+                await asyncio.sleep(paced.retry_after_s)
                 continue
             except Exception as error:
                 # Guards against a watch that ends unseen: whatever was wrong with a call, it has failed.
-                if self._link and isinstance(error, SilentError) and self._wants.may_be_late(ask):
-                    self._late.listen(self._link, ask)
-                    self._link = None
-                self._wants.failed(ask.address, began, error)
-                self._close_link()
-                pause_s = watch.failed(
+                if (
+                    self._connection
+                    and isinstance(error, ResponseTimeoutError)
+                    and self._interest.accepts_late_answer(ask)
+                ):
+                    self._late.listen(self._connection, ask)
+                    self._connection = None
+                self._interest.record_failure(ask.address, began, error)
+                self._close_connection()
+                pause_s = watch.record_failure(
                     loop.time() - began,
-                    fell_silent=isinstance(error, SilentError),
-                    turned_away=isinstance(error, TurnedAwayError | ConnectionResetError),
+                    response_timed_out=isinstance(error, ResponseTimeoutError),
+                    rejected=isinstance(error, RequestRejectedError | ConnectionResetError),
                 )
                 if pause_s is None and (pause_s := self._pause(ask, error)) is None:
                     return
@@ -257,10 +264,10 @@
                 continue
             self._reopened = False
             self._late.drop()
-            if not self._on_news(news):
-                watch.disbelieved(loop.time())
-            elif watch.went_home(loop.time()):
-                self._close_link()
+            if not self._on_update(news):
+                watch.schedule_full_snapshot(loop.time())
+            elif watch.return_to_preferred_instance(loop.time()):
+                self._close_connection()
 
     def _pause(self, ask: ListRequest, error: Exception) -> float | None:
         """Seconds until a platform's list is asked again after a call has failed; None if others say when.
@@ -269,47 +276,51 @@
         answer between. Where lists are asked that is so only for one that fell silent: after a reset all
         balancers would call together, while the waits of watches end one by one.
         """
-        is_broken_watch = ask.after >= 0 and (not self._asked or isinstance(error, SilentError))
+        is_broken_watch = ask.after_index >= 0 and (
+            not self._asked or isinstance(error, ResponseTimeoutError)
+        )
         at_once, self._reopened = is_broken_watch and not self._reopened, True
         if self._asked:
             if not at_once:
                 self._task = None
-            self._on_failed()  # when to ask again is the module's to say, unless we do at once
-        return 0.0 if at_once else None if self._asked else min(PUSH_PAUSE_S, self._watch.again_s)
+            self._on_failure()  # when to ask again is the module's to say, unless we do at once
+        return (
+            0.0 if at_once else None if self._asked else min(PUSH_RETRY_PAUSE_S, self._watch.retry_within_s)
+        )
 
     async def _call(self, ask: ListRequest) -> ServerList:
         loop = asyncio.get_running_loop()
-        until = loop.time() + ask.limit_s
-        if self._link is None or self._link.closed or self._linked_to != ask.address:
-            self._close_link()
-            async with asyncio.timeout(min(CONNECT_S, ask.limit_s)):
-                self._link = await _connect(ask.address)
+        until = loop.time() + ask.timeout_s
+        if self._connection is None or self._connection.closed or self._linked_to != ask.address:
+            self._close_connection()
+            async with asyncio.timeout(min(CONNECT_TIMEOUT_S, ask.timeout_s)):
+                self._connection = await connect(ask.address)
             self._linked_to = ask.address
-            until = loop.time() + ask.limit_s if ask.waits else until
+            until = loop.time() + ask.timeout_s if ask.is_long_poll else until
         try:
             async with asyncio.timeout_at(until):
-                news, held = await _ask(self._link, ask, self._wants)
+                news, held = await _ask(self._connection, ask, self._interest)
         except TimeoutError:
-            raise SilentError from None
+            raise ResponseTimeoutError from None
         now = asyncio.get_running_loop().time()
-        if self._watch.answered(news.index, now):
+        if self._watch.record_answer(news.index, now):
             news = replace(news, rewound=True)
         self._heard = now
-        self._wants.heard(held)
+        self._interest.record_answer(held)
         if self._own is not None:
-            self._note(news, now)
+            self._record_content(news, now)
         return news
 
     def _late_answer(self, ask: ListRequest, answer: UpstreamResponse) -> None:
         """Take it as it is, and leave the watch where it is: the next answer tells the same, and more."""
-        news, _ = _read(answer, self._wants)
-        if self._watch.is_news(ask, news.index):
+        news, _ = _read(answer, self._interest)
+        if self._watch.is_current(ask, news.index):
             self._heard = asyncio.get_running_loop().time()
             if self._own is not None:
-                self._note(news, self._heard)
-            self._on_news(news)
+                self._record_content(news, self._heard)
+            self._on_update(news)
 
-    def _note(self, news: ServerList, now: float) -> None:
+    def _record_content(self, news: ServerList, now: float) -> None:
         """What the list holds, to be held against another instance's."""
         before = dict(self._content)
         if news.whole:
@@ -319,26 +330,26 @@
             self._content[name] = _entry(endpoint)
             if endpoint.endpoint.readiness is Readiness.DEAD:
                 del self._content[name]
-            self.witnesses.forget(name)
+            self.contradictions.forget_server(name)
         if self._content != before:
             self._changed = now
 
-    def _close_link(self) -> None:
-        if self._link is not None:
-            self._link.close()
-        self._link = None
+    def _close_connection(self) -> None:
+        if self._connection is not None:
+            self._connection.close()
+        self._connection = None
 
-    async def _compare(self) -> None:
+    async def _cross_check(self) -> None:
         """Look now and then at another instance's list."""
         loop, watch = asyncio.get_running_loop(), self._watch
         while True:
-            await asyncio.sleep(LOOK_S)
-            contradicted = bool(self.witnesses.against(loop.time()))
-            if (address := watch.look_at(loop.time(), contradicted)) is None:
+            await asyncio.sleep(CROSS_CHECK_POLL_INTERVAL_S)
+            contradicted = bool(self.contradictions.silent_servers(loop.time()))
+            if (address := watch.next_cross_check(loop.time(), contradicted)) is None:
                 continue
-            other = await _look(address, self._wants)
-            ours = ListVersion(watch.sources.address, watch.index, frozenset(self._content.values()))
-            if other is not None and watch.looked(ours, other, contradicted):
+            other = await _look(address, self._interest)
+            ours = ListVersion(watch.instances.address, watch.index, frozenset(self._content.values()))
+            if other is not None and watch.record_cross_check(ours, other, contradicted):
                 self._start_anew()
 
 
@@ -347,37 +358,40 @@
     return (first, *(other for other in others if other != first))
 
 
-async def _connect(address: Address) -> _Link:
-    _, link = await asyncio.get_running_loop().create_connection(_Link, *address)
+async def connect(address: Address) -> Connection:
+    """Open a connection to a list service; OSError if there is none."""
+    _, link = await asyncio.get_running_loop().create_connection(Connection, *address)
     return link
 
 
-async def _ask(link: _Link, ask: ListRequest, wants: Wants) -> tuple[ServerList, Held]:
+async def _ask(
+    link: Connection, ask: ListRequest, wants: InterestSubscription
+) -> tuple[ServerList, AnswerView]:
     """One call: the list, and what is held with it; ValueError if its answer is no list."""
-    query = wants.query(asyncio.get_running_loop().time())
-    if ask.after >= 0:
-        query.append(f"after={ask.after}&wait_ms={ask.wait_ms:.0f}")
+    query = wants.query_parameters(asyncio.get_running_loop().time())
+    if ask.after_index >= 0:
+        query.append(f"after={ask.after_index}&wait_ms={ask.wait_ms:.0f}")
     path, (host, port) = "/v1/servers" + ("?" + "&".join(query) if query else ""), ask.address
     answer = await link.call(f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
     return _read(answer, wants)
 
 
-def _read(answer: UpstreamResponse, wants: Wants) -> tuple[ServerList, Held]:
+def _read(answer: UpstreamResponse, wants: InterestSubscription) -> tuple[ServerList, AnswerView]:
     """What an answer tells; ValueError if it is no list, Paced if it says when to come again."""
     if answer.status != 200:
-        wants.look_for_pace(answer.status, answer.body)
-        raise TurnedAwayError(f"discovery answered {answer.status}")
+        wants.raise_if_rate_limited(answer.status, answer.body)
+        raise RequestRejectedError(f"discovery answered {answer.status}")
     told = json.loads(answer.body)
-    return read_list(told), wants.read(told)
+    return read_list(told), wants.read_view(told)
 
 
-async def _look(address: Address, wants: Wants) -> ListVersion | None:
+async def _look(address: Address, wants: InterestSubscription) -> ListVersion | None:
     """Another instance's list; None if it does not tell."""
-    link: _Link | None = None
+    link: Connection | None = None
     try:
-        async with asyncio.timeout(WHOLE_S):
-            link = await _connect(address)
-            news, _ = await _ask(link, ListRequest(address, FULL_SNAPSHOT, 0.0, WHOLE_S), wants)
+        async with asyncio.timeout(CROSS_CHECK_TIMEOUT_S):
+            link = await connect(address)
+            news, _ = await _ask(link, ListRequest(address, FULL_SNAPSHOT, 0.0, CROSS_CHECK_TIMEOUT_S), wants)
     except (OSError, ValueError, TimeoutError, RateLimitedError):
         return None
     finally:
--- a/loadbalancer/net/interest_subscription.py
+++ b/loadbalancer/net/interest_subscription.py
@@ -1,6 +1,6 @@
 """What a balancer's calls for the list ask for, and what their answers say of it.
 
-    wants = Wants(config, has_list=False, log=print)
+    wants = Wants(config, has_full_list=False, log=print)
     wants.query(now)                        # beside the version and the wait
     held = wants.read(told)                 # ValueError if that is no answer to it
     wants.heard(held)                       # the answer has been taken
@@ -16,86 +16,90 @@
 from loadbalancer.endpoint_watch import ListRequest, RateLimitedError, Subscription
 from loadbalancer.net.config import Address, Config, Lists
 
-NO_INTERESTS = "the list service knows no interests: the whole of the service is taken"
-Held = tuple[str, bool]
+INTERESTS_UNSUPPORTED = "the list service knows no interests: the whole of the service is taken"
+AnswerView = tuple[str, bool]
 """What is held with an answer, and whether its service knows of interests."""
 
 
-class Wants:
+class InterestSubscription:
     """One balancer's interest in the list."""
 
-    def __init__(self, config: Config, has_list: bool, log: Callable[[str], None]) -> None:
-        """`has_list` if a list is at hand, of whatever interest; `log` takes a line on what can't be told."""
+    def __init__(self, config: Config, has_full_list: bool, log: Callable[[str], None]) -> None:
+        """`has_full_list` if a list is at hand, for any interest; `log` takes unsupported requests."""
         self._tier = config.lists.tier if config.lists else ""
-        self._wanted = _subscription(config, has_list)
-        self._log, self._said = log, ""
+        self._subscription = _subscription(config, has_full_list)
+        self._log, self._last_logged = log, ""
 
     @property
-    def by_interest(self) -> bool:
+    def names_services(self) -> bool:
         """Whether services are asked for by name."""
-        return self._wanted is not None
+        return self._subscription is not None
 
-    def may_be_late(self, ask: ListRequest) -> bool:
+    def accepts_late_answer(self, ask: ListRequest) -> bool:
         """Whether the answer of a call that was given up is of use: by interests it would depend on what was
         wanted when it was asked."""
-        return self._wanted is None and not ask.waits
+        return self._subscription is None and not ask.is_long_poll
 
     @property
-    def is_known(self) -> bool:
+    def supports_interests(self) -> bool:
         """Whether the service can tell what has left an interest that changes."""
-        return self._wanted is None or self._wanted.is_known
+        return self._subscription is None or self._subscription.supports_interests
 
-    def move(self, lists: Lists | None) -> bool:
+    def change_interest(self, lists: Lists | None) -> bool:
         """The configuration names other services, or another part; whether it does, and both name some."""
-        if self._wanted is None or lists is None or not lists.services:
+        if self._subscription is None or lists is None or not lists.services:
             return False
-        return self._wanted.move(lists.services, lists.part)
+        return self._subscription.change_interest(lists.services, lists.part)
 
-    def query(self, now: float) -> list[str]:
+    def query_parameters(self, now: float) -> list[str]:
         """What is wanted, and what is held of it."""
-        if self._wanted is not None:
-            return self._wanted.query(now)
+        if self._subscription is not None:
+            return self._subscription.query_parameters(now)
         return [f"tier={self._tier}"] if self._tier else []
 
-    def look_for_pace(self, status: int, body: bytes) -> None:
+    def raise_if_rate_limited(self, status: int, body: bytes) -> None:
         """An answer that is no list: raises Paced if it says when to come again."""
-        if self._wanted is not None:
-            self._wanted.look_for_pace(status, body)
+        if self._subscription is not None:
+            self._subscription.raise_if_rate_limited(status, body)
 
-    def read(self, told: Mapping[str, Any]) -> Held:
+    def read_view(self, told: Mapping[str, Any]) -> AnswerView:
         """What is held with an answer; ValueError if it is none to what was asked."""
-        return ("", True) if self._wanted is None else (self._wanted.check(told), "services" in told)
+        return (
+            ("", True)
+            if self._subscription is None
+            else (self._subscription.read_view(told), "services" in told)
+        )
 
-    def heard(self, held: Held) -> None:
+    def record_answer(self, held: AnswerView) -> None:
         """An answer has been taken."""
-        if self._wanted is not None:
-            self._wanted.heard(*held)
-            self._say("" if self._wanted.is_known else NO_INTERESTS)
+        if self._subscription is not None:
+            self._subscription.record_answer(*held)
+            self._log_once("" if self._subscription.supports_interests else INTERESTS_UNSUPPORTED)
 
-    def paced(self, paced: RateLimitedError) -> None:
+    def record_rate_limit(self, paced: RateLimitedError) -> None:
         """We come again as the service says."""
-        if self._wanted is not None:
-            self._wanted.paced(paced)
+        if self._subscription is not None:
+            self._subscription.record_rate_limit(paced)
 
-    def failed(self, address: Address, began: float, error: Exception) -> None:
+    def record_failure(self, address: Address, began: float, error: Exception) -> None:
         """A call has failed."""
-        if self._wanted is not None:
-            self._wanted.failed(address, began)
+        if self._subscription is not None:
+            self._subscription.record_failure(address, began)
             if isinstance(error, ValueError):
-                self._say(str(error))
+                self._log_once(str(error))
 
-    def _say(self, text: str) -> None:
+    def _log_once(self, text: str) -> None:
         """Log what is wrong with what a service tells, once."""
-        if text and text != self._said:
+        if text and text != self._last_logged:
             self._log(text)
-        self._said = text
+        self._last_logged = text
 
 
-def _subscription(config: Config, has_list: bool) -> Subscription | None:
+def _subscription(config: Config, has_full_list: bool) -> Subscription | None:
     lists, settings = config.lists, config.settings
     if lists is None or not lists.services:
         return None
     return Subscription(
         lists.services, lists.part, name=f"{config.name}/{settings.balancer_index}", zone=settings.zone,
-        balancers=settings.balancer_count, holds_all=has_list or bool(config.known.endpoints),
+        balancer_count=settings.balancer_count, has_full_list=has_full_list or bool(config.known.endpoints),
     )  # fmt: skip
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -16,7 +16,7 @@
 from loadbalancer.net import metrics
 from loadbalancer.net.config import AddressedEndpoint, Config, ServerList, read_list, write_list
 from loadbalancer.net.console import Console
-from loadbalancer.net.discovery import Discovery
+from loadbalancer.net.discovery import DiscoveryClient
 from loadbalancer.net.downstream import DownstreamListener, DownstreamRequest
 from loadbalancer.net.hot_restart import CordonFile, HotRestartListener, Predecessor
 from loadbalancer.net.http_framing import BufferBudget, end_to_end
@@ -169,7 +169,7 @@
         self._keeper = self._make_keeper(config)
         self._kept = self._keeper.load() if self._keeper and legacy is None else None
         fresh = legacy is not None or self._kept is not None
-        self._discovery = Discovery(
+        self._discovery = DiscoveryClient(
             config, self._news, self._list_failed, fresh, lambda text: self.log.event("list_service", text)
         )
         self._requests: dict[int, _Request] = {}
@@ -392,7 +392,7 @@
         """Follow a configuration that the platform has replaced: what was taken, and what needs a restart."""
         old, self._config = self._config, config
         changed = [f.name for f in fields(Config) if getattr(old, f.name) != getattr(config, f.name)]
-        self._discovery.move(config.discovery, config.lists)
+        self._discovery.reconfigure(config.discovery, config.lists)
         followed = FOLLOWED | ({"lists"} if old.lists and old.lists.may_become(config.lists) else set())
         return [n for n in changed if n in followed], [n for n in changed if n not in followed | UNHEEDED]
 
@@ -555,7 +555,7 @@
         request.out -= 1
         request.ran = request.ran or outcome not in OUTCOMES_WITHOUT_EFFECT
         if self._config.lists is not None:
-            self._discovery.witnesses.note(server, outcome, self._loop.time())
+            self._discovery.contradictions.record_outcome(server, outcome, self._loop.time())
         if request.open and request.passed_on is not None and request.passed_on is request.attempts[index]:
             if outcome is Outcome.SERVED:
                 self._close(request, 200)
@@ -615,7 +615,7 @@
 
     def _list_failed(self) -> None:
         self._asked.set()
-        self._tell(self._discovery.failure())
+        self._tell(self._discovery.failure_update())
 
     # ---- actions ------------------------------------------------------------------------------
 
--- a/loadbalancer/scale/hollow.py
+++ b/loadbalancer/scale/hollow.py
@@ -57,7 +57,7 @@
     def __init__(self, config: Config, host: Host) -> None:
         self._host = host
         self._balancer = Balancer(config.settings, config.seed)
-        self._discovery = discovery.Discovery(config, self._news, self._failed)
+        self._discovery = discovery.DiscoveryClient(config, self._news, self._failed)
         self.list: dict[str, AddressedEndpoint] = {}
         self.name, self._stopped = config.name, False
         self.wants = host.plan.wants(config.settings.balancer_index)
@@ -74,10 +74,10 @@
     def stop(self) -> None:
         """End as a process does that is killed."""
         self._stopped = True
-        for task in (self._discovery._task, self._discovery._comparing):
+        for task in (self._discovery._task, self._discovery._cross_check_task):
             if task is not None:
                 task.cancel()
-        self._discovery._close_link()
+        self._discovery._close_connection()
         self._discovery._late.drop()
 
     @property
@@ -124,7 +124,7 @@
         return not update.suspected_stale
 
     def _failed(self) -> None:
-        self._tell(self._discovery.failure())
+        self._tell(self._discovery.failure_update())
 
     def _tell(self, event: interface.Event) -> None:
         now = self._host.clock.now
@@ -141,7 +141,7 @@
 OWNER: contextvars.ContextVar[Hollow] = contextvars.ContextVar("OWNER")
 
 
-class CountedLink(discovery._Link):
+class CountedLink(discovery.Connection):
     """A connection to the list service whose calls and bytes are counted for its balancer."""
 
     def __init__(self) -> None:
@@ -290,7 +290,7 @@
     loop.set_exception_handler(_give_up)
     if host.shared_reading:
         _read_once()
-    discovery._Link = CountedLink  # type: ignore[misc]
+    discovery.Connection = CountedLink  # type: ignore[misc]
     gc.freeze()
     task = in_background(loop, tell_each_second(host.second))
     say(ready=True)
--- a/loadbalancer/scale/plants.py
+++ b/loadbalancer/scale/plants.py
@@ -18,13 +18,13 @@
     """Watches ask again and again, instead of waiting for news."""
     from loadbalancer.endpoint_watch import ListRequest, Watch
 
-    real = Watch.ask
+    real = Watch.next_request
 
     def ask(self: Watch, now: float = 0.0) -> ListRequest:
         told = real(self, now)
         return replace(told, wait_ms=min(told.wait_ms, POLL_MS))
 
-    Watch.ask = ask  # type: ignore[method-assign]
+    Watch.next_request = ask  # type: ignore[method-assign]
 
 
 def quadratic_fan_out() -> None:
@@ -40,7 +40,7 @@
     from loadbalancer.endpoint_watch import Watch
     from loadbalancer.policy.endpoints import EndpointSet
 
-    real_failed, real_watch = EndpointSet.failed, Watch.failed
+    real_failed, real_watch = EndpointSet.failed, Watch.record_failure
 
     def failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
         told = real_failed(self, now, again_ms)
@@ -49,12 +49,12 @@
         ]
 
     def watch_failed(
-        self: Watch, took_s: float, fell_silent: bool, turned_away: bool = False
+        self: Watch, duration_s: float, response_timed_out: bool, rejected: bool = False
     ) -> float | None:
-        pause_s = real_watch(self, took_s, fell_silent, turned_away)
+        pause_s = real_watch(self, duration_s, response_timed_out, rejected)
         return None if pause_s is None else AGAIN_S
 
-    EndpointSet.failed, Watch.failed = failed, watch_failed  # type: ignore[method-assign]
+    EndpointSet.failed, Watch.record_failure = failed, watch_failed  # type: ignore[method-assign]
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
--- a/loadbalancer/scale/registrar.py
+++ b/loadbalancer/scale/registrar.py
@@ -50,7 +50,7 @@
 
     def __init__(self, ways: list[str], tally: Tally) -> None:
         self._ways, self._tally = ways, tally
-        self._links: dict[str, discovery._Link] = {}
+        self._links: dict[str, discovery.Connection] = {}
 
     async def call(self, place: int, method: str, path: str, body: object) -> int:
         """One call: its status; OSError, ValueError or TimeoutError if there is no answer."""
@@ -63,7 +63,7 @@
         async with asyncio.timeout(PATIENCE_S):
             link = self._links.get(at)
             if link is None or link.closed:
-                link = self._links[at] = await discovery._connect(read_address(at))
+                link = self._links[at] = await discovery.connect(read_address(at))
             self._tally.calls[at] += 1
             try:
                 answer = await link.call(request)
--- a/loadbalancer/simulation/balancers.py
+++ b/loadbalancer/simulation/balancers.py
@@ -9,7 +9,7 @@
 from loadbalancer import interface
 from loadbalancer.interface import Outcome
 from loadbalancer.simulation.clock import Clock, Due
-from loadbalancer.simulation.discovery import Discovery
+from loadbalancer.simulation.discovery import DiscoveryModel
 from loadbalancer.simulation.network import Network
 from loadbalancer.simulation.rules import Rules
 from loadbalancer.simulation.servers import Server
@@ -65,7 +65,7 @@
     clock: Clock
     network: Network
     rules: Rules
-    discovery: Discovery
+    discovery: DiscoveryModel
     ledger: Ledger
     servers: dict[str, Server]
     idle_ms: float
@@ -127,7 +127,7 @@
             self.tell(interface.ClientDisconnected(number))
             self._forget(number)
 
-    def listed(self, update: interface.EndpointListUpdate) -> None:
+    def handle_list_update(self, update: interface.EndpointListUpdate) -> None:
         """The list, or a change of it, has come."""
         now = self.world.clock.now
         if update.kind is interface.UpdateKind.FULL_SNAPSHOT:
@@ -175,7 +175,7 @@
             case interface.CloseIdleConnections(server):
                 self._idle.pop(server, None)
             case interface.WatchEndpointList():
-                self.world.discovery.ask(self)
+                self.world.discovery.request_list(self)
             case interface.SendHealthCheck(server):
                 self.world.probe(self, server)
             case interface.LogMessage():
--- a/loadbalancer/simulation/faults.py
+++ b/loadbalancer/simulation/faults.py
@@ -7,7 +7,7 @@
 
 from loadbalancer.interface import Endpoint, Readiness
 from loadbalancer.simulation.clock import Clock
-from loadbalancer.simulation.discovery import Discovery
+from loadbalancer.simulation.discovery import DiscoveryModel
 from loadbalancer.simulation.network import Network
 from loadbalancer.simulation.scenario import Day, Trouble, number
 from loadbalancer.simulation.servers import Server
@@ -21,7 +21,7 @@
 
     clock: Clock
     day: Day
-    discovery: Discovery
+    discovery: DiscoveryModel
     network: Network
     tiers: list[list[Server]]
     zones: tuple[str, ...]
@@ -148,4 +148,6 @@
             self._world.clock.after(length, self._world.start_front, int(index))
 
     def _tell(self, server: Server, readiness: Readiness, silent: bool = False) -> None:
-        self._world.discovery.notice(server.build.tier, self._world.member(server, readiness), silent)
+        self._world.discovery.schedule_change(
+            server.build.tier, self._world.member(server, readiness), silent
+        )
--- a/loadbalancer/simulation/fleet.py
+++ b/loadbalancer/simulation/fleet.py
@@ -11,7 +11,7 @@
 from loadbalancer.simulation.balancers import Ask, Decisions, Host
 from loadbalancer.simulation.clients import Arrival, Client, arrivals
 from loadbalancer.simulation.clock import Clock
-from loadbalancer.simulation.discovery import Discovery
+from loadbalancer.simulation.discovery import DiscoveryModel
 from loadbalancer.simulation.faults import FaultInjector
 from loadbalancer.simulation.network import Network
 from loadbalancer.simulation.rules import FALL_MS, FALL_MULTIPLE, GRACE_MS, Breach, Rules
@@ -61,7 +61,7 @@
         scenario = day.scenario
         self.clock = Clock(START_MS)
         self.network, self.rules = Network(day), Rules(self.clock)
-        self.discovery = Discovery(self.clock, day)
+        self.discovery = DiscoveryModel(self.clock, day)
         self.zones = scenario.fleet.zones
         self.idle_ms = number(scenario.network.idle_s) * 1_000
         self.connect_ms = number(scenario.network.connect_timeout_ms)
@@ -97,7 +97,7 @@
             for index in range(many):
                 self._add(tier, plan, self.zones[index % len(self.zones)])
             for server in self.tiers[tier]:
-                self.discovery.put(tier, self.member(server, interface.Readiness.READY))
+                self.discovery.add_initial(tier, self.member(server, interface.Readiness.READY))
 
     def _add(self, tier: int, plan: Tier, zone: str) -> Server:
         rng, parts = self._rng, plan.core_parts
@@ -176,7 +176,7 @@
         )
         seed = int(self.day.stream(f"{name}/{start}").integers(1 << 62))
         host = Host(self, name, tier, zone, self._policy(settings, seed))
-        host.listed(self.discovery.whole(tier, interface.UpdateKind.CACHED))
+        host.handle_list_update(self.discovery.snapshot(tier, interface.UpdateKind.CACHED))
         return host
 
     # ---- what happens in a day ------------------------------------------------------------------
@@ -288,7 +288,7 @@
         server.started_at = self.clock.now
         if old.build.tier == 0:
             self._start_inner(server, self.tiers[0].index(old), start=int(self.clock.now))
-        self.discovery.notice(old.build.tier, self.member(server, interface.Readiness.READY))
+        self.discovery.schedule_change(old.build.tier, self.member(server, interface.Readiness.READY))
 
     def kill_front(self, index: int) -> None:
         """A front balancer is killed; the front notices some time later."""
--- a/loadbalancer/simulation/watches.py
+++ b/loadbalancer/simulation/watches.py
@@ -47,7 +47,7 @@
 
 
 @dataclass
-class Held:
+class PendingWatch:
     """A watch that waits at a service."""
 
     seat: int
@@ -56,13 +56,13 @@
 
 
 @dataclass
-class Site:
+class Instance:
     """One instance of the service."""
 
     catalog: Catalog
     exchange: AntiEntropy
     pace: WakeRateLimiter = field(default_factory=WakeRateLimiter)
-    held: list[Held] = field(default_factory=list)
+    held: list[PendingWatch] = field(default_factory=list)
     is_up: bool = True
     free_at: float = 0.0
     waking: bool = False
@@ -71,7 +71,7 @@
     told_up_to: int = 0
 
 
-class Seat:
+class WatchingBalancer:
     """One balancer: its watch, and the truth up to which it has heard."""
 
     def __init__(self, watch: Watch, roster: EndpointSet) -> None:
@@ -81,46 +81,52 @@
         self.knows = 0  # changes of the release that it has heard of
 
 
-class Watched:
+class ListServiceSimulation:
     """A service of some instances, and the balancers that watch its list."""
 
     def __init__(self, balancers: int, servers: int, instances: int, seed: int) -> None:
         """All servers are listed, and all balancers begin at once."""
         self.clock = Clock(START_MS)
         self._random = random.Random(f"{seed}/watches")
-        self.calls: Counter[int] = Counter()  # at the service, by the second
-        self.whole = self.failures = 0
-        self.drained: list[tuple[float, str]] = []  # of the release, in order
+        self.calls_by_second: Counter[int] = Counter()  # at the service, by the second
+        self.full_snapshot_count = self.failed_call_count = 0
+        self.drains: list[tuple[float, str]] = []  # of the release, in order
         self._places: dict[str, int] = {}
-        self.heard_ms: list[float] = []  # for each change of the release: until the last balancer knew
+        self.propagation_ms: list[float] = []  # for each change of the release: until the last balancer knew
         self._waiting_for: list[int] = []
-        self.wrong: list[tuple[float, float]] = []  # when, and the share of draws that meet an ended server
+        self.stale_draws: list[
+            tuple[float, float]
+        ] = []  # when, and the share of draws that meet an ended server
         self._addresses: tuple[Address, ...] = tuple(("instance", n) for n in range(instances))
-        self.sites = [self._site(n, instances) for n in range(instances)]
-        self.names = [f"s{n}" for n in range(servers)]
-        for name in self.names:
-            self.sites[0].catalog.register(name, _entry(0.0), self.clock.now)
+        self.instances = [self._site(n, instances) for n in range(instances)]
+        self.server_names = [f"s{n}" for n in range(servers)]
+        for name in self.server_names:
+            self.instances[0].catalog.register(name, _entry(0.0), self.clock.now)
         self._share()
-        self.seats = [self._seat(n, balancers, seed) for n in range(balancers)]
+        self.balancers = [self._seat(n, balancers, seed) for n in range(balancers)]
         for number in range(balancers):
             self.clock.after(self._random.uniform(0, 1_000.0), self._ask, number)
         self.clock.after(EXCHANGE_MS, self._exchange)
         self.clock.after(LOOK_MS, self._look)
 
-    def _site(self, number: int, count: int) -> Site:
+    def _site(self, number: int, count: int) -> Instance:
         first = first_revision(0, START_MS, number, MAX_INSTANCES)
         catalog = Catalog(Rules(), first, number, MAX_INSTANCES)
-        return Site(catalog, AntiEntropy(catalog, number, count, life=number + 1))
+        return Instance(catalog, AntiEntropy(catalog, number, count, life=number + 1))
 
-    def _seat(self, number: int, count: int, seed: int) -> Seat:
+    def _seat(self, number: int, count: int, seed: int) -> WatchingBalancer:
         settings = Settings(
             classes=CLASSES, balancer_count=count, balancer_index=number, polls_endpoint_list=True
         )
         watch = Watch(
-            self._addresses, number=number, balancers=count, grace_ms=GRACE_MS, own=True,
+            self._addresses,
+            balancer_index=number,
+            balancer_count=count,
+            drain_grace_ms=GRACE_MS,
+            is_own_service=True,
             seed=random.Random(f"{seed}/{number}").getrandbits(32),
-        )  # fmt: skip
-        return Seat(watch, EndpointSet(settings, random.Random(f"{seed}/{number}/roster")))
+        )
+        return WatchingBalancer(watch, EndpointSet(settings, random.Random(f"{seed}/{number}/roster")))
 
     # ---- what happens ---------------------------------------------------------------------------
 
@@ -130,12 +136,12 @@
 
     def release(self, over_ms: float) -> None:
         """Replace all servers, one after another: each drains, ends after the grace, and starts anew."""
-        for place, name in enumerate(self.names):
-            self.clock.after(over_ms * place / len(self.names), self._replace, name)
+        for place, name in enumerate(self.server_names):
+            self.clock.after(over_ms * place / len(self.server_names), self._replace, name)
 
     def outage(self, for_ms: float) -> None:
         """All instances are out of reach for a while; what they know, they keep."""
-        for site in self.sites:
+        for site in self.instances:
             site.is_up = False
             held, site.held = site.held, []
             for one in held:
@@ -143,12 +149,12 @@
         self.clock.after(for_ms, self._up)
 
     def _up(self) -> None:
-        for site in self.sites:
+        for site in self.instances:
             site.is_up = True
             self._wake_soon(site)
 
-    def _write_at(self) -> Site:
-        return self._random.choice(self.sites)
+    def _write_at(self) -> Instance:
+        return self._random.choice(self.instances)
 
     def _replace(self, name: str) -> None:
         """Writes come from operators' tools, which repeat them until the service is there."""
@@ -157,10 +163,10 @@
             self.clock.after(1_000.0, self._replace, name)
             return
         site.catalog.drain(name, self.clock.now)
-        self._places[name] = len(self.drained)
-        self.drained.append((self.clock.now, name))
-        self.heard_ms.append(math.nan)
-        self._waiting_for.append(len(self.seats))
+        self._places[name] = len(self.drains)
+        self.drains.append((self.clock.now, name))
+        self.propagation_ms.append(math.nan)
+        self._waiting_for.append(len(self.balancers))
         self._changed(site)
         self.clock.after(2 * GRACE_MS, self._start_anew, name)
 
@@ -180,26 +186,26 @@
 
     def _share(self) -> None:
         now = self.clock.now
-        for site in self.sites:
+        for site in self.instances:
             for other in site.exchange.others if site.is_up else ():
-                if not self.sites[other].is_up:
+                if not self.instances[other].is_up:
                     continue
-                answer, theirs = self.sites[other].exchange.heard_from(site.exchange.question(other), now)
+                answer, theirs = self.instances[other].exchange.heard_from(site.exchange.question(other), now)
                 ours = site.exchange.answered(other, answer, now, now)
-                for changes, one in ((theirs, self.sites[other]), (ours, site)):
+                for changes, one in ((theirs, self.instances[other]), (ours, site)):
                     if changes:
                         self._wake_soon(one)
 
-    def _changed(self, site: Site) -> None:
+    def _changed(self, site: Instance) -> None:
         self.clock.after(BATCH_MS, self._wake_soon, site)
 
-    def _wake_soon(self, site: Site) -> None:
+    def _wake_soon(self, site: Instance) -> None:
         if not site.waking:
             site.waking = True
             due = START_MS + site.pace.due(len(site.held)) * 1_000
             self.clock.at(due if math.isfinite(due) else self.clock.now, self._wake, site)
 
-    def _wake(self, site: Site) -> None:
+    def _wake(self, site: Instance) -> None:
         site.waking = False
         held, site.held = site.held, []
         site.told_up_to = site.catalog.index
@@ -207,9 +213,9 @@
         for one in held:
             self._answer(site, one)
 
-    def _answer(self, site: Site, held: Held) -> None:
+    def _answer(self, site: Instance, held: PendingWatch) -> None:
         """Answer a watch if there is news, or hold it."""
-        after = held.ask.after
+        after = held.ask.after_index
         if site.told_up_to <= after <= site.catalog.index and site.catalog.knows(after):
             site.held.append(held)  # as the service does: what is newer is told at the next wake
             return
@@ -219,9 +225,9 @@
         else:
             self._tell(site, held, changed)
 
-    def _tell(self, site: Site, held: Held, changed: list[Entry] | None) -> None:
+    def _tell(self, site: Instance, held: PendingWatch, changed: list[Entry] | None) -> None:
         entries = len(site.catalog.entries) if changed is None else len(changed)
-        self.whole += changed is None
+        self.full_snapshot_count += changed is None
         cost = ANSWER_MS + (ENTRY_MS * entries if changed is None else 0.0)
         site.busy_ms += cost
         site.free_at = max(site.free_at, self.clock.now) + cost
@@ -229,75 +235,77 @@
         known = self._known_at(site)
         self.clock.at(arrives, self._heard, held.seat, held.call, site.catalog.index, known)
 
-    def _known_at(self, site: Site) -> int:
+    def _known_at(self, site: Instance) -> int:
         """How many changes of the release an instance's list holds, without a gap."""
-        while site.known < len(self.drained) and self._holds(site, self.drained[site.known]):
+        while site.known < len(self.drains) and self._holds(site, self.drains[site.known]):
             site.known += 1
         return site.known
 
-    def _holds(self, site: Site, change: tuple[float, str]) -> bool:
+    def _holds(self, site: Instance, change: tuple[float, str]) -> bool:
         entry = site.catalog.entries[change[1]]
         return entry.told.since_ms >= change[0] or entry.status.value != "in_service"
 
     # ---- balancers ------------------------------------------------------------------------------
 
     def _ask(self, number: int) -> None:
-        seat = self.seats[number]
+        seat = self.balancers[number]
         seat.call += 1
         seat.began = self.clock.now
-        ask = seat.watch.ask((self.clock.now - START_MS) / 1_000)
-        site = self.sites[ask.address[1]]
-        self.calls[int((self.clock.now - START_MS) / 1_000)] += 1
+        ask = seat.watch.next_request((self.clock.now - START_MS) / 1_000)
+        site = self.instances[ask.address[1]]
+        self.calls_by_second[int((self.clock.now - START_MS) / 1_000)] += 1
         if not site.is_up:
             self.clock.after(2 * LINK_MS[1], self._fail, number, seat.call)
             return
-        self.clock.after(self._random.uniform(*LINK_MS), self._arrive, site, Held(number, ask, seat.call))
-        self.clock.after(ask.limit_s * 1_000, self._fail, number, seat.call, True)
+        self.clock.after(
+            self._random.uniform(*LINK_MS), self._arrive, site, PendingWatch(number, ask, seat.call)
+        )
+        self.clock.after(ask.timeout_s * 1_000, self._fail, number, seat.call, True)
 
-    def _arrive(self, site: Site, held: Held) -> None:
+    def _arrive(self, site: Instance, held: PendingWatch) -> None:
         if not site.is_up:
             self._fail(held.seat, held.call)
-        elif held.ask.after < 0:
+        elif held.ask.after_index < 0:
             self._tell(site, held, None)
         else:
             self._answer(site, held)
             self.clock.after(held.ask.wait_ms, self._wait_over, site, held)
 
-    def _wait_over(self, site: Site, held: Held) -> None:
+    def _wait_over(self, site: Instance, held: PendingWatch) -> None:
         if held in site.held:
             site.held.remove(held)
             self._tell(site, held, [])
 
     def _heard(self, number: int, call: int, index: int, known: int) -> None:
-        seat, now = self.seats[number], self.clock.now
+        seat, now = self.balancers[number], self.clock.now
         if call != seat.call:
             return
         try:
-            seat.watch.answered(index, (now - START_MS) / 1_000)
+            seat.watch.record_answer(index, (now - START_MS) / 1_000)
         except ValueError:
             self._fail(number, call)
             return
         for change in range(seat.knows, known):
             self._waiting_for[change] -= 1
             if not self._waiting_for[change]:
-                self.heard_ms[change] = now - self.drained[change][0]
+                self.propagation_ms[change] = now - self.drains[change][0]
         seat.knows = max(seat.knows, known)
         seat.roster.listed(BACK, now)  # the pauses begin anew
-        seat.watch.went_home((now - START_MS) / 1_000)
+        seat.watch.return_to_preferred_instance((now - START_MS) / 1_000)
         self._ask(number)
 
     def _fail(self, number: int, call: int, fell_silent: bool = False) -> None:
-        seat, now = self.seats[number], self.clock.now
+        seat, now = self.balancers[number], self.clock.now
         if call != seat.call:
             return
         seat.call += 1
-        self.failures += 1
-        pause_s = seat.watch.failed((now - seat.began) / 1_000, fell_silent)
+        self.failed_call_count += 1
+        pause_s = seat.watch.record_failure((now - seat.began) / 1_000, fell_silent)
         if pause_s is not None:
             self.clock.after(pause_s * 1_000, self._ask, number)
             return
         timer = next(
-            a for a in seat.roster.failed(now, seat.watch.again_s * 1_000) if isinstance(a, SetTimer)
+            a for a in seat.roster.failed(now, seat.watch.retry_within_s * 1_000) if isinstance(a, SetTimer)
         )
         self.clock.at(timer.at_ms, self._ask, number)
 
@@ -306,28 +314,28 @@
     def _look(self) -> None:
         """The share of all balancers' draws that meet a server that has ended."""
         now = self.clock.now
-        ended = bisect_right(self.drained, (now - GRACE_MS, ""))
-        missed = sum(max(ended - seat.knows, 0) for seat in self.seats)
-        self.wrong.append((now - START_MS, missed / len(self.seats) / len(self.names)))
+        ended = bisect_right(self.drains, (now - GRACE_MS, ""))
+        missed = sum(max(ended - seat.knows, 0) for seat in self.balancers)
+        self.stale_draws.append((now - START_MS, missed / len(self.balancers) / len(self.server_names)))
         self.clock.after(LOOK_MS, self._look)
 
     def figures(self) -> dict[str, float]:
         """What came of it; spans in ms, shares of all draws."""
-        heard = sorted(ms for ms in self.heard_ms if math.isfinite(ms))
+        heard = sorted(ms for ms in self.propagation_ms if math.isfinite(ms))
         span_ms = self.clock.now - START_MS
         return {
-            "changes": len(self.drained),
-            "not_heard": len(self.heard_ms) - len(heard),
+            "changes": len(self.drains),
+            "not_heard": len(self.propagation_ms) - len(heard),
             "heard_median_ms": heard[len(heard) // 2] if heard else math.nan,
             "heard_p99_ms": heard[int(len(heard) * 0.99)] if heard else math.nan,
             "heard_most_ms": heard[-1] if heard else math.nan,
-            "calls_most_in_a_second": max(self.calls.values(), default=0),
-            "calls_a_second": sum(self.calls.values()) / max(span_ms / 1_000, 1e-9),
-            "failed_calls": self.failures,
-            "whole_lists": self.whole,
-            "busiest_instance": max(site.busy_ms for site in self.sites) / max(span_ms, 1e-9),
-            "wrong_draws": sum(share for _, share in self.wrong) / max(len(self.wrong), 1),
-            "wrong_draws_most": max((share for _, share in self.wrong), default=0.0),
+            "calls_most_in_a_second": max(self.calls_by_second.values(), default=0),
+            "calls_a_second": sum(self.calls_by_second.values()) / max(span_ms / 1_000, 1e-9),
+            "failed_calls": self.failed_call_count,
+            "whole_lists": self.full_snapshot_count,
+            "busiest_instance": max(site.busy_ms for site in self.instances) / max(span_ms, 1e-9),
+            "wrong_draws": sum(share for _, share in self.stale_draws) / max(len(self.stale_draws), 1),
+            "wrong_draws_most": max((share for _, share in self.stale_draws), default=0.0),
         }
 
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -478,7 +478,7 @@
             return runner
 
         async with aiohttp.ClientSession() as http, Rig(console="") as rig:
-            rig.driver._discovery.move((HOST, port))
+            rig.driver._discovery.reconfigure((HOST, port))
 
             async def put(name: str, address: str) -> None:
                 async with http.put(f"http://{HOST}:{port}/v1/servers/{name}", json=entry(address)) as answer:
--- a/tests/test_endings_list.py
+++ b/tests/test_endings_list.py
@@ -28,9 +28,9 @@
 def test_a_watch_that_fell_silent_is_opened_anew_at_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """What it missed counts as told 2 s after its wait; a large tier's balancers paused up to 5 s more."""
     monkeypatch.setattr(endpoints, "LIST_RETRY_MS", NEVER * 1_000)
-    monkeypatch.setattr(discovery, "PUSH_PAUSE_S", NEVER)
+    monkeypatch.setattr(discovery, "PUSH_RETRY_PAUSE_S", NEVER)
     monkeypatch.setattr(watch, "MAX_WAIT_MS", 10)
-    monkeypatch.setattr(watch, "OVERDUE_S", 0.01)
+    monkeypatch.setattr(watch, "RESPONSE_MARGIN_S", 0.01)
 
     async def scenario() -> None:
         upstream, contract = Upstream(), {"drainGrace": 500.0, "askWithin": NEVER * 1_000}
@@ -53,7 +53,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What the agent has counts as told, watch or no watch: half a second of pause came out of the grace."""
-    monkeypatch.setattr(discovery, "PUSH_PAUSE_S", NEVER)
+    monkeypatch.setattr(discovery, "PUSH_RETRY_PAUSE_S", NEVER)
 
     async def scenario() -> None:
         calls = list[bytes]()
@@ -66,7 +66,7 @@
         host, port = server.sockets[0].getsockname()[:2]
         config = read_config(config_text(f"{host}:{port}", [], discovery="push"), lambda note: None)
         failed = asyncio.Event()
-        found = discovery.Discovery(config, lambda news: True, failed.set)
+        found = discovery.DiscoveryClient(config, lambda news: True, failed.set)
         found._watch.index = 7
         found.start()
         await until(lambda: len(calls) == 2)
@@ -83,8 +83,8 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It was bounded by the whole wait of the call, in which all news counts as told."""
-    monkeypatch.setattr(discovery, "CONNECT_S", 0.02)
-    monkeypatch.setattr(discovery, "PUSH_PAUSE_S", 0.0)
+    monkeypatch.setattr(discovery, "CONNECT_TIMEOUT_S", 0.02)
+    monkeypatch.setattr(discovery, "PUSH_RETRY_PAUSE_S", 0.0)
 
     async def scenario() -> None:
         async with full_backlog() as address:
@@ -92,16 +92,16 @@
             text = config_text(address, [], discovery=how, contract=contract)
             failed = asyncio.Event()
             config = read_config(text, lambda note: None)
-            found = discovery.Discovery(config, lambda news: True, failed.set)
+            found = discovery.DiscoveryClient(config, lambda news: True, failed.set)
             found._watch.index = 7
             dials = list[int]()
-            connect = discovery._connect
+            connect = discovery.connect
 
-            async def counted(to: tuple[str, int]) -> discovery._Link:
+            async def counted(to: tuple[str, int]) -> discovery.Connection:
                 dials.append(1)
                 return await connect(to)
 
-            monkeypatch.setattr(discovery, "_connect", counted)
+            monkeypatch.setattr(discovery, "connect", counted)
             found.subscribe()
             if how == "ask":
                 await failed.wait()
--- a/tests/test_interest.py
+++ b/tests/test_interest.py
@@ -782,7 +782,7 @@
 
 
 def wanted() -> Subscription:
-    return Subscription(("a",), 0, name="b", zone="", balancers=2, holds_all=False)
+    return Subscription(("a",), 0, name="b", zone="", balancer_count=2, has_full_list=False)
 
 
 def test_who_is_told_to_come_again_does_so_with_its_ticket_and_only_for_so_long() -> None:
@@ -790,25 +790,25 @@
     body = b'{"error": "x", "retry_ms": 2000, "ticket": 77}'
     for _ in range(2):
         with pytest.raises(RateLimitedError) as caught:
-            one.look_for_pace(503, body)
-        one.paced(caught.value)
-        assert one.query(0.0)[-1] == "ticket=77"
-    one.look_for_pace(503, body)  # six seconds in all: it has failed
+            one.raise_if_rate_limited(503, body)
+        one.record_rate_limit(caught.value)
+        assert one.query_parameters(0.0)[-1] == "ticket=77"
+    one.raise_if_rate_limited(503, body)  # six seconds in all: it has failed
     for status, other in ((500, body), (503, b"busy"), (503, b'{"retry_ms": -1, "ticket": 1}')):
-        wanted().look_for_pace(status, other)
-    one.failed(("127.0.0.1", 1), began=2.0)
-    one.failed(("127.0.0.1", 2), began=2.5)
-    one.failed(("127.0.0.1", 1), began=3.0)
-    assert one.query(4.5)[-1] == "waited_ms=2000", "the other one may have been there since"
-    one.heard('{"a":{}}', True)
-    assert one.query(9.0) == ["services=a", "tier=a", "held=%7B%22a%22:%7B%7D%7D"]
+        wanted().raise_if_rate_limited(status, other)
+    one.record_failure(("127.0.0.1", 1), began=2.0)
+    one.record_failure(("127.0.0.1", 2), began=2.5)
+    one.record_failure(("127.0.0.1", 1), began=3.0)
+    assert one.query_parameters(4.5)[-1] == "waited_ms=2000", "the other one may have been there since"
+    one.record_answer('{"a":{}}', True)
+    assert one.query_parameters(9.0) == ["services=a", "tier=a", "held=%7B%22a%22:%7B%7D%7D"]
 
 
 def test_a_balancer_that_is_told_to_come_again_has_not_failed() -> None:
     async def scenario() -> None:
         async with Rig(console="", lists={"services": ["a"]}) as rig:
             failed: list[bool] = []
-            rig.driver._discovery._on_failed = lambda: failed.append(True)
+            rig.driver._discovery._on_failure = lambda: failed.append(True)
             await rig.discovery.calls.get()
             body = b'{"error": "x", "retry_ms": 20, "ticket": 77}'
             rig.discovery.answers.put_nowait(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -593,9 +593,9 @@
 
 def test_a_watch_with_no_answer_fails_before_its_news_counts_as_told(monkeypatch: pytest.MonkeyPatch) -> None:
     """All changes count as told 2 s after a watch's wait, and a silent one was kept for 5 s."""
-    assert watch.OVERDUE_S < 2.0
+    assert watch.RESPONSE_MARGIN_S < 2.0
     monkeypatch.setattr(watch, "MAX_WAIT_MS", 10)
-    monkeypatch.setattr(watch, "OVERDUE_S", 0.01)
+    monkeypatch.setattr(watch, "RESPONSE_MARGIN_S", 0.01)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
@@ -618,8 +618,8 @@
         async with Rig(Upstream(), balancers=balancers, contract=contract) as rig:
             line = await rig.discovery.calls.get()
             waits = float(line.partition("wait_ms=")[2].split()[0])
-            assert waits <= max(3_000, watch.CALL_MS * balancers)
-            assert balancers / waits < 1.3 / watch.CALL_MS, "all together call too often"
+            assert waits <= max(3_000, watch.WAIT_PER_BALANCER_MS * balancers)
+            assert balancers / waits < 1.3 / watch.WAIT_PER_BALANCER_MS, "all together call too often"
 
     run(scenario())
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -41,7 +41,7 @@
     s = sources(1)
     told = []
     for _ in range(4):
-        told.append((s.failed(), s.address))
+        told.append((s.record_failure(), s.address))
     assert told == [(True, C), (True, A), (False, B), (True, C)]
 
 
@@ -50,57 +50,57 @@
     s = sources()
     told = []
     for _ in range(6):
-        s.answered(1, 0.0, watched=False)
-        told.append(s.failed())
+        s.record_answer(1, 0.0, was_watch=False)
+        told.append(s.record_failure())
     assert told == [True, True, False] * 2
 
 
 def test_who_went_elsewhere_tries_its_first_choice_again_after_a_while() -> None:
     s = sources()
-    s.answered(5, 0.0, True)
-    assert not s.may_go_home(1e9), "it is at home"
-    s.failed()
-    s.answered(3, 100.0, True)
-    assert not s.may_go_home(100.0 + PREFERRED_INSTANCE_RETRY_S / 2)
-    assert s.may_go_home(100.0 + 2 * PREFERRED_INSTANCE_RETRY_S)
+    s.record_answer(5, 0.0, True)
+    assert not s.return_to_preferred(1e9), "it is at home"
+    s.record_failure()
+    s.record_answer(3, 100.0, True)
+    assert not s.return_to_preferred(100.0 + PREFERRED_INSTANCE_RETRY_S / 2)
+    assert s.return_to_preferred(100.0 + 2 * PREFERRED_INSTANCE_RETRY_S)
     assert s.address == A
 
 
 def test_a_version_below_one_that_the_same_instance_told_is_rewound() -> None:
     s = sources()
-    assert not s.answered(5, 0.0, True)
-    s.failed()
-    assert not s.answered(2, 0.0, True), "versions of instances do not compare"
-    assert s.answered(1, 0.0, True)
+    assert not s.record_answer(5, 0.0, True)
+    s.record_failure()
+    assert not s.record_answer(2, 0.0, True), "versions of instances do not compare"
+    assert s.record_answer(1, 0.0, True)
 
 
 def test_an_instance_that_stands_still_while_another_moves_on_is_left() -> None:
     s = sources()
     ours = look(A, 7, "s0", "s1")
-    assert not s.stands_still(ours, look(B, 50, "s0"), contradicted=False), "one look does not tell"
-    assert not s.stands_still(ours, look(B, 50, "s0"), contradicted=False), "both stand still"
-    assert not s.stands_still(look(A, 8, "s0", "s1"), look(B, 51, "s0"), contradicted=False), "ours moves"
-    assert s.stands_still(look(A, 8, "s0", "s1"), look(B, 52, "s0"), contradicted=False)
+    assert not s.switch_if_stale(ours, look(B, 50, "s0"), contradicted=False), "one look does not tell"
+    assert not s.switch_if_stale(ours, look(B, 50, "s0"), contradicted=False), "both stand still"
+    assert not s.switch_if_stale(look(A, 8, "s0", "s1"), look(B, 51, "s0"), contradicted=False), "ours moves"
+    assert s.switch_if_stale(look(A, 8, "s0", "s1"), look(B, 52, "s0"), contradicted=False)
     assert s.address == B
 
 
 def test_what_servers_say_against_our_list_makes_one_look_enough() -> None:
     s = sources()
-    assert not s.stands_still(look(A, 7, "s0"), look(B, 50, "s0"), contradicted=True), "the lists agree"
-    assert s.stands_still(look(A, 7, "s0"), look(B, 50, "s1"), contradicted=True)
+    assert not s.switch_if_stale(look(A, 7, "s0"), look(B, 50, "s0"), contradicted=True), "the lists agree"
+    assert s.switch_if_stale(look(A, 7, "s0"), look(B, 50, "s1"), contradicted=True)
 
 
 def test_a_listed_server_that_answers_nothing_speaks_against_the_list() -> None:
     w = ContradictionDetector()
-    w.note("s0", Outcome.CONNECT_FAILED, 0.0)
-    w.note("s1", Outcome.CONNECT_FAILED, 0.0)
-    w.note("s1", Outcome.SERVED, 1.0)
-    w.note("s0", Outcome.CANCELLED, 1.0)
-    w.note("s0", Outcome.RESET, 4.0)
-    assert w.against(SILENCE_THRESHOLD_S - 0.1) == []
-    assert w.against(SILENCE_THRESHOLD_S) == ["s0"]
-    w.forget("s0")
-    assert w.against(100.0) == []
+    w.record_outcome("s0", Outcome.CONNECT_FAILED, 0.0)
+    w.record_outcome("s1", Outcome.CONNECT_FAILED, 0.0)
+    w.record_outcome("s1", Outcome.SERVED, 1.0)
+    w.record_outcome("s0", Outcome.CANCELLED, 1.0)
+    w.record_outcome("s0", Outcome.RESET, 4.0)
+    assert w.silent_servers(SILENCE_THRESHOLD_S - 0.1) == []
+    assert w.silent_servers(SILENCE_THRESHOLD_S) == ["s0"]
+    w.forget_server("s0")
+    assert w.silent_servers(100.0) == []
 
 
 def test_the_table_lists_turns_this_on_and_its_faults_are_told() -> None:
@@ -120,10 +120,12 @@
 
 def test_a_server_that_is_silent_for_long_costs_ever_fewer_looks_at_another_list() -> None:
     """Each of its balancers read another instance's whole list every second or two."""
-    one = watch.Watch((A, B), number=0, balancers=2, grace_ms=3_000, own=True, seed=1, index=7)
+    one = watch.Watch(
+        (A, B), balancer_index=0, balancer_count=2, drain_grace_ms=3_000, is_own_service=True, seed=1, index=7
+    )
 
     def looks(first_s: int, last_s: int, contradicted: bool) -> int:
-        return sum(one.look_at(float(s), contradicted) is not None for s in range(first_s, last_s))
+        return sum(one.next_cross_check(float(s), contradicted) is not None for s in range(first_s, last_s))
 
     assert looks(1, 2, True) == 1, "the first comes at once"
     assert looks(2, 61, True) <= 7
@@ -225,7 +227,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What follows a halved list by its version does not tell whom that had left out."""
-    monkeypatch.setattr(watch, "DOUBT_S", 0.01)
+    monkeypatch.setattr(watch, "FULL_SNAPSHOT_DELAY_S", 0.01)
 
     async def scenario() -> None:
         two = Two(upstreams=4)
@@ -246,7 +248,7 @@
 ) -> None:
     monkeypatch.setattr(watch, "CROSS_CHECK_INTERVAL_S", 0.0)
     monkeypatch.setattr(watch, "CROSS_CHECK_INTERVAL_PER_BALANCER_MS", 0.0)
-    monkeypatch.setattr(discovery, "LOOK_S", 0.01)
+    monkeypatch.setattr(discovery, "CROSS_CHECK_POLL_INTERVAL_S", 0.01)
 
     async def scenario() -> None:
         two = Two(upstreams=2)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -24,12 +24,12 @@
 from loadbalancer.endpoint_watch import ListRequest, Watch
 from loadbalancer.endpoint_watch.time_budget import (
     CHANGE_DEADLINE_S,
-    CONGESTED_ROUND_S,
-    OWN_ANSWER_S,
-    SLACK_S,
-    answer_s,
-    call_s,
-    round_s,
+    CONGESTED_RETRY_INTERVAL_S,
+    OWN_ANSWER_TIME_S,
+    SCHEDULING_SLACK_S,
+    answer_time_s,
+    call_timeout_s,
+    retry_interval_s,
 )
 from loadbalancer.interface import UpdateKind
 from loadbalancer.net import discovery
@@ -41,7 +41,7 @@
 from tests.loopback import config_text, entry, response
 from tests.test_upstreams import full_backlog
 
-BUDGET_S = CHANGE_DEADLINE_S - SLACK_S
+BUDGET_S = CHANGE_DEADLINE_S - SCHEDULING_SLACK_S
 HERE = entry("s0", "127.0.0.1:5000")
 BEFORE, CHANGE = 7, 1_000
 WAYS = ("refused", "reset", "503", "silent", "half", "garbage", "no dial")
@@ -53,13 +53,16 @@
 @pytest.mark.parametrize("own", [False, True])
 @pytest.mark.parametrize("instances", range(1, 9))
 def test_calls_and_pauses_of_all_instances_fit_into_the_budget(instances: int, own: bool) -> None:
-    call, turn = call_s(instances, own), round_s(instances, own)
-    assert instances * turn + answer_s(own) <= BUDGET_S + 1e-9
+    call, turn = call_timeout_s(instances, own), retry_interval_s(instances, own)
+    assert instances * turn + answer_time_s(own) <= BUDGET_S + 1e-9
     assert 0 < call < turn
 
 
 def test_hosts_that_know_no_better_are_given_a_round_of_the_platforms_list() -> None:
-    assert interface.EndpointListUpdate(UpdateKind.FAILED).retry_within_ms == round_s(1, own=False) * 1_000
+    assert (
+        interface.EndpointListUpdate(UpdateKind.FAILED).retry_within_ms
+        == retry_interval_s(1, is_own_service=False) * 1_000
+    )
 
 
 @settings(deadline=None)
@@ -94,7 +97,7 @@
         told = interface.Settings(classes, balancer_count=18_000, polls_endpoint_list=True)
         actions = Balancer(told, seed).handle(interface.EndpointListUpdate(UpdateKind.FAILED), 0.0)
         pauses += [a.at_ms / 1_000 for a in actions if isinstance(a, interface.SetTimer)]
-    assert sum(pauses) / 400 > 0.6 * round_s(1, own=False)
+    assert sum(pauses) / 400 > 0.6 * retry_interval_s(1, is_own_service=False)
     assert max(sum(at <= p < at + 0.1 for p in pauses) for at in pauses) < 400 / 18.3 * 2
 
 
@@ -211,7 +214,7 @@
         config = read_config(text, lambda note: None)
         self.balancer, self.knows = Balancer(config.settings, fleet.seed), asyncio.Event()
         self.first_failure = math.inf
-        self.found = discovery.Discovery(config, self._news, self._failed)
+        self.found = discovery.DiscoveryClient(config, self._news, self._failed)
 
     def tell(self, event: interface.Event) -> None:
         for action in self.balancer.handle(event, self.loop.time() * 1_000):
@@ -230,22 +233,22 @@
         return True
 
     def _failed(self) -> None:
-        self.tell(self.found.failure())
+        self.tell(self.found.failure_update())
 
     async def connect(self, address: tuple[str, int]) -> Line:
         return await self.instances[address[1] - 1].dial()
 
     async def late_s(self, back_at: float) -> float:
         """How long after its return the change is known, or after the first call of all failed."""
-        failed = Watch.failed
+        failed = Watch.record_failure
 
         def seen(watch: Watch, *args: Any, **more: Any) -> float | None:
             self.first_failure = min(self.first_failure, self.loop.time())
             return failed(watch, *args, **more)
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(discovery, "_connect", self.connect)
-            patch.setattr(Watch, "failed", seen)
+            patch.setattr(discovery, "connect", self.connect)
+            patch.setattr(Watch, "record_failure", seen)
             self.found.start()
             self.tell(interface.EndpointListUpdate(UpdateKind.CACHED))
             await self.knows.wait()
@@ -276,7 +279,7 @@
 def known_red(fleet: Fleet, spells: list[list[Spell]]) -> bool:
     """Whether a tier's pace goes before the bound, as the test of a crowd that stayed holds it."""
     is_large = fleet.how == "ask" and not fleet.instances and fleet.balancers > PACED_OVER
-    return is_large and any(s.way in ("reset", "503") and s.takes_s > OWN_ANSWER_S for s in spells[0])
+    return is_large and any(s.way in ("reset", "503") and s.takes_s > OWN_ANSWER_TIME_S for s in spells[0])
 
 
 FLEETS = st.builds(
@@ -305,7 +308,7 @@
 )
 @example(LARGE, [[Spell("silent", 60.0, 0.0)]], 40.0, 0, 0.5)
 @example(LARGE, [[Spell("half", 60.0, 0.9)]], 40.0, 0, 0.9)
-@example(LARGE, [[Spell("503", 60.0, OWN_ANSWER_S)]], 40.0, 0, 0.9)
+@example(LARGE, [[Spell("503", 60.0, OWN_ANSWER_TIME_S)]], 40.0, 0, 0.9)
 @example(LARGE, [[Spell("reset", 60.0, 0.01)]], 41.3, 0, 0.9)
 @example(LARGE._replace(instances=3), [[Spell("no dial", 60.0, 0.0)]], 40.0, 1, 0.5)
 def test_a_change_is_known_in_time_however_calls_ended_and_whenever_its_service_returns(
@@ -315,7 +318,7 @@
     if known_red(fleet, spells):
         fleet = fleet._replace(balancers=fleet.balancers % PACED_OVER + 1)
     own = fleet.instances > 0
-    answers_in_s = part * min(answer_s(own), call_s(max(fleet.instances, 1), own))
+    answers_in_s = part * min(answer_time_s(own), call_timeout_s(max(fleet.instances, 1), own))
     late_s = play(fleet, spells, back_at, back, answers_in_s)
     assert late_s <= BUDGET_S + 0.01
 
@@ -328,7 +331,7 @@
 ) -> None:
     fleet = Fleet(how, instances, 18_000, 30_000.0, 300.0, 3)
     spells = [[Spell(way, 1e6, takes_s)]]
-    answers_in_s = 0.9 * answer_s(own=instances > 0)
+    answers_in_s = 0.9 * answer_time_s(is_own_service=instances > 0)
     late = [play(fleet, spells, 60.0 + step / 4, back, answers_in_s) for step in range(24) for back in (0, 1)]
     assert max(late) <= BUDGET_S + 0.01
 
@@ -345,31 +348,54 @@
     addresses = (("127.0.0.1", 1), ("127.0.0.1", 2))
     pauses = []
     for seed in range(50):
-        watch = Watch(addresses, number=0, balancers=18_000, grace_ms=0.0, own=True, seed=seed, index=BEFORE)
-        watch.ask(0.0)
-        pauses.append(watch.failed(20.0, fell_silent=False))
-    assert 0.5 < max(p for p in pauses if p is not None) <= round_s(2, own=True)
+        watch = Watch(
+            addresses,
+            balancer_index=0,
+            balancer_count=18_000,
+            drain_grace_ms=0.0,
+            is_own_service=True,
+            seed=seed,
+            index=BEFORE,
+        )
+        watch.next_request(0.0)
+        pauses.append(watch.record_failure(20.0, response_timed_out=False))
+    assert 0.5 < max(p for p in pauses if p is not None) <= retry_interval_s(2, is_own_service=True)
 
 
 def test_while_a_list_is_not_believed_its_service_is_watched_all_the_same() -> None:
     """Nothing was asked for up to 22 minutes in a tier of 18,000: a drain was not heard of."""
     watch = Watch(
-        (("127.0.0.1", 1),), number=0, balancers=18_000, grace_ms=300.0, own=True, seed=1, index=BEFORE
+        (("127.0.0.1", 1),),
+        balancer_index=0,
+        balancer_count=18_000,
+        drain_grace_ms=300.0,
+        is_own_service=True,
+        seed=1,
+        index=BEFORE,
     )
-    watch.answered(8, 0.0)
-    watch.disbelieved(0.0)
-    ask = watch.ask(0.0)
-    assert ask.after == 8 and ask.waits
-    whole_at = next(t for t in range(2_000) if watch.ask(float(t)).after < 0)
+    watch.record_answer(8, 0.0)
+    watch.schedule_full_snapshot(0.0)
+    ask = watch.next_request(0.0)
+    assert ask.after_index == 8 and ask.is_long_poll
+    whole_at = next(t for t in range(2_000) if watch.next_request(float(t)).after_index < 0)
     assert 400 < whole_at < 1_400
 
 
 def test_the_whole_list_is_not_put_off_by_a_watch_that_waits() -> None:
-    watch = Watch((("127.0.0.1", 1),), number=0, balancers=1, grace_ms=30_000.0, own=True, seed=1)
-    watch.answered(8, 0.0)
-    watch.disbelieved(0.0)
-    assert watch.ask(0.0).wait_ms <= 1_500
-    assert watch.ask(1.5) == ListRequest(("127.0.0.1", 1), -1, 0.0, call_s(1, own=True))
+    watch = Watch(
+        (("127.0.0.1", 1),),
+        balancer_index=0,
+        balancer_count=1,
+        drain_grace_ms=30_000.0,
+        is_own_service=True,
+        seed=1,
+    )
+    watch.record_answer(8, 0.0)
+    watch.schedule_full_snapshot(0.0)
+    assert watch.next_request(0.0).wait_ms <= 1_500
+    assert watch.next_request(1.5) == ListRequest(
+        ("127.0.0.1", 1), -1, 0.0, call_timeout_s(1, is_own_service=True)
+    )
 
 
 # ---- a crowd ------------------------------------------------------------------------------------
@@ -394,8 +420,8 @@
         self._seats = []
         for n in range(balancers):
             watch = Watch(
-                (("127.0.0.1", 1),), number=n, balancers=balancers, grace_ms=500.0, own=False,
-                seed=self._chance.getrandbits(32), index=BEFORE,
+                (("127.0.0.1", 1),), balancer_index=n, balancer_count=balancers, drain_grace_ms=500.0,
+                is_own_service=False, seed=self._chance.getrandbits(32), index=BEFORE,
             )  # fmt: skip
             self._seats.append((watch, EndpointSet(told, random.Random(self._chance.getrandbits(32)))))
 
@@ -421,8 +447,8 @@
                 known.append(ends)
                 self._answers_at(ends)  # its watch
                 continue
-            watch.failed(ends - began, fell_silent=False, turned_away=True)
-            told = roster.failed(ends * 1e3, watch.again_s * 1e3)
+            watch.record_failure(ends - began, response_timed_out=False, rejected=True)
+            told = roster.failed(ends * 1e3, watch.retry_within_s * 1e3)
             [timer] = [a for a in told if isinstance(a, interface.SetTimer)]
             heapq.heappush(calls, (timer.at_ms / 1e3, number))
         return known
@@ -438,27 +464,47 @@
 
 def test_each_crowd_in_a_row_doubles_the_time_to_the_next_call_up_to_the_pace_of_the_tier() -> None:
     """18,000 waited 675 s after any failed call; now only after eight crowds in a row and no answer."""
-    for balancers, most in ((PACED_OVER, round_s(1, own=False)), (160, 6.0), (18_000, 675.0)):
+    for balancers, most in (
+        (PACED_OVER, retry_interval_s(1, is_own_service=False)),
+        (160, 6.0),
+        (18_000, 675.0),
+    ):
         watch = Watch(
-            (("127.0.0.1", 1),), number=3, balancers=balancers, grace_ms=0.0, own=False, seed=1, index=BEFORE
+            (("127.0.0.1", 1),),
+            balancer_index=3,
+            balancer_count=balancers,
+            drain_grace_ms=0.0,
+            is_own_service=False,
+            seed=1,
+            index=BEFORE,
+        )
+        watch.record_failure(0.1, response_timed_out=False, rejected=True)
+        assert watch.retry_within_s == retry_interval_s(1, is_own_service=False) - 0.1, (
+            "turned away at once: no crowd"
         )
-        watch.failed(0.1, fell_silent=False, turned_away=True)
-        assert watch.again_s == round_s(1, own=False) - 0.1, "turned away at once: no crowd"
         for crowds in range(9):
-            watch.failed(2.0, fell_silent=False, turned_away=True)
-            assert watch.again_s == pytest.approx(min(CONGESTED_ROUND_S * 2**crowds, most) - 2.0)
-        watch.answered(CHANGE, 0.0)
-        watch.failed(0.1, fell_silent=False, turned_away=True)
-        assert watch.again_s == round_s(1, own=False) - 0.1, "the crowd has gone"
+            watch.record_failure(2.0, response_timed_out=False, rejected=True)
+            assert watch.retry_within_s == pytest.approx(
+                min(CONGESTED_RETRY_INTERVAL_S * 2**crowds, most) - 2.0
+            )
+        watch.record_answer(CHANGE, 0.0)
+        watch.record_failure(0.1, response_timed_out=False, rejected=True)
+        assert watch.retry_within_s == retry_interval_s(1, is_own_service=False) - 0.1, "the crowd has gone"
 
 
 def test_a_watch_that_was_held_and_broken_off_has_met_no_crowd() -> None:
     watch = Watch(
-        (("127.0.0.1", 1),), number=3, balancers=18_000, grace_ms=0.0, own=False, seed=1, index=BEFORE
+        (("127.0.0.1", 1),),
+        balancer_index=3,
+        balancer_count=18_000,
+        drain_grace_ms=0.0,
+        is_own_service=False,
+        seed=1,
+        index=BEFORE,
     )
-    assert watch.ask().waits
-    watch.failed(20.0, fell_silent=False, turned_away=True)
-    assert watch.again_s == round_s(1, own=False)
+    assert watch.next_request().is_long_poll
+    watch.record_failure(20.0, response_timed_out=False, rejected=True)
+    assert watch.retry_within_s == retry_interval_s(1, is_own_service=False)
 
 
 def test_a_large_tier_knows_a_change_in_time_after_a_crowd_that_stayed() -> None:
@@ -537,13 +583,13 @@
     driver = Proxy(read_config(text, lambda note: None), asyncio.get_running_loop())
     watch = driver._discovery._watch
     watch.index = -1  # the first call does not wait, whatever is known
-    refused, failed = asyncio.Event(), watch.failed
+    refused, failed = asyncio.Event(), watch.record_failure
 
     def seen(took_s: float, **more: Any) -> float | None:
         refused.set()
         return failed(took_s, **more)
 
-    watch.failed = seen  # type: ignore[method-assign, assignment]
+    watch.record_failure = seen  # type: ignore[method-assign, assignment]
     driver.start()
     for _ in range(2):  # the second failure in a row is past what is done at once
         for missed in [refused] if way == "refused" else [standin.missed for standin in standins]:
@@ -554,7 +600,7 @@
         await standin.come_back()
     await until_known(lambda: driver._index == CHANGE)
     late = time.monotonic() - back
-    driver._discovery._close_link()
+    driver._discovery._close_connection()
     for standin in standins:
         standin.close()
     return late
@@ -593,17 +639,17 @@
             contract = {"drainGrace": 300.0, "askWithin": 30_000.0}
             text = config_text(address, [HERE], balancers=18_000, contract=contract)
             dials: list[float] = []
-            connect = discovery._connect
+            connect = discovery.connect
 
-            async def counted(to: tuple[str, int]) -> discovery._Link:
+            async def counted(to: tuple[str, int]) -> discovery.Connection:
                 dials.append(time.monotonic())
                 return await connect(to)
 
-            stack.enter_context(pytest.MonkeyPatch.context()).setattr(discovery, "_connect", counted)
+            stack.enter_context(pytest.MonkeyPatch.context()).setattr(discovery, "connect", counted)
             driver = Proxy(read_config(text, lambda note: None), asyncio.get_running_loop())
             driver.start()
             await until_known(lambda: len(dials) == 2)
-            assert dials[1] - dials[0] < round_s(1, own=False) + SLACK_S
+            assert dials[1] - dials[0] < retry_interval_s(1, is_own_service=False) + SCHEDULING_SLACK_S
 
     bounded(scenario(), 40.0)
 
@@ -626,11 +672,11 @@
         slow = Slow()
         config = read_config(config_text(await slow.start(), [HERE]), lambda note: None)
         driver = Proxy(config, asyncio.get_running_loop())
-        driver._discovery._watch._call_s = 0.05
+        driver._discovery._watch._call_timeout_s = 0.05
         driver._discovery._watch.index = -1
         driver.start()
         first = await slow.asked.get()
-        driver._discovery._watch._call_s = 60.0
+        driver._discovery._watch._call_timeout_s = 60.0
         await slow.asked.get()
         await then(driver, first, slow)
         slow.close()
