--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -123,6 +123,10 @@
     )
     roster, now, most = EndpointSet(settings, random.Random(number)), 0.0, 0.0
     while now < 30_000.0:
-        at = next(a.at_ms for a in roster.failed(now, watch.retry_within_s * 1e3) if isinstance(a, SetTimer))
+        at = next(
+            a.at_ms
+            for a in roster.handle_list_failure(now, watch.retry_within_s * 1e3)
+            if isinstance(a, SetTimer)
+        )
         most, now = max(most, at - now), at
     return {"size": size, "play": number, "pause_most_s": most / 1_000}
--- a/loadbalancer/simulation/watches.py
+++ b/loadbalancer/simulation/watches.py
@@ -290,7 +290,7 @@
             if not self._waiting_for[change]:
                 self.propagation_ms[change] = now - self.drains[change][0]
         seat.knows = max(seat.knows, known)
-        seat.roster.listed(BACK, now)  # the pauses begin anew
+        seat.roster.apply_update(BACK, now)  # the pauses begin anew
         seat.watch.return_to_preferred_instance((now - START_MS) / 1_000)
         self._ask(number)
 
@@ -305,7 +305,9 @@
             self.clock.after(pause_s * 1_000, self._ask, number)
             return
         timer = next(
-            a for a in seat.roster.failed(now, seat.watch.retry_within_s * 1_000) if isinstance(a, SetTimer)
+            a
+            for a in seat.roster.handle_list_failure(now, seat.watch.retry_within_s * 1_000)
+            if isinstance(a, SetTimer)
         )
         self.clock.at(timer.at_ms, self._ask, number)
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -448,7 +448,7 @@
                 self._answers_at(ends)  # its watch
                 continue
             watch.record_failure(ends - began, response_timed_out=False, rejected=True)
-            told = roster.failed(ends * 1e3, watch.retry_within_s * 1e3)
+            told = roster.handle_list_failure(ends * 1e3, watch.retry_within_s * 1e3)
             [timer] = [a for a in told if isinstance(a, interface.SetTimer)]
             heapq.heappush(calls, (timer.at_ms / 1e3, number))
         return known
