--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -11,14 +11,13 @@
 from typing import Any
 
 from benchmarks.capacity_slopes import QUANTITIES, Assumed
-from loadbalancer.endpoint_watch.instance_selection import SILENCE_THRESHOLD_S
-from loadbalancer.endpoint_watch.watch import (
+from loadbalancer.endpoint_watch.contradictions import SILENCE_THRESHOLD_S
+from loadbalancer.endpoint_watch.cross_check import (
     CONTRADICTION_BACKOFF_S,
     CROSS_CHECK_INTERVAL_PER_BALANCER_MS,
     CROSS_CHECK_INTERVAL_S,
-    MAX_WAIT_MS,
-    WAIT_JITTER,
 )
+from loadbalancer.endpoint_watch.request_schedule import MAX_WAIT_MS, WAIT_JITTER
 from loadbalancer.policy.endpoints import BALANCERS_PER_SERVER
 from loadbalancer.registry.entries import Rules
 from loadbalancer.registry.lease import RENEW_PART
--- a/loadbalancer/endpoint_watch/watch.py
+++ b/loadbalancer/endpoint_watch/watch.py
@@ -1,68 +1,27 @@
-"""The watch of a list: which instance is asked for what, and when again."""
+"""The watch of the endpoint list: which instance is sent which request, and when the next one follows."""
 
 from __future__ import annotations
 
-import math
 import random
-from dataclasses import dataclass
 
+from loadbalancer.endpoint_watch.cross_check import CrossCheckSchedule
+from loadbalancer.endpoint_watch.exceptions import StaleListError
 from loadbalancer.endpoint_watch.instance_selection import Address, InstanceSelector, ListVersion
-from loadbalancer.endpoint_watch.time_budget import (
-    CONGESTED_RETRY_INTERVAL_S,
-    answer_time_s,
-    call_timeout_s,
-    retry_interval_s,
+from loadbalancer.endpoint_watch.request_schedule import (
+    FULL_SNAPSHOT,
+    RECOVERY_WAIT_MS,
+    ListRequest,
+    RequestSchedule,
 )
-from loadbalancer.interface import LIST_RETRY_JITTER, LIST_RETRY_MEAN_BACKOFF_MS
-
-MAX_WAIT_MS = 30_000  # of one watch call at the most: each costs discovery work, and news ends it at once
-WAIT_PER_BALANCER_MS = 50  # of wait for each balancer of the tier: all together call about once in so long
-WAIT_JITTER = 0.2  # part by which waits differ, so that balancers that started together do not call together
-RESPONSE_MARGIN_S = 1.5  # so long past its wait a watch has failed: 2 s past it, all changes count as told
-RECOVERY_WAIT_MS = 1.0  # wait of the first call after a failed one: news is told, and silence shows, at once
-FAILOVER_SPREAD_PER_BALANCER_MS = (
-    5.0  # for each balancer of the tier: the watches of an instance that dies go on within so long
-)
-FULL_SNAPSHOT_DELAY_S = (
-    1.0  # before a list that is not believed is asked for whole again, or CALL_MS for each balancer
-)
-CONTRADICTION_BACKOFF_S = (
-    1.0  # the first pause between looks while servers contradict the list, doubled at each
-)
-CROSS_CHECK_INTERVAL_S, CROSS_CHECK_INTERVAL_PER_BALANCER_MS = (
-    30.0,
-    100.0,
-)  # between looks at another instance, and for each balancer of the tier
-CONGESTED_RETRY_PER_BALANCER_MS = LIST_RETRY_MEAN_BACKOFF_MS * (
-    1 + LIST_RETRY_JITTER
-)  # from failed call to call, for each balancer that may crowd it
-FULL_SNAPSHOT = -1  # in place of a version: the whole list
-
-
-@dataclass(frozen=True, slots=True)
-class ListRequest:
-    """One call for the list."""
-
-    address: Address
-    after_index: int
-    """The version that is known, or WHOLE."""
-    wait_ms: float
-    """How long the service may wait for news."""
-    timeout_s: float
-    """By when the call has failed; with its dial, unless it waits."""
-
-    @property
-    def is_long_poll(self) -> bool:
-        """Whether it is held until there is news."""
-        return self.wait_ms > RECOVERY_WAIT_MS
+from loadbalancer.endpoint_watch.retry_backoff import RetryBackoff
 
 
 class Watch:
-    """One balancer's watch, of the platform's list or of a service of one's own (`own`).
+    """One balancer's watch, of the platform's list or of a list service of one's own (`is_own_service`).
 
-    Where the service is one's own, a failed call goes on to its next instance, and only when all have failed
-    in turn has the list failed. Versions of instances do not compare: whoever changes asks for the whole
-    list.
+    Where the service is one's own, a failed call fails over to its next instance, and only when all have
+    failed in turn has the list failed. Versions of instances can't be compared: after a switch the full list
+    is requested.
     """
 
     def __init__(
@@ -76,150 +35,123 @@
         seed: int,
         index: int = FULL_SNAPSHOT,
     ) -> None:
-        """`drain_grace_ms` is what servers that drain are left; `index` the version of the list at hand."""
-        self._balancer_index, self._is_own_service, self.index = balancer_index, is_own_service, index
+        """`drain_grace_ms` is how long draining servers are left; `index` the version of the list at hand."""
+        self._balancer_index = balancer_index
+        self._is_own_service = is_own_service
         self._random = random.Random(seed)
-        # A watch can fall silent, and only its overdue answer tells: news is then as late as its wait
-        # is long.
-        self._wait_ms = min(
-            max(drain_grace_ms or MAX_WAIT_MS, WAIT_PER_BALANCER_MS * balancer_count), MAX_WAIT_MS
-        )
-        self._spread_s = FAILOVER_SPREAD_PER_BALANCER_MS * balancer_count / 1_000
-        self._pace_s = 0.0 if is_own_service else CONGESTED_RETRY_PER_BALANCER_MS * balancer_count / 1_000
-        self._doubt_s = max(FULL_SNAPSHOT_DELAY_S, WAIT_PER_BALANCER_MS * balancer_count / 1_000)
-        self._compare_s = max(
-            CROSS_CHECK_INTERVAL_S, CROSS_CHECK_INTERVAL_PER_BALANCER_MS * balancer_count / 1_000
-        )
-        self._crowded = 0  # calls that met a crowd since the last answer
-        self._went_back = self._has_failed = self._waits = False
-        self._whole_at = math.inf  # when a list that is not believed is asked for again
-        self._look_at = 0.0
-        self._said_s = self._said_at = 0.0  # the pause between looks while servers contradict, and its end
-        self.rewind_count = self.stale_instance_count = 0
-        self._begin(addresses)
-
-    def _begin(self, addresses: tuple[Address, ...]) -> None:
-        self.instances = InstanceSelector(addresses, self._balancer_index, self._random)
-        self._call_timeout_s = call_timeout_s(len(addresses), self._is_own_service)
-        self._base_retry_interval_s = retry_interval_s(len(addresses), self._is_own_service)
-        self.retry_within_s = (
-            self._base_retry_interval_s
-        )  # after a failed call, the next one has to begin within so long
+        self._requests = RequestSchedule(balancer_count, drain_grace_ms, self._random)
+        self._backoff = RetryBackoff(balancer_count, len(addresses), is_own_service=is_own_service)
+        self._cross_checks = CrossCheckSchedule(balancer_count, self._random)
+        self.instances = InstanceSelector(addresses, balancer_index, self._random)
+        self.index = index
+        self._has_failed = False  # since the last answer
+        self._has_gone_back = False  # the last answer was of an older version
+        self._is_long_poll_out = False
+        self.rewind_count = 0
+        self.stale_instance_count = 0
+
+    @property
+    def retry_within_s(self) -> float:
+        """After the last failed call, the next one has to begin within so long."""
+        return self._backoff.retry_within_s
 
     def set_addresses(self, addresses: tuple[Address, ...]) -> None:
-        """The service is elsewhere from now on."""
-        self._begin(addresses)
+        """Watch a service at other addresses from now on."""
+        self.instances = InstanceSelector(addresses, self._balancer_index, self._random)
+        self._backoff.set_instance_count(len(addresses))
         self.index = FULL_SNAPSHOT
 
     def next_request(self, now: float = 0.0) -> ListRequest:
-        """The next call; `now` counts while a list is not believed.
+        """Return the next call; `now` counts while a full list is scheduled.
 
-        After a failed call it does not wait: a service that takes calls and tells nothing shows at once, and
+        After a failed call it is no long poll: a service that takes calls and answers none shows at once, and
         what came meanwhile is not left to the end of a wait.
         """
-        if now >= self._whole_at:
+        if self._requests.is_full_snapshot_due(now):
             self.index = FULL_SNAPSHOT
             self.instances.record_failure()
         if self.index < 0:
-            self._whole_at = math.inf
-        self._waits = self.index >= 0 and not self._has_failed
-        if not self._waits:
-            return ListRequest(
-                self.instances.address, self.index, RECOVERY_WAIT_MS * (self.index >= 0), self._call_timeout_s
-            )
-        wait_s = min(self._wait_ms / 1000 * (1 - WAIT_JITTER * self._random.random()), self._whole_at - now)
-        wait_s = max(wait_s, 2 * RECOVERY_WAIT_MS / 1000)
-        return ListRequest(self.instances.address, self.index, wait_s * 1_000, wait_s + RESPONSE_MARGIN_S)
+            self._requests.clear_full_snapshot()
+        address = self.instances.address
+        self._is_long_poll_out = self.index >= 0 and not self._has_failed
+        if self._is_long_poll_out:
+            return self._requests.long_poll(address, self.index, now)
+        wait_ms = RECOVERY_WAIT_MS if self.index >= 0 else 0.0
+        return ListRequest(address, self.index, wait_ms, self._backoff.call_timeout_s)
 
     def record_answer(self, index: int, now: float) -> bool:
-        """A list of some version has come; whether its service has gone back to an older state.
+        """Take over the version of an answer; return whether its service has gone back to an older state.
 
-        ValueError if it is older than the one at hand: the call has failed. If the whole list, asked for
-        next, is no newer, that is a new beginning.
+        StaleListError if it is older than the list at hand: the call has failed. If the full list, which is
+        requested next, is no newer, that is a new beginning.
         """
         if index < self.index:
-            self._went_back = True
-            raise ValueError(f"list {index} is older than the one we hold")
+            self._has_gone_back = True
+            raise StaleListError(f"list {index} is older than {self.index}, the one we hold")
         is_rewound = self.instances.record_answer(index, now, self.index >= 0) and self._is_own_service
         self.rewind_count += is_rewound
-        self.index, self._went_back, self._has_failed, self._crowded = index, False, False, 0
+        self.index = index
+        self._has_gone_back = False
+        self._has_failed = False
+        self._backoff.record_answer()
         return is_rewound
 
-    def is_current(self, ask: ListRequest, index: int) -> bool:
-        """Whether an answer that came late is no older than what its instance has told."""
-        return index >= max(ask.after_index, self.instances.last_index(ask.address))
+    def is_current(self, request: ListRequest, index: int) -> bool:
+        """Return whether a late answer is no older than what its instance has answered since."""
+        return index >= max(request.after_index, self.instances.last_index(request.address))
 
     def record_failure(
         self, duration_s: float, response_timed_out: bool, rejected: bool = False
     ) -> float | None:
-        """A call has failed: seconds until the next; None if the list has, and others say when to ask.
+        """Return the pause in seconds before the next call; None if the list has failed.
 
-        They have `retry_within_s` for that. `duration_s` is how long the call was out, with its dial; a watch
-        that had been held and was broken off would have reported what there was until then. `rejected` is a
-        call that its service ended without an answer.
+        Then the host decides when to call again, within `retry_within_s`. `duration_s` is the time of the
+        call with connecting; `response_timed_out` that it had no answer in time; `rejected` that the service
+        ended it without a list.
         """
-        was_held = self._waits and not response_timed_out and duration_s > self._call_timeout_s
-        self._crowded += rejected and duration_s > answer_time_s(is_own_service=True)
-        self.retry_within_s = max(self._retry_interval_s() - (0.0 if was_held else duration_s), 0.0)
+        is_late = duration_s > self._backoff.call_timeout_s
+        was_held = self._is_long_poll_out and not response_timed_out and is_late
+        self._backoff.record_failure(duration_s, was_held=was_held, rejected=rejected)
         self._has_failed = True
         if not self._is_own_service:
             return None
-        at, goes_on = self.instances.address, self.instances.record_failure()
-        if self.instances.address != at or self._went_back:
+        failed_address = self.instances.address
+        can_fail_over = self.instances.record_failure()
+        if self.instances.address != failed_address or self._has_gone_back:
             self.index = FULL_SNAPSHOT
-        return min(self._spread_s, self.retry_within_s) * self._random.random() if goes_on else None
-
-    def _retry_interval_s(self) -> float:
-        """From a failed call's beginning to the next one's, at the most.
-
-        The platform's service takes calls in turn and ends those that waited too long: one that had to wait
-        before it was turned away met a crowd. Calls that it takes too late cost it no less than others, so
-        that a tier that goes on as before keeps it from answering anybody: each crowd that is met in a row
-        doubles the time, up to the tier's pace.
-        """
-        if not self._crowded:
-            return self._base_retry_interval_s
-        return max(
-            self._base_retry_interval_s,
-            min(self._pace_s, CONGESTED_RETRY_INTERVAL_S * 2.0 ** min(self._crowded - 1, 30)),
-        )
+        return self._backoff.failover_window_s() * self._random.random() if can_fail_over else None
 
     def schedule_full_snapshot(self, now: float) -> None:
-        """The list that came is not believed: it is asked for again later, elsewhere if there is one.
+        """Request the full list later, of another instance if there is one: the one that came is suspect.
 
-        What comes after its version does not tell whom it has left out. Until then it is watched all the
-        same, for what it says outright.
+        Updates after its version do not mention what it has left out. Until then it is watched all the same,
+        for what it does say.
         """
-        self._whole_at = min(self._whole_at, now + self._doubt_s * (0.5 + self._random.random()))
+        self._requests.schedule_full_snapshot(now)
 
     def return_to_preferred_instance(self, now: float) -> bool:
-        """Whether the first choice is asked again from now on."""
+        """Switch back to the preferred instance if that is due; return whether it was."""
         if not self._is_own_service or not self.instances.return_to_preferred(now):
             return False
         self.index = FULL_SNAPSHOT
         return True
 
-    # ---- a service that answers and never changes ------------------------------------------------
+    def next_cross_check(self, now: float, is_contradicted: bool) -> Address | None:
+        """Return another instance whose list is to be compared with ours now; None if that is not due.
 
-    def next_cross_check(self, now: float, contradicted: bool) -> Address | None:
-        """Another instance whose whole list is to be looked at now: every so often, or if servers say so."""
+        `is_contradicted` is whether servers contradict our list.
+        """
         if not self.instances.other_count or self.index < 0:
             return None
-        first, is_said = not self._look_at, contradicted and now >= self._said_at
-        if is_said:  # a server may be silent for long: it says the same, and each look costs a list
-            self._said_s = min(2 * self._said_s or CONTRADICTION_BACKOFF_S, self._compare_s)
-            self._said_at = now + self._said_s
-        elif not contradicted:
-            self._said_s = self._said_at = 0.0
-        if first or now >= self._look_at or is_said:
-            self._look_at = now + self._compare_s * (0.5 + self._random.random())
-        else:
+        if not self._cross_checks.take_due(now, is_contradicted):
             return None
-        return None if first and not contradicted else self.instances.choose_other()
+        return self.instances.choose_other()
 
-    def record_cross_check(self, ours: ListVersion, other: ListVersion, contradicted: bool) -> bool:
-        """Whether ours has stood still; if so, the other one is asked from now on."""
-        if other.address == ours.address or not self.instances.switch_if_stale(ours, other, contradicted):
+    def record_cross_check(self, ours: ListVersion, other: ListVersion, is_contradicted: bool) -> bool:
+        """Return whether our instance is stale; if so, the other one is watched from now on."""
+        if other.address == ours.address:
+            return False
+        if not self.instances.switch_if_stale(ours, other, is_contradicted):
             return False
         self.stale_instance_count += 1
         self.index = FULL_SNAPSHOT
--- a/loadbalancer/net/discovery.py
+++ b/loadbalancer/net/discovery.py
@@ -10,13 +10,13 @@
 from typing import cast
 
 from loadbalancer.endpoint_watch import (
+    FULL_SNAPSHOT,
     ContradictionDetector,
     ListRequest,
     ListVersion,
     RateLimitedError,
     Watch,
 )
-from loadbalancer.endpoint_watch.watch import FULL_SNAPSHOT
 from loadbalancer.interface import EndpointListUpdate, Readiness, UpdateKind
 from loadbalancer.net.config import Address, AddressedEndpoint, Config, Lists, ServerList, read_list
 from loadbalancer.net.interest_subscription import AnswerView, InterestSubscription
--- a/tests/test_endings_list.py
+++ b/tests/test_endings_list.py
@@ -8,7 +8,7 @@
 import pytest
 
 from loadbalancer import interface
-from loadbalancer.endpoint_watch import watch
+from loadbalancer.endpoint_watch import request_schedule
 from loadbalancer.interface import UpdateKind
 from loadbalancer.net import discovery
 from loadbalancer.net.config import read_config
@@ -39,8 +39,8 @@
     """What it missed counts as told 2 s after its wait; a large tier's balancers paused up to 5 s more."""
     monkeypatch.setattr(endpoints, "LIST_RETRY_INITIAL_BACKOFF_MS", NEVER * 1_000)
     monkeypatch.setattr(discovery, "PUSH_RETRY_PAUSE_S", NEVER)
-    monkeypatch.setattr(watch, "MAX_WAIT_MS", 10)
-    monkeypatch.setattr(watch, "RESPONSE_MARGIN_S", 0.01)
+    monkeypatch.setattr(request_schedule, "MAX_WAIT_MS", 10)
+    monkeypatch.setattr(request_schedule, "RESPONSE_MARGIN_S", 0.01)
 
     async def scenario() -> None:
         upstream, contract = Upstream(), {"drainGrace": 500.0, "askWithin": NEVER * 1_000}
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,7 +12,7 @@
 import pytest
 
 from loadbalancer import interface
-from loadbalancer.endpoint_watch import watch
+from loadbalancer.endpoint_watch import request_schedule
 from loadbalancer.interface import Outcome, UpdateKind
 from loadbalancer.net import downstream, upstream
 from loadbalancer.policy import endpoints
@@ -598,9 +598,9 @@
 
 def test_a_watch_with_no_answer_fails_before_its_news_counts_as_told(monkeypatch: pytest.MonkeyPatch) -> None:
     """All changes count as told 2 s after a watch's wait, and a silent one was kept for 5 s."""
-    assert watch.RESPONSE_MARGIN_S < 2.0
-    monkeypatch.setattr(watch, "MAX_WAIT_MS", 10)
-    monkeypatch.setattr(watch, "RESPONSE_MARGIN_S", 0.01)
+    assert request_schedule.RESPONSE_MARGIN_S < 2.0
+    monkeypatch.setattr(request_schedule, "MAX_WAIT_MS", 10)
+    monkeypatch.setattr(request_schedule, "RESPONSE_MARGIN_S", 0.01)
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as rig:
@@ -623,8 +623,10 @@
         async with ProxyHarness(Upstream(), balancers=balancers, contract=contract) as rig:
             line = await rig.discovery.request_lines.get()
             waits = float(line.partition("wait_ms=")[2].split()[0])
-            assert waits <= max(3_000, watch.WAIT_PER_BALANCER_MS * balancers)
-            assert balancers / waits < 1.3 / watch.WAIT_PER_BALANCER_MS, "all together call too often"
+            assert waits <= max(3_000, request_schedule.WAIT_PER_BALANCER_MS * balancers)
+            assert balancers / waits < 1.3 / request_schedule.WAIT_PER_BALANCER_MS, (
+                "all together call too often"
+            )
 
     run_scenario(scenario())
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -10,11 +10,10 @@
 import pytest
 
 from loadbalancer import configuration, interface
-from loadbalancer.endpoint_watch import watch
+from loadbalancer.endpoint_watch import Watch, cross_check, request_schedule
+from loadbalancer.endpoint_watch.contradictions import SILENCE_THRESHOLD_S, ContradictionDetector
 from loadbalancer.endpoint_watch.instance_selection import (
     PREFERRED_INSTANCE_RETRY_S,
-    SILENCE_THRESHOLD_S,
-    ContradictionDetector,
     InstanceSelector,
     ListVersion,
 )
@@ -86,17 +85,19 @@
 def test_an_instance_that_stands_still_while_another_moves_on_is_left() -> None:
     s = sources()
     ours = look(A, 7, "s0", "s1")
-    assert not s.switch_if_stale(ours, look(B, 50, "s0"), contradicted=False), "one look does not tell"
-    assert not s.switch_if_stale(ours, look(B, 50, "s0"), contradicted=False), "both stand still"
-    assert not s.switch_if_stale(look(A, 8, "s0", "s1"), look(B, 51, "s0"), contradicted=False), "ours moves"
-    assert s.switch_if_stale(look(A, 8, "s0", "s1"), look(B, 52, "s0"), contradicted=False)
+    assert not s.switch_if_stale(ours, look(B, 50, "s0"), is_contradicted=False), "one look does not tell"
+    assert not s.switch_if_stale(ours, look(B, 50, "s0"), is_contradicted=False), "both stand still"
+    assert not s.switch_if_stale(look(A, 8, "s0", "s1"), look(B, 51, "s0"), is_contradicted=False), (
+        "ours moves"
+    )
+    assert s.switch_if_stale(look(A, 8, "s0", "s1"), look(B, 52, "s0"), is_contradicted=False)
     assert s.address == B
 
 
 def test_what_servers_say_against_our_list_makes_one_look_enough() -> None:
     s = sources()
-    assert not s.switch_if_stale(look(A, 7, "s0"), look(B, 50, "s0"), contradicted=True), "the lists agree"
-    assert s.switch_if_stale(look(A, 7, "s0"), look(B, 50, "s1"), contradicted=True)
+    assert not s.switch_if_stale(look(A, 7, "s0"), look(B, 50, "s0"), is_contradicted=True), "the lists agree"
+    assert s.switch_if_stale(look(A, 7, "s0"), look(B, 50, "s1"), is_contradicted=True)
 
 
 def test_a_listed_server_that_answers_nothing_speaks_against_the_list() -> None:
@@ -129,7 +130,7 @@
 
 def test_a_server_that_is_silent_for_long_costs_ever_fewer_looks_at_another_list() -> None:
     """Each of its balancers read another instance's whole list every second or two."""
-    one = watch.Watch(
+    one = Watch(
         (A, B), balancer_index=0, balancer_count=2, drain_grace_ms=3_000, is_own_service=True, seed=1, index=7
     )
 
@@ -236,7 +237,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What follows a halved list by its version does not tell whom that had left out."""
-    monkeypatch.setattr(watch, "FULL_SNAPSHOT_DELAY_S", 0.01)
+    monkeypatch.setattr(request_schedule, "FULL_SNAPSHOT_DELAY_S", 0.01)
 
     async def scenario() -> None:
         two = Two(upstreams=4)
@@ -255,8 +256,8 @@
 def test_a_watch_moves_on_from_an_instance_that_answers_and_never_changes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(watch, "CROSS_CHECK_INTERVAL_S", 0.0)
-    monkeypatch.setattr(watch, "CROSS_CHECK_INTERVAL_PER_BALANCER_MS", 0.0)
+    monkeypatch.setattr(cross_check, "CROSS_CHECK_INTERVAL_S", 0.0)
+    monkeypatch.setattr(cross_check, "CROSS_CHECK_INTERVAL_PER_BALANCER_MS", 0.0)
     monkeypatch.setattr(discovery, "CROSS_CHECK_POLL_INTERVAL_S", 0.01)
 
     async def scenario() -> None:
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -672,11 +672,11 @@
         slow = Slow()
         config = read_config(config_text(await slow.start(), [HERE]), lambda note: None)
         driver = Proxy(config, asyncio.get_running_loop())
-        driver._discovery._watch._call_timeout_s = 0.05
+        driver._discovery._watch._backoff.call_timeout_s = 0.05
         driver._discovery._watch.index = -1
         driver.start()
         first = await slow.asked.get()
-        driver._discovery._watch._call_timeout_s = 60.0
+        driver._discovery._watch._backoff.call_timeout_s = 60.0
         await slow.asked.get()
         await then(driver, first, slow)
         slow.close()
