--- a/loadbalancer/net/discovery.py
+++ b/loadbalancer/net/discovery.py
@@ -18,7 +18,14 @@
     Watch,
 )
 from loadbalancer.interface import EndpointListUpdate, Readiness, UpdateKind
-from loadbalancer.net.config import Address, AddressedEndpoint, Config, Lists, ServerList, read_list
+from loadbalancer.net.config import (
+    Address,
+    AddressedEndpoint,
+    Config,
+    EndpointList,
+    RegistryConfig,
+    decode_endpoint_list,
+)
 from loadbalancer.net.interest_subscription import AnswerView, InterestSubscription
 from loadbalancer.net.upstream import RESPONSE_ERRORS, ResponseReader, UpstreamResponse
 
@@ -142,7 +149,7 @@
     def __init__(
         self,
         config: Config,
-        on_update: Callable[[ServerList], bool],
+        on_update: Callable[[EndpointList], bool],
         on_failure: Callable[[], None],
         needs_full_snapshot: bool = False,
         log: Callable[[str], None] = lambda text: None,
@@ -155,9 +162,11 @@
         self._on_update = on_update
         self._on_failure = on_failure
         self._asked = config.settings.polls_endpoint_list
-        self._own, self._home = config.lists, config.discovery
+        self._own, self._home = config.registry, config.discovery
         self._interest = InterestSubscription(config, needs_full_snapshot, log)
-        is_known = config.known.endpoints and not needs_full_snapshot and not self._interest.names_services
+        is_known = (
+            config.initial_list.endpoints and not needs_full_snapshot and not self._interest.names_services
+        )
         self._watch = Watch(
             _addresses(config.discovery, self._own),
             balancer_index=config.settings.balancer_index,
@@ -165,7 +174,7 @@
             drain_grace_ms=config.drain_grace_ms,
             is_own_service=self._own is not None,
             seed=config.seed,
-            index=config.known.index if is_known else FULL_SNAPSHOT,
+            index=config.initial_list.index if is_known else FULL_SNAPSHOT,
         )
         self._task: asyncio.Task[None] | None = None
         self._cross_check_task: asyncio.Task[None] | None = None
@@ -190,7 +199,7 @@
         if self._own is not None and self._cross_check_task is None:
             self._cross_check_task = loop.create_task(self._cross_check())
 
-    def reconfigure(self, address: Address, lists: Lists | None = None) -> None:
+    def reconfigure(self, address: Address, lists: RegistryConfig | None = None) -> None:
         """Discovery is elsewhere from now on, or something else is wanted of it: ask at once.
 
         A call that waits is abandoned. What is held is told with what is wanted now, and the answer says
@@ -288,7 +297,7 @@
             0.0 if at_once else None if self._asked else min(PUSH_RETRY_PAUSE_S, self._watch.retry_within_s)
         )
 
-    async def _call(self, ask: ListRequest) -> ServerList:
+    async def _call(self, ask: ListRequest) -> EndpointList:
         loop = asyncio.get_running_loop()
         until = loop.time() + ask.timeout_s
         if self._connection is None or self._connection.closed or self._linked_to != ask.address:
@@ -304,7 +313,7 @@
             raise ResponseTimeoutError from None
         now = asyncio.get_running_loop().time()
         if self._watch.record_answer(news.index, now):
-            news = replace(news, rewound=True)
+            news = replace(news, is_rewound=True)
         self._heard = now
         self._interest.record_answer(held)
         if self._own is not None:
@@ -320,10 +329,10 @@
                 self._record_content(news, self._heard)
             self._on_update(news)
 
-    def _record_content(self, news: ServerList, now: float) -> None:
+    def _record_content(self, news: EndpointList, now: float) -> None:
         """What the list holds, to be held against another instance's."""
         before = dict(self._content)
-        if news.whole:
+        if news.is_full_snapshot:
             self._content.clear()
         for endpoint in news.endpoints:
             name = endpoint.endpoint.server
@@ -353,8 +362,8 @@
                 self._start_anew()
 
 
-def _addresses(first: Address, own: Lists | None) -> tuple[Address, ...]:
-    others = own.others if own else ()
+def _addresses(first: Address, own: RegistryConfig | None) -> tuple[Address, ...]:
+    others = own.other_instances if own else ()
     return (first, *(other for other in others if other != first))
 
 
@@ -366,7 +375,7 @@
 
 async def _ask(
     link: Connection, ask: ListRequest, wants: InterestSubscription
-) -> tuple[ServerList, AnswerView]:
+) -> tuple[EndpointList, AnswerView]:
     """One call: the list, and what is held with it; ValueError if its answer is no list."""
     query = wants.query_parameters(asyncio.get_running_loop().time())
     if ask.after_index >= 0:
@@ -376,13 +385,13 @@
     return _read(answer, wants)
 
 
-def _read(answer: UpstreamResponse, wants: InterestSubscription) -> tuple[ServerList, AnswerView]:
+def _read(answer: UpstreamResponse, wants: InterestSubscription) -> tuple[EndpointList, AnswerView]:
     """What an answer tells; ValueError if it is no list, Paced if it says when to come again."""
     if answer.status != 200:
         wants.raise_if_rate_limited(answer.status, answer.body)
         raise RequestRejectedError(f"discovery answered {answer.status}")
     told = json.loads(answer.body)
-    return read_list(told), wants.read_view(told)
+    return decode_endpoint_list(told), wants.read_view(told)
 
 
 async def _look(address: Address, wants: InterestSubscription) -> ListVersion | None:
--- a/loadbalancer/net/interest_subscription.py
+++ b/loadbalancer/net/interest_subscription.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from loadbalancer.endpoint_watch import ListRequest, RateLimitedError, Subscription
-from loadbalancer.net.config import Address, Config, Lists
+from loadbalancer.net.config import Address, Config, RegistryConfig
 
 INTERESTS_UNSUPPORTED = "the list service knows no interests: the whole of the service is taken"
 AnswerView = tuple[str, bool]
@@ -26,7 +26,7 @@
 
     def __init__(self, config: Config, has_full_list: bool, log: Callable[[str], None]) -> None:
         """`has_full_list` if a list is at hand, for any interest; `log` takes unsupported requests."""
-        self._tier = config.lists.tier if config.lists else ""
+        self._tier = config.registry.tier if config.registry else ""
         self._subscription = _subscription(config, has_full_list)
         self._log, self._last_logged = log, ""
 
@@ -45,11 +45,11 @@
         """Whether the service can tell what has left an interest that changes."""
         return self._subscription is None or self._subscription.supports_interests
 
-    def change_interest(self, lists: Lists | None) -> bool:
+    def change_interest(self, lists: RegistryConfig | None) -> bool:
         """The configuration names other services, or another part; whether it does, and both name some."""
         if self._subscription is None or lists is None or not lists.services:
             return False
-        return self._subscription.change_interest(lists.services, lists.part)
+        return self._subscription.change_interest(lists.services, lists.subset_size)
 
     def query_parameters(self, now: float) -> list[str]:
         """What is wanted, and what is held of it."""
@@ -96,10 +96,14 @@
 
 
 def _subscription(config: Config, has_full_list: bool) -> Subscription | None:
-    lists, settings = config.lists, config.settings
-    if lists is None or not lists.services:
+    registry = config.registry
+    if registry is None or not registry.services:
         return None
     return Subscription(
-        lists.services, lists.part, name=f"{config.name}/{settings.balancer_index}", zone=settings.zone,
-        balancer_count=settings.balancer_count, has_full_list=has_full_list or bool(config.known.endpoints),
-    )  # fmt: skip
+        registry.services,
+        registry.subset_size,
+        name=f"{config.name}/{config.settings.balancer_index}",
+        zone=config.settings.zone,
+        balancer_count=config.settings.balancer_count,
+        has_full_list=has_full_list or bool(config.initial_list.endpoints),
+    )
