--- a/loadbalancer/drill/seeded_defects.py
+++ b/loadbalancer/drill/seeded_defects.py
@@ -14,8 +14,9 @@
 from loadbalancer import interface
 from loadbalancer.drill.processes.process_files import SERVICE_DEFECTS
 from loadbalancer.interface import Outcome, Readiness
-from loadbalancer.net import discovery, proxy
+from loadbalancer.net import proxy
 from loadbalancer.net.config import EndpointList
+from loadbalancer.net.discovery import call, cross_check
 from loadbalancer.net.downstream import DownstreamRequest
 from loadbalancer.net.proxy import Proxy
 from loadbalancer.net.upstream import Attempt, UpstreamResponse
@@ -94,7 +95,7 @@
 
 def trusts_any_list() -> None:
     """A list that is older than the one at hand is taken for news."""
-    names, newest = vars(discovery), [0]
+    names, newest = vars(call), [0]
     real = names["decode_endpoint_list"]
 
     def decode_endpoint_list(answer: Any) -> EndpointList:
@@ -225,10 +226,10 @@
 def never_compares() -> None:
     """No other instance's list is ever looked at."""
 
-    async def compare(self: discovery.DiscoveryClient) -> None:
+    async def run(self: cross_check.CrossChecker) -> None:
         return None
 
-    discovery.DiscoveryClient._cross_check = compare  # type: ignore[method-assign]
+    cross_check.CrossChecker._run = run  # type: ignore[method-assign]
 
 
 def asks_without_pause() -> None:
--- a/loadbalancer/endpoint_watch/__init__.py
+++ b/loadbalancer/endpoint_watch/__init__.py
@@ -7,7 +7,7 @@
     rewound = watch.record_answer(index, now)    # StaleListError: older than the list at hand, a failed call
     pause_s = watch.record_failure(duration_s, response_timed_out=False)  # None: all instances have failed
 
-A sans-I/O core: `net/discovery.py` runs it on sockets, `simulation/watches.py` in virtual time. Times are
+A sans-I/O core: `net/discovery/` runs it on sockets, `simulation/watches.py` in virtual time. Times are
 seconds of a monotonic clock.
 """
 
--- /dev/null
+++ b/loadbalancer/net/discovery/status.py
@@ -0,0 +1,47 @@
+"""Where the endpoint list is from and how old it is, for operators."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+
+from loadbalancer.net.config import Address
+
+
+@dataclass(frozen=True, slots=True)
+class ListStatus:
+    """The state of the watch; ages in ms, None for never."""
+
+    address: Address
+    """The instance that is watched."""
+    index: int
+    """The version of the list at hand; -1 for none."""
+    answer_age_ms: int | None
+    change_age_ms: int | None
+    switch_count: int
+    """How often another instance was watched from then on."""
+    rewind_count: int
+    """How often a service went back to an older state."""
+    stale_instance_count: int
+    """How often the watched instance was found stale."""
+    contradicting_servers: list[str]
+    """Listed servers that answer nothing."""
+
+    def to_json(self) -> dict[str, object]:
+        """Return the console's form of it."""
+        host, port = self.address
+        return {
+            "from": f"{host}:{port}",
+            "index": self.index,
+            "heard_ms_ago": self.answer_age_ms,
+            "changed_ms_ago": self.change_age_ms,
+            "moves": self.switch_count,
+            "rewound": self.rewind_count,
+            "stood_still": self.stale_instance_count,
+            "contradicted": self.contradicting_servers,
+        }
+
+
+def age_ms(now_s: float, since_s: float) -> int | None:
+    """Return the time since a moment, rounded; None for a moment that never was (minus infinity)."""
+    return round((now_s - since_s) * 1_000) if math.isfinite(since_s) else None
--- a/loadbalancer/net/interest_subscription.py
+++ b/loadbalancer/net/interest_subscription.py
@@ -1,24 +1,37 @@
-"""What a balancer's calls for the list ask for, and what their answers say of it.
+"""What a balancer's calls for the list request, and what their answers hold of that.
 
-    wants = Wants(config, has_full_list=False, log=print)
-    wants.query(now)                        # beside the version and the wait
-    held = wants.read(told)                 # ValueError if that is no answer to it
-    wants.heard(held)                       # the answer has been taken
+    interest = InterestSubscription(config, has_full_list=False, log=print)
+    interest.query_parameters(now)          # beside the version and the wait
+    view = interest.read_view(answer)       # ValueError if it answers something else
+    interest.record_answer(view)            # the answer has been taken
 
-Without services it asks for the tier that is named, if any, and looks at nothing.
+Without services it requests the tier that is configured, if any, and reads nothing of the answers.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 from typing import Any
 
 from loadbalancer.endpoint_watch import ListRequest, RateLimitedError, Subscription
 from loadbalancer.net.config import Address, Config, RegistryConfig
 
 INTERESTS_UNSUPPORTED = "the list service knows no interests: the whole of the service is taken"
-AnswerView = tuple[str, bool]
-"""What is held with an answer, and whether its service knows of interests."""
+
+
+@dataclass(frozen=True, slots=True)
+class AnswerView:
+    """What is held with an answer."""
+
+    encoded_view: str
+    """As the service encodes it."""
+    supports_interests: bool
+    """Whether its service knows interests."""
+
+
+NO_VIEW = AnswerView(encoded_view="", supports_interests=True)
+"""Where no services are requested."""
 
 
 class InterestSubscription:
@@ -28,68 +41,69 @@
         """`has_full_list` if a list is at hand, for any interest; `log` takes unsupported requests."""
         self._tier = config.registry.tier if config.registry else ""
         self._subscription = _subscription(config, has_full_list)
-        self._log, self._last_logged = log, ""
+        self._log = log
+        self._last_logged = ""
 
     @property
     def names_services(self) -> bool:
-        """Whether services are asked for by name."""
+        """Whether services are requested by name."""
         return self._subscription is not None
 
-    def accepts_late_answer(self, ask: ListRequest) -> bool:
-        """Whether the answer of a call that was given up is of use: by interests it would depend on what was
-        wanted when it was asked."""
-        return self._subscription is None and not ask.is_long_poll
-
     @property
     def supports_interests(self) -> bool:
-        """Whether the service can tell what has left an interest that changes."""
+        """Whether the service can report what has left an interest that changes."""
         return self._subscription is None or self._subscription.supports_interests
 
-    def change_interest(self, lists: RegistryConfig | None) -> bool:
-        """The configuration names other services, or another part; whether it does, and both name some."""
-        if self._subscription is None or lists is None or not lists.services:
+    def accepts_late_answer(self, request: ListRequest) -> bool:
+        """Return whether the answer of a call that was given up is of use.
+
+        With interests it would depend on what was requested at that time.
+        """
+        return self._subscription is None and not request.is_long_poll
+
+    def change_interest(self, registry: RegistryConfig | None) -> bool:
+        """Follow a configuration; return whether it requests other services, or another subset, by name."""
+        if self._subscription is None or registry is None or not registry.services:
             return False
-        return self._subscription.change_interest(lists.services, lists.subset_size)
+        return self._subscription.change_interest(registry.services, registry.subset_size)
 
     def query_parameters(self, now: float) -> list[str]:
-        """What is wanted, and what is held of it."""
+        """Return the query's parameters for what is requested and what is held."""
         if self._subscription is not None:
             return self._subscription.query_parameters(now)
         return [f"tier={self._tier}"] if self._tier else []
 
     def raise_if_rate_limited(self, status: int, body: bytes) -> None:
-        """An answer that is no list: raises Paced if it says when to come again."""
+        """Raise RateLimitedError if an answer that is no list says when to retry."""
         if self._subscription is not None:
             self._subscription.raise_if_rate_limited(status, body)
 
-    def read_view(self, told: Mapping[str, Any]) -> AnswerView:
-        """What is held with an answer; ValueError if it is none to what was asked."""
-        return (
-            ("", True)
-            if self._subscription is None
-            else (self._subscription.read_view(told), "services" in told)
-        )
+    def read_view(self, answer: Mapping[str, Any]) -> AnswerView:
+        """Return what is held with an answer; ValueError if it answers something else."""
+        if self._subscription is None:
+            return NO_VIEW
+        return AnswerView(self._subscription.read_view(answer), "services" in answer)
 
-    def record_answer(self, held: AnswerView) -> None:
-        """An answer has been taken."""
+    def record_answer(self, view: AnswerView) -> None:
+        """Take over an answer's view."""
         if self._subscription is not None:
-            self._subscription.record_answer(*held)
-            self._log_once("" if self._subscription.supports_interests else INTERESTS_UNSUPPORTED)
+            self._subscription.record_answer(view.encoded_view, view.supports_interests)
+            self._log_once("" if view.supports_interests else INTERESTS_UNSUPPORTED)
 
-    def record_rate_limit(self, paced: RateLimitedError) -> None:
-        """We come again as the service says."""
+    def record_rate_limit(self, error: RateLimitedError) -> None:
+        """Present the ticket with the next request."""
         if self._subscription is not None:
-            self._subscription.record_rate_limit(paced)
+            self._subscription.record_rate_limit(error)
 
     def record_failure(self, address: Address, began: float, error: Exception) -> None:
-        """A call has failed."""
+        """Record that a call to an instance, which `began` at that time, has failed."""
         if self._subscription is not None:
             self._subscription.record_failure(address, began)
             if isinstance(error, ValueError):
                 self._log_once(str(error))
 
     def _log_once(self, text: str) -> None:
-        """Log what is wrong with what a service tells, once."""
+        """Log what is wrong with a service's answers, unless that was logged last; empty for nothing."""
         if text and text != self._last_logged:
             self._log(text)
         self._last_logged = text
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -341,7 +341,7 @@
 
     def list_report(self) -> dict[str, object]:
         """Where the list is from, how old it is, and whom it left out that is in use all the same."""
-        told = self._discovery.report()
+        told = self._discovery.status().to_json()
         if told["heard_ms_ago"] is None and self._kept is not None:
             age_ms = max(time.time() * 1_000 - self._kept.written_at_ms, 0.0)
             return told | {"from": "snapshot", "heard_ms_ago": round(age_ms), "doubted": []}
--- a/loadbalancer/scale/hollow.py
+++ b/loadbalancer/scale/hollow.py
@@ -22,8 +22,8 @@
 from loadbalancer.drill.clock import RealClock
 from loadbalancer.drill.servers.specification import Place, follow, read_spec, say
 from loadbalancer.interface import Readiness, UpdateKind
-from loadbalancer.net import discovery
 from loadbalancer.net.config import AddressedEndpoint, Config, EndpointList, decode_endpoint_list, read_config
+from loadbalancer.net.discovery import DiscoveryClient, call, connection
 from loadbalancer.net.upstream import UpstreamResponse
 from loadbalancer.policy import Balancer
 from loadbalancer.scale.counting import Tally, in_background, run, tell_each_second
@@ -57,7 +57,7 @@
     def __init__(self, config: Config, host: Host) -> None:
         self._host = host
         self._balancer = Balancer(config.settings, config.seed)
-        self._discovery = discovery.DiscoveryClient(config, self._news, self._failed)
+        self._discovery = DiscoveryClient(config, self._news, self._failed)
         self.list: dict[str, AddressedEndpoint] = {}
         self.name, self._stopped = config.name, False
         self.wants = host.plan.wants(config.settings.balancer_index)
@@ -74,16 +74,12 @@
     def stop(self) -> None:
         """End as a process does that is killed."""
         self._stopped = True
-        for task in (self._discovery._task, self._discovery._cross_check_task):
-            if task is not None:
-                task.cancel()
-        self._discovery._close_connection()
-        self._discovery._late.drop()
+        self._discovery.close()
 
     @property
     def index(self) -> int:
         """The version of its list."""
-        return self._discovery._watch.index
+        return self._discovery.index
 
     def differs(self, truth: Truth) -> str:
         """What it holds otherwise than the service lists it, of what it wants; empty for nothing.
@@ -141,7 +137,7 @@
 OWNER: contextvars.ContextVar[Hollow] = contextvars.ContextVar("OWNER")
 
 
-class CountedLink(discovery.Connection):
+class CountedLink(connection.Connection):
     """A connection to the list service whose calls and bytes are counted for its balancer."""
 
     def __init__(self) -> None:
@@ -258,7 +254,7 @@
 
 
 class Reading:
-    """In place of `json` in `net/discovery.py`: an answer that many get is read once. See `Plan`."""
+    """In place of `json` in `net/discovery/`: an answer that many get is read once. See `Plan`."""
 
     def __init__(self) -> None:
         self._read: dict[bytes, EndpointList] = {}
@@ -274,7 +270,7 @@
 
 def _read_once() -> None:
     """Share what is read among the balancers of this process."""
-    vars(discovery).update(json=Reading(), decode_endpoint_list=lambda news: news)
+    vars(call).update(json=Reading(), decode_endpoint_list=lambda news: news)
 
 
 def _give_up(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
@@ -290,7 +286,7 @@
     loop.set_exception_handler(_give_up)
     if host.shared_reading:
         _read_once()
-    discovery.Connection = CountedLink  # type: ignore[misc]
+    connection.Connection = CountedLink  # type: ignore[misc]
     gc.freeze()
     task = in_background(loop, tell_each_second(host.second))
     say(ready=True)
--- a/loadbalancer/scale/registrar.py
+++ b/loadbalancer/scale/registrar.py
@@ -14,8 +14,8 @@
 
 from loadbalancer.drill.clock import RealClock
 from loadbalancer.drill.servers.specification import Place, follow, read_spec, say
-from loadbalancer.net import discovery
 from loadbalancer.net.config import read_address
+from loadbalancer.net.discovery import connection
 from loadbalancer.registry.lease import RENEW_PART
 from loadbalancer.scale.counting import Tally, in_background, run, tell_each_second
 from loadbalancer.scale.plan import Plan, name_of, registration
@@ -50,7 +50,7 @@
 
     def __init__(self, ways: list[str], tally: Tally) -> None:
         self._ways, self._tally = ways, tally
-        self._links: dict[str, discovery.Connection] = {}
+        self._links: dict[str, connection.Connection] = {}
 
     async def call(self, place: int, method: str, path: str, body: object) -> int:
         """One call: its status; OSError, ValueError or TimeoutError if there is no answer."""
@@ -62,8 +62,8 @@
         request = head.encode() + data
         async with asyncio.timeout(PATIENCE_S):
             link = self._links.get(at)
-            if link is None or link.closed:
-                link = self._links[at] = await discovery.connect(read_address(at))
+            if link is None or link.is_closed:
+                link = self._links[at] = await connection.connect(read_address(at))
             self._tally.calls[at] += 1
             try:
                 answer = await link.call(request)
--- a/tests/test_endings_list.py
+++ b/tests/test_endings_list.py
@@ -10,8 +10,8 @@
 from loadbalancer import interface
 from loadbalancer.endpoint_watch import request_schedule
 from loadbalancer.interface import UpdateKind
-from loadbalancer.net import discovery
 from loadbalancer.net.config import read_config
+from loadbalancer.net.discovery import DiscoveryClient, call, client, connection
 from loadbalancer.policy import endpoints
 from tests.loopback import (
     ListServer,
@@ -38,7 +38,7 @@
 def test_a_watch_that_fell_silent_is_opened_anew_at_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """What it missed counts as told 2 s after its wait; a large tier's balancers paused up to 5 s more."""
     monkeypatch.setattr(endpoints, "LIST_RETRY_INITIAL_BACKOFF_MS", NEVER * 1_000)
-    monkeypatch.setattr(discovery, "PUSH_RETRY_PAUSE_S", NEVER)
+    monkeypatch.setattr(client, "PUSH_RETRY_PAUSE_S", NEVER)
     monkeypatch.setattr(request_schedule, "MAX_WAIT_MS", 10)
     monkeypatch.setattr(request_schedule, "RESPONSE_MARGIN_S", 0.01)
 
@@ -63,7 +63,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What the agent has counts as told, watch or no watch: half a second of pause came out of the grace."""
-    monkeypatch.setattr(discovery, "PUSH_RETRY_PAUSE_S", NEVER)
+    monkeypatch.setattr(client, "PUSH_RETRY_PAUSE_S", NEVER)
 
     async def scenario() -> None:
         calls = list[bytes]()
@@ -76,14 +76,14 @@
         host, port = server.sockets[0].getsockname()[:2]
         config = read_config(config_text(f"{host}:{port}", [], discovery="push"), lambda note: None)
         failed = asyncio.Event()
-        found = discovery.DiscoveryClient(config, lambda news: True, failed.set)
+        found = DiscoveryClient(config, lambda news: True, failed.set)
         found._watch.index = 7
         found.start()
         await wait_until(lambda: len(calls) == 2)
         await wait_at_least(0.05)
         assert len(calls) == 2, "the second failure in a row waits"
-        assert found._task is not None and not found._task.done()
-        found._task.cancel()
+        assert found._watch_task is not None and not found._watch_task.done()
+        found._watch_task.cancel()
 
     run_scenario(scenario())
 
@@ -93,8 +93,8 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It was bounded by the whole wait of the call, in which all news counts as told."""
-    monkeypatch.setattr(discovery, "CONNECT_TIMEOUT_S", 0.02)
-    monkeypatch.setattr(discovery, "PUSH_RETRY_PAUSE_S", 0.0)
+    monkeypatch.setattr(call, "CONNECT_TIMEOUT_S", 0.02)
+    monkeypatch.setattr(client, "PUSH_RETRY_PAUSE_S", 0.0)
 
     async def scenario() -> None:
         async with full_backlog() as address:
@@ -102,23 +102,23 @@
             text = config_text(address, [], discovery=how, contract=contract)
             failed = asyncio.Event()
             config = read_config(text, lambda note: None)
-            found = discovery.DiscoveryClient(config, lambda news: True, failed.set)
+            found = DiscoveryClient(config, lambda news: True, failed.set)
             found._watch.index = 7
             dials = list[int]()
-            connect = discovery.connect
+            connect = connection.connect
 
-            async def counted(to: tuple[str, int]) -> discovery.Connection:
+            async def counted(to: tuple[str, int]) -> connection.Connection:
                 dials.append(1)
                 return await connect(to)
 
-            monkeypatch.setattr(discovery, "connect", counted)
+            monkeypatch.setattr(connection, "connect", counted)
             found.subscribe()
             if how == "ask":
                 await failed.wait()
             else:
                 await wait_until(lambda: len(dials) > 2)
-                assert found._task is not None
-                found._task.cancel()
+                assert found._watch_task is not None
+                found._watch_task.cancel()
 
     run_scenario(scenario())
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -18,8 +18,8 @@
     ListVersion,
 )
 from loadbalancer.interface import Outcome, UpdateKind
-from loadbalancer.net import discovery
 from loadbalancer.net.config import read_config
+from loadbalancer.net.discovery import cross_check as list_cross_check
 from loadbalancer.policy import endpoints
 from tests.loopback import (
     ListServer,
@@ -258,7 +258,7 @@
 ) -> None:
     monkeypatch.setattr(cross_check, "CROSS_CHECK_INTERVAL_S", 0.0)
     monkeypatch.setattr(cross_check, "CROSS_CHECK_INTERVAL_PER_BALANCER_MS", 0.0)
-    monkeypatch.setattr(discovery, "CROSS_CHECK_POLL_INTERVAL_S", 0.01)
+    monkeypatch.setattr(list_cross_check, "CROSS_CHECK_POLL_INTERVAL_S", 0.01)
 
     async def scenario() -> None:
         two = Two(upstreams=2)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -32,8 +32,8 @@
     retry_interval_s,
 )
 from loadbalancer.interface import UpdateKind
-from loadbalancer.net import discovery
 from loadbalancer.net.config import EndpointList, read_config
+from loadbalancer.net.discovery import DiscoveryClient, connection
 from loadbalancer.net.proxy import Proxy
 from loadbalancer.net.upstream import UpstreamResponse
 from loadbalancer.policy import Balancer
@@ -159,7 +159,7 @@
 class Line:
     """In place of a connection."""
 
-    closed = False
+    is_closed = False
 
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
@@ -177,12 +177,12 @@
             await asyncio.Event().wait()
         return UpstreamResponse(200, [], None, list_body(CHANGE))
 
-    async def late(self) -> UpstreamResponse:
+    async def wait_for_late_response(self) -> UpstreamResponse:
         never: asyncio.Future[UpstreamResponse] = asyncio.get_running_loop().create_future()
         return await never
 
     def close(self) -> None:
-        self.closed = True
+        self.is_closed = True
 
 
 def list_body(index: int) -> bytes:
@@ -214,7 +214,7 @@
         config = read_config(text, lambda note: None)
         self.balancer, self.knows = Balancer(config.settings, fleet.seed), asyncio.Event()
         self.first_failure = math.inf
-        self.found = discovery.DiscoveryClient(config, self._news, self._failed)
+        self.found = DiscoveryClient(config, self._news, self._failed)
 
     def tell(self, event: interface.Event) -> None:
         for action in self.balancer.handle(event, self.loop.time() * 1_000):
@@ -247,7 +247,7 @@
             return failed(watch, *args, **more)
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(discovery, "connect", self.connect)
+            patch.setattr(connection, "connect", self.connect)
             patch.setattr(Watch, "record_failure", seen)
             self.found.start()
             self.tell(interface.EndpointListUpdate(UpdateKind.CACHED))
@@ -600,7 +600,7 @@
         await standin.come_back()
     await until_known(lambda: driver._index == CHANGE)
     late = time.monotonic() - back
-    driver._discovery._close_connection()
+    driver._discovery.close()
     for standin in standins:
         standin.close()
     return late
@@ -639,13 +639,13 @@
             contract = {"drainGrace": 300.0, "askWithin": 30_000.0}
             text = config_text(address, [HERE], balancers=18_000, contract=contract)
             dials: list[float] = []
-            connect = discovery.connect
+            connect = connection.connect
 
-            async def counted(to: tuple[str, int]) -> discovery.Connection:
+            async def counted(to: tuple[str, int]) -> connection.Connection:
                 dials.append(time.monotonic())
                 return await connect(to)
 
-            stack.enter_context(pytest.MonkeyPatch.context()).setattr(discovery, "connect", counted)
+            stack.enter_context(pytest.MonkeyPatch.context()).setattr(connection, "connect", counted)
             driver = Proxy(read_config(text, lambda note: None), asyncio.get_running_loop())
             driver.start()
             await until_known(lambda: len(dials) == 2)
@@ -699,7 +699,7 @@
     async def then(driver: Proxy, first: asyncio.StreamWriter, slow: Slow) -> None:
         slow._held[1].write(http_response(200, list_body(BEFORE + 3)))
         await until_known(lambda: driver._index == BEFORE + 3)
-        assert driver._discovery._late._link is None
+        assert not driver._discovery._late_answer.is_pending
         await until_known(first.transport.is_closing)
         assert driver._index == BEFORE + 3
 
