--- a/loadbalancer/net/discovery/client.py
+++ b/loadbalancer/net/discovery/client.py
@@ -129,7 +129,7 @@
         return ListStatus(
             address=self._watch.instances.address,
             index=self._watch.index,
-            answer_age_ms=age_ms(now, self._answered_at_s),
+            response_age_ms=age_ms(now, self._answered_at_s),
             change_age_ms=age_ms(now, self._content.changed_at_s),
             switch_count=self._watch.instances.switch_count,
             rewind_count=self._watch.rewind_count,
--- a/loadbalancer/net/discovery/status.py
+++ b/loadbalancer/net/discovery/status.py
@@ -16,7 +16,7 @@
     """The instance that is watched."""
     index: int
     """The version of the list at hand; -1 for none."""
-    answer_age_ms: int | None
+    response_age_ms: int | None
     change_age_ms: int | None
     switch_count: int
     """How often another instance was watched from then on."""
@@ -27,20 +27,6 @@
     contradicting_servers: list[str]
     """Listed servers that answer nothing."""
 
-    def to_json(self) -> dict[str, object]:
-        """Return the console's form of it."""
-        host, port = self.address
-        return {
-            "from": f"{host}:{port}",
-            "index": self.index,
-            "heard_ms_ago": self.answer_age_ms,
-            "changed_ms_ago": self.change_age_ms,
-            "moves": self.switch_count,
-            "rewound": self.rewind_count,
-            "stood_still": self.stale_instance_count,
-            "contradicted": self.contradicting_servers,
-        }
-
 
 def age_ms(now_s: float, since_s: float) -> int | None:
     """Return the time since a moment, rounded; None for a moment that never was (minus infinity)."""
--- a/loadbalancer/simulation/watches.py
+++ b/loadbalancer/simulation/watches.py
@@ -112,7 +112,7 @@
     def _site(self, number: int, count: int) -> Instance:
         first = first_revision(0, START_MS, number, MAX_INSTANCES)
         catalog = Catalog(Rules(), first, number, MAX_INSTANCES)
-        return Instance(catalog, AntiEntropy(catalog, number, count, life=number + 1))
+        return Instance(catalog, AntiEntropy(catalog, number, count, incarnation=number + 1))
 
     def _seat(self, number: int, count: int, seed: int) -> WatchingBalancer:
         settings = Settings(
@@ -187,11 +187,13 @@
     def _share(self) -> None:
         now = self.clock.now
         for site in self.instances:
-            for other in site.exchange.others if site.is_up else ():
+            for other in site.exchange.peers if site.is_up else ():
                 if not self.instances[other].is_up:
                     continue
-                answer, theirs = self.instances[other].exchange.heard_from(site.exchange.question(other), now)
-                ours = site.exchange.answered(other, answer, now, now)
+                answer, theirs = self.instances[other].exchange.handle_request(
+                    site.exchange.make_request(other), now
+                )
+                ours = site.exchange.handle_response(other, answer, now, now)
                 for changes, one in ((theirs, self.instances[other]), (ours, site)):
                     if changes:
                         self._wake_soon(one)
@@ -202,24 +204,24 @@
     def _wake_soon(self, site: Instance) -> None:
         if not site.waking:
             site.waking = True
-            due = START_MS + site.pace.due(len(site.held)) * 1_000
+            due = START_MS + site.pace.next_wake_s(len(site.held)) * 1_000
             self.clock.at(due if math.isfinite(due) else self.clock.now, self._wake, site)
 
     def _wake(self, site: Instance) -> None:
         site.waking = False
         held, site.held = site.held, []
-        site.told_up_to = site.catalog.index
-        site.pace.woke((self.clock.now - START_MS) / 1_000, len(held))
+        site.told_up_to = site.catalog.revision
+        site.pace.record_wake((self.clock.now - START_MS) / 1_000, len(held))
         for one in held:
             self._answer(site, one)
 
     def _answer(self, site: Instance, held: PendingWatch) -> None:
         """Answer a watch if there is news, or hold it."""
         after = held.ask.after_index
-        if site.told_up_to <= after <= site.catalog.index and site.catalog.knows(after):
+        if site.told_up_to <= after <= site.catalog.revision and site.catalog.has_history_since(after):
             site.held.append(held)  # as the service does: what is newer is told at the next wake
             return
-        changed = site.catalog.changes("first", after, self.clock.now)
+        changed = site.catalog.changes_since("first", after, self.clock.now)
         if changed is not None and not changed:
             site.held.append(held)
         else:
@@ -233,7 +235,7 @@
         site.free_at = max(site.free_at, self.clock.now) + cost
         arrives = site.free_at + self._random.uniform(*LINK_MS)
         known = self._known_at(site)
-        self.clock.at(arrives, self._heard, held.seat, held.call, site.catalog.index, known)
+        self.clock.at(arrives, self._heard, held.seat, held.call, site.catalog.revision, known)
 
     def _known_at(self, site: Instance) -> int:
         """How many changes of the release an instance's list holds, without a gap."""
@@ -243,7 +245,7 @@
 
     def _holds(self, site: Instance, change: tuple[float, str]) -> bool:
         entry = site.catalog.entries[change[1]]
-        return entry.told.since_ms >= change[0] or entry.status.value != "in_service"
+        return entry.registration.since_ms >= change[0] or entry.status.value != "in_service"
 
     # ---- balancers ------------------------------------------------------------------------------
 
--- a/tests/test_endings_callers.py
+++ b/tests/test_endings_callers.py
@@ -57,10 +57,10 @@
             caller = await rig.connect()
             caller.send_request("/pay/x", b"x" * 70_000)
             await dials.started.wait()
-            (connection,) = rig.proxy.callers._connections
+            (connection,) = rig.proxy.downstream._connections
             await wait_until(lambda: connection._is_reading_paused)
             caller.writer.close()
-            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
             assert not unreleased_resources(rig.proxy)
             dials.release()
             assert status_of(await rig.request()) == 200
@@ -81,12 +81,12 @@
         async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as rig:
             caller = await rig.connect()
             caller.writer.write(HEAD * 40)
-            (connection,) = rig.proxy.callers._connections
+            (connection,) = rig.proxy.downstream._connections
             await wait_until(lambda: connection._is_reading_paused)
             await upstream.request_received.wait()
             await wait_at_least(0.02)  # some looks that see a caller that is there
             caller.writer.close()
-            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
             upstream.writers[0].write(http_response())
             await wait_until(lambda: not unreleased_resources(rig.proxy))
             assert len(upstream.requests) == 1
@@ -100,7 +100,7 @@
     async def scenario() -> None:
         upstream = Upstream()
         async with ProxyHarness(upstream) as rig:
-            rig.proxy.callers.max_connections = 1
+            rig.proxy.downstream.max_connections = 1
             first, late = await rig.connect(), await rig.connect()
             first.send_request()
             assert (
@@ -129,15 +129,15 @@
         async with ProxyHarness(upstream) as rig:
             with socket.socket() as deaf:
                 deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-                deaf.connect(rig.proxy.callers.address)
+                deaf.connect(rig.proxy.downstream.address)
                 deaf.sendall(HEAD * 2)
                 await upstream.request_received.wait()
-                (connection,) = rig.proxy.callers._connections
+                (connection,) = rig.proxy.downstream._connections
                 await wait_until(lambda: connection._is_streaming and connection._unsent.size_bytes > 0)
                 deaf.shutdown(socket.SHUT_WR)
-                await wait_until(lambda: not rig.proxy._requests)
+                await wait_until(lambda: not rig.proxy.requests.by_id)
                 assert len(upstream.requests) == 1
-            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
             assert not unreleased_resources(rig.proxy)
 
     run_scenario(scenario())
@@ -158,7 +158,7 @@
             for caller in everyone[25:]:
                 assert status_of(await caller.read_response()) >= 400
                 caller.writer.close()
-            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
             assert not unreleased_resources(rig.proxy)
 
     run_scenario(scenario())
@@ -172,7 +172,7 @@
             caller = await rig.connect()
             caller.send_request()
             assert status_of(await caller.read_response()) == 200
-            (connection,) = rig.proxy.callers._connections
+            (connection,) = rig.proxy.downstream._connections
             transport = connection._transport
             assert transport is not None and not has_peer_closed(transport)
             transport.abort()
@@ -191,7 +191,7 @@
             await wait_until(lambda: len(rig.proxy.balancer._queue) == 100)
             for caller in everyone:
                 caller.writer.close()
-            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
             await wait_until(lambda: not unreleased_resources(rig.proxy))
             assert len(upstream.requests) <= 100
             seen = len(upstream.requests)
@@ -212,8 +212,8 @@
     async def scenario() -> None:
         dials, upstream = PausedConnects(monkeypatch), Upstream()
         async with ProxyHarness(upstream, classes=[PATIENT], limits=LIMITS | {"mayCancel": cancel}) as rig:
-            rig.proxy.callers.max_connections = rig.proxy.upstreams.max_connections = 1_100
-            rig.proxy._listed(
+            rig.proxy.downstream.max_connections = rig.proxy.upstreams.max_connections = 1_100
+            rig.proxy.endpoint_list.apply(
                 UpdateKind.FULL_SNAPSHOT,
                 endpoint_list(rig.entries[0] | {"weight": 1_000.0}, is_full_snapshot=True),
             )
@@ -223,7 +223,7 @@
             await wait_until(lambda: dials.count == 1_000)
             for caller in everyone:
                 caller.writer.close()
-            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
             assert not unreleased_resources(rig.proxy)
             dials.release()
             assert status_of(await rig.request()) == 200
@@ -256,7 +256,7 @@
 
             caller.writer = None  # type: ignore[assignment]
             monkeypatch.setattr(downstream.DownstreamConnection, "_on_request_timeout", crossing)
-            pending = socket.create_connection(rig.proxy.callers.address)
+            pending = socket.create_connection(rig.proxy.downstream.address)
             caller.reader, caller.writer = await asyncio.open_connection(sock=pending)
             answer = await caller.read_response()
             assert crossed and status_of(answer) == 200
@@ -273,19 +273,19 @@
             caller = await rig.connect()
             caller.writer.write(HEAD * 2)
             await upstream.request_received.wait()
-            driver = rig.proxy
-            ((number, _),) = driver._requests.items()
-            ended = driver.attempt_ended
+            proxy = rig.proxy
+            ((number, _),) = proxy.requests.by_id.items()
+            ended = proxy.attempts.on_attempt_ended
 
             def crossing(*args: Any) -> None:
-                driver.attempt_ended = ended  # type: ignore[method-assign]
+                proxy.attempts.on_attempt_ended = ended  # type: ignore[method-assign]
                 if first == "deadline":
-                    driver._rescue(number)
+                    proxy.requests.rescue(number)
                 ended(*args)
                 if first == "answer":
-                    driver._rescue(number)
+                    proxy.requests.rescue(number)
 
-            driver.attempt_ended = crossing  # type: ignore[method-assign, assignment]
+            proxy.attempts.on_attempt_ended = crossing  # type: ignore[method-assign, assignment]
             upstream.writers[0].write(http_response(200, b"first"))
             answer = await caller.read_response()
             assert (status_of(answer), answer.body) == (
@@ -293,8 +293,8 @@
             )
             assert (await caller.read_response()).body == b"second"
             caller.writer.close()
-            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
-            assert not unreleased_resources(driver)
+            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
+            assert not unreleased_resources(proxy)
 
     run_scenario(scenario())
 
@@ -313,7 +313,7 @@
             else:
                 upstream.writers[0].write(http_response())
                 caller.writer.transport.abort()
-            await wait_until(lambda: rig.proxy.callers.connection_count() == 0)
+            await wait_until(lambda: rig.proxy.downstream.connection_count() == 0)
             await wait_until(lambda: not unreleased_resources(rig.proxy))
 
     run_scenario(scenario())
@@ -328,8 +328,8 @@
             caller = await rig.connect()
             caller.send_request("/pay/x", b"debit", deadline="60000m")
             await dials.started.wait()
-            ((number, _),) = rig.proxy._requests.items()
-            rig.proxy._rescue(number)
+            ((number, _),) = rig.proxy.requests.by_id.items()
+            rig.proxy.requests.rescue(number)
             assert status_of(await caller.read_response()) == 503
             await wait_until(lambda: not unreleased_resources(rig.proxy))
 
@@ -355,7 +355,7 @@
             caller = await rig.connect()
             caller.writer.write(HEAD * 3)
             await upstream.request_received.wait()
-            await rig.proxy.callers.shut_down()
+            await rig.proxy.downstream.shut_down()
             assert [status_of(await caller.read_response()) for _ in range(3)] == [502, 503, 503]
             assert await caller.reader.read() == b""
             assert len(upstream.requests) == 1
@@ -375,10 +375,10 @@
         async with ProxyHarness(Upstream(http_response(200, large))) as rig:
             caller = await rig.connect()
             caller.send_request()
-            (connection,) = rig.proxy.callers._connections
+            (connection,) = rig.proxy.downstream._connections
             await wait_until(lambda: connection._is_streaming)
-            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
-            await wait_until(lambda: rig.proxy._closed)
+            ending = asyncio.ensure_future(rig.proxy.downstream.shut_down())
+            await wait_until(lambda: rig.proxy.intake.is_closed)
             await wait_at_least(0.05)
             assert not ending.done()
             assert (await caller.read_response()).body == large
@@ -402,7 +402,7 @@
             caller = await rig.connect()
             caller.writer.write(HEAD.replace(b"HTTP/1.1", b"HTTP/1.0"))
             assert b"part" in await caller.reader.readuntil(b"part")
-            await rig.proxy.callers.shut_down()
+            await rig.proxy.downstream.shut_down()
             with pytest.raises(ConnectionResetError):
                 await caller.reader.read()
 
@@ -428,7 +428,7 @@
             caller = await rig.connect()
             caller.send_request()
             await upstream.request_received.wait()
-            (connection,) = rig.proxy.callers._connections
+            (connection,) = rig.proxy.downstream._connections
             half_close = connection.half_close
 
             def crossing() -> None:
@@ -436,8 +436,8 @@
                 at_once(caller, sent)  # in our kernel, unread, right after the half-close
 
             monkeypatch.setattr(connection, "half_close", crossing)
-            await wait_until(lambda: not rig.proxy._requests)
-            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
+            await wait_until(lambda: not rig.proxy.requests.by_id)
+            ending = asyncio.ensure_future(rig.proxy.downstream.shut_down())
             answer = await caller.read_response()
             assert status_of(answer) == 200 and answer.body == b"tile"
             assert await caller.reader.read() == b""
@@ -461,14 +461,14 @@
             caller = await rig.connect()
             caller.send_request()
             assert status_of(await caller.read_response()) == 200
-            close = rig.proxy.on_shutdown_deadline
+            close = rig.proxy.intake.on_shutdown_deadline
 
             def crossing() -> None:
                 at_once(caller, HEAD)
                 close()
 
-            monkeypatch.setattr(rig.proxy, "on_shutdown_deadline", crossing)
-            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
+            monkeypatch.setattr(rig.proxy.intake, "on_shutdown_deadline", crossing)
+            ending = asyncio.ensure_future(rig.proxy.downstream.shut_down())
             assert status_of(await caller.read_response()) == 503
             assert await caller.reader.read() == b""
             caller.writer.close()
@@ -487,14 +487,14 @@
     async def scenario() -> None:
         upstream = Upstream(never_answer, http_response())
         async with ProxyHarness(upstream) as rig:
-            rig.proxy.callers.max_connections = 1
+            rig.proxy.downstream.max_connections = 1
             first, late = await rig.connect(), await rig.connect()
             first.send_request()
             await upstream.request_received.wait()
             late.send_request()
             await late.writer.drain()
-            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
-            await wait_until(lambda: rig.proxy.callers.is_shutting_down)
+            ending = asyncio.ensure_future(rig.proxy.downstream.shut_down())
+            await wait_until(lambda: rig.proxy.downstream.is_shutting_down)
             await wait_at_least(0.05)
             upstream.writers[0].write(http_response())
             assert status_of(await first.read_response()) == 200
@@ -517,10 +517,10 @@
             caller = await rig.connect()
             whole = HEAD.replace(b"GET /read", b"POST /pay").replace(b": read", b": pay")
             caller.writer.write(whole[:-2] + b"Content-Length: 400000\r\n\r\n" + b"x" * 100_000)
-            await wait_until(lambda: bool(rig.proxy._requests))
-            ending = asyncio.ensure_future(rig.proxy.callers.shut_down())
-            await wait_until(lambda: rig.proxy._closed)
-            (connection,) = rig.proxy.callers._connections
+            await wait_until(lambda: bool(rig.proxy.requests.by_id))
+            ending = asyncio.ensure_future(rig.proxy.downstream.shut_down())
+            await wait_until(lambda: rig.proxy.intake.is_closed)
+            (connection,) = rig.proxy.downstream._connections
             at_once(caller, b"x" * 1_000)  # more of it is there each time we look
             connection.close_at_shutdown()
             assert connection._is_half_closed
--- a/tests/test_golden_registry.py
+++ b/tests/test_golden_registry.py
@@ -17,7 +17,7 @@
 import msgspec
 import pytest
 
-from loadbalancer.registry.anti_entropy import Message
+from loadbalancer.registry.anti_entropy import SyncMessage
 from loadbalancer.registry.entries import Registration
 from loadbalancer.registry.store import CatalogStore
 from tests.golden import replay
@@ -62,7 +62,7 @@
 
 def test_message_between_instances_is_read_and_written_again_byte_for_byte() -> None:
     data = (GOLDEN / "registry-exchange.json").read_bytes().strip()
-    assert msgspec.json.encode(msgspec.json.decode(data, type=Message)) == data
+    assert msgspec.json.encode(msgspec.json.decode(data, type=SyncMessage)) == data
 
 
 def test_database_is_sound_and_its_entries_are_written_again_byte_for_byte(
@@ -76,15 +76,15 @@
         assert len(changes) == len(history) == 9
         assert {entry.name: msgspec.json.encode(entry) for entry in store.entries()} == dict(recorded)
     with opened(tmp_path / "anew.sqlite") as anew:
-        anew.begin(1, 0, {})
-        anew.keep(changes)
+        anew.begin_incarnation(1, 0, {})
+        anew.commit(changes)
     assert rows(tmp_path / "anew.sqlite", "select name, entry from entries order by name") == recorded
     assert rows(tmp_path / "anew.sqlite", "select * from history order by version") == history
 
 
 def test_opening_the_database_changes_nothing_in_it(database: Path) -> None:
     with opened(database) as store:
-        index, lives, floors = store.index(), store.lives(), store.floors()
+        index, lives, floors = store.last_revision(), store.incarnations(), store.compaction_revisions()
     for table in ("meta", "entries", "history", "lives"):
         statement = f"select * from {table} order by 1"
         assert rows(database, statement) == rows(GOLDEN / "registry.sqlite", statement)
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -164,8 +164,8 @@
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await caller.read_response()
             assert (len(upstream.requests), told) == (1, [Outcome.RESET])
-            figures = rig.proxy.figures()
-            assert figures["aborted"] == {"read": 1, "pay": 0} and figures["outstanding"] == 0
+            figures = rig.proxy.stats()
+            assert figures.failed == {"read": 1, "pay": 0} and figures.requests_in_flight == 0
 
     run_scenario(scenario())
 
@@ -243,7 +243,7 @@
             await caller.reader.readexactly(1_000)
             caller.writer.transport.abort()
             await upstream.connection_ended.wait()
-            assert rig.proxy.figures()["outstanding"] == 0
+            assert rig.proxy.stats().requests_in_flight == 0
             assert rig.proxy.buffers.used_bytes == 0
 
     run_scenario(scenario())
@@ -260,10 +260,10 @@
         async with ProxyHarness(Upstream(long_answer(data))) as rig:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            sock.connect(rig.proxy.callers.address[:2])
+            sock.connect(rig.proxy.downstream.address[:2])
             caller = HttpClient()
             caller.reader, caller.writer = await asyncio.open_connection(sock=sock, limit=4_096)
-            while not (held := rig.proxy.callers._connections):
+            while not (held := rig.proxy.downstream._connections):
                 await asyncio.sleep(0)
             (connection,) = held
             while connection._transport is None:
@@ -483,7 +483,7 @@
             assert status_of(await caller.read_response()) == 400
             await upstream.connection_ended.wait()
             assert not upstream.requests
-            assert rig.proxy.figures()["outstanding"] == 0
+            assert rig.proxy.stats().requests_in_flight == 0
 
     run_scenario(scenario())
 
