--- a/loadbalancer/net/discovery/call.py
+++ b/loadbalancer/net/discovery/call.py
@@ -7,8 +7,10 @@
 from dataclasses import dataclass
 
 from loadbalancer.endpoint_watch import ListRequest
-from loadbalancer.net.config import Address, EndpointList, decode_endpoint_list
+from loadbalancer.net.address import Address
+from loadbalancer.net.config import EndpointList
 from loadbalancer.net.discovery import connection as connections
+from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
 from loadbalancer.net.interest_subscription import AnswerView, InterestSubscription
 from loadbalancer.net.upstream import UpstreamResponse
 
--- a/loadbalancer/net/discovery/client.py
+++ b/loadbalancer/net/discovery/client.py
@@ -15,7 +15,8 @@
     Watch,
 )
 from loadbalancer.interface import EndpointListUpdate, UpdateKind
-from loadbalancer.net.config import Address, Config, EndpointList, RegistryConfig
+from loadbalancer.net.address import Address
+from loadbalancer.net.config import Config, EndpointList, RegistryConfig
 from loadbalancer.net.discovery.call import (
     ListCaller,
     RequestRejectedError,
--- a/loadbalancer/net/discovery/connection.py
+++ b/loadbalancer/net/discovery/connection.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import cast
 
-from loadbalancer.net.config import Address
+from loadbalancer.net.address import Address
 from loadbalancer.net.upstream import RESPONSE_ERRORS, ResponseReader, UpstreamResponse
 
 MAX_LIST_BYTES = 4 * 1024 * 1024  # of an answer: a service that sends more is broken, and memory is bounded
--- a/loadbalancer/net/discovery/cross_check.py
+++ b/loadbalancer/net/discovery/cross_check.py
@@ -13,7 +13,7 @@
     RateLimitedError,
     Watch,
 )
-from loadbalancer.net.config import Address
+from loadbalancer.net.address import Address
 from loadbalancer.net.discovery import connection as connections
 from loadbalancer.net.discovery.call import request_list
 from loadbalancer.net.discovery.list_content import ListContent, listed_state
--- a/loadbalancer/net/discovery/list_content.py
+++ b/loadbalancer/net/discovery/list_content.py
@@ -7,7 +7,8 @@
 
 from loadbalancer.endpoint_watch import ListVersion
 from loadbalancer.interface import Readiness
-from loadbalancer.net.config import Address, AddressedEndpoint, EndpointList
+from loadbalancer.net.address import Address
+from loadbalancer.net.config import AddressedEndpoint, EndpointList
 
 
 class ListedState(NamedTuple):
--- a/loadbalancer/net/discovery/status.py
+++ b/loadbalancer/net/discovery/status.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from loadbalancer.net.config import Address
+from loadbalancer.net.address import Address
 
 
 @dataclass(frozen=True, slots=True)
--- a/loadbalancer/net/interest_subscription.py
+++ b/loadbalancer/net/interest_subscription.py
@@ -15,7 +15,8 @@
 from typing import Any
 
 from loadbalancer.endpoint_watch import ListRequest, RateLimitedError, Subscription
-from loadbalancer.net.config import Address, Config, RegistryConfig
+from loadbalancer.net.address import Address
+from loadbalancer.net.config import Config, RegistryConfig
 
 INTERESTS_UNSUPPORTED = "the list service knows no interests: the whole of the service is taken"
 
--- a/loadbalancer/scale/registrar.py
+++ b/loadbalancer/scale/registrar.py
@@ -14,7 +14,7 @@
 
 from loadbalancer.drill.clock import RealClock
 from loadbalancer.drill.servers.specification import Place, follow, read_spec, say
-from loadbalancer.net.config import read_address
+from loadbalancer.net.address import parse_address
 from loadbalancer.net.discovery import connection
 from loadbalancer.registry.lease import RENEWAL_RATIO
 from loadbalancer.scale.counting import Tally, in_background, run, tell_each_second
@@ -63,7 +63,7 @@
         async with asyncio.timeout(PATIENCE_S):
             link = self._links.get(at)
             if link is None or link.is_closed:
-                link = self._links[at] = await connection.connect(read_address(at))
+                link = self._links[at] = await connection.connect(parse_address(at))
             self._tally.calls[at] += 1
             try:
                 answer = await link.call(request)
--- a/tests/list_service_faults.py
+++ b/tests/list_service_faults.py
@@ -17,7 +17,8 @@
 from loadbalancer import interface
 from loadbalancer.endpoint_watch import FULL_SNAPSHOT, Address, Watch
 from loadbalancer.interface import UpdateKind
-from loadbalancer.net.config import EndpointList, read_config
+from loadbalancer.net.config import EndpointList
+from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.discovery import DiscoveryClient, connection
 from loadbalancer.net.upstream import UpstreamResponse
 from loadbalancer.policy import Balancer
--- a/tests/test_change_notification_sockets.py
+++ b/tests/test_change_notification_sockets.py
@@ -16,7 +16,7 @@
     SCHEDULING_SLACK_S,
     retry_interval_s,
 )
-from loadbalancer.net.config import read_config
+from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.discovery import connection
 from loadbalancer.net.proxy import Proxy
 from tests.list_service_faults import (
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -18,9 +18,9 @@
     ListVersion,
 )
 from loadbalancer.interface import Outcome, UpdateKind
-from loadbalancer.net.config import read_config
+from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.discovery import cross_check as list_cross_check
-from loadbalancer.policy import endpoints
+from loadbalancer.policy import list_backoff
 from tests.loopback import (
     ListServer,
     ProxyHarness,
@@ -31,7 +31,7 @@
     run_scenario,
     status_of,
 )
-from tests.test_net import listen_to
+from tests.recorded_events import record_events
 
 A, B, C = (("127.0.0.1", port) for port in (1, 2, 3))
 
@@ -163,12 +163,12 @@
 def test_the_next_instance_is_asked_when_one_fails_and_the_list_has_not_failed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(endpoints, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
+    monkeypatch.setattr(list_backoff, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
 
     async def scenario() -> None:
         two = Two()
         async with await two.rig() as rig:
-            told = listen_to(rig)
+            told = record_events(rig)
             assert "after=7&" in await two.one.request_lines.get()
             two.one.responses.put_nowait(http_response(503, b""))
             assert await two.other.request_lines.get() == "GET /v1/servers HTTP/1.1"
