--- a/loadbalancer/drill/seeded_defects.py
+++ b/loadbalancer/drill/seeded_defects.py
@@ -14,9 +14,9 @@
 from loadbalancer import interface
 from loadbalancer.drill.processes.process_files import SERVICE_DEFECTS
 from loadbalancer.interface import Outcome, Readiness
-from loadbalancer.net import discovery
 from loadbalancer.net.action_executor import ActionExecutor
 from loadbalancer.net.config import EndpointList
+from loadbalancer.net.discovery import call, cross_check
 from loadbalancer.net.downstream_request import DownstreamRequest
 from loadbalancer.net.endpoint_list import EndpointListFollower
 from loadbalancer.net.request_attempts import RequestAttempt
@@ -100,7 +100,7 @@
 
 def trusts_any_list() -> None:
     """A list that is older than the one at hand is taken for news."""
-    names, newest = vars(discovery), [0]
+    names, newest = vars(call), [0]
     real = names["decode_endpoint_list"]
 
     def decode_endpoint_list(answer: Any) -> EndpointList:
@@ -227,16 +227,16 @@
     """The instance that is asked first is asked for ever."""
     from loadbalancer.endpoint_watch.instance_selection import InstanceSelector
 
-    InstanceSelector.failed = lambda self: False  # type: ignore[method-assign]
+    InstanceSelector.record_failure = lambda self: False  # type: ignore[method-assign]
 
 
 def never_compares() -> None:
     """No other instance's list is ever looked at."""
 
-    async def compare(self: discovery.Discovery) -> None:
+    async def run(self: cross_check.CrossChecker) -> None:
         return None
 
-    discovery.Discovery._compare = compare  # type: ignore[method-assign]
+    cross_check.CrossChecker._run = run  # type: ignore[method-assign]
 
 
 def asks_without_pause() -> None:
--- a/tests/test_registry_service.py
+++ b/tests/test_registry_service.py
@@ -493,7 +493,7 @@
             return runner
 
         async with aiohttp.ClientSession() as http, ProxyHarness(console="") as rig:
-            rig.proxy.endpoint_list.discovery.move((HOST, port))
+            rig.proxy.endpoint_list.discovery.reconfigure((HOST, port))
 
             async def put(name: str, address: str) -> None:
                 async with http.put(f"http://{HOST}:{port}/v1/servers/{name}", json=entry(address)) as answer:
