--- a/tests/golden/record.py
+++ b/tests/golden/record.py
@@ -2,8 +2,8 @@
 
     python -m tests.golden.record PYTHON PACKAGE CHECKOUT
 
-PYTHON is that version's interpreter, PACKAGE its package, CHECKOUT the folder to start it in. The files change
-only where a change of the stored or sent form is meant; README.md says which version has written them.
+PYTHON is that version's interpreter, PACKAGE its package, CHECKOUT the folder to start it in. The files
+change only where a change of the stored or sent form is meant; README.md says which version has written them.
 """
 
 from __future__ import annotations
