--- a/loadbalancer/scale/plants.py
+++ b/loadbalancer/scale/seeded_defects.py
@@ -1,6 +1,6 @@
 """Defects that a scale run must flag by a figure over its allowance: the real parts, made worse in one place.
 
-python -m loadbalancer.scale.plants polls hollow SPEC.json
+python -m loadbalancer.scale.seeded_defects polls hollow SPEC.json
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     """Each change tells each watch the whole list."""
     from loadbalancer.registry.query_evaluation import QueryEvaluator
 
-    QueryEvaluator._goes_on = lambda self, asked: False  # type: ignore[method-assign]
+    QueryEvaluator._can_resume = lambda self, asked: False  # type: ignore[method-assign]
 
 
 def never_backs_off() -> None:
@@ -40,10 +40,10 @@
     from loadbalancer.endpoint_watch import Watch
     from loadbalancer.policy.endpoints import EndpointSet
 
-    real_failed, real_watch = EndpointSet.failed, Watch.failed
+    real_failed, real_watch = EndpointSet.handle_list_failure, Watch.failed
 
-    def failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
-        told = real_failed(self, now, again_ms)
+    def failed(self: EndpointSet, now: float, retry_within_ms: float) -> list[interface.Action]:
+        told = real_failed(self, now, retry_within_ms)
         return [
             replace(a, at_ms=now + AGAIN_S * 1_000) if isinstance(a, interface.SetTimer) else a for a in told
         ]
@@ -54,7 +54,7 @@
         pause_s = real_watch(self, took_s, fell_silent, turned_away)
         return None if pause_s is None else AGAIN_S
 
-    EndpointSet.failed, Watch.failed = failed, watch_failed  # type: ignore[method-assign]
+    EndpointSet.handle_list_failure, Watch.failed = failed, watch_failed  # type: ignore[method-assign]
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
@@ -69,14 +69,14 @@
     if kind == "instance":
         from loadbalancer.registry import server
 
-        told = server.read_file(Path(path))
+        told = server.read_configuration(Path(path))
         server.serve(told, server.open_service(told))
         return
-    from loadbalancer.scale import edge, hollow, registrar
+    from loadbalancer.scale import hollow, registrar, upstream_stub
     from loadbalancer.scale.counting import run
 
     sys.argv = [kind, path]  # the specification is the first argument there
-    run({"hollow": hollow, "registrar": registrar, "edge": edge}[kind].serve())
+    run({"hollow": hollow, "registrar": registrar, "edge": upstream_stub}[kind].serve())
 
 
 if __name__ == "__main__":
--- a/tests/test_interest.py
+++ b/tests/test_interest.py
@@ -20,28 +20,35 @@
 
 from loadbalancer import configuration
 from loadbalancer.endpoint_watch import RateLimitedError, Subscription
-from loadbalancer.net.config import read_config
+from loadbalancer.net.config_reader import read_config
+from loadbalancer.net.configuration_reload import ReloadReport
 from loadbalancer.registry import Catalog, Change, Registration, Rules, WriteRejectedError, first_revision
-from loadbalancer.registry.admission_queue import ALL_IN_S, BURST_S, EARLY_S, PART, AdmissionQueue
+from loadbalancer.registry.admission_queue import (
+    BURST_S,
+    MAX_CPU_SHARE,
+    MAX_DELAY_S,
+    TICKET_TOLERANCE_S,
+    AdmissionQueue,
+)
 from loadbalancer.registry.anti_entropy import MAX_INSTANCES, AntiEntropy
 from loadbalancer.registry.interests import (
-    COPIES,
-    COVER,
+    BALANCERS_PER_SERVER,
+    SLICES_PER_SERVER,
     SubsetCache,
     SubsetSpec,
     SubsetView,
-    decode,
-    is_in,
-    place_of,
+    decode_levels,
+    is_in_slice,
+    watcher_position,
 )
 from loadbalancer.registry.list_query import ListQuery, parse_list_query
 from loadbalancer.registry.query_evaluation import QueryEvaluator
 from loadbalancer.registry.store import CatalogStore
-from tests.loopback import Rig, Upstream, config_text, entry, run
+from tests.loopback import ProxyHarness, Upstream, config_text, endpoint_entry, run_scenario
 from tests.test_directory import serving
 
-RULES = Rules(settle_ms=0.0, learn_ms=0.0, tombstones=3)
-ROOMY = msgspec.structs.replace(RULES, tombstones=10_000)
+RULES = Rules(settle_ms=0.0, learning_ms=0.0, max_tombstones=3)
+ROOMY = msgspec.structs.replace(RULES, max_tombstones=10_000)
 SERVICES, ZONES, NAMES = ("a", "b", "c"), ("east", "west"), tuple(f"s{n}" for n in range(12))
 WRITES = ("register", "drain", "remove", "restart")
 
@@ -69,22 +76,27 @@
     def begin(self, now: float) -> None:
         """Start, or start again from the file."""
         store, self._life = self.store, self._life + 1
-        first = first_revision(store.index(), now, self.number, MAX_INSTANCES)
+        first = first_revision(store.last_revision(), now, self.number, MAX_INSTANCES)
         self.catalog = Catalog(self.rules, first, self.number, MAX_INSTANCES)
-        self.catalog.restore(store.entries(), now, store.lives(), *store.floors())
-        store.begin(self.catalog.index, self.catalog.base, self.catalog.entries, self.catalog.places.floors)
+        self.catalog.restore(store.entries(), now, store.incarnations(), *store.compaction_revisions())
+        store.begin_incarnation(
+            self.catalog.revision,
+            self.catalog.oldest_revision,
+            self.catalog.entries,
+            self.catalog.change_index.compaction_revisions,
+        )
         self.exchange = AntiEntropy(self.catalog, self.number, self.count, self._life)
         self.reads = QueryEvaluator(self.catalog, store)
 
     def keep(self, *changes: Change | None) -> None:
-        self.store.keep([change for change in changes if change is not None])
+        self.store.commit([change for change in changes if change is not None])
 
     def put(self, name: str, service: str, zone: str = "east", since: float = 0.0, now: float = 1e6) -> None:
         self.keep(self.catalog.register(name, told(service, zone, since), now))
 
     def tell(self, asked: ListQuery) -> dict[str, Any]:
         """An answer without a wait."""
-        data, _ = self.reads.find(asked, may_wait=False)
+        data, _ = self.reads.evaluate(asked, may_wait=False)
         assert data is not None
         answer: dict[str, Any] = json.loads(data)
         return answer
@@ -124,14 +136,14 @@
 
     def view(self) -> SubsetView:
         assert self.held is not None
-        return SubsetView(decode(self.held), place_of(self.name if self.part else ""))
+        return SubsetView(decode_levels(self.held), watcher_position(self.name if self.part else ""))
 
     def truth(self, catalog: Catalog) -> dict[str, tuple[str, float, str]]:
         view = self.view()
         return {
-            e.name: (e.status.value, e.told.since_ms, e.told.tier)
+            e.name: (e.status.value, e.registration.since_ms, e.registration.tier)
             for e in catalog.entries.values()
-            if view.holds_entry(e)
+            if view.includes_entry(e)
         }
 
 
@@ -147,7 +159,10 @@
 )
 steps = st.one_of(
     st.tuples(
-        st.sampled_from(WRITES), st.integers(0, 1), st.sampled_from(NAMES), st.sampled_from(SERVICES),
+        st.sampled_from(WRITES),
+        st.integers(0, 1),
+        st.sampled_from(NAMES),
+        st.sampled_from(SERVICES),
         st.sampled_from(ZONES),
     ),
     st.tuples(st.just("undone"), st.integers(0, 1), st.sampled_from(NAMES)),
@@ -156,7 +171,7 @@
     st.tuples(st.just("look"), st.integers(0, 3)),
     st.tuples(st.just("want"), st.integers(0, 3), clients),
     st.tuples(st.just("roam"), st.integers(0, 3)),
-)  # fmt: skip
+)
 
 
 class World:
@@ -182,7 +197,7 @@
 
     def _since(self, at: int, name: str) -> float:
         known = self.sites[at].catalog.entries.get(name)
-        return known.told.since_ms if known else self.now
+        return known.registration.since_ms if known else self.now
 
     def _drain(self, at: int, name: str, *_: str) -> None:
         self._write(at, lambda c: c.drain(name, self.now))
@@ -194,13 +209,13 @@
         """A write that the disk does not take."""
         catalog = self.sites[at].catalog
         if name in catalog.entries and catalog.entries[name].is_listed:
-            catalog.undo([catalog.remove(name, self.now)])
+            catalog.revert([catalog.remove(name, self.now)])
 
     def _share(self) -> None:
         one, other = self.sites
-        answer, changes = other.exchange.heard_from(one.exchange.question(1), self.now)
+        answer, changes = other.exchange.handle_request(one.exchange.make_request(1), self.now)
         other.keep(*changes)
-        one.keep(*one.exchange.answered(1, answer, self.now, self.now))
+        one.keep(*one.exchange.handle_response(1, answer, self.now, self.now))
 
     def _again(self, at: int) -> None:
         self.sites[at].begin(self.now)
@@ -208,17 +223,19 @@
     def _look(self, number: int) -> None:
         seat = self.seats[number % len(self.seats)]
         catalog = self.sites[seat.at].catalog
-        before = {name: dict(e.left) for name, e in catalog.entries.items()}
+        before = {name: dict(e.former_zones) for name, e in catalog.entries.items()}
         held = None if seat.held is None else seat.view()
         seat.take(self.sites[seat.at].tell(seat.asked()))
         assert seat.content == seat.truth(catalog)
         for name in seat.last:
             e = catalog.entries[name]
-            places = {(e.told.tier, e.told.zone)} | {
+            places = {(e.registration.tier, e.registration.zone)} | {
                 (s, z) for s, zones in before[name].items() for z in zones
             }
             views = [seat.view()] + ([held] if held else [])
-            assert any(v.holds(s, z, name) for v in views for s, z in places), "it is outside of the interest"
+            assert any(v.includes(s, z, name) for v in views for s, z in places), (
+                "it is outside of the interest"
+            )
 
     def _want(self, number: int, other: Client) -> None:
         seat = self.seats[number % len(self.seats)]
@@ -241,7 +258,7 @@
         world.do("look", number)
         world.do("look", number)  # by the second one what was wanted newly is held, and no more
         seat = seats[number]
-        assert set(decode(seat.held or "{}")) == set(seat.services.split(","))
+        assert set(decode_levels(seat.held or "{}")) == set(seat.services.split(","))
 
 
 @given(seats=st.lists(clients, min_size=1, max_size=4), turns=st.lists(steps, max_size=30))
@@ -261,25 +278,27 @@
             for number in range(len(seats)):
                 world.do("look", number)
                 world.do("look", number)
-            since = site.catalog.index
+            since = site.catalog.revision
             with ExitStack() as stack:
                 woken = [
-                    stack.enter_context(site.reads.waits.waiting(seat.view(), seat.asked().interest.shape))
+                    stack.enter_context(
+                        site.reads.watcher_index.subscribe(seat.view(), seat.asked().interest.subset)
+                    )
                     for seat in seats
                 ]
-                levels = [site.reads.find(seat.asked(), may_wait=True)[1].key for seat in seats]
+                levels = [site.reads.evaluate(seat.asked(), may_wait=True)[1].key for seat in seats]
                 world.do(turn[0], 0, *turn[2:])
-                site.reads.waits.wake(site.catalog.changed_since(since), since)
+                site.reads.watcher_index.wake_affected(site.catalog.changed_since(since), since)
                 for seat, one, before in zip(seats, woken, levels, strict=True):
-                    data, view = site.reads.find(seat.asked(), may_wait=False)
+                    data, view = site.reads.evaluate(seat.asked(), may_wait=False)
                     assert data is not None
                     news = bool(json.loads(data)["endpoints"])
                     assert one.done() or not news, "a change that it holds did not wake it"
-                    may = news or (seat.part and site.catalog.index > since)
+                    may = news or (seat.part and site.catalog.revision > since)
                     assert not one.done() or may or view.key != before, "it was woken for nothing"
-            assert not site.reads.waits, "no state is left of watches that have ended"
+            assert not site.reads.watcher_index, "no state is left of watches that have ended"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 # ---- versions, floors, moves --------------------------------------------------------------------
@@ -292,14 +311,14 @@
     seat, other = Client("a"), Client("b")
     seat.take(site.tell(seat.asked()))
     other.take(site.tell(other.asked()))
-    old = site.catalog.index
+    old = site.catalog.revision
     site.keep(site.catalog.remove("s0", 1e6))
     site.put("s0", "b")
     for _ in range(2):
         seat.take(site.tell(seat.asked()))
         other.take(site.tell(other.asked()))
         assert not seat.content and list(other.content) == ["s0"]
-        changed = site.catalog.changes("a", old, 1e6)
+        changed = site.catalog.changes_since("a", old, 1e6)
         assert changed is not None and [e.status.value for e in changed] == ["terminated"]
         site.begin(2e6)  # and the file remembers it
 
@@ -313,7 +332,7 @@
         seats[-1].take(site.tell(seats[-1].asked()))
         site.keep(site.catalog.remove("s0", 1e6 + number))
     site.put("s0", "last")
-    assert len(site.catalog.entries["s0"].left) == 8
+    assert len(site.catalog.entries["s0"].former_zones) == 8
     for seat in seats:
         seat.take(site.tell(seat.asked()))
         assert not seat.content
@@ -358,7 +377,7 @@
     site.put("s2", "a")
     moved = site.catalog.register("s1", told("a", "west", 5.0), 1e6)
     assert moved is not None
-    site.catalog.undo([moved])
+    site.catalog.revert([moved])
     seat.take(site.tell(seat.asked()))
     assert sorted(seat.last) == ["s0", "s2"] and seat.content == seat.truth(site.catalog)
     other.take(site.tell(other.asked()))
@@ -367,10 +386,10 @@
 
 def test_a_file_that_an_earlier_version_has_kept_since_is_not_taken_at_its_old_floors() -> None:
     site = Instance()
-    site.store.begin(site.catalog.index + 1, 5, (), {"a": 9})
-    assert site.store.floors() == (5, {"a": 9}) and site.store.floor() == 9
+    site.store.begin_incarnation(site.catalog.revision + 1, 5, (), {"a": 9})
+    assert site.store.compaction_revisions() == (5, {"a": 9}) and site.store.compaction_revision() == 9
     site.store._db.execute("insert or replace into meta values ('floor', 20)")  # as that version does
-    assert site.store.floors() == (20, {})
+    assert site.store.compaction_revisions() == (20, {})
 
 
 def test_an_interest_that_changes_is_told_what_came_and_outright_what_left() -> None:
@@ -417,8 +436,8 @@
 
 
 def part(catalog: Catalog, name: str, shape: SubsetSpec) -> set[str]:
-    view = SubsetView({"a": SubsetCache(catalog).best("a", shape)}, place_of(name))
-    return {e.name for e in catalog.whole("a") if view.holds_entry(e)}
+    view = SubsetView({"a": SubsetCache(catalog).finest_levels("a", shape)}, watcher_position(name))
+    return {e.name for e in catalog.listed_entries("a") if view.includes_entry(e)}
 
 
 @pytest.mark.parametrize("count, zones", [(60, 3), (500, 3), (1_500, 12)])
@@ -426,7 +445,7 @@
     catalog, least = filled(count, zones), 4
     for number in range(50):
         mine = part(catalog, f"b-{number}", SubsetSpec(least, "z0"))
-        by_zone = Counter(catalog.entries[name].told.zone for name in mine)
+        by_zone = Counter(catalog.entries[name].registration.zone for name in mine)
         assert all(by_zone[f"z{zone}"] >= least for zone in range(zones))
         assert by_zone["z0"] >= min(least * (zones - 1), count / zones)
         assert count < 100 or len(mine) < count / 2
@@ -436,11 +455,15 @@
     catalog = filled(600, 3)
     few, many = Counter[str](), Counter[str]()
     for number in range(300):
-        few.update(part(catalog, f"b-{number}", SubsetSpec(4, balancers=300)))
+        few.update(part(catalog, f"b-{number}", SubsetSpec(4, balancer_count=300)))
         many.update(part(catalog, f"b-{number}", SubsetSpec(4)))
     assert len(many) == 600, "nobody is left out"
-    held = [few[e.name] for e in catalog.whole("a")]  # where watchers say how many they are
-    assert sum(held) / len(held) >= COVER and min(held) >= COVER / 2 and max(held) < 300
+    held = [few[e.name] for e in catalog.listed_entries("a")]  # where watchers say how many they are
+    assert (
+        sum(held) / len(held) >= BALANCERS_PER_SERVER
+        and min(held) >= BALANCERS_PER_SERVER / 2
+        and max(held) < 300
+    )
 
 
 def test_a_server_that_comes_or_goes_moves_no_other() -> None:
@@ -450,15 +473,15 @@
     catalog.remove("a-17", 0.0)
     after = [part(catalog, name, shape) for name in names]
     assert [one - {"a-17"} for one in before] == after
-    level = SubsetCache(catalog).best("a", shape)["z2"]
+    level = SubsetCache(catalog).finest_levels("a", shape)["z2"]
     held = sum("a-17" in one for one in before)
-    assert 0 < held <= 3 * 100 * COPIES / 2**level
+    assert 0 < held <= 3 * 100 * SLICES_PER_SERVER / 2**level
 
 
 def test_another_level_of_slices_only_adds_servers_or_only_drops_some() -> None:
     names = [f"s{n}" for n in range(500)]
     for place in range(16):
-        held = [{n for n in names if is_in(n, level, place)} for level in range(6)]
+        held = [{n for n in names if is_in_slice(n, level, place)} for level in range(6)]
         assert all(finer < coarser for coarser, finer in pairwise(held))
 
 
@@ -469,7 +492,7 @@
     for number in range(200):
         site.put(f"s{number}", "a")
         seat.take(site.tell(seat.asked()))
-        parts_of.append(SubsetCache(site.catalog).best("a", shape)["east"])
+        parts_of.append(SubsetCache(site.catalog).finest_levels("a", shape)["east"])
     edges = [n for n in range(1, 200) if parts_of[n] > parts_of[n - 1]]
     assert len(edges) >= 3 and len(seat.content) < 150
     for number in range(199, edges[-1], -1):
@@ -482,7 +505,7 @@
         else:
             site.keep(site.catalog.remove(last, 1e6 + turn))
         seat.take(site.tell(seat.asked()))
-        levels.add(SubsetCache(site.catalog).best("a", shape)["east"])
+        levels.add(SubsetCache(site.catalog).finest_levels("a", shape)["east"])
         assert seat.content == seat.truth(site.catalog) and len(seat.content) >= 4
         moved += seat.held != held
     assert len(levels) == 2 and moved <= 2
@@ -536,9 +559,9 @@
                 said = await answer.json()
                 assert (answer.status, list(said)) == (400, ["error"])
                 assert why in said["error"] and "\n" not in said["error"]
-            assert not service.reads.watching
+            assert not service.evaluator.waiting_count
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @asynccontextmanager
@@ -556,7 +579,7 @@
 def test_a_service_that_appears_after_the_watch_wakes_it_and_no_other() -> None:
     async def scenario() -> None:
         async with serving() as (service, at), aiohttp.ClientSession() as http:
-            reads = service.reads
+            reads = service.evaluator
 
             async def watch(services: str, **more: str) -> Any:
                 async with watched(at, http, services=services, **more) as first:
@@ -571,23 +594,23 @@
                 old = asyncio.create_task(
                     http.get(f"http://{at}/v1/servers?after={first['index']}&wait_ms=9000").__aenter__()
                 )
-            while reads.watching < 7:
+            while reads.waiting_count < 7:
                 await asyncio.sleep(0.01)
-            told = reads.told
+            told = reads.answer_count
             await put(http, at, "s0", "later")
             news = await mine
             assert [e["name"] for e in news["endpoints"]] == ["s0"] and news["services"] == ["later"]
             await put(http, at, "s1", "nobodys")
-            assert reads.told == told + 1 and not any(task.done() for task in (*others, old))
+            assert reads.answer_count == told + 1 and not any(task.done() for task in (*others, old))
             await put(http, at, "s2", "other")
             assert [len((await task)["endpoints"]) for task in others] == [1] * 5
             assert not old.done(), "an old watch waits for its own tier"
             await put(http, at, "s3", "first")
             answer = await old
             assert set(await answer.json()) == {"index", "snapshot", "endpoints"}
-            assert not reads.waits
+            assert not reads.watcher_index
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_old_and_new_calls_stand_side_by_side_and_the_old_one_has_its_old_answer() -> None:
@@ -600,7 +623,7 @@
                 assert list(old["endpoints"][0]) == names
                 assert new["endpoints"] == [old["endpoints"][0] | {"service": "a"}]
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 # ---- balancers ----------------------------------------------------------------------------------
@@ -613,8 +636,12 @@
     config = read_config(
         config_text("127.0.0.1:9", [], lists={"services": ["b", "a"], "part": 8}), pytest.fail
     )
-    assert config.lists is not None
-    assert (config.lists.services, config.lists.part, config.lists.tier) == (("a", "b"), 8, "")
+    assert config.registry is not None
+    assert (config.registry.services, config.registry.subset_size, config.registry.tier) == (
+        ("a", "b"),
+        8,
+        "",
+    )
     assert faults(services=["a"], part=8) == []
     assert "only with `lists.services`" in faults(part=8)[0]
     assert "give one of the two" in faults(services=["a"], tier="a")[0]
@@ -622,15 +649,15 @@
     assert "lists.services" in faults(services=["a b"])[0] and "lists.part" in faults(part=-1)[0]
 
 
-async def listed(rig: Rig, *names: str) -> None:
-    while sorted(rig.driver._list) != sorted(names):
+async def listed(rig: ProxyHarness, *names: str) -> None:
+    while sorted(rig.proxy.endpoint_list.endpoints) != sorted(names):
         await asyncio.sleep(0.01)
 
 
-def follow(rig: Rig, at: str, **lists: Any) -> tuple[list[str], list[str]]:
+def follow(rig: ProxyHarness, at: str, **lists: Any) -> ReloadReport:
     """The configuration is replaced: what was taken, and what needs a restart."""
-    text = config_text(at, rig.entries, "", lists=lists, balancers=rig.driver._config.settings.balancer_count)
-    return rig.driver.replace(read_config(text, pytest.fail))
+    text = config_text(at, rig.entries, "", lists=lists, balancers=rig.proxy.config.settings.balancer_count)
+    return rig.proxy.apply_configuration(read_config(text, pytest.fail))
 
 
 def test_a_balancer_follows_an_interest_that_changes_while_its_watch_waits() -> None:
@@ -641,22 +668,23 @@
             for number in range(4):
                 await put(http, at, f"a{number}", "a")
                 await put(http, at, f"b{number}", "b")
-            async with Rig(console="", lists={"services": ["a"]}) as rig:
+            async with ProxyHarness(console="", lists={"services": ["a"]}) as rig:
                 follow(rig, at, services=["a"])
                 await listed(rig, "a0", "a1", "a2", "a3")
-                while not service.reads.waits:
+                while not service.evaluator.watcher_index:
                     await asyncio.sleep(0.01)
-                assert follow(rig, at, services=["b"]) == (["lists"], [])
+                assert follow(rig, at, services=["b"]) == ReloadReport(applied=["lists"], needs_restart=[])
                 await listed(rig, "b0", "b1", "b2", "b3")
-                assert rig.driver.list_report()["doubted"] == []
+                assert rig.proxy.endpoint_list_report().suspected_servers == []
                 await put(http, at, "a4", "a")
                 await put(http, at, "b4", "b")
                 await listed(rig, "b0", "b1", "b2", "b3", "b4")
-                assert follow(rig, at, services=["a", "b"])[0] == ["lists"]
+                assert follow(rig, at, services=["a", "b"]).applied == ["lists"]
                 await listed(rig, *(f"{s}{n}" for s in "ab" for n in range(5)))
-                assert follow(rig, at, tier="a") == ([], ["lists"]), "that needs a restart"
+                report = follow(rig, at, tier="a")
+                assert report == ReloadReport(applied=[], needs_restart=["lists"]), "that needs a restart"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_balancer_keeps_its_part_through_a_restart_of_the_service(tmp_path: Path) -> None:
@@ -665,7 +693,7 @@
     async def scenario() -> None:
         async with (
             aiohttp.ClientSession() as http,
-            Rig(console="", lists={"services": ["a"], "part": 3}, balancers=200) as rig,
+            ProxyHarness(console="", lists={"services": ["a"], "part": 3}, balancers=200) as rig,
         ):
             for life, file in enumerate(("one", "one", "other")):
                 async with serving(tmp_path / file) as (_, at):
@@ -673,50 +701,50 @@
                     for number in range(60):
                         await put(http, at, f"a{number}", "a")
                     await put(http, at, f"b{life}", "b")
-                    while len(rig.driver._list) > 45 or len(rig.driver._list) < 3:
+                    while not 3 <= len(rig.proxy.endpoint_list.endpoints) <= 45:
                         await asyncio.sleep(0.01)
-                    held = set(rig.driver._list)
+                    held = set(rig.proxy.endpoint_list.endpoints)
                     for number in range(60):
                         if f"a{number}" not in held:
                             break
                     await http.delete(f"http://{at}/v1/servers/a{number}")
-                    assert f"a{number}" not in rig.driver._list
+                    assert f"a{number}" not in rig.proxy.endpoint_list.endpoints
                     gone = min(held)
                     await http.delete(f"http://{at}/v1/servers/{gone}")
-                    while gone in rig.driver._list:
+                    while gone in rig.proxy.endpoint_list.endpoints:
                         await asyncio.sleep(0.01)
-                assert not any(name.startswith("b") for name in rig.driver._list)
+                assert not any(name.startswith("b") for name in rig.proxy.endpoint_list.endpoints)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_service_that_knows_no_interests_is_taken_whole_for_one_and_has_failed_for_several() -> None:
     async def scenario() -> None:
         upstream = Upstream()
-        one = entry("s0", await upstream.start())
-        async with Rig(console="", lists={"services": ["a"], "part": 3}) as rig:
+        one = endpoint_entry("s0", await upstream.start())
+        async with ProxyHarness(console="", lists={"services": ["a"], "part": 3}) as rig:
             said: list[tuple[str, str]] = []
-            rig.driver.log.event = lambda kind, text, **_: said.append((kind, text))  # type: ignore[method-assign]
-            line = await rig.discovery.calls.get()
+            rig.proxy.log.event = lambda kind, text, **_: said.append((kind, text))  # type: ignore[method-assign]
+            line = await rig.discovery.request_lines.get()
             assert "services=a&tier=a&part=3&of=n1%2F0&balancers=2&zone=a" in line
-            rig.discovery.tell(8, one, snapshot=True)
-            line = await rig.discovery.calls.get()
+            rig.discovery.publish(8, one, snapshot=True)
+            line = await rig.discovery.request_lines.get()
             assert "held=%7B%22a%22:%7B%7D%7D&after=8" in line, "it holds the whole of it"
-            assert list(rig.driver._list) == ["s0"]
+            assert list(rig.proxy.endpoint_list.endpoints) == ["s0"]
             assert [kind for kind, text in said if "knows no interests" in text] == ["list_service"]
-            rig.discovery.tell(9)
-            await rig.discovery.calls.get()
+            rig.discovery.publish(9)
+            await rig.discovery.request_lines.get()
             assert len([kind for kind, _ in said if kind == "list_service"]) == 1, "it is said once"
-        async with Rig(console="", lists={"services": ["a", "b"]}) as rig:
+        async with ProxyHarness(console="", lists={"services": ["a", "b"]}) as rig:
             said.clear()
-            rig.driver.log.event = lambda kind, text, **_: said.append((kind, text))  # type: ignore[method-assign]
-            assert "tier=" not in await rig.discovery.calls.get()
-            rig.discovery.tell(8, one, snapshot=True)
+            rig.proxy.log.event = lambda kind, text, **_: said.append((kind, text))  # type: ignore[method-assign]
+            assert "tier=" not in await rig.discovery.request_lines.get()
+            rig.discovery.publish(8, one, snapshot=True)
             while not any("can't be asked for several services" in text for _, text in said):
                 await asyncio.sleep(0.01)
-            assert not rig.driver._list
+            assert not rig.proxy.endpoint_list.endpoints
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 # ---- the pace of a return -----------------------------------------------------------------------
@@ -728,11 +756,11 @@
     due: list[tuple[float, int | None]] = [(0.0, None)] * callers
     while due:
         at, ticket = due.pop(0)
-        turn = gate.ask(at, cost_s, waited, ticket)
+        turn = gate.schedule_retry(at, cost_s, waited, ticket)
         if turn is None:
             times.append(at)
         else:
-            due.append((at + turn.after_s, turn.ticket))
+            due.append((at + turn.delay_s, turn.ticket))
     return times
 
 
@@ -740,14 +768,14 @@
     assert back(AdmissionQueue(), 100, 200e-6) == [0.0] * 100
     times = sorted(back(AdmissionQueue(), 10_000, 200e-6))
     at_once = times.count(0.0)
-    assert at_once == int((BURST_S + EARLY_S) * PART / 200e-6)
+    assert at_once == int((BURST_S + TICKET_TOLERANCE_S) * MAX_CPU_SHARE / 200e-6)
     seconds = Counter(int(at) for at in times if at)
-    assert max(seconds.values()) <= PART / 200e-6 * 1.05 and times[-1] < ALL_IN_S
+    assert max(seconds.values()) <= MAX_CPU_SHARE / 200e-6 * 1.05 and times[-1] < MAX_DELAY_S
 
 
 def test_a_crowd_beyond_the_pace_is_let_in_within_the_bound_all_the_same() -> None:
-    assert max(back(AdmissionQueue(), 60_000, 200e-6)) <= ALL_IN_S
-    assert max(back(AdmissionQueue(), 60_000, 200e-6, waited=3.0)) <= ALL_IN_S - 3.0
+    assert max(back(AdmissionQueue(), 60_000, 200e-6)) <= MAX_DELAY_S
+    assert max(back(AdmissionQueue(), 60_000, 200e-6, waited=3.0)) <= MAX_DELAY_S - 3.0
     assert max(back(AdmissionQueue(), 60_000, 200e-6, waited=9.0)) == 0.0
 
 
@@ -755,8 +783,8 @@
     gate = AdmissionQueue()
     back(gate, 5_000, 200e-6)
     for ticket in (10_000, -9_000):
-        assert gate.ask(0.0, 200e-6, 0.0, ticket) is not None
-    assert gate.ask(0.0, 200e-6, 0.0, 0) is None
+        assert gate.schedule_retry(0.0, 200e-6, 0.0, ticket) is not None
+    assert gate.schedule_retry(0.0, 200e-6, 0.0, 0) is None
 
 
 def test_a_service_has_a_crowd_come_again_and_old_clients_and_running_watches_come_in() -> None:
@@ -765,11 +793,11 @@
             async with watched(at, http, services="a") as first:
                 assert "held" in first
             loop = asyncio.get_running_loop()
-            while service.reads.gate.ask(loop.time(), 0.05, 0.0, None) is None:
+            while service.evaluator.admission_queue.schedule_retry(loop.time(), 0.05, 0.0, None) is None:
                 pass
             async with http.get(f"http://{at}/v1/servers?services=a") as answer:
                 said = await answer.json()
-                assert answer.status == 503 and 0 < said["retry_ms"] <= ALL_IN_S * 1_000
+                assert answer.status == 503 and 0 < said["retry_ms"] <= MAX_DELAY_S * 1_000
                 assert float(answer.headers["Retry-After"]) == said["retry_ms"] / 1_000
             on = {"after": str(first["index"]), "held": first["held"]}
             async with http.get(f"http://{at}/v1/servers?services=a&waited_ms=9", params=on) as answer:
@@ -778,7 +806,7 @@
                 async with http.get(f"http://{at}/v1/servers", params=params) as answer:
                     assert answer.status == 200
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def wanted() -> Subscription:
@@ -806,15 +834,15 @@
 
 def test_a_balancer_that_is_told_to_come_again_has_not_failed() -> None:
     async def scenario() -> None:
-        async with Rig(console="", lists={"services": ["a"]}) as rig:
+        async with ProxyHarness(console="", lists={"services": ["a"]}) as rig:
             failed: list[bool] = []
-            rig.driver._discovery._on_failed = lambda: failed.append(True)
-            await rig.discovery.calls.get()
+            rig.proxy.endpoint_list.discovery._on_failed = lambda: failed.append(True)
+            await rig.discovery.request_lines.get()
             body = b'{"error": "x", "retry_ms": 20, "ticket": 77}'
-            rig.discovery.answers.put_nowait(
+            rig.discovery.responses.put_nowait(
                 b"HTTP/1.1 503 Busy\r\nContent-Length: %d\r\n\r\n" % len(body) + body
             )
-            assert "ticket=77" in await rig.discovery.calls.get()
+            assert "ticket=77" in await rig.discovery.request_lines.get()
             assert not failed
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,8 +17,8 @@
 
 import pytest
 
-from loadbalancer.net.config import read_address
-from loadbalancer.scale import plants
+from loadbalancer.net.address import parse_address
+from loadbalancer.scale import seeded_defects
 from loadbalancer.scale.allowances import Allowances, over
 from loadbalancer.scale.figures import kept
 from loadbalancer.scale.plan import DEFECTS, Plan, PlanError
@@ -131,7 +131,7 @@
 
 
 def test_every_defect_is_played(planted: dict[str, Future[dict[str, Any]]]) -> None:
-    assert set(PLANTS) == set(DEFECTS) == set(plants.DEFECTS)
+    assert set(PLANTS) == set(DEFECTS) == set(seeded_defects.DEFECTS)
 
 
 def test_the_page_tells_of_each_step_and_compares_hollow_with_real(
@@ -172,7 +172,7 @@
     server = await loop.create_server(Echo, "127.0.0.1", 0)
     relay = Relay("{}:{}".format(*server.sockets[0].getsockname()))
     await relay.start()
-    host, port = read_address(relay.at)
+    host, port = parse_address(relay.at)
     reader, writer = await asyncio.open_connection(host, port)
     writer.write(b"GET /one")
     heard = await reader.readexactly(8)
