--- a/loadbalancer/net/cordon_controller.py
+++ b/loadbalancer/net/cordon_controller.py
@@ -10,7 +10,7 @@
 from loadbalancer.net.cordon_file import CordonFile
 from loadbalancer.net.endpoint_list import EndpointListFollower
 from loadbalancer.net.log import Log
-from loadbalancer.net.upstream import UpstreamPools
+from loadbalancer.net.upstream_pool import UpstreamPools
 from loadbalancer.policy import Balancer
 from loadbalancer.policy.zones import ZoneStatus
 
--- a/loadbalancer/net/discovery/call.py
+++ b/loadbalancer/net/discovery/call.py
@@ -12,7 +12,7 @@
 from loadbalancer.net.discovery import connection as connections
 from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
 from loadbalancer.net.interest_subscription import AnswerView, InterestSubscription
-from loadbalancer.net.upstream import UpstreamResponse
+from loadbalancer.net.upstream_response import UpstreamResponse
 
 CONNECT_TIMEOUT_S = 1.0  # the wait of a call is for its answer, not for its connection
 
--- a/loadbalancer/net/discovery/client.py
+++ b/loadbalancer/net/discovery/client.py
@@ -28,7 +28,7 @@
 from loadbalancer.net.discovery.list_content import ListContent
 from loadbalancer.net.discovery.status import ListStatus, age_ms
 from loadbalancer.net.interest_subscription import InterestSubscription
-from loadbalancer.net.upstream import UpstreamResponse
+from loadbalancer.net.upstream_response import UpstreamResponse
 
 PUSH_RETRY_PAUSE_S = 0.5  # before the agent on this machine is called again, where lists are pushed
 
--- a/loadbalancer/net/discovery/connection.py
+++ b/loadbalancer/net/discovery/connection.py
@@ -6,7 +6,7 @@
 from typing import cast
 
 from loadbalancer.net.address import Address
-from loadbalancer.net.upstream import RESPONSE_ERRORS, ResponseReader, UpstreamResponse
+from loadbalancer.net.upstream_response import RESPONSE_ERRORS, ResponseReader, UpstreamResponse
 
 MAX_LIST_BYTES = 4 * 1024 * 1024  # of an answer: a service that sends more is broken, and memory is bounded
 
--- a/loadbalancer/net/discovery/late_answer.py
+++ b/loadbalancer/net/discovery/late_answer.py
@@ -7,7 +7,7 @@
 
 from loadbalancer.endpoint_watch import ListRequest
 from loadbalancer.net.discovery.connection import Connection
-from loadbalancer.net.upstream import UpstreamResponse
+from loadbalancer.net.upstream_response import UpstreamResponse
 
 LATE_ANSWER_S = 2.0  # after its timeout a call's answer is still taken: what is sent counts as delivered
 
--- a/loadbalancer/net/endpoint_list.py
+++ b/loadbalancer/net/endpoint_list.py
@@ -14,7 +14,7 @@
 from loadbalancer.net.discovery import DiscoveryClient
 from loadbalancer.net.log import Log
 from loadbalancer.net.reports import EndpointListReport
-from loadbalancer.net.upstream import UpstreamPools
+from loadbalancer.net.upstream_pool import UpstreamPools
 from loadbalancer.policy import Balancer
 
 MAX_REMEMBERED_SERVERS = 20_000  # that were ever listed: operators may cordon an ID that a list once named
--- a/loadbalancer/net/takeover.py
+++ b/loadbalancer/net/takeover.py
@@ -9,12 +9,12 @@
 from typing import TYPE_CHECKING
 
 from loadbalancer import interface
-from loadbalancer.net.downstream import DownstreamListener
+from loadbalancer.net.downstream_listener import DownstreamListener
 from loadbalancer.net.endpoint_list import EndpointListFollower
 from loadbalancer.net.hot_restart import DescriptorCounts, HotRestartListener, Predecessor
 from loadbalancer.net.log import Log
 from loadbalancer.net.state_transfer import StateTransfer
-from loadbalancer.net.upstream import UpstreamPools
+from loadbalancer.net.upstream_pool import UpstreamPools
 
 if TYPE_CHECKING:
     from loadbalancer.net.membership import MembershipHost
--- a/loadbalancer/scale/hollow.py
+++ b/loadbalancer/scale/hollow.py
@@ -26,7 +26,7 @@
 from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.discovery import DiscoveryClient, call, connection
 from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
-from loadbalancer.net.upstream import UpstreamResponse
+from loadbalancer.net.upstream_response import UpstreamResponse
 from loadbalancer.policy import Balancer
 from loadbalancer.scale.counting import Tally, in_background, run, tell_each_second
 from loadbalancer.scale.plan import Plan, balancer_config
--- a/tests/list_service_faults.py
+++ b/tests/list_service_faults.py
@@ -20,7 +20,7 @@
 from loadbalancer.net.config import EndpointList
 from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.discovery import DiscoveryClient, connection
-from loadbalancer.net.upstream import UpstreamResponse
+from loadbalancer.net.upstream_response import UpstreamResponse
 from loadbalancer.policy import Balancer
 from tests.loopback import config_text, endpoint_entry, http_response
 
