--- a/benchmarks/interest_balancer.py
+++ b/benchmarks/interest_balancer.py
@@ -18,33 +18,43 @@
 
 
 def rss_mb() -> float:
-    """Resident memory of this process, as an allowance counts it."""
+    """Return the resident memory of this process, as an allowance counts it."""
     lines = Path("/proc/self/status").read_text(encoding="utf-8").splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmRSS:")) / 1_000
 
 
 def balancer(path: str) -> None:
     """Take a list as a balancer's process does, and print what it costs."""
-    told = json.loads(Path(path).read_text(encoding="utf-8"))
+    spec = json.loads(Path(path).read_text(encoding="utf-8"))
     kind = {"name": "any", "target": 100.0, "deadline": 1_000.0, "effect": "retryable"}
-    settings = {"classes": [kind], "balancers": told["balancers"], "discovery": "ask"}
+    settings = {"classes": [kind], "balancers": spec["balancers"], "discovery": "ask"}
     config = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": settings, "lists": {}}
 
-    async def take() -> None:
+    async def measure() -> None:
+        """Take the list in a proxy without connections."""
         proxy = Proxy(read_config(json.dumps(config), print), asyncio.get_running_loop(), None)
         gc.collect()
-        idle, size = rss_mb(), len(body := Path(told["body"]).read_bytes())
-        began = time.process_time()
-        proxy.endpoint_list.discovery._note(news := decode_endpoint_list(json.loads(body)), 0.0)
-        proxy.endpoint_list.on_watch_update(news)
-        took = time.process_time() - began
-        del news, body
+        idle_mb = rss_mb()
+        body = Path(spec["body"]).read_bytes()
+        size = len(body)
+        started_s = time.process_time()
+        update = decode_endpoint_list(json.loads(body))
+        proxy.endpoint_list.discovery._note(update, 0.0)
+        proxy.endpoint_list.on_watch_update(update)
+        duration_s = time.process_time() - started_s
+        del update, body
         gc.collect()
-        held = rss_mb()
-        row = {"idle_mb": idle, "process_mb": held, "list_mb": held - idle, "start_bytes": size}
-        print(json.dumps(row | {"start_ms": took * 1_000}))
-
-    asyncio.run(take())
+        process_mb = rss_mb()
+        row = {
+            "idle_mb": idle_mb,
+            "process_mb": process_mb,
+            "list_mb": process_mb - idle_mb,
+            "start_bytes": size,
+            "start_ms": duration_s * 1_000,
+        }
+        print(json.dumps(row))
+
+    asyncio.run(measure())
 
 
 if __name__ == "__main__":
--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -123,6 +123,7 @@
     deadline_s = time.perf_counter() + seconds
 
     async def write(http: aiohttp.ClientSession, number: int) -> None:
+        """Register one server anew, again and again."""
         nonlocal count
         start = 0
         while time.perf_counter() < deadline_s:
--- a/loadbalancer/cli/registry.py
+++ b/loadbalancer/cli/registry.py
@@ -1,4 +1,4 @@
-"""`irondrum directory`: a list service of one's own, and what operators ask of it."""
+"""The commands `directory …`: serve the registry, and what operators do with it."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 Server = Annotated[str, typer.Argument(help="The server's name.")]
 
 
-def _caller(at: str) -> RegistryClient:
+def _client(at: str) -> RegistryClient:
     return RegistryClient(at, who=getpass.getuser())
 
 
@@ -41,10 +41,10 @@
 
     Example: irondrum directory serve docs/directory.toml
     """
-    told = server.read_configuration(file)
-    service = server.open_service(told)
-    typer.echo(f"the list is at {told.listen}, version {service.catalog.revision}", err=True)
-    server.serve(told, service)
+    configuration = server.read_configuration(file)
+    service = server.open_service(configuration)
+    typer.echo(f"the list is at {configuration.listen}, version {service.catalog.revision}", err=True)
+    server.serve(configuration, service)
 
 
 @app.command()
@@ -64,7 +64,7 @@
 
     Example: irondrum directory register s-1 --at 127.0.0.1:8500 --address 127.0.0.1:5001 --weight 4
     """
-    told = {
+    body = {
         "address": address,
         "zone": zone,
         "tier": tier,
@@ -72,7 +72,7 @@
         "since_ms": since_ms,
         "lease_ms": lease_s * 1_000,
     }
-    _tell(_caller(at).call_server("PUT", name, body=told, why=why, if_match=if_match))
+    _print_revision(_client(at).call_server("PUT", name, body=body, why=why, if_match=if_match))
 
 
 @app.command()
@@ -81,7 +81,7 @@
 
     Example: irondrum directory drain s-1 --at 127.0.0.1:8500 --why "new kernel"
     """
-    _tell(_caller(at).call_server("POST", name, "/drain", why=why, if_match=if_match))
+    _print_revision(_client(at).call_server("POST", name, "/drain", why=why, if_match=if_match))
 
 
 @app.command()
@@ -90,7 +90,7 @@
 
     Example: irondrum directory remove s-1 --at 127.0.0.1:8500
     """
-    _tell(_caller(at).call_server("DELETE", name, why=why, if_match=if_match))
+    _print_revision(_client(at).call_server("DELETE", name, why=why, if_match=if_match))
 
 
 @app.command()
@@ -104,10 +104,10 @@
 
     Example: irondrum directory pin s-1 --at 127.0.0.1:8500
     """
-    _tell(_caller(at).call_server("POST", name, "/unpin" if off else "/pin", why=why))
+    _print_revision(_client(at).call_server("POST", name, "/unpin" if off else "/pin", why=why))
 
 
-def _tell(answer: dict[str, object]) -> None:
+def _print_revision(answer: dict[str, object]) -> None:
     typer.echo(f"version {answer['index']}" + ("" if answer["changed"] else ", as it was"))
 
 
@@ -117,7 +117,7 @@
 
     Example: irondrum directory list --at 127.0.0.1:8500
     """
-    state = _caller(at).call("GET", "/v1/state")
+    state = _client(at).call("GET", "/v1/state")
     if as_json:
         typer.echo(json.dumps(state, indent=1))
         return
@@ -141,16 +141,21 @@
 
 
 @app.command()
-def watch(at: At, tier: Tier = "first", looks: Annotated[int, typer.Option(min=0)] = 0) -> None:
+def watch(
+    at: At, tier: Tier = "first", max_answers: Annotated[int, typer.Option("--looks", min=0)] = 0
+) -> None:
     """Print the list of a tier and then each change, as balancers get them.
 
     Example: irondrum directory watch --at 127.0.0.1:8500
     """
-    caller, after, number = RegistryClient(at, timeout_s=70.0), -1, 0
-    while not looks or number < looks:
-        news = caller.list_endpoints(tier, after, 30_000.0)
-        typer.echo(json.dumps(news))
-        after, number = news["index"], number + 1
+    client = RegistryClient(at, timeout_s=70.0)
+    after = -1
+    number = 0
+    while not max_answers or number < max_answers:
+        answer = client.list_endpoints(tier, after, 30_000.0)
+        typer.echo(json.dumps(answer))
+        after = answer["index"]
+        number += 1
 
 
 @app.command()
@@ -163,7 +168,7 @@
     """
     query = f"/v1/history?most={most}" + (f"&name={name}" if name else "")
     table = Table("version", "at", "server", "what", "who", "why")
-    for change in _caller(at).call("GET", query):
+    for change in _client(at).call("GET", query):
         at_s = f"{change['at_ms'] / 1_000:.3f}"
         table.add_row(
             str(change["index"]), at_s, change["name"], change["what"], change["who"], change["why"]
@@ -177,9 +182,10 @@
 
     Example: irondrum directory export --at 127.0.0.1:8500 > servers.jsonl
     """
-    for entry in _caller(at).call("GET", "/v1/state")["entries"]:
-        known = {f.name for f in msgspec.structs.fields(Registration)}
-        typer.echo(json.dumps({"name": entry["name"]} | {k: v for k, v in entry.items() if k in known}))
+    keys = {field.encode_name for field in msgspec.structs.fields(Registration)}
+    for entry in _client(at).call("GET", "/v1/state")["entries"]:
+        registration = {key: value for key, value in entry.items() if key in keys}
+        typer.echo(json.dumps({"name": entry["name"]} | registration))
 
 
 @app.command("import")
@@ -188,17 +194,17 @@
 
     Example: irondrum directory import servers.jsonl --at 127.0.0.1:8500
     """
-    told = []
+    registrations = []
     for number, line in enumerate(file.read_text(encoding="utf-8").splitlines(), 1):
         try:
             entry = json.loads(line)
-            told.append((entry.pop("name"), msgspec.convert(entry, type=Registration)))
+            registrations.append((entry.pop("name"), msgspec.convert(entry, type=Registration)))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            raise Misuse(f"{file}: line {number}: {' '.join(str(error).split())}") from None
-    caller = _caller(at)
-    for name, registration in told:
-        caller.call_server("PUT", name, body=msgspec.to_builtins(registration), why=why)
-    typer.echo(f"{len(told)} servers")
+            raise Misuse(f"{file}: line {number}: {' '.join(str(error).split())}") from error
+    client = _client(at)
+    for name, registration in registrations:
+        client.call_server("PUT", name, body=msgspec.to_builtins(registration), why=why)
+    typer.echo(f"{len(registrations)} servers")
 
 
 @app.command()
@@ -236,21 +242,22 @@
 
     Example: irondrum directory agent s-1 --at 127.0.0.1:8500 --address 127.0.0.1:5001
     """
-    told = Registration(
+    registration = Registration(
         address=address, zone=zone, tier=tier, weight=weight, lease_ms=lease_s * 1_000, owner=f"agent {name}"
     )
-    speaker = Agent(
+    server_agent = Agent(
         name,
-        told,
+        registration,
         RegistryClient(at, who="agent", timeout_s=2.0),
         lambda: passes_health_check(address, health),
         lambda text: print(text, file=sys.stderr, flush=True),
     )
 
-    async def speak() -> None:
-        stop = asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            asyncio.get_running_loop().add_signal_handler(number, stop.set)
-        await run_agent(speaker, stop, grace_s)
+    asyncio.run(_run_until_signal(server_agent, grace_s))
+
 
-    asyncio.run(speak())
+async def _run_until_signal(server_agent: Agent, grace_s: float) -> None:
+    stop = asyncio.Event()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(number, stop.set)
+    await run_agent(server_agent, stop, grace_s)
