--- a/tests/test_interest_subscription.py
+++ b/tests/test_interest_subscription.py
@@ -1,4 +1,4 @@
-"""Lists by interest: what each watch is told, whom a change wakes, parts, and the pace of a return."""
+"""Lists by interest: what each watch is answered, whom a change wakes, subsets, admission."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 WRITES = ("register", "drain", "remove", "restart")
 
 
-def told(service: str, zone: str = "east", since: float = 0.0) -> Registration:
+def make_registration(service: str, zone: str = "east", since: float = 0.0) -> Registration:
     return Registration(
         address="127.0.0.1:5000", zone=zone, tier=service, since_ms=since, lease_ms=86_400_000.0
     )
@@ -91,7 +91,7 @@
         self.store.commit([change for change in changes if change is not None])
 
     def put(self, name: str, service: str, zone: str = "east", since: float = 0.0, now: float = 1e6) -> None:
-        self.keep(self.catalog.register(name, told(service, zone, since), now))
+        self.keep(self.catalog.register(name, make_registration(service, zone, since), now))
 
     def tell(self, asked: ListQuery) -> dict[str, Any]:
         """An answer without a wait."""
@@ -106,7 +106,7 @@
 
 @dataclass
 class Client:
-    """A watcher that holds what it was told."""
+    """A watcher that holds what it was answered."""
 
     services: str
     part: int = 0
@@ -176,9 +176,9 @@
 class World:
     """Two instances, some clients, and the time."""
 
-    def __init__(self, seats: list[Client]) -> None:
-        self.sites = [Instance(number, 2) for number in (0, 1)]
-        self.seats, self.now = seats, 1e6
+    def __init__(self, watchers: list[Client]) -> None:
+        self.instances = [Instance(number, 2) for number in (0, 1)]
+        self.watchers, self.now = watchers, 1e6
 
     def do(self, kind: str, *more: Any) -> None:
         self.now += 1.0
@@ -186,16 +186,18 @@
 
     def _write(self, at: int, change: Any) -> None:
         with suppress(WriteRejectedError):
-            self.sites[at].keep(change(self.sites[at].catalog))
+            self.instances[at].keep(change(self.instances[at].catalog))
 
     def _register(self, at: int, name: str, service: str, zone: str) -> None:
-        self._write(at, lambda c: c.register(name, told(service, zone, self._since(at, name)), self.now))
+        self._write(
+            at, lambda c: c.register(name, make_registration(service, zone, self._since(at, name)), self.now)
+        )
 
     def _restart(self, at: int, name: str, service: str, zone: str) -> None:
-        self._write(at, lambda c: c.register(name, told(service, zone, self.now), self.now))
+        self._write(at, lambda c: c.register(name, make_registration(service, zone, self.now), self.now))
 
     def _since(self, at: int, name: str) -> float:
-        known = self.sites[at].catalog.entries.get(name)
+        known = self.instances[at].catalog.entries.get(name)
         return known.registration.since_ms if known else self.now
 
     def _drain(self, at: int, name: str, *_: str) -> None:
@@ -206,96 +208,100 @@
 
     def _undone(self, at: int, name: str) -> None:
         """A write that the disk does not take."""
-        catalog = self.sites[at].catalog
+        catalog = self.instances[at].catalog
         if name in catalog.entries and catalog.entries[name].is_listed:
             catalog.revert([catalog.remove(name, self.now)])
 
     def _share(self) -> None:
-        one, other = self.sites
+        one, other = self.instances
         answer, changes = other.exchange.handle_request(one.exchange.make_request(1), self.now)
         other.keep(*changes)
         one.keep(*one.exchange.handle_response(1, answer, self.now, self.now))
 
     def _again(self, at: int) -> None:
-        self.sites[at].begin(self.now)
+        self.instances[at].begin(self.now)
 
     def _look(self, number: int) -> None:
-        seat = self.seats[number % len(self.seats)]
-        catalog = self.sites[seat.at].catalog
+        watcher = self.watchers[number % len(self.watchers)]
+        catalog = self.instances[watcher.at].catalog
         before = {name: dict(e.former_zones) for name, e in catalog.entries.items()}
-        held = None if seat.held is None else seat.view()
-        seat.take(self.sites[seat.at].tell(seat.asked()))
-        assert seat.content == seat.truth(catalog)
-        for name in seat.last:
+        held = None if watcher.held is None else watcher.view()
+        watcher.take(self.instances[watcher.at].tell(watcher.asked()))
+        assert watcher.content == watcher.truth(catalog)
+        for name in watcher.last:
             e = catalog.entries[name]
             places = {(e.registration.tier, e.registration.zone)} | {
                 (s, z) for s, zones in before[name].items() for z in zones
             }
-            views = [seat.view()] + ([held] if held else [])
+            views = [watcher.view()] + ([held] if held else [])
             assert any(v.includes(s, z, name) for v in views for s, z in places), (
                 "it is outside of the interest"
             )
 
     def _want(self, number: int, other: Client) -> None:
-        seat = self.seats[number % len(self.seats)]
-        seat.services, seat.part = other.services, other.part
+        watcher = self.watchers[number % len(self.watchers)]
+        watcher.services, watcher.part = other.services, other.part
 
     def _roam(self, number: int) -> None:
-        seat = self.seats[number % len(self.seats)]
-        seat.at = 1 - seat.at
+        watcher = self.watchers[number % len(self.watchers)]
+        watcher.at = 1 - watcher.at
 
 
-@given(seats=st.lists(clients, min_size=1, max_size=4), turns=st.lists(steps, max_size=60))
+@given(watchers=st.lists(clients, min_size=1, max_size=4), steps_taken=st.lists(steps, max_size=60))
 @settings(max_examples=300, deadline=None, suppress_health_check=[HealthCheck.too_slow])
-def test_whatever_happens_each_watcher_holds_what_its_interest_holds_and_hears_of_nothing_else(
-    seats: list[Client], turns: list[tuple[Any, ...]]
+def test_watcher_always_holds_what_its_interest_includes_and_gets_nothing_else(
+    watchers: list[Client], steps_taken: list[tuple[Any, ...]]
 ) -> None:
-    world = World(seats)
-    for turn in turns:
-        world.do(*turn)
-    for number in range(len(seats)):
+    world = World(watchers)
+    for step in steps_taken:
+        world.do(*step)
+    for number in range(len(watchers)):
         world.do("look", number)
         world.do("look", number)  # by the second one what was wanted newly is held, and no more
-        seat = seats[number]
-        assert set(decode_levels(seat.held or "{}")) == set(seat.services.split(","))
+        watcher = watchers[number]
+        assert set(decode_levels(watcher.held or "{}")) == set(watcher.services.split(","))
 
 
-@given(seats=st.lists(clients, min_size=1, max_size=4), turns=st.lists(steps, max_size=30))
+@given(watchers=st.lists(clients, min_size=1, max_size=4), steps_taken=st.lists(steps, max_size=30))
 @settings(max_examples=100, deadline=None, suppress_health_check=[HealthCheck.too_slow])
-def test_those_and_only_those_wake_whose_interest_holds_a_change(
-    seats: list[Client], turns: list[tuple[Any, ...]]
+def test_change_wakes_only_watchers_whose_interest_includes_it(
+    watchers: list[Client], steps_taken: list[tuple[Any, ...]]
 ) -> None:
     async def scenario() -> None:
         world = World([])
-        site = world.sites[0]
-        for seat in seats:
-            seat.at = 0
-        for turn in turns:
-            if turn[0] not in WRITES:
+        instance = world.instances[0]
+        for watcher in watchers:
+            watcher.at = 0
+        for step in steps_taken:
+            if step[0] not in WRITES:
                 continue
-            world.seats = seats
-            for number in range(len(seats)):
+            world.watchers = watchers
+            for number in range(len(watchers)):
                 world.do("look", number)
                 world.do("look", number)
-            since = site.catalog.revision
+            since = instance.catalog.revision
             with ExitStack() as stack:
                 woken = [
                     stack.enter_context(
-                        site.reads.watcher_index.subscribe(seat.view(), seat.asked().interest.subset)
+                        instance.reads.watcher_index.subscribe(
+                            watcher.view(), watcher.asked().interest.subset
+                        )
                     )
-                    for seat in seats
+                    for watcher in watchers
+                ]
+                levels = [
+                    instance.reads.evaluate(watcher.asked(), may_wait=True)[1].key for watcher in watchers
                 ]
-                levels = [site.reads.evaluate(seat.asked(), may_wait=True)[1].key for seat in seats]
-                world.do(turn[0], 0, *turn[2:])
-                site.reads.watcher_index.wake_affected(site.catalog.changed_since(since), since)
-                for seat, one, before in zip(seats, woken, levels, strict=True):
-                    data, view = site.reads.evaluate(seat.asked(), may_wait=False)
+                world.do(step[0], 0, *step[2:])
+                instance.reads.watcher_index.wake_affected(instance.catalog.changed_since(since), since)
+                for watcher, one, before in zip(watchers, woken, levels, strict=True):
+                    data, view = instance.reads.evaluate(watcher.asked(), may_wait=False)
                     assert data is not None
                     news = bool(json.loads(data)["endpoints"])
                     assert one.done() or not news, "a change that it holds did not wake it"
-                    may = news or (seat.part and site.catalog.revision > since)
+                    may = news or (watcher.part and instance.catalog.revision > since)
                     assert not one.done() or may or view.key != before, "it was woken for nothing"
-            assert not site.reads.watcher_index, "no state is left of watches that have ended"
+            assert not instance.reads.watcher_index, "no state is left of watches that have ended"
 
     run_scenario(scenario())
 
@@ -303,125 +309,127 @@
 # ---- versions, floors, moves --------------------------------------------------------------------
 
 
-def test_a_server_that_moves_to_another_service_is_told_as_ended_to_those_of_the_first() -> None:
+def test_server_that_moves_to_another_service_is_terminated_for_watchers_of_the_first() -> None:
     """Those who were behind never heard that it had left, by the old call too."""
-    site = Instance()
-    site.put("s0", "a")
-    seat, other = Client("a"), Client("b")
-    seat.take(site.tell(seat.asked()))
-    other.take(site.tell(other.asked()))
-    old = site.catalog.revision
-    site.keep(site.catalog.remove("s0", 1e6))
-    site.put("s0", "b")
+    instance = Instance()
+    instance.put("s0", "a")
+    watcher, other = Client("a"), Client("b")
+    watcher.take(instance.tell(watcher.asked()))
+    other.take(instance.tell(other.asked()))
+    old = instance.catalog.revision
+    instance.keep(instance.catalog.remove("s0", 1e6))
+    instance.put("s0", "b")
     for _ in range(2):
-        seat.take(site.tell(seat.asked()))
-        other.take(site.tell(other.asked()))
-        assert not seat.content and list(other.content) == ["s0"]
-        changed = site.catalog.changes_since("a", old, 1e6)
+        watcher.take(instance.tell(watcher.asked()))
+        other.take(instance.tell(other.asked()))
+        assert not watcher.content and list(other.content) == ["s0"]
+        changed = instance.catalog.changes_since("a", old, 1e6)
         assert changed is not None and [e.status.value for e in changed] == ["terminated"]
-        site.begin(2e6)  # and the file remembers it
+        instance.begin(2e6)  # and the file remembers it
 
 
-def test_a_server_that_has_left_more_services_than_are_remembered_is_not_kept_by_any() -> None:
-    site = Instance()
-    seats = []
+def test_server_that_left_more_services_than_are_remembered_stays_with_no_watcher() -> None:
+    instance = Instance()
+    watchers = []
     for number in range(12):
-        site.put("s0", f"v{number}", now=1e6 + number)
-        seats.append(Client(f"v{number}"))
-        seats[-1].take(site.tell(seats[-1].asked()))
-        site.keep(site.catalog.remove("s0", 1e6 + number))
-    site.put("s0", "last")
-    assert len(site.catalog.entries["s0"].former_zones) == 8
-    for seat in seats:
-        seat.take(site.tell(seat.asked()))
-        assert not seat.content
-
-
-def test_a_version_without_what_was_held_at_it_hides_nothing() -> None:
+        instance.put("s0", f"v{number}", now=1e6 + number)
+        watchers.append(Client(f"v{number}"))
+        watchers[-1].take(instance.tell(watchers[-1].asked()))
+        instance.keep(instance.catalog.remove("s0", 1e6 + number))
+    instance.put("s0", "last")
+    assert len(instance.catalog.entries["s0"].former_zones) == 8
+    for watcher in watchers:
+        watcher.take(instance.tell(watcher.asked()))
+        assert not watcher.content
+
+
+def test_revision_without_its_levels_gets_a_full_snapshot() -> None:
     """A version is of the whole list, and was seen by another interest."""
-    site = Instance()
-    site.put("s0", "a")
-    site.put("s1", "b")
-    seen = site.tell(query("a"))
-    answer = site.tell(query("b", seen["index"]))
+    instance = Instance()
+    instance.put("s0", "a")
+    instance.put("s1", "b")
+    seen = instance.tell(query("a"))
+    answer = instance.tell(query("b", seen["index"]))
     assert answer["snapshot"] and [e["name"] for e in answer["endpoints"]] == ["s1"]
-    answer = site.tell(query("a,b", seen["index"], held=seen["held"]))
+    answer = instance.tell(query("a,b", seen["index"], held=seen["held"]))
     assert not answer["snapshot"] and [e["name"] for e in answer["endpoints"]] == ["s1"]
 
 
-def test_removals_of_one_service_that_are_forgotten_make_no_other_take_the_whole_list() -> None:
-    site = Instance()
-    site.put("s0", "a")
-    seat = Client("a")
-    seat.take(site.tell(seat.asked()))
+def test_compaction_of_one_service_gives_no_other_a_full_snapshot() -> None:
+    instance = Instance()
+    instance.put("s0", "a")
+    watcher = Client("a")
+    watcher.take(instance.tell(watcher.asked()))
     behind = Client("b")
-    behind.take(site.tell(behind.asked()))
+    behind.take(instance.tell(behind.asked()))
     for number in range(6):
-        site.put(f"x{number}", "b")
-        site.keep(site.catalog.remove(f"x{number}", 1e6))
+        instance.put(f"x{number}", "b")
+        instance.keep(instance.catalog.remove(f"x{number}", 1e6))
     for _ in range(3):
-        assert not site.tell(seat.asked())["snapshot"], "nothing of its service was forgotten"
-        assert site.tell(behind.asked())["snapshot"]
-        site.begin(2e6)
-
-
-def test_after_a_write_that_was_not_kept_each_interest_hears_what_came_before_it_and_no_more() -> None:
-    site = Instance()
-    site.put("s0", "a")
-    site.put("s1", "a")
-    seat, other = Client("a"), Client("b")
-    seat.take(site.tell(seat.asked()))
-    other.take(site.tell(other.asked()))
-    site.keep(site.catalog.drain("s0", 1e6))
-    site.put("s2", "a")
-    moved = site.catalog.register("s1", told("a", "west", 5.0), 1e6)
+        assert not instance.tell(watcher.asked())["snapshot"], "nothing of its service was forgotten"
+        assert instance.tell(behind.asked())["snapshot"]
+        instance.begin(2e6)
+
+
+def test_after_a_reverted_write_each_interest_gets_what_came_before_it_and_no_more() -> None:
+    instance = Instance()
+    instance.put("s0", "a")
+    instance.put("s1", "a")
+    watcher, other = Client("a"), Client("b")
+    watcher.take(instance.tell(watcher.asked()))
+    other.take(instance.tell(other.asked()))
+    instance.keep(instance.catalog.drain("s0", 1e6))
+    instance.put("s2", "a")
+    moved = instance.catalog.register("s1", make_registration("a", "west", 5.0), 1e6)
     assert moved is not None
-    site.catalog.revert([moved])
-    seat.take(site.tell(seat.asked()))
-    assert sorted(seat.last) == ["s0", "s2"] and seat.content == seat.truth(site.catalog)
-    other.take(site.tell(other.asked()))
+    instance.catalog.revert([moved])
+    watcher.take(instance.tell(watcher.asked()))
+    assert sorted(watcher.last) == ["s0", "s2"] and watcher.content == watcher.truth(instance.catalog)
+    other.take(instance.tell(other.asked()))
     assert other.last == []
 
 
-def test_a_file_that_an_earlier_version_has_kept_since_is_not_taken_at_its_old_floors() -> None:
-    site = Instance()
-    site.store.begin_incarnation(site.catalog.revision + 1, 5, (), {"a": 9})
-    assert site.store.compaction_revisions() == (5, {"a": 9}) and site.store.compaction_revision() == 9
-    site.store._db.execute("insert or replace into meta values ('floor', 20)")  # as that version does
-    assert site.store.compaction_revisions() == (20, {})
+def test_compaction_revisions_of_a_file_written_by_an_earlier_program_are_not_used() -> None:
+    instance = Instance()
+    instance.store.begin_incarnation(instance.catalog.revision + 1, 5, (), {"a": 9})
+    assert (
+        instance.store.compaction_revisions() == (5, {"a": 9}) and instance.store.compaction_revision() == 9
+    )
+    instance.store._db.execute("insert or replace into meta values ('floor', 20)")  # as that version does
+    assert instance.store.compaction_revisions() == (20, {})
 
 
-def test_an_interest_that_changes_is_told_what_came_and_outright_what_left() -> None:
-    site = Instance()
+def test_changed_interest_gets_what_came_and_terminations_of_what_left() -> None:
+    instance = Instance()
     for number in range(3):
-        site.put(f"a{number}", "a")
-        site.put(f"b{number}", "b")
-    seat = Client("a")
-    seat.take(site.tell(seat.asked()))
-    seat.services = "b"
-    answer = site.tell(seat.asked())
+        instance.put(f"a{number}", "a")
+        instance.put(f"b{number}", "b")
+    watcher = Client("a")
+    watcher.take(instance.tell(watcher.asked()))
+    watcher.services = "b"
+    answer = instance.tell(watcher.asked())
     assert not answer["snapshot"]
     assert {e["name"]: e["status"] for e in answer["endpoints"]} == {
         f"{s}{n}": status for s, status in (("a", "terminated"), ("b", "in_service")) for n in range(3)
     }
-    seat.take(answer)
-    assert sorted(seat.content) == ["b0", "b1", "b2"]
+    watcher.take(answer)
+    assert sorted(watcher.content) == ["b0", "b1", "b2"]
 
 
-def test_an_emptied_service_is_told_outright_and_is_there_again_when_it_fills() -> None:
-    site, seat = Instance(rules=ROOMY), Client("a", part=1)
-    seat.take(site.tell(seat.asked()))
+def test_emptied_service_is_terminated_for_watchers_and_returns_when_it_fills() -> None:
+    instance, watcher = Instance(rules=ROOMY), Client("a", part=1)
+    watcher.take(instance.tell(watcher.asked()))
     for _ in range(2):
         for number in range(4):
-            site.put(f"s{number}", "a")
-        seat.take(site.tell(seat.asked()))
-        assert seat.content == seat.truth(site.catalog) and seat.content
+            instance.put(f"s{number}", "a")
+        watcher.take(instance.tell(watcher.asked()))
+        assert watcher.content == watcher.truth(instance.catalog) and watcher.content
         for number in range(4):
-            site.keep(site.catalog.remove(f"s{number}", 1e6))
-        answer = site.tell(seat.asked())
+            instance.keep(instance.catalog.remove(f"s{number}", 1e6))
+        answer = instance.tell(watcher.asked())
         assert not answer["snapshot"]
-        seat.take(answer)
-        assert not seat.content
+        watcher.take(answer)
+        assert not watcher.content
 
 
 # ---- parts --------------------------------------------------------------------------------------
@@ -430,7 +438,7 @@
 def filled(count: int, zones: int, service: str = "a") -> Catalog:
     catalog = Catalog(RULES, 100)
     for number in range(count):
-        catalog.register(f"{service}-{number}", told(service, f"z{number % zones}"), 0.0)
+        catalog.register(f"{service}-{number}", make_registration(service, f"z{number % zones}"), 0.0)
     return catalog
 
 
@@ -440,7 +448,7 @@
 
 
 @pytest.mark.parametrize("count, zones", [(60, 3), (500, 3), (1_500, 12)])
-def test_a_part_has_the_least_in_each_zone_and_is_near_first(count: int, zones: int) -> None:
+def test_subset_has_its_minimum_in_each_zone_and_more_in_its_own(count: int, zones: int) -> None:
     catalog, least = filled(count, zones), 4
     for number in range(50):
         mine = part(catalog, f"b-{number}", SubsetSpec(least, "z0"))
@@ -450,7 +458,7 @@
         assert count < 100 or len(mine) < count / 2
 
 
-def test_each_server_is_held_by_enough_of_the_watchers() -> None:
+def test_each_server_is_in_the_subsets_of_enough_watchers() -> None:
     catalog = filled(600, 3)
     few, many = Counter[str](), Counter[str]()
     for number in range(300):
@@ -465,7 +473,7 @@
     )
 
 
-def test_a_server_that_comes_or_goes_moves_no_other() -> None:
+def test_server_that_comes_or_goes_moves_no_other_between_subsets() -> None:
     catalog, shape = filled(600, 3), SubsetSpec(4)
     names = [f"b-{number}" for number in range(100)]
     before = [part(catalog, name, shape) for name in names]
@@ -484,48 +492,48 @@
         assert all(finer < coarser for coarser, finer in pairwise(held))
 
 
-def test_a_service_at_the_edge_of_a_level_does_not_move_parts_to_and_fro() -> None:
-    site, parts_of = Instance(rules=ROOMY), []
-    seat, shape = Client("a", part=4), SubsetSpec(4)
-    seat.take(site.tell(seat.asked()))
+def test_subsets_do_not_flap_at_the_edge_of_a_level() -> None:
+    instance, parts_of = Instance(rules=ROOMY), []
+    watcher, shape = Client("a", part=4), SubsetSpec(4)
+    watcher.take(instance.tell(watcher.asked()))
     for number in range(200):
-        site.put(f"s{number}", "a")
-        seat.take(site.tell(seat.asked()))
-        parts_of.append(SubsetCache(site.catalog).finest_levels("a", shape)["east"])
+        instance.put(f"s{number}", "a")
+        watcher.take(instance.tell(watcher.asked()))
+        parts_of.append(SubsetCache(instance.catalog).finest_levels("a", shape)["east"])
     edges = [n for n in range(1, 200) if parts_of[n] > parts_of[n - 1]]
-    assert len(edges) >= 3 and len(seat.content) < 150
+    assert len(edges) >= 3 and len(watcher.content) < 150
     for number in range(199, edges[-1], -1):
-        site.keep(site.catalog.remove(f"s{number}", 1e6))
+        instance.keep(instance.catalog.remove(f"s{number}", 1e6))
     moved, levels = 0, set()
-    for turn in range(20):
-        held, last = seat.held, f"s{edges[-1]}"
-        if turn % 2:
-            site.put(last, "a", now=1e6 + turn)
+    for step in range(20):
+        held, last = watcher.held, f"s{edges[-1]}"
+        if step % 2:
+            instance.put(last, "a", now=1e6 + step)
         else:
-            site.keep(site.catalog.remove(last, 1e6 + turn))
-        seat.take(site.tell(seat.asked()))
-        levels.add(SubsetCache(site.catalog).finest_levels("a", shape)["east"])
-        assert seat.content == seat.truth(site.catalog) and len(seat.content) >= 4
-        moved += seat.held != held
+            instance.keep(instance.catalog.remove(last, 1e6 + step))
+        watcher.take(instance.tell(watcher.asked()))
+        levels.add(SubsetCache(instance.catalog).finest_levels("a", shape)["east"])
+        assert watcher.content == watcher.truth(instance.catalog) and len(watcher.content) >= 4
+        moved += watcher.held != held
     assert len(levels) == 2 and moved <= 2
 
 
-def test_a_whole_list_is_never_finer_than_what_is_held_so_that_nobody_doubts_it() -> None:
-    """A balancer that knew the whole service, from an old one or a snapshot, was told a part unsaid."""
-    site = Instance()
+def test_full_snapshot_is_never_finer_than_what_a_watcher_holds() -> None:
+    """A balancer that knew the complete service, from an old one or a snapshot, got an undeclared subset."""
+    instance = Instance()
     for number in range(200):
-        site.put(f"s{number}", "a")
-    seat = Client("a", part=4, held='{"a":{}}')
-    answer = site.tell(seat.asked())
+        instance.put(f"s{number}", "a")
+    watcher = Client("a", part=4, held='{"a":{}}')
+    answer = instance.tell(watcher.asked())
     assert answer["snapshot"] and len(answer["endpoints"]) == 200
-    seat.take(answer)
-    answer = site.tell(seat.asked())
+    watcher.take(answer)
+    answer = instance.tell(watcher.asked())
     assert not answer["snapshot"] and {e["status"] for e in answer["endpoints"]} == {"terminated"}
-    seat.take(answer)
-    assert seat.content == seat.truth(site.catalog) and len(seat.content) < 150
-    seat.after = -1
-    again = site.tell(seat.asked())
-    assert again["snapshot"] and {e["name"] for e in again["endpoints"]} == seat.content.keys()
+    watcher.take(answer)
+    assert watcher.content == watcher.truth(instance.catalog) and len(watcher.content) < 150
+    watcher.after = -1
+    again = instance.tell(watcher.asked())
+    assert again["snapshot"] and {e["name"] for e in again["endpoints"]} == watcher.content.keys()
 
 
 # ---- calls --------------------------------------------------------------------------------------
@@ -551,7 +559,7 @@
         ({"tier": "a", "held": "{}"}, "held: is only for a call with services"),
     ],
 )
-def test_a_call_that_cannot_be_is_one_line_and_a_400(bad: dict[str, str], why: str) -> None:
+def test_wrong_query_is_one_line_and_a_400(bad: dict[str, str], why: str) -> None:
     async def scenario() -> None:
         async with serving() as (service, at), aiohttp.ClientSession() as http:
             async with http.get(f"http://{at}/v1/servers", params=bad) as answer:
@@ -595,12 +603,12 @@
                 )
             while reads.waiting_count < 7:
                 await asyncio.sleep(0.01)
-            told = reads.answer_count
+            answer_count = reads.answer_count
             await put(http, at, "s0", "later")
             news = await mine
             assert [e["name"] for e in news["endpoints"]] == ["s0"] and news["services"] == ["later"]
             await put(http, at, "s1", "nobodys")
-            assert reads.answer_count == told + 1 and not any(task.done() for task in (*others, old))
+            assert reads.answer_count == answer_count + 1 and not any(task.done() for task in (*others, old))
             await put(http, at, "s2", "other")
             assert [len((await task)["endpoints"]) for task in others] == [1] * 5
             assert not old.done(), "an old watch waits for its own tier"
@@ -612,7 +620,7 @@
     run_scenario(scenario())
 
 
-def test_old_and_new_calls_stand_side_by_side_and_the_old_one_has_its_old_answer() -> None:
+def test_call_for_one_tier_keeps_its_answer_beside_calls_by_interest() -> None:
     async def scenario() -> None:
         async with serving() as (_, at), aiohttp.ClientSession() as http:
             await put(http, at, "s0", "a")
@@ -628,7 +636,7 @@
 # ---- balancers ----------------------------------------------------------------------------------
 
 
-def test_the_table_lists_takes_services_and_a_part_and_its_faults_are_told() -> None:
+def test_configuration_of_lists_takes_services_and_a_part_and_validates_them() -> None:
     def faults(**lists: Any) -> list[str]:
         return configuration.validation_errors(json.loads(config_text("127.0.0.1:9", [], lists=lists)))
 
@@ -686,7 +694,7 @@
     run_scenario(scenario())
 
 
-def test_a_balancer_keeps_its_part_through_a_restart_of_the_service(tmp_path: Path) -> None:
+def test_balancer_keeps_its_subset_through_a_restart_of_the_service(tmp_path: Path) -> None:
     """Its memory kept, or lost: then it is the whole list, judged by what of it is held."""
 
     async def scenario() -> None:
@@ -717,7 +725,7 @@
     run_scenario(scenario())
 
 
-def test_a_service_that_knows_no_interests_is_taken_whole_for_one_and_has_failed_for_several() -> None:
+def test_service_without_interests_is_used_for_one_service_and_fails_for_several() -> None:
     async def scenario() -> None:
         upstream = Upstream()
         one = endpoint_entry("s0", await upstream.start())
@@ -746,24 +754,24 @@
     run_scenario(scenario())
 
 
-# ---- the pace of a return -----------------------------------------------------------------------
+# ---- admission after an outage -----------------------------------------------------------------------
 
 
-def back(gate: AdmissionQueue, callers: int, cost_s: float, waited: float = 0.0) -> list[float]:
-    """When each is let in who asks at 0 and again as it is told."""
+def back(queue: AdmissionQueue, callers: int, cost_s: float, waited: float = 0.0) -> list[float]:
+    """Return when each caller is admitted that calls at 0 and again as scheduled."""
     times: list[float] = []
     due: list[tuple[float, int | None]] = [(0.0, None)] * callers
     while due:
         at, ticket = due.pop(0)
-        turn = gate.schedule_retry(at, cost_s, waited, ticket)
-        if turn is None:
+        retry = queue.schedule_retry(at, cost_s, waited, ticket)
+        if retry is None:
             times.append(at)
         else:
-            due.append((at + turn.delay_s, turn.ticket))
+            due.append((at + retry.delay_s, retry.ticket))
     return times
 
 
-def test_a_few_who_return_are_let_in_at_once_and_a_crowd_at_the_pace_of_the_service() -> None:
+def test_few_returning_watchers_are_admitted_at_once_and_a_crowd_at_the_service_rate() -> None:
     assert back(AdmissionQueue(), 100, 200e-6) == [0.0] * 100
     times = sorted(back(AdmissionQueue(), 10_000, 200e-6))
     at_once = times.count(0.0)
@@ -772,21 +780,21 @@
     assert max(seconds.values()) <= MAX_CPU_FRACTION / 200e-6 * 1.05 and times[-1] < MAX_DELAY_S
 
 
-def test_a_crowd_beyond_the_pace_is_let_in_within_the_bound_all_the_same() -> None:
+def test_crowd_beyond_the_rate_is_admitted_within_the_maximum_delay() -> None:
     assert max(back(AdmissionQueue(), 60_000, 200e-6)) <= MAX_DELAY_S
     assert max(back(AdmissionQueue(), 60_000, 200e-6, waited=3.0)) <= MAX_DELAY_S - 3.0
     assert max(back(AdmissionQueue(), 60_000, 200e-6, waited=9.0)) == 0.0
 
 
-def test_a_ticket_that_is_not_due_or_long_over_is_none() -> None:
-    gate = AdmissionQueue()
-    back(gate, 5_000, 200e-6)
+def test_ticket_that_is_not_due_or_long_over_is_not_valid() -> None:
+    queue = AdmissionQueue()
+    back(queue, 5_000, 200e-6)
     for ticket in (10_000, -9_000):
-        assert gate.schedule_retry(0.0, 200e-6, 0.0, ticket) is not None
-    assert gate.schedule_retry(0.0, 200e-6, 0.0, 0) is None
+        assert queue.schedule_retry(0.0, 200e-6, 0.0, ticket) is not None
+    assert queue.schedule_retry(0.0, 200e-6, 0.0, 0) is None
 
 
-def test_a_service_has_a_crowd_come_again_and_old_clients_and_running_watches_come_in() -> None:
+def test_service_schedules_retries_of_a_crowd_and_admits_old_clients_and_running_watches() -> None:
     async def scenario() -> None:
         async with serving() as (service, at), aiohttp.ClientSession() as http:
             async with watched(at, http, services="a") as first:
@@ -812,7 +820,7 @@
     return Subscription(("a",), 0, name="b", zone="", balancers=2, holds_all=False)
 
 
-def test_who_is_told_to_come_again_does_so_with_its_ticket_and_only_for_so_long() -> None:
+def test_rate_limited_watcher_retries_with_its_ticket_for_a_limited_time() -> None:
     one = wanted()
     body = b'{"error": "x", "retry_ms": 2000, "ticket": 77}'
     for _ in range(2):
@@ -831,7 +839,7 @@
     assert one.query(9.0) == ["services=a", "tier=a", "held=%7B%22a%22:%7B%7D%7D"]
 
 
-def test_a_balancer_that_is_told_to_come_again_has_not_failed() -> None:
+def test_rate_limited_balancer_has_not_failed() -> None:
     async def scenario() -> None:
         async with ProxyHarness(console="", lists={"services": ["a"]}) as rig:
             failed: list[bool] = []
--- a/tests/test_registry_instances.py
+++ b/tests/test_registry_instances.py
@@ -29,7 +29,7 @@
 RULES = Rules(mass_expiry_ratio=1.0, self_preservation_threshold=0.0, max_expirations=1_000, settle_ms=0.0)
 
 
-def told(**more: Any) -> Registration:
+def make_registration(**more: Any) -> Registration:
     base: dict[str, Any] = {"address": "127.0.0.1:5000", "zone": "a", "lease_ms": LEASE_MS}
     return Registration(**(base | more))
 
@@ -94,7 +94,7 @@
 def two(*names: str) -> Instances:
     made = Instances()
     for name in names:
-        made.catalogs[0].register(name, told(), 0.0)
+        made.catalogs[0].register(name, make_registration(), 0.0)
     made.ask_all()
     return made
 
@@ -105,7 +105,7 @@
 accounts = st.builds(
     SharedEntry,
     st.just("s0"),
-    st.builds(told, since_ms=st.sampled_from([0.0, 5.0]), weight=st.sampled_from([1.0, 2.0])),
+    st.builds(make_registration, since_ms=st.sampled_from([0.0, 5.0]), weight=st.sampled_from([1.0, 2.0])),
     st.sampled_from(STATUS_ORDER),
     st.integers(0, 1),
     st.integers(0, 2),
@@ -116,7 +116,7 @@
 
 
 @given(accounts, accounts, accounts)
-def test_accounts_join_alike_in_any_order_and_however_often(
+def test_join_is_commutative_associative_and_idempotent(
     one: SharedEntry, two: SharedEntry, three: SharedEntry
 ) -> None:
     assert join(one, two) == join(two, one)
@@ -138,7 +138,7 @@
 # ---- instances -----------------------------------------------------------------------------------
 
 
-def test_a_write_at_any_instance_is_known_at_all_and_an_echo_changes_nothing() -> None:
+def test_write_at_any_instance_reaches_all_and_an_echo_changes_nothing() -> None:
     made = two("s0", "s1")
     made.catalogs[1].drain("s0", 1.0)
     made.ask_all()
@@ -149,7 +149,7 @@
     assert made.exchanges[0].make_request(1).entries == ()
 
 
-def test_a_cut_drops_no_server_that_renews_at_either_side() -> None:
+def test_partition_drops_no_server_that_renews_at_either_side() -> None:
     made = two("s0", "s1")
     made.split()
     made.pass_by(20 * LEASE_MS, (0, "s0"), (1, "s1"))
@@ -160,7 +160,7 @@
     assert made.listed(0) == made.listed(1) == {"s0": "in_service", "s1": "in_service"}
 
 
-def test_a_server_that_died_in_the_cut_goes_when_it_is_healed() -> None:
+def test_server_that_died_in_a_partition_expires_when_it_is_healed() -> None:
     made = two("s0", "s1")
     made.split()
     made.pass_by(5 * LEASE_MS, (0, "s0"))
@@ -170,7 +170,7 @@
     assert made.listed(0) == made.listed(1) == {"s0": "in_service"}
 
 
-def test_letting_go_of_a_pinned_server_gives_it_a_lease_at_every_instance() -> None:
+def test_unpinned_server_gets_a_new_lease_at_every_instance() -> None:
     """Only the instance that was told let its lease run anew; the others took the server off at once."""
     made = two("s0")
     made.catalogs[0].set_pinned("s0", 0.0, is_pinned=True)
@@ -182,7 +182,7 @@
     assert made.listed(0) == made.listed(1) == {}
 
 
-def test_a_lapse_does_not_stand_against_a_renewal_that_it_had_not_heard_of() -> None:
+def test_renewal_at_another_instance_overrules_an_expiry_that_did_not_know_it() -> None:
     made = two("s0")
     made.now = 2 * LEASE_MS
     made.catalogs[1].renew("s0", 0.0, made.now)
@@ -191,13 +191,13 @@
     assert made.listed(0) == made.listed(1) == {"s0": "in_service"}
 
 
-def test_both_sides_of_a_cut_may_write_and_what_was_lost_is_shown() -> None:
+def test_both_sides_of_a_partition_may_write_and_conflicts_are_counted() -> None:
     made = two("s0", "s1")
     made.split()
-    made.catalogs[0].register("s0", told(weight=2.0), 1.0)
-    made.catalogs[1].register("s0", told(weight=3.0), 1.0)
+    made.catalogs[0].register("s0", make_registration(weight=2.0), 1.0)
+    made.catalogs[1].register("s0", make_registration(weight=3.0), 1.0)
     made.catalogs[0].drain("s1", 1.0)
-    made.catalogs[1].register("s1", told(weight=4.0), 1.0)
+    made.catalogs[1].register("s1", make_registration(weight=4.0), 1.0)
     made.cut = set()
     for _ in range(2):
         made.ask_all()
@@ -208,7 +208,7 @@
     assert made.catalogs[0].updates.fingerprint == made.catalogs[1].updates.fingerprint
 
 
-def test_one_that_lost_its_memory_has_it_back_from_the_others() -> None:
+def test_instance_that_lost_its_database_gets_the_entries_from_its_peers() -> None:
     made = two("s0", "s1")
     made.catalogs[0].drain("s0", 1.0)
     made.ask_all()
@@ -217,7 +217,7 @@
     assert made.listed(1) == {"s0": "terminating", "s1": "in_service"}
 
 
-def test_an_entry_that_a_fault_has_altered_is_told_again() -> None:
+def test_entry_altered_by_a_fault_is_repaired_by_fingerprint() -> None:
     made = two("s0", "s1")
     catalog = made.catalogs[1]
     catalog.entries["s0"].reported_status = Status.TERMINATING
@@ -229,11 +229,11 @@
     assert sum(o.repair_count for e in made.exchanges for o in e.peers.values()) >= 1
 
 
-def test_a_large_list_goes_over_in_parts(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_large_list_is_sent_in_several_messages(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("loadbalancer.registry.anti_entropy.MAX_ENTRIES_PER_MESSAGE", 3)
     made = Instances()
     for number in range(10):
-        made.catalogs[0].register(f"s{number}", told(), 0.0)
+        made.catalogs[0].register(f"s{number}", make_registration(), 0.0)
     assert made.exchanges[1].complete_as_of_ms == float("-inf")
     for _ in range(5):
         made.ask(1, 0)
@@ -241,7 +241,7 @@
     assert made.exchanges[1].complete_as_of_ms == 0.0
 
 
-def test_a_watch_that_comes_from_another_instance_gets_the_whole_list_at_a_higher_version() -> None:
+def test_watch_from_another_instance_gets_a_full_snapshot_at_a_higher_revision() -> None:
     made = two("s0", "s1")
     one, other = made.catalogs
     for _ in range(20):
@@ -255,7 +255,7 @@
     assert changes == [], "whoever stayed goes on from where it was"
 
 
-def test_a_message_from_somebody_else_is_refused_and_changes_nothing() -> None:
+def test_message_from_an_unknown_instance_is_rejected_and_changes_nothing() -> None:
     made = two("s0")
     question = made.exchanges[0].make_request(1)
     for sender in (1, 5):
@@ -278,7 +278,10 @@
     @rule(number=numbers, name=names, since=st.sampled_from([0.0, 0.0, 7.0]), weight=st.integers(1, 3))
     def register(self, number: int, name: str, since: float, weight: int) -> None:
         self._try(
-            lambda c: c.register(name, told(since_ms=since, weight=float(weight)), self.made.now), number
+            lambda c: c.register(
+                name, make_registration(since_ms=since, weight=float(weight)), self.made.now
+            ),
+            number,
         )
 
     @rule(number=numbers, name=names)
@@ -339,7 +342,7 @@
 # ---- files ---------------------------------------------------------------------------------------
 
 
-def test_a_change_that_could_not_be_kept_takes_back_no_renewal() -> None:
+def test_reverted_change_takes_back_no_renewal() -> None:
     """A drain that met a full disk left the lease as it was at the change before, and the server lapsed."""
     made = two("s0", "s1")
     one = made.catalogs[0]
@@ -352,11 +355,11 @@
     assert "s0" in made.listed(0)
 
 
-def test_a_file_of_the_version_before_is_read_and_sound(tmp_path: Path) -> None:
+def test_file_of_the_schema_before_is_upgraded_and_sound(tmp_path: Path) -> None:
     path = tmp_path / "list.sqlite"
     store = CatalogStore(path)
     one = Catalog(RULES, 100)
-    store.commit([c for name in ("s0", "s1", "s2") if (c := one.register(name, told(), 0.0))])
+    store.commit([c for name in ("s0", "s1", "s2") if (c := one.register(name, make_registration(), 0.0))])
     store.commit([c for c in [one.drain("s1", 1.0), one.remove("s2", 1.0)] if c])
     store.commit(one.expire_leases(5_000.0))
     store.close()
@@ -385,7 +388,7 @@
         ('instances = ["nowhere"]', "matching regex"),
     ],
 )
-def test_instances_that_cannot_be_are_a_line(tmp_path: Path, line: str, fault: str) -> None:
+def test_wrong_instances_are_one_line_of_error(tmp_path: Path, line: str, fault: str) -> None:
     path = tmp_path / "directory.toml"
     path.write_text(f'listen = "127.0.0.1:1"\ndatabase = "x"\n{line}\n')
     with pytest.raises(RegistryServerError, match=fault):
--- a/tests/test_registry_service.py
+++ b/tests/test_registry_service.py
@@ -1,4 +1,4 @@
-"""The list service: leases, doubts, versions, what outlasts a kill, and watches by today's client."""
+"""The registry as a service: leases, mass expiry, revisions, what outlasts a kill, and watches over HTTP."""
 
 from __future__ import annotations
 
@@ -50,166 +50,168 @@
 )
 
 
-def told(**more: Any) -> Registration:
+def make_registration(**more: Any) -> Registration:
     base: dict[str, Any] = {"address": "127.0.0.1:5000", "zone": "a", "lease_ms": 1_000.0}
     return Registration(**(base | more))
 
 
-def catalog(*names: str, now: float = 0.0, **more: Any) -> Catalog:
+def make_catalog(*names: str, now: float = 0.0, **more: Any) -> Catalog:
     made = Catalog(RULES, start_revision=100)
     for name in names:
-        made.register(name, told(**more), now)
+        made.register(name, make_registration(**more), now)
     return made
 
 
-def listed(one: Catalog) -> dict[str, str]:
-    return {e.name: e.status.value for e in one.listed_entries("first")}
+def listed(catalog: Catalog) -> dict[str, str]:
+    return {e.name: e.status.value for e in catalog.listed_entries("first")}
 
 
 # ---- the catalog --------------------------------------------------------------------------------
 
 
-def test_every_change_has_a_version_of_its_own_and_a_renewal_has_none() -> None:
-    one = catalog("s0", "s1")
-    assert one.revision == 102
-    assert one.register("s0", told(), 10.0) is None and one.renew("s1", 0.0, 10.0) is None
-    assert one.revision == 102
-    changed = one.changes_since("first", 101, 10.0)
+def test_every_change_has_a_revision_of_its_own_and_a_renewal_has_none() -> None:
+    catalog = make_catalog("s0", "s1")
+    assert catalog.revision == 102
+    assert (
+        catalog.register("s0", make_registration(), 10.0) is None and catalog.renew("s1", 0.0, 10.0) is None
+    )
+    assert catalog.revision == 102
+    changed = catalog.changes_since("first", 101, 10.0)
     assert changed is not None and [e.name for e in changed] == ["s1"]
-    assert one.changes_since("first", 99, 10.0) is None  # from before this life: the whole list
-    assert one.changes_since("second", 100, 10.0) == []
+    assert catalog.changes_since("first", 99, 10.0) is None  # from before this life: the whole list
+    assert catalog.changes_since("second", 100, 10.0) == []
 
 
 def test_a_restart_is_a_new_start_and_never_an_older_one() -> None:
-    one = catalog("s0", since_ms=50.0)
-    change = one.register("s0", told(since_ms=60.0), 1.0)
+    catalog = make_catalog("s0", since_ms=50.0)
+    change = catalog.register("s0", make_registration(since_ms=60.0), 1.0)
     assert change is not None and change.what == "started anew"
     with pytest.raises(WriteRejectedError, match="earlier") as caught:
-        one.register("s0", told(since_ms=50.0), 2.0)
+        catalog.register("s0", make_registration(since_ms=50.0), 2.0)
     assert caught.value.status == 409
     with pytest.raises(WriteRejectedError, match="started at 60"):
-        one.renew("s0", 50.0, 2.0)
-    one.remove("s0", 3.0)
+        catalog.renew("s0", 50.0, 2.0)
+    catalog.remove("s0", 3.0)
     with pytest.raises(WriteRejectedError, match="earlier"):
-        one.register("s0", told(since_ms=50.0), 4.0)
+        catalog.register("s0", make_registration(since_ms=50.0), 4.0)
 
 
-def test_one_that_drains_serves_again_only_by_a_new_start() -> None:
-    one = catalog("s0")
-    one.drain("s0", 1.0)
-    assert listed(one) == {"s0": "terminating"} and one.drain("s0", 2.0) is None
+def test_draining_server_serves_again_only_by_a_new_start() -> None:
+    catalog = make_catalog("s0")
+    catalog.drain("s0", 1.0)
+    assert listed(catalog) == {"s0": "terminating"} and catalog.drain("s0", 2.0) is None
     with pytest.raises(WriteRejectedError, match="drains"):
-        one.register("s0", told(), 3.0)
-    one.register("s0", told(since_ms=5.0), 5.0)
-    assert listed(one) == {"s0": "in_service"}
+        catalog.register("s0", make_registration(), 3.0)
+    catalog.register("s0", make_registration(since_ms=5.0), 5.0)
+    assert listed(catalog) == {"s0": "in_service"}
 
 
-def test_a_foreign_owner_is_refused_until_the_lease_is_over() -> None:
-    one = catalog("s0", owner="a")
+def test_other_owner_is_rejected_until_the_lease_is_over() -> None:
+    catalog = make_catalog("s0", owner="a")
     with pytest.raises(WriteRejectedError, match="held by 'a'"):
-        one.register("s0", told(owner="b"), 500.0)
-    assert one.register("s0", told(owner="b"), 1_500.0) is not None
+        catalog.register("s0", make_registration(owner="b"), 500.0)
+    assert catalog.register("s0", make_registration(owner="b"), 1_500.0) is not None
 
 
-def test_a_write_at_another_version_is_refused() -> None:
-    one = catalog("s0", "s1")
+def test_write_at_another_revision_is_rejected() -> None:
+    catalog = make_catalog("s0", "s1")
     with pytest.raises(WriteRejectedError, match="at version 101, not 100") as caught:
-        one.drain("s0", 1.0, if_match=100)
+        catalog.drain("s0", 1.0, if_match=100)
     assert caught.value.status == 412
-    assert one.drain("s0", 1.0, if_match=101) is not None
-    assert one.register("s2", told(), 1.0, if_match=0) is not None
+    assert catalog.drain("s0", 1.0, if_match=101) is not None
+    assert catalog.register("s2", make_registration(), 1.0, if_match=0) is not None
 
 
-def renew(one: Catalog, now: float, *names: str) -> None:
+def renew(catalog: Catalog, now: float, *names: str) -> None:
     for name in names:
-        one.renew(name, 0.0, now)
+        catalog.renew(name, 0.0, now)
 
 
-def test_a_single_lease_that_runs_out_takes_its_server_off_the_list() -> None:
-    one = catalog("s0", "s1", "s2", "s3")
-    renew(one, 900.0, "s1", "s2", "s3")
-    assert [c.name for c in one.expire_leases(1_100.0)] == ["s0"]
-    assert sorted(listed(one)) == ["s1", "s2", "s3"]
+def test_single_lease_that_expires_takes_its_server_off_the_list() -> None:
+    catalog = make_catalog("s0", "s1", "s2", "s3")
+    renew(catalog, 900.0, "s1", "s2", "s3")
+    assert [c.name for c in catalog.expire_leases(1_100.0)] == ["s0"]
+    assert sorted(listed(catalog)) == ["s1", "s2", "s3"]
 
 
-def test_when_many_lapse_together_the_service_doubts_itself_and_keeps_them() -> None:
+def test_mass_expiry_suspends_expiry_and_marks_the_servers() -> None:
     names = [f"s{i}" for i in range(10)]
-    one = catalog(*names)
-    renew(one, 900.0, *names[6:])
-    assert one.expire_leases(1_100.0) == [] and len(listed(one)) == 10
-    assert [n for n in names if one.entries[n].is_preserved] == names[:6]
-    assert one.expiry_suspended_until_ms["first"] > 1_100.0
-    renew(one, 1_200.0, *names)
-    assert not any(e.is_preserved for e in one.entries.values())
+    catalog = make_catalog(*names)
+    renew(catalog, 900.0, *names[6:])
+    assert catalog.expire_leases(1_100.0) == [] and len(listed(catalog)) == 10
+    assert [n for n in names if catalog.entries[n].is_preserved] == names[:6]
+    assert catalog.expiry_suspended_until_ms["first"] > 1_100.0
+    renew(catalog, 1_200.0, *names)
+    assert not any(e.is_preserved for e in catalog.entries.values())
 
 
-def test_the_first_of_many_lapses_is_not_believed_before_the_others_are_seen() -> None:
+def test_first_of_many_expirations_waits_until_the_others_are_seen() -> None:
     """In a storm the first lease to run out was taken for a single server's end."""
     rules = msgspec.structs.replace(RULES, settle_ms=500.0)
-    one = Catalog(rules, start_revision=100)
+    catalog = Catalog(rules, start_revision=100)
     for at, name in enumerate(("s0", "s1", "s2", "s3")):
-        one.register(name, told(), 100.0 * at)
-    assert one.expire_leases(1_050.0) == [] and one.entries["s0"].is_preserved
-    assert one.expire_leases(1_350.0) == []
-    assert one.expire_leases(1_600.0) == [], "by now all but one have lapsed: it is we who do not hear"
-    assert len(listed(one)) == 4
+        catalog.register(name, make_registration(), 100.0 * at)
+    assert catalog.expire_leases(1_050.0) == [] and catalog.entries["s0"].is_preserved
+    assert catalog.expire_leases(1_350.0) == []
+    assert catalog.expire_leases(1_600.0) == [], "by now all but one have lapsed: it is we who do not hear"
+    assert len(listed(catalog)) == 4
 
 
-def test_lapses_leave_a_floor_in_each_zone() -> None:
-    one = catalog("s0", "s1", "s2", "s3")
+def test_expiry_leaves_the_self_preservation_threshold_in_each_zone() -> None:
+    catalog = make_catalog("s0", "s1", "s2", "s3")
     now = 0.0
     for name in ("s0", "s1", "s2", "s3"):  # one after another: none of them is many at once
         now += 20_000.0
-        renew(one, now - 500.0, *[n for n in listed(one) if n > name])
-        one.expire_leases(now)
-    assert sorted(listed(one)) == ["s2", "s3"] and one.entries["s2"].is_preserved
+        renew(catalog, now - 500.0, *[n for n in listed(catalog) if n > name])
+        catalog.expire_leases(now)
+    assert sorted(listed(catalog)) == ["s2", "s3"] and catalog.entries["s2"].is_preserved
 
 
-def test_a_flapping_server_is_kept_out_for_a_while_and_a_pinned_one_stays() -> None:
-    one = catalog("s0", "s1", "s2", "s3", "s4", "s5", lease_ms=100.0)
+def test_flapping_server_is_rejected_for_a_while_and_a_pinned_one_stays() -> None:
+    catalog = make_catalog("s0", "s1", "s2", "s3", "s4", "s5", lease_ms=100.0)
     now = 0.0
     for _ in range(RULES.max_expirations):
         now += 10_000.0
-        renew(one, now, "s1", "s2", "s3", "s4", "s5")
-        one.expire_leases(now)
-        if len(one.entries["s0"].expirations_ms) < RULES.max_expirations:
-            one.register("s0", told(lease_ms=100.0), now)
+        renew(catalog, now, "s1", "s2", "s3", "s4", "s5")
+        catalog.expire_leases(now)
+        if len(catalog.entries["s0"].expirations_ms) < RULES.max_expirations:
+            catalog.register("s0", make_registration(lease_ms=100.0), now)
     with pytest.raises(WriteRejectedError, match="come and gone too often"):
-        one.register("s0", told(), now + 1_000.0)
-    assert one.register("s0", told(), now + RULES.damping_ms) is not None
-    one.set_pinned("s1", now, is_pinned=True)
+        catalog.register("s0", make_registration(), now + 1_000.0)
+    assert catalog.register("s0", make_registration(), now + RULES.damping_ms) is not None
+    catalog.set_pinned("s1", now, is_pinned=True)
     later = now + RULES.damping_ms + 5_000.0
-    renew(one, later, "s2", "s3", "s4", "s5")
-    assert [c.name for c in one.expire_leases(later)] == ["s0"]
+    renew(catalog, later, "s2", "s3", "s4", "s5")
+    assert [c.name for c in catalog.expire_leases(later)] == ["s0"]
 
 
-def test_a_change_that_could_not_be_kept_has_not_been_made() -> None:
-    one = catalog("s0")
-    index = one.revision
-    changes = [one.drain("s0", 1.0), one.register("s1", told(), 1.0)]
-    one.revert([c for c in changes if c is not None])
-    assert listed(one) == {"s0": "in_service"}
-    change = one.drain("s0", 2.0)
+def test_change_that_could_not_be_stored_is_reverted() -> None:
+    catalog = make_catalog("s0")
+    index = catalog.revision
+    changes = [catalog.drain("s0", 1.0), catalog.register("s1", make_registration(), 1.0)]
+    catalog.revert([c for c in changes if c is not None])
+    assert listed(catalog) == {"s0": "in_service"}
+    change = catalog.drain("s0", 2.0)
     assert change is not None and change.revision == index + 3  # a version is never used twice
 
 
-def test_after_a_write_that_could_not_be_kept_watches_still_hear_what_came_before_it() -> None:
+def test_after_a_reverted_write_watches_still_get_what_came_before_it() -> None:
     """The entry went to the end of the order with its old version, and hid all that had come since."""
-    one = catalog("s0", "s1", "s2")
-    seen = one.revision - 2
-    change = one.drain("s0", 1.0)
+    catalog = make_catalog("s0", "s1", "s2")
+    seen = catalog.revision - 2
+    change = catalog.drain("s0", 1.0)
     assert change is not None
-    one.revert([change])
-    changed = one.changes_since("first", seen, 1.0)
+    catalog.revert([change])
+    changed = catalog.changes_since("first", seen, 1.0)
     assert changed is not None and sorted(e.name for e in changed) == ["s1", "s2"]
 
 
-def test_a_watcher_from_before_a_lost_memory_gets_the_whole_list_at_a_higher_version() -> None:
-    one = Catalog(RULES, first_revision(0, 1_000_000.0))
-    one.register("s0", told(), 1_000_000.0)
-    assert one.changes_since("first", 1_000_500, 1_000_100.0) is None and one.revision == 1_000_501
+def test_watcher_from_before_a_lost_database_gets_a_full_snapshot_at_a_higher_revision() -> None:
+    catalog = Catalog(RULES, first_revision(0, 1_000_000.0))
+    catalog.register("s0", make_registration(), 1_000_000.0)
+    assert catalog.changes_since("first", 1_000_500, 1_000_100.0) is None and catalog.revision == 1_000_501
     assert (
-        one.changes_since("first", 10**15, 1_000_100.0) is None and one.revision == 1_000_501
+        catalog.changes_since("first", 10**15, 1_000_100.0) is None and catalog.revision == 1_000_501
     )  # nobody's version
 
 
@@ -217,12 +219,14 @@
 
 
 def some(store: CatalogStore, count: int) -> list[Change]:
-    one = Catalog(RULES, first_revision(store.last_revision(), 0.0))
-    changes = [one.register(f"s{i}", told(), 0.0, who="me", why="test") for i in range(count)]
+    catalog = Catalog(RULES, first_revision(store.last_revision(), 0.0))
+    changes = [
+        catalog.register(f"s{i}", make_registration(), 0.0, who="me", why="test") for i in range(count)
+    ]
     return [c for c in changes if c is not None]
 
 
-def test_what_was_kept_is_there_again_and_history_tells_who_and_why(tmp_path: Path) -> None:
+def test_stored_entries_are_read_again_and_history_has_who_and_why(tmp_path: Path) -> None:
     path = tmp_path / "list.sqlite"
     store = CatalogStore(path)
     changes = some(store, 3)
@@ -237,25 +241,27 @@
     assert list(again.verify()) == []
 
 
-def test_after_a_restart_watches_go_on_and_those_of_a_lost_life_get_the_whole_list(tmp_path: Path) -> None:
+def test_after_a_restart_watches_resume_and_those_of_a_lost_incarnation_get_a_full_snapshot(
+    tmp_path: Path,
+) -> None:
     """Each start made all watches ask for the whole list: 1.5 MB each for 10,000 servers, all at once."""
     store = CatalogStore(tmp_path / "a")
 
     def begin(store: CatalogStore, now: float) -> Catalog:
-        one = Catalog(RULES, first_revision(store.last_revision(), now))
-        one.restore(store.entries(), now, store.incarnations(), store.compaction_revision())
-        store.begin_incarnation(one.revision, one.compaction_revision, one.entries)
-        return one
+        catalog = Catalog(RULES, first_revision(store.last_revision(), now))
+        catalog.restore(store.entries(), now, store.incarnations(), store.compaction_revision())
+        store.begin_incarnation(catalog.revision, catalog.compaction_revision, catalog.entries)
+        return catalog
 
-    def put(one: Catalog, name: str) -> int:
-        change = one.register(name, told(), 0.0)
+    def put(catalog: Catalog, name: str) -> int:
+        change = catalog.register(name, make_registration(), 0.0)
         assert change is not None
         store.commit([change])
-        return one.revision
+        return catalog.revision
 
-    one = begin(store, 1_000.0)
-    seen = put(one, "s0")
-    put(one, "s1")
+    catalog = begin(store, 1_000.0)
+    seen = put(catalog, "s0")
+    put(catalog, "s1")
     two = begin(store, 5_000.0)
     missed = two.changes_since("first", seen, 5_000.0)
     assert missed is not None and [e.name for e in missed] == ["s1"]
@@ -273,13 +279,15 @@
     assert list(store.verify()) == []
 
 
-def test_removals_of_long_ago_are_forgotten_on_the_disk_too(tmp_path: Path) -> None:
+def test_compacted_removals_are_forgotten_on_the_disk_too(tmp_path: Path) -> None:
     store = CatalogStore(tmp_path / "a")
     rules = msgspec.structs.replace(RULES, max_tombstones=2)
-    one = Catalog(rules, 100)
+    catalog = Catalog(rules, 100)
     names = [f"s{i}" for i in range(6)]
     for name in names:
-        store.commit([c for c in (one.register(name, told(), 0.0), one.remove(name, 0.0)) if c])
+        store.commit(
+            [c for c in (catalog.register(name, make_registration(), 0.0), catalog.remove(name, 0.0)) if c]
+        )
     two = Catalog(rules, 500)
     two.restore(store.entries(), 0.0, store.incarnations(), store.compaction_revision())
     store.begin_incarnation(two.revision, two.compaction_revision, two.entries)
@@ -287,7 +295,7 @@
     assert list(store.verify()) == []
 
 
-def test_watches_that_are_between_two_calls_count_for_the_pace() -> None:
+def test_watches_between_two_calls_count_for_the_wake_rate() -> None:
     """Who had just been answered did not count: a thousand watches took 0.78 of a core in place of half."""
     pace = WakeRateLimiter()
     assert pace.next_wake_s(1_000) == float("-inf")
@@ -313,13 +321,13 @@
                 async with http.put(f"http://{at}/v1/servers/s{number}", json=body) as answer:
                     assert answer.status == 200
             async with await watch as answer:
-                told = await answer.json()
-            assert len(told["endpoints"]) == 3, "all of them at once"
+                body = await answer.json()
+            assert len(body["endpoints"]) == 3, "all of them at once"
 
     run_scenario(scenario())
 
 
-def test_a_rewound_entry_and_a_lost_version_are_found(tmp_path: Path) -> None:
+def test_verify_finds_a_rewound_entry_and_a_lost_revision(tmp_path: Path) -> None:
     path = tmp_path / "list.sqlite"
     store = CatalogStore(path)
     store.commit(some(store, 3))
@@ -333,7 +341,7 @@
     assert len(faults) == 2 and "history reaches" in faults[0] and faults[1].startswith("s1: ")
 
 
-def test_a_file_that_is_none_or_newer_is_a_line(tmp_path: Path) -> None:
+def test_file_that_is_no_database_or_newer_is_one_line_of_error(tmp_path: Path) -> None:
     garbled = tmp_path / "garbled"
     garbled.write_bytes(b"no database" * 100)
     newer = tmp_path / "newer"
@@ -395,7 +403,7 @@
     run_scenario(scenario())
 
 
-def test_a_service_without_memory_tells_those_who_saw_a_list_to_keep_it_for_a_while() -> None:
+def test_service_with_an_empty_database_has_watchers_keep_their_list_for_a_while() -> None:
     """It told them a list of nobody, and they dropped every server until all had registered anew."""
 
     async def scenario() -> None:
@@ -439,12 +447,12 @@
     run_scenario(scenario())
 
 
-def test_a_reader_of_a_long_list_that_takes_nothing_is_cut_off_and_holds_little() -> None:
+def test_stalled_reader_of_a_long_list_is_cut_off() -> None:
     async def scenario() -> None:
         async with serving() as (service, at), aiohttp.ClientSession() as http:
             service.api.stalled_reader_timeout_s = 0.2
             for number in range(20_000):
-                service.catalog.register(f"server-{number}", told(zone="z" * 150), 0.0)
+                service.catalog.register(f"server-{number}", make_registration(zone="z" * 150), 0.0)
             host, port = at.split(":")
             with socket.socket() as reader:
                 reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
@@ -458,7 +466,7 @@
     run_scenario(scenario())
 
 
-def test_a_full_disk_refuses_writes_in_a_line_and_reads_go_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_full_disk_rejects_writes_in_one_line_and_reads_go_on(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with serving() as (service, at), aiohttp.ClientSession() as http:
             await http.put(f"http://{at}/v1/servers/s0", json=entry("127.0.0.1:1"))
@@ -477,7 +485,7 @@
     run_scenario(scenario())
 
 
-def test_a_balancer_follows_the_service_through_its_restart_and_its_loss_of_memory(tmp_path: Path) -> None:
+def test_balancer_follows_the_service_through_a_restart_and_a_lost_database(tmp_path: Path) -> None:
     async def scenario() -> None:
         first, second = Upstream(), Upstream()
         addresses = [await first.start(), await second.start()]
@@ -504,18 +512,18 @@
                     await asyncio.sleep(0.01)
                 assert status_of(await rig.request()) == 200
 
-            one = await service("a")
+            runner = await service("a")
             await put("s0", addresses[0])
             await until_listed("s0")
-            await one.cleanup()
-            one = await service("a")  # it has its memory
+            await runner.cleanup()
+            runner = await service("a")  # it has its memory
             await put("s1", addresses[1])
             await until_listed("s0", "s1")
-            await one.cleanup()
-            one = await service("b")  # it has none
+            await runner.cleanup()
+            runner = await service("b")  # it has none
             await put("s1", addresses[1])
             await until_listed("s1")
-            await one.cleanup()
+            await runner.cleanup()
 
     run_scenario(scenario())
 
@@ -539,7 +547,7 @@
             continue
 
 
-def test_what_was_answered_outlasts_kills_and_versions_only_grow(tmp_path: Path) -> None:
+def test_answered_writes_outlast_kills_and_revisions_only_grow(tmp_path: Path) -> None:
     path, port = tmp_path / "list.toml", free_port(HOST)
     caller, versions = RegistryClient(f"{HOST}:{port}", who="test"), [0]
     answered: list[str] = []
@@ -563,7 +571,7 @@
     assert done.returncode == 0, done.stderr
 
 
-def test_the_commands_for_people(tmp_path: Path) -> None:
+def test_commands_show_and_change_the_list(tmp_path: Path) -> None:
     path, port = tmp_path / "list.toml", free_port(HOST)
     process, at = served(path, port), f"{HOST}:{port}"
 
@@ -593,7 +601,7 @@
         assert process.wait(30) == 0
 
 
-def test_an_agent_registers_renews_and_lets_go_by_its_checks() -> None:
+def test_agent_registers_renews_and_deregisters_by_its_health_checks() -> None:
     calls: list[tuple[str, str]] = []
     well, now, lapsed = [True], [0.0], [False]
 
@@ -606,7 +614,9 @@
                 lapsed[0] = False
                 raise RegistryCallError(404, "no such server")
 
-    agent = Agent("s0", told(), Desk(f"{HOST}:1"), lambda: well[0], lambda text: None, lambda: now[0])
+    agent = Agent(
+        "s0", make_registration(), Desk(f"{HOST}:1"), lambda: well[0], lambda text: None, lambda: now[0]
+    )
 
     def steps(count: int) -> list[tuple[str, str]]:
         calls.clear()
--- a/tests/test_self_preservation.py
+++ b/tests/test_self_preservation.py
@@ -1,4 +1,4 @@
-"""What a look for lapses leaves in each zone and group, and what it costs while a zone is silent."""
+"""Which servers expiry leaves in each zone and group, and what it costs while a zone is silent."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 
 
-def told(zone: str, group: int, lease_ms: float = 1_000.0) -> Registration:
+def make_registration(zone: str, group: int, lease_ms: float = 1_000.0) -> Registration:
     return Registration(address="127.0.0.1:5000", zone=zone, group=group, lease_ms=lease_ms)
 
 
@@ -50,17 +50,17 @@
 
 @settings(deadline=None, derandomize=True, max_examples=300)
 @given(servers=SERVERS, looks=LOOKS)
-def test_a_look_takes_those_that_the_rule_lets_it_take_one_after_another(
+def test_expiry_takes_what_self_preservation_allows_one_after_another(
     servers: list[tuple[str, int]], looks: list[tuple[float, set[int], set[int]]]
 ) -> None:
     """Any servers renew and any drain between looks; each is judged by the rule, in their order."""
-    one, twin, now = Catalog(RULES, 100), Catalog(RULES, 100), 0.0
-    for made in (one, twin):
+    catalog, twin, now = Catalog(RULES, 100), Catalog(RULES, 100), 0.0
+    for made in (catalog, twin):
         for n, place in enumerate(servers):
-            made.register(f"s{n}", told(*place), now)
+            made.register(f"s{n}", make_registration(*place), now)
     for span, renewing, draining in looks:
         now += span
-        for made in (one, twin):
+        for made in (catalog, twin):
             listed = [n for n in range(len(servers)) if made.entries[f"s{n}"].is_listed]
             for n in listed:
                 if n in renewing:
@@ -78,8 +78,8 @@
                     [*entry.expirations_ms, now],
                 )
                 taken.append(entry.name)
-        assert [change.name for change in one.expire_leases(now)] == taken
-        assert {e.name: (e.status, e.is_preserved) for e in one.entries.values()} == {
+        assert [change.name for change in catalog.expire_leases(now)] == taken
+        assert {e.name: (e.status, e.is_preserved) for e in catalog.entries.values()} == {
             e.name: (e.status, e.is_preserved) for e in twin.entries.values()
         }
 
@@ -96,23 +96,25 @@
 
 
 @pytest.mark.parametrize("silent", [1, 10, 100])
-def test_a_look_goes_over_a_tier_as_often_however_many_of_it_are_silent(silent: int) -> None:
+def test_expiry_goes_over_a_tier_as_often_however_many_servers_are_silent(silent: int) -> None:
     """All were gone over twice for each that was silent: 2.5 s at 8,000 servers, four times a second."""
-    one = Counted(RULES, 100)
+    catalog = Counted(RULES, 100)
     for n in range(200):
         is_silent = n < silent
-        one.register(f"s{n}", told("a" if is_silent else "b", 1, 1_000.0 if is_silent else 1e6), 0.0)
-    one.expire_leases(5_000.0)
-    one.visits = 0
-    one.expire_leases(5_250.0)
-    assert one.visits <= 2 * 200
+        catalog.register(
+            f"s{n}", make_registration("a" if is_silent else "b", 1, 1_000.0 if is_silent else 1e6), 0.0
+        )
+    catalog.expire_leases(5_000.0)
+    catalog.visits = 0
+    catalog.expire_leases(5_250.0)
+    assert catalog.visits <= 2 * 200
 
 
-def test_servers_of_which_another_instance_told_that_they_lapsed_count_with_their_lease_here() -> None:
+def test_servers_expired_at_another_instance_count_by_their_lease_here() -> None:
     """The look ended in an IndexError: of those there is no time of a lapse."""
     here, there = Catalog(RULES, 100, 0, 8), Catalog(RULES, 101, 1, 8)
     for n in range(8):
-        here.register(f"s{n}", told("a", 1), 0.0)
+        here.register(f"s{n}", make_registration("a", 1), 0.0)
     for entry in here.entries.values():
         there.merge(to_shared(entry), 0.0, "0")
     for n in range(2, 8):
