--- a/benchmarks/interest_balancer.py
+++ b/benchmarks/interest_balancer.py
@@ -39,7 +39,7 @@
         size = len(body)
         started_s = time.process_time()
         update = decode_endpoint_list(json.loads(body))
-        proxy.endpoint_list.discovery._note(update, 0.0)
+        proxy.endpoint_list.discovery._record_content(update, 0.0)
         proxy.endpoint_list.on_watch_update(update)
         duration_s = time.process_time() - started_s
         del update, body
--- a/loadbalancer/cli/screen.py
+++ b/loadbalancer/cli/output.py
@@ -6,9 +6,9 @@
 
 from rich.console import Console
 
-PIPE_WIDTH = 240
+PIPE_WIDTH_COLUMNS = 240
 
 
-def screen() -> Console:
-    """Standard output, as wide as it is, or wide enough where no terminal says."""
-    return Console(width=None if sys.stdout.isatty() else PIPE_WIDTH)
+def output_console() -> Console:
+    """Return standard output, as wide as the terminal, or wide enough where there is none."""
+    return Console(width=None if sys.stdout.isatty() else PIPE_WIDTH_COLUMNS)
--- a/loadbalancer/net/takeover.py
+++ b/loadbalancer/net/takeover.py
@@ -9,12 +9,12 @@
 from typing import TYPE_CHECKING
 
 from loadbalancer import interface
-from loadbalancer.net.downstream import DownstreamListener
+from loadbalancer.net.downstream_listener import DownstreamListener
 from loadbalancer.net.endpoint_list import EndpointListFollower
 from loadbalancer.net.hot_restart import DescriptorCounts, HotRestartListener, Predecessor
 from loadbalancer.net.log import Log
 from loadbalancer.net.state_transfer import StateTransfer
-from loadbalancer.net.upstream import UpstreamPools
+from loadbalancer.net.upstream_pool import UpstreamPools
 
 if TYPE_CHECKING:
     from loadbalancer.net.membership import MembershipHost
@@ -74,10 +74,10 @@
             self._start_serving()
         await predecessor.follow_counts(self._limit_connections)
 
-    def _limit_connections(self, held_by_other: DescriptorCounts) -> None:
+    def _limit_connections(self, other_process: DescriptorCounts) -> None:
         """Hold fewer connections by so many as the other process holds."""
-        downstream = self._max_downstream_connections - held_by_other.downstream
-        upstream = self._max_upstream_connections - held_by_other.upstream
+        downstream = self._max_downstream_connections - other_process.downstream
+        upstream = self._max_upstream_connections - other_process.upstream
         self._downstream.max_connections = max(downstream, MIN_CONNECTIONS)
         self._upstreams.max_connections = max(upstream, MIN_CONNECTIONS)
 
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from loadbalancer.net import downstream
+from loadbalancer.net import downstream_timeout
 from tests.loopback import (
     ProxyHarness,
     Upstream,
@@ -55,7 +55,7 @@
     raw: bytes, wanted: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each held its place for ever, and callers with requests waited in the queue for one."""
-    monkeypatch.setattr(downstream, "REQUEST_TIMEOUT_S", 0.01)
+    monkeypatch.setattr(downstream_timeout, "REQUEST_TIMEOUT_S", 0.01)
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as harness:
@@ -73,7 +73,7 @@
             client.send_request()
             assert status_of(await client.read_response()) == 200
             (connection,) = harness.proxy.downstream._connections
-            assert connection._patience is None
+            assert connection.reader._timer._handle is None
 
     run_scenario(scenario())
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -8,7 +8,8 @@
 import pytest
 
 from loadbalancer import interface
-from loadbalancer.endpoint_watch import watch
+from loadbalancer.endpoint_watch import request_schedule
+from loadbalancer.endpoint_watch.request_schedule import WAIT_PER_BALANCER_MS
 from loadbalancer.interface import UpdateKind
 from loadbalancer.policy import list_backoff
 from tests.loopback import (
@@ -63,7 +64,7 @@
     run_scenario(scenario())
 
 
-def test_replaced_configuration_moves_the_watch_and_ends_nothing(tmp_path: Any) -> None:
+def test_reload_redirects_the_watch_and_the_process_goes_on(tmp_path: Any) -> None:
     """SIGHUP ended the balancer, as it does a program that does not handle it."""
 
     async def scenario() -> None:
@@ -85,9 +86,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """All changes count as told 2 s after a watch's wait, and a silent one was kept for 5 s."""
-    assert watch.OVERDUE_S < 2.0
-    monkeypatch.setattr(watch, "MAX_WAIT_MS", 10)
-    monkeypatch.setattr(watch, "OVERDUE_S", 0.01)
+    assert request_schedule.RESPONSE_MARGIN_S < 2.0
+    monkeypatch.setattr(request_schedule, "MAX_WAIT_MS", 10)
+    monkeypatch.setattr(request_schedule, "RESPONSE_MARGIN_S", 0.01)
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as harness:
@@ -110,13 +111,13 @@
         async with ProxyHarness(Upstream(), balancers=balancers, contract=contract) as harness:
             line = await harness.discovery.request_lines.get()
             waits = float(line.partition("wait_ms=")[2].split()[0])
-            assert waits <= max(3_000, watch.CALL_MS * balancers)
-            assert balancers / waits < 1.3 / watch.CALL_MS, "all together call too often"
+            assert waits <= max(3_000, WAIT_PER_BALANCER_MS * balancers)
+            assert balancers / waits < 1.3 / WAIT_PER_BALANCER_MS, "all together call too often"
 
     run_scenario(scenario())
 
 
-def test_outdated_or_malformed_list_leaves_the_last_one_in_use(
+def test_outdated_or_malformed_list_does_not_replace_the_last_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Any name and address was taken, a name twice as well, and an older list in place of a newer one."""
--- a/tests/test_interest_subscription.py
+++ b/tests/test_interest_subscription.py
@@ -738,10 +738,14 @@
             line = await rig.discovery.request_lines.get()
             assert "held=%7B%22a%22:%7B%7D%7D&after=8" in line, "it holds the whole of it"
             assert list(rig.proxy.endpoint_list.endpoints) == ["s0"]
-            assert [kind for kind, text in said if "knows no interests" in text] == ["list_service"]
+            assert [kind for kind, text in said if "knows no interests" in text] == [
+                "interest_subscription_failed"
+            ]
             rig.discovery.publish(9)
             await rig.discovery.request_lines.get()
-            assert len([kind for kind, _ in said if kind == "list_service"]) == 1, "it is said once"
+            assert len([kind for kind, _ in said if kind == "interest_subscription_failed"]) == 1, (
+                "it is said once"
+            )
         async with ProxyHarness(console="", lists={"services": ["a", "b"]}) as rig:
             said.clear()
             rig.proxy.log.event = lambda kind, text, **_: said.append((kind, text))  # type: ignore[method-assign]
@@ -817,7 +821,7 @@
 
 
 def wanted() -> Subscription:
-    return Subscription(("a",), 0, name="b", zone="", balancers=2, holds_all=False)
+    return Subscription(("a",), 0, name="b", zone="", balancer_count=2, has_full_list=False)
 
 
 def test_rate_limited_watcher_retries_with_its_ticket_for_a_limited_time() -> None:
@@ -825,25 +829,25 @@
     body = b'{"error": "x", "retry_ms": 2000, "ticket": 77}'
     for _ in range(2):
         with pytest.raises(RateLimitedError) as caught:
-            one.look_for_pace(503, body)
-        one.paced(caught.value)
-        assert one.query(0.0)[-1] == "ticket=77"
-    one.look_for_pace(503, body)  # six seconds in all: it has failed
+            one.raise_if_rate_limited(503, body)
+        one.record_rate_limit(caught.value)
+        assert one.query_parameters(0.0)[-1] == "ticket=77"
+    one.raise_if_rate_limited(503, body)  # six seconds in all: it has failed
     for status, other in ((500, body), (503, b"busy"), (503, b'{"retry_ms": -1, "ticket": 1}')):
-        wanted().look_for_pace(status, other)
-    one.failed(("127.0.0.1", 1), began=2.0)
-    one.failed(("127.0.0.1", 2), began=2.5)
-    one.failed(("127.0.0.1", 1), began=3.0)
-    assert one.query(4.5)[-1] == "waited_ms=2000", "the other one may have been there since"
-    one.heard('{"a":{}}', True)
-    assert one.query(9.0) == ["services=a", "tier=a", "held=%7B%22a%22:%7B%7D%7D"]
+        wanted().raise_if_rate_limited(status, other)
+    one.record_failure(("127.0.0.1", 1), began=2.0)
+    one.record_failure(("127.0.0.1", 2), began=2.5)
+    one.record_failure(("127.0.0.1", 1), began=3.0)
+    assert one.query_parameters(4.5)[-1] == "waited_ms=2000", "the other one may have been there since"
+    one.record_answer('{"a":{}}', True)
+    assert one.query_parameters(9.0) == ["services=a", "tier=a", "held=%7B%22a%22:%7B%7D%7D"]
 
 
 def test_rate_limited_balancer_has_not_failed() -> None:
     async def scenario() -> None:
         async with ProxyHarness(console="", lists={"services": ["a"]}) as rig:
             failed: list[bool] = []
-            rig.proxy.endpoint_list.discovery._on_failed = lambda: failed.append(True)
+            rig.proxy.endpoint_list.discovery._on_failure = lambda: failed.append(True)
             await rig.discovery.request_lines.get()
             body = b'{"error": "x", "retry_ms": 20, "ticket": 77}'
             rig.discovery.responses.put_nowait(
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from loadbalancer.cli import operate
+from loadbalancer.cli.console_client import call_console
 from loadbalancer.drill.open_load import LoadError, check, read_kind
 from loadbalancer.drill.processes.placement import free_port
 
@@ -54,7 +54,7 @@
         env=os.environ | {"TMPDIR": str(tmp_path)},
     ) as process:  # fmt: skip
         try:
-            while not operate.ask(console, "GET", "/admin/health").is_yes:
+            while not call_console(console, "GET", "/admin/health").is_accepted:
                 assert process.poll() is None
             yield Served(process, path, address, console)
         finally:
@@ -88,10 +88,10 @@
 
     served.path.write_text("listen = ")
     served.process.send_signal(signal.SIGHUP)
-    assert "can't be read" in next_event("config_kept")["text"]
+    assert "can't be read" in next_event("configuration_rejected")["text"]
     served.path.write_text(file_text(f"{HOST}:1", served.console, f"{HOST}:2"))
     served.process.send_signal(signal.SIGHUP)
-    line = next_event("config_replaced")
+    line = next_event("configuration_replaced")
     assert (line["took"], line["needs_restart"]) == ("discovery", "listen")
 
 
--- a/tests/test_registry_service.py
+++ b/tests/test_registry_service.py
@@ -501,7 +501,7 @@
             return runner
 
         async with aiohttp.ClientSession() as http, ProxyHarness(console="") as rig:
-            rig.proxy.endpoint_list.discovery.move((HOST, port))
+            rig.proxy.endpoint_list.discovery.reconfigure((HOST, port))
 
             async def put(name: str, address: str) -> None:
                 async with http.put(f"http://{HOST}:{port}/v1/servers/{name}", json=entry(address)) as answer:
