--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -22,7 +22,7 @@
 
 from loadbalancer.interface import ZoneEvacuation
 from loadbalancer.lab import policies
-from loadbalancer.simulation.direction_changes import turns
+from loadbalancer.simulation.direction_changes import count_direction_changes
 from loadbalancer.simulation.fleet import START_MS, SimulatedFleet
 from loadbalancer.simulation.scenario import draw, load
 
@@ -50,7 +50,7 @@
     attempts: float
     worst: float = 0.0
     back_s: int = 0
-    turns: int = 0
+    direction_changes: int = 0
     breaches: list[str] = field(default_factory=list)
 
 
@@ -61,7 +61,7 @@
     began, and to come back so long after it has ended: what perfect and free knowledge would gain.
     """
     day = draw(load(Path("scenarios") / f"{scenario}.toml"), seed)
-    world = policies.world(day, policy)
+    world = policies.simulate_policy(day, policy)
     for trouble in day.scenario.trouble if told_s >= 0 else ():
         at, span = float(trouble.at_s), float(trouble.for_s)  # type: ignore[arg-type]
         for when, out in ((at, True), (at + span, False)):
@@ -82,7 +82,7 @@
     done = Play(
         scenario, seed, served, parts, began, ended, result.worth.figure,
         result.attempts / max(len(world.ledger.wishes), 1),
-        breaches=[f"{b.rule}: {b.what}" for b in result.breaches[:5]],
+        breaches=[f"{b.rule}: {b.detail}" for b in result.breaches[:5]],
     )  # fmt: skip
     judge(done, world.zones[-1])
     return done
@@ -100,13 +100,15 @@
 
 
 def judge(done: Play, zone: str) -> None:
-    """The worst second, the way back, and the turns."""
+    """The worst second, the way back, and the changes of direction."""
     before = statistics.mean([share for s, share in done.served.items() if 2 <= s < done.began_s] or [1.0])
     after = {s: share for s, share in done.served.items() if s >= done.began_s}
     done.worst = min(after.values(), default=1.0)
     bad = [s for s, share in after.items() if share < before - BACK_PART]
     done.back_s = max(bad) + 1 - done.ended_s if bad else 0
-    done.turns = turns([p.get(zone, 0.0) for s, p in done.parts.items() if s >= done.began_s - 2], SWING)
+    done.direction_changes = count_direction_changes(
+        [p.get(zone, 0.0) for s, p in done.parts.items() if s >= done.began_s - 2], SWING
+    )
 
 
 def draw_plays(plays: list[Play]) -> Figure:
@@ -128,7 +130,7 @@
 def main(
     scenario: Annotated[list[str] | None, typer.Option(help="Those to play; all if none.")] = None,
     seeds: Annotated[int, typer.Option(min=1)] = 3,
-    policy: Annotated[str, typer.Option()] = policies.OURS,
+    policy: Annotated[str, typer.Option()] = policies.OWN_POLICY,
     told_s: Annotated[float, typer.Option(help="All know of the trouble so soon; below 0: nobody.")] = -1.0,
     workers: Annotated[int, typer.Option(min=1)] = 2,
     out: Annotated[Path, typer.Option()] = Path("found/zones"),
@@ -147,7 +149,8 @@
         some = [done for done in plays if done.scenario == name]
         cells = [
             " ".join(f"{done.worst:.2f}" for done in some), " ".join(str(done.back_s) for done in some),
-            " ".join(str(done.turns) for done in some), f"{statistics.mean(d.figure for d in some):.3f}",
+            " ".join(str(done.direction_changes) for done in some),
+            f"{statistics.mean(d.figure for d in some):.3f}",
             f"{statistics.mean(d.attempts for d in some):.2f}", str(sum(len(d.breaches) for d in some)),
         ]  # fmt: skip
         typer.echo(f"| `{name}` | " + " | ".join(cells) + " |")
--- a/loadbalancer/cli/lab.py
+++ b/loadbalancer/cli/lab.py
@@ -60,7 +60,7 @@
     """List the scenarios and policies there are: `irondrum lab list`."""
     for path in sorted(FOLDER.glob("*.toml")):
         typer.echo(f"{path.stem:16} {scenarios.load(path).title}")
-    typer.echo(f"policies: {', '.join(policies.NAMES)}")
+    typer.echo(f"policies: {', '.join(policies.POLICY_NAMES)}")
 
 
 @app.command()
@@ -68,7 +68,7 @@
     names: Annotated[list[str], typer.Argument(metavar="SCENARIO...", help="Names, or files in TOML.")],
     out: Annotated[Path, typer.Option(help="The folder for results; a run goes on behind what it holds.")],
     seeds: Annotated[str, typer.Option(help="Such as 1-16 or 1,4,7-9.")] = "1-4",
-    policy: Annotated[str, typer.Option(help="Names, with commas between.")] = policies.OURS,
+    policy: Annotated[str, typer.Option(help="Names, with commas between.")] = policies.OWN_POLICY,
     jobs: Annotated[int, typer.Option(min=1, help="Days played at once.")] = max(
         (os.cpu_count() or 2) // 2, 1
     ),
@@ -79,11 +79,11 @@
     """Play scenarios: `irondrum lab run crowd rush --seeds 1-16 --policy ours,oracle --out results`."""
     wanted = [name.strip() for name in policy.split(",")]
     for name in wanted:
-        if name not in policies.NAMES:
-            raise policies.PolicyError(f"no policy {name!r}; there are {', '.join(policies.NAMES)}")
+        if name not in policies.POLICY_NAMES:
+            raise policies.PolicyError(f"no policy {name!r}; there are {', '.join(policies.POLICY_NAMES)}")
     at_rev = f"@{rev}" if rev else ""
     todo = [
-        plays.Job(Path(name).stem, seed, which, which + at_rev * (which == policies.OURS), plan)
+        plays.Job(Path(name).stem, seed, which, which + at_rev * (which == policies.OWN_POLICY), plan)
         for name in names
         for plan in [find(name, changes or [])]
         for seed in seeds_of(seeds)
@@ -101,7 +101,7 @@
     with tempfile.TemporaryDirectory() as folder:
         decisions = Path(folder) if rev else None
         if decisions:
-            policies.unpack(rev, Path.cwd(), decisions)
+            policies.extract_policy(rev, Path.cwd(), decisions)
         with errors.status(f"{len(todo)} days") if errors.is_terminal else nullcontext():
             records = plays.run(todo, out, jobs, decisions, tell)
     _summary(records, as_json)
--- a/loadbalancer/drill/checks/zones.py
+++ b/loadbalancer/drill/checks/zones.py
@@ -8,7 +8,7 @@
 from loadbalancer.drill.checks.timeline import SECOND, Check, Story, most
 from loadbalancer.drill.history import Event
 from loadbalancer.drill.scenario.definition import Script
-from loadbalancer.simulation.direction_changes import turns
+from loadbalancer.simulation.direction_changes import count_direction_changes
 
 LEAST = 15  # calls in a span, below which a zone's part says nothing
 SETTLE_S = 0.5  # between an operators' call and the first calls that follow it
@@ -86,7 +86,7 @@
     calls = [counts for at in seconds if (counts := _parts(story, at, at + SECOND)).total() >= LEAST]
     for zone in sorted({p.zone for p in story.by_name.values() if p.zone}):
         parts = [counts[zone] / counts.total() for counts in calls]
-        count = turns(parts, SWING)
+        count = count_direction_changes(parts, SWING)
         if count > worst:
             worst, first = count, f"{zone}: {' '.join(f'{p:.2f}' for p in parts)}"
     bound = script.bounds.turns
--- a/loadbalancer/lab/compare.py
+++ b/loadbalancer/lab/compare.py
@@ -1,21 +1,27 @@
-"""Two sets of plays side by side, paired by scenario and seed."""
+"""Compare two sets of plays, paired by scenario and seed."""
 
 from __future__ import annotations
 
 from collections import defaultdict
+from collections.abc import Sequence
 from dataclasses import dataclass
 
 import numpy as np
 
 from loadbalancer.lab.plays import Record
 
-RESAMPLES = 4_000
-EVEN = 0.005  # a change of the figure under this is neither won nor lost
+BOOTSTRAP_RESAMPLES = 4_000  # enough that the interval's third digit stands
+MIN_FIGURE_CHANGE = 0.005  # a smaller change of the figure is neither won nor lost
+Pair = tuple[float, float]
+"""The figure of one scenario and seed, before and after."""
 
 
 @dataclass(frozen=True)
-class Row:
-    """How a scenario changed: mean figures, the mean change and its bootstrap interval of 95 in 100."""
+class ScenarioComparison:
+    """How a scenario changed: mean figures, the mean change and its bootstrap interval of 95 in 100.
+
+    The fields' names are the keys of `lab compare --json`.
+    """
 
     scenario: str
     pairs: int
@@ -28,32 +34,44 @@
     lost: int
 
 
-def compare(before: list[Record], after: list[Record]) -> list[Row]:
-    """A row for each scenario that both have, and one for all; ValueError if nothing pairs.
+def compare(before: Sequence[Record], after: Sequence[Record]) -> list[ScenarioComparison]:
+    """Return a row for each scenario that both sides have, and one for all.
 
-    Where both sides hold several policies, the same ones are paired; where each holds one, these two.
+    Where a side holds several policies, the same ones are paired; where each holds one, these two. Raises
+    ValueError if no scenario and seed stand in both.
     """
-    one, other = ({r.policy for r in side} for side in (before, after))
-    by_policy = len(one) > 1 or len(other) > 1
-    known = {(r.scenario, r.seed, r.policy if by_policy else ""): r.figure for r in before}
-    pairs: dict[str, list[tuple[float, float]]] = defaultdict(list)
+    has_several_policies = any(len({record.policy for record in side}) > 1 for side in (before, after))
+
+    def key_of(record: Record) -> tuple[str, int, str]:
+        return record.scenario, record.seed, record.policy if has_several_policies else ""
+
+    figures_before = {key_of(record): record.figure for record in before}
+    pairs: dict[str, list[Pair]] = defaultdict(list)
     for record in after:
-        key = (record.scenario, record.seed, record.policy if by_policy else "")
-        if key in known:
-            pairs[record.scenario].append((known[key], record.figure))
+        key = key_of(record)
+        if key in figures_before:
+            pairs[record.scenario].append((figures_before[key], record.figure))
     if not pairs:
         raise ValueError("nothing to compare: no scenario and seed stand in both")
-    rows = [_row(name, pairs[name]) for name in sorted(pairs)]
-    return [*rows, _row("all", [pair for name in sorted(pairs) for pair in pairs[name]])]
+    rows = [_compare_pairs(name, pairs[name]) for name in sorted(pairs)]
+    return [*rows, _compare_pairs("all", [pair for name in sorted(pairs) for pair in pairs[name]])]
 
 
-def _row(name: str, pairs: list[tuple[float, float]]) -> Row:
+def _compare_pairs(name: str, pairs: list[Pair]) -> ScenarioComparison:
+    """Return the row of a scenario; the resamples are drawn from a fixed seed, so that it repeats."""
     figures = np.array(pairs)
     changes = figures[:, 1] - figures[:, 0]
-    rng = np.random.default_rng(len(pairs))
-    means = rng.choice(changes, (RESAMPLES, len(changes))).mean(axis=1)
+    random = np.random.default_rng(len(pairs))
+    means = random.choice(changes, (BOOTSTRAP_RESAMPLES, len(changes))).mean(axis=1)
     low, high = np.percentile(means, [2.5, 97.5])
-    return Row(
-        name, len(pairs), float(figures[:, 0].mean()), float(figures[:, 1].mean()), float(changes.mean()),
-        float(low), float(high), int((changes > EVEN).sum()), int((changes < -EVEN).sum()),
-    )  # fmt: skip
+    return ScenarioComparison(
+        scenario=name,
+        pairs=len(pairs),
+        before=float(figures[:, 0].mean()),
+        after=float(figures[:, 1].mean()),
+        change=float(changes.mean()),
+        low=float(low),
+        high=float(high),
+        won=int((changes > MIN_FIGURE_CHANGE).sum()),
+        lost=int((changes < -MIN_FIGURE_CHANGE).sum()),
+    )
--- a/loadbalancer/lab/plays.py
+++ b/loadbalancer/lab/plays.py
@@ -59,7 +59,7 @@
 
 def play(job: Job) -> Record:
     """Play a day."""
-    result = policies.world(draw(job.scenario, job.seed), job.policy).run()
+    result = policies.simulate_policy(draw(job.scenario, job.seed), job.policy).run()
     worth = result.worth
     times: dict[str, HdrHistogram] = {}
     for cls, took, ending in result.took_ms:
@@ -80,7 +80,7 @@
         endings=worth.endings,
         attempts=result.attempts,
         choked=result.choked_times,
-        breaches=[f"{b.at_ms:.0f} ms: {b.rule}: {b.balancer}: {b.what}" for b in result.breaches[:20]],
+        breaches=[f"{b.at_ms:.0f} ms: {b.rule}: {b.balancer}: {b.detail}" for b in result.breaches[:20]],
         times={cls: histogram.encode().decode() for cls, histogram in sorted(times.items())},
     )
 
@@ -146,4 +146,4 @@
 
 def _start(decisions: Path | None) -> None:
     if decisions:
-        policies.use(decisions)
+        policies.replace_policy(decisions)
--- a/loadbalancer/lab/policies.py
+++ b/loadbalancer/lab/policies.py
@@ -1,4 +1,4 @@
-"""The policies that can be played: ours, ours at an earlier commit, and the baselines."""
+"""Select the policy of a play: this tree's, that of an earlier commit, or a baseline."""
 
 from __future__ import annotations
 
@@ -13,33 +13,36 @@
 from loadbalancer.simulation.fleet import SimulatedFleet
 from loadbalancer.simulation.scenario import Day
 
-OURS = "ours"
-NAMES = (OURS, *BASELINES)
+OWN_POLICY = "ours"
+POLICY_NAMES = (OWN_POLICY, *BASELINES)
 
 
 class PolicyError(ValueError):
-    """A policy or a commit that is not there: one line that names it."""
+    """A policy or a commit does not exist; the message is one line that names it."""
 
 
-def world(day: Day, name: str) -> SimulatedFleet:
-    """The world of a day with a policy in all its balancers; PolicyError if there is none of that name."""
-    if name == OURS:
-        from loadbalancer.policy import Balancer  # late: `use` may have put another in its place
+def simulate_policy(day: Day, name: str) -> SimulatedFleet:
+    """Return the simulated fleet of a day, all its balancers with a policy.
+
+    Raises PolicyError if there is none of that name.
+    """
+    if name == OWN_POLICY:
+        from loadbalancer.policy import Balancer  # late: `replace_policy` may have put another in its place
 
         return SimulatedFleet(day, Balancer)
     if name not in BASELINES:
-        raise PolicyError(f"no policy {name!r}; there are {', '.join(NAMES)}")
-    kind = BASELINES[name]
-    if kind is not Oracle:
-        return SimulatedFleet(day, kind)
-    seeing = type("Seeing", (Oracle,), {})
-    made = SimulatedFleet(day, seeing)
-    seeing.world = made  # type: ignore[attr-defined]
-    return made
+        raise PolicyError(f"no policy {name!r}; there are {', '.join(POLICY_NAMES)}")
+    baseline = BASELINES[name]
+    if baseline is not Oracle:
+        return SimulatedFleet(day, baseline)
+    oracle = type("OracleOfOneFleet", (Oracle,), {})  # a class of its own: other plays have other fleets
+    fleet = SimulatedFleet(day, oracle)
+    oracle.world = fleet  # type: ignore[attr-defined]
+    return fleet
 
 
-def unpack(commit: str, repository: Path, folder: Path) -> None:
-    """Lay the decisions of a commit into a folder; PolicyError if git has none there."""
+def extract_policy(commit: str, repository: Path, folder: Path) -> None:
+    """Extract the decisions of a commit into a folder; raises PolicyError if git has none there."""
     for part in ("loadbalancer/policy", "loadbalancer/policy.py"):
         done = subprocess.run(
             ["git", "archive", commit, part], cwd=repository, capture_output=True, check=False
@@ -51,13 +54,13 @@
     raise PolicyError(f"no decisions at commit {commit!r} of {repository}")
 
 
-def use(folder: Path) -> None:
-    """Put unpacked decisions in the place of this tree's, in this process, for good."""
-    for name in [n for n in sys.modules if n.split(".")[:2] == ["loadbalancer", "policy"]]:
+def replace_policy(folder: Path) -> None:
+    """Replace this tree's decisions by extracted ones, in this process and until it ends."""
+    for name in [name for name in sys.modules if name.split(".")[:2] == ["loadbalancer", "policy"]]:
         del sys.modules[name]
-    home = folder / "loadbalancer"
-    is_package = (home / "policy").is_dir()
-    path = home / "policy" / "__init__.py" if is_package else home / "policy.py"
+    package = folder / "loadbalancer"
+    is_package = (package / "policy").is_dir()
+    path = package / "policy" / "__init__.py" if is_package else package / "policy.py"
     spec = importlib.util.spec_from_file_location(
         "loadbalancer.policy", path, submodule_search_locations=[str(path.parent)] if is_package else None
     )
--- a/loadbalancer/simulation/balancers.py
+++ b/loadbalancer/simulation/balancers.py
@@ -11,7 +11,7 @@
 from loadbalancer.simulation.clock import Clock, Due
 from loadbalancer.simulation.discovery import Discovery
 from loadbalancer.simulation.network import Network
-from loadbalancer.simulation.rules import Rules
+from loadbalancer.simulation.rules import RuleChecker
 from loadbalancer.simulation.servers import Server
 from loadbalancer.simulation.utility import Ledger
 
@@ -64,7 +64,7 @@
 
     clock: Clock
     network: Network
-    rules: Rules
+    rules: RuleChecker
     discovery: Discovery
     ledger: Ledger
     servers: dict[str, Server]
@@ -89,7 +89,9 @@
         self.world, self.name, self.tier, self.zone = world, name, tier, zone
         self.decisions = decisions
         self.alive = True
-        self.told: dict[str, tuple[interface.Readiness, float]] = {}  # what the list said, and since when
+        self.announced_readiness: dict[
+            str, tuple[interface.Readiness, float]
+        ] = {}  # what the list said, and since when
         self.cold_known: dict[str, float] = {}
         self._requests: dict[int, Taken] = {}
         self._last = 0
@@ -110,7 +112,7 @@
         number = self._last
         now = self.world.clock.now
         self._requests[number] = Taken(ask, now + ask.remaining_ms)
-        self.world.rules.taken(self, number, now + ask.remaining_ms)
+        self.world.rules.record_request(self, number, now + ask.remaining_ms)
         self.tell(
             interface.RequestArrived(
                 number, ask.cls, max(ask.remaining_ms, 0.0), ask.tenant or None, ask.is_repeat
@@ -123,7 +125,7 @@
         request = self._requests.get(number)
         if request is not None and request.open:
             request.open = False
-            self.world.rules.left(self, number)
+            self.world.rules.record_disconnect(self, number)
             self.tell(interface.ClientDisconnected(number))
             self._forget(number)
 
@@ -132,12 +134,12 @@
         now = self.world.clock.now
         if update.kind is interface.UpdateKind.FULL_SNAPSHOT:
             named = {m.server for m in update.endpoints}
-            for name in [n for n in self.told if n not in named]:
-                self.told[name] = (interface.Readiness.DEAD, now)
+            for name in [n for n in self.announced_readiness if n not in named]:
+                self.announced_readiness[name] = (interface.Readiness.DEAD, now)
         for member in update.endpoints:
-            known = self.told.get(member.server)
+            known = self.announced_readiness.get(member.server)
             if known is None or known[0] is not member.readiness:
-                self.told[member.server] = (member.readiness, now)
+                self.announced_readiness[member.server] = (member.readiness, now)
             if member.started_at_ms > 0:
                 self.cold_known[member.server] = member.started_at_ms
         self.tell(update)
@@ -151,7 +153,7 @@
                     attempt.cancel()
             if request.open:
                 request.open = False
-                self.world.rules.answered(self, number)
+                self.world.rules.record_response(self, number)
                 request.ask.answer("lost", 0.0)
         self._requests.clear()
 
@@ -186,12 +188,12 @@
         if request is None or not request.open:
             return
         if ending == "refused" and request.ask.effect_once and any(t.may_have_run for t in request.tries):
-            self.world.rules.broken("refused what may have run", self.name, number)
+            self.world.rules.record_violation("refused what may have run", self.name, number)
         self._answer(number, request, ending, after_ms)
 
     def _answer(self, number: int, request: Taken, ending: str, after_ms: float) -> None:
         request.open = False
-        self.world.rules.answered(self, number)
+        self.world.rules.record_response(self, number)
         request.ask.answer(ending, after_ms)
         self._forget(number)
 
@@ -204,11 +206,11 @@
         world, number, name = self.world, action.request_id, action.server
         request = self._requests.get(number)
         if request is None:
-            world.rules.broken("sent a request that is over", self.name, number)
+            world.rules.record_violation("sent a request that is over", self.name, number)
             return
         if request.ask.effect_once and any(t.may_have_run for t in request.tries):
-            world.rules.broken("sent again what may have run", self.name, number)
-        world.rules.sent(self, name)
+            world.rules.record_violation("sent again what may have run", self.name, number)
+        world.rules.record_send(self, name)
         index = len(request.tries)
         attempt = Try(name)
         request.tries.append(attempt)
--- a/loadbalancer/simulation/clients.py
+++ b/loadbalancer/simulation/clients.py
@@ -10,7 +10,7 @@
 from loadbalancer.simulation.balancers import Ask, Host
 from loadbalancer.simulation.clock import Clock, Due
 from loadbalancer.simulation.network import Network
-from loadbalancer.simulation.rules import GRACE_MS
+from loadbalancer.simulation.rules import RESPONSE_GRACE_MS
 from loadbalancer.simulation.scenario import Day, number
 from loadbalancer.simulation.utility import RequestedValue
 
@@ -150,7 +150,7 @@
         self._due = None
         if self._balancer is not None and self._number:
             # Who has waited all its time closes once the balancer's time to answer is up, too.
-            late = 0.0 if self._impatient else GRACE_MS
+            late = 0.0 if self._impatient else RESPONSE_GRACE_MS
             way = self._world.network.client_delay()
             self._world.clock.after(way + late, self._balancer.left, self._number)
         cls = self._world.day.scenario.classes[self._arrival.cls]
--- a/loadbalancer/simulation/direction_changes.py
+++ b/loadbalancer/simulation/direction_changes.py
@@ -1,19 +1,25 @@
-"""How often a figure turns: a share that swings to and fro is worse than one that falls and rises once."""
+"""Count changes of direction: a share that oscillates is worse than one that falls and rises once."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
 
-def turns(figures: Sequence[float], least: float) -> int:
-    """How often a line of figures changes its direction by more than `least`."""
-    if not figures:
+def count_direction_changes(values: Sequence[float], min_change: float) -> int:
+    """Return how often a series changes its direction by more than `min_change`, in the series' unit."""
+    if not values:
         return 0
-    count, way, low, high = 0, 0, figures[0], figures[0]
-    for figure in figures:
-        low, high = min(low, figure), max(high, figure)
-        if way >= 0 and figure < high - least:
-            count, way, low = count + (way > 0), -1, figure
-        elif way <= 0 and figure > low + least:
-            count, way, high = count + (way < 0), 1, figure
+    count = 0
+    direction = 0  # 1 while the series rises, -1 while it falls, 0 until it has moved far enough
+    lowest = highest = values[0]  # since the last change of direction
+    for value in values:
+        lowest, highest = min(lowest, value), max(highest, value)
+        if direction >= 0 and value < highest - min_change:
+            count += direction > 0
+            direction = -1
+            lowest = value
+        elif direction <= 0 and value > lowest + min_change:
+            count += direction < 0
+            direction = 1
+            highest = value
     return count
--- a/loadbalancer/simulation/fleet.py
+++ b/loadbalancer/simulation/fleet.py
@@ -14,7 +14,13 @@
 from loadbalancer.simulation.discovery import Discovery
 from loadbalancer.simulation.faults import FaultInjector
 from loadbalancer.simulation.network import Network
-from loadbalancer.simulation.rules import FALL_MS, FALL_MULTIPLE, GRACE_MS, Breach, Rules
+from loadbalancer.simulation.rules import (
+    OVERLOAD_FACTOR,
+    OVERLOAD_WINDOW_MS,
+    RESPONSE_GRACE_MS,
+    RuleChecker,
+    RuleViolation,
+)
 from loadbalancer.simulation.scenario import Day, Tier, number
 from loadbalancer.simulation.servers import Build, Job, Server
 from loadbalancer.simulation.utility import Ledger, Utility
@@ -43,7 +49,7 @@
     """What came of a day."""
 
     worth: Utility
-    breaches: list[Breach]
+    breaches: list[RuleViolation]
     samples: list[Sample]
     took_ms: list[tuple[str, float, str]]  # class, time from the first try to its end, ending
     arrived_ms: list[float]
@@ -60,7 +66,7 @@
         self.day, self._policy = day, policy
         scenario = day.scenario
         self.clock = Clock(START_MS)
-        self.network, self.rules = Network(day), Rules(self.clock)
+        self.network, self.rules = Network(day), RuleChecker(self.clock)
         self.discovery = Discovery(self.clock, day)
         self.zones = scenario.fleet.zones
         self.idle_ms = number(scenario.network.idle_s) * 1_000
@@ -163,8 +169,8 @@
             max_retry_after_ms=2_000.0,
             slow_start_ms=max(s.build.cold_ms for s in self.servers.values()),
             slow_start_initial_fraction=min(s.build.cold_from for s in self.servers.values()),
-            slow_start_overload_factor=FALL_MULTIPLE,
-            slow_start_window_ms=FALL_MS,
+            slow_start_overload_factor=OVERLOAD_FACTOR,
+            slow_start_window_ms=OVERLOAD_WINDOW_MS,
             over_quota_weight_factor=scenario.over_share_worth,
             tick_ms=2.0,
             load_report_fields=("concurrent", "mean_ms"),
@@ -203,7 +209,9 @@
         length = number(scenario.load.seconds) * 1_000
         for step in range(int(length / SAMPLE_MS) + 1):
             self.clock.at(START_MS + step * SAMPLE_MS, self._sample)
-        self.clock.run(START_MS + length + 2 * max(c.deadline_ms for c in scenario.classes) + GRACE_MS)
+        self.clock.run(
+            START_MS + length + 2 * max(c.deadline_ms for c in scenario.classes) + RESPONSE_GRACE_MS
+        )
         return self._close(troubles, length)
 
     def _wish(self, arrival: Arrival, mood: list[float]) -> None:
@@ -232,7 +240,8 @@
         knew = server.started_at > 0 and any(
             h.cold_known.get(server.build.name) == server.started_at for h in told
         )
-        if server.started_at and self.rules.pushed(server, ask.work[server.build.tier], knew):
+        work_ms = ask.work[server.build.tier]
+        if server.started_at and self.rules.record_work(server, work_ms, is_sender_informed=knew):
             self.stop(server)  # it falls over, and stays down
             return None
         if server.failing and self._chance.uniform() < server.failing:
@@ -324,13 +333,13 @@
         return max(round(number(self.day.scenario.fleet.servers)), 1)
 
     def _close(self, troubles: FaultInjector, length: float) -> Result:
-        self.rules.close()
+        self.rules.record_unanswered()
         every = list(self.servers.values())
         choked = sum(s.choked_ms for s in every) / (length * len(every))
         worth = self.ledger.close(sum(s.worked for s in every), min(choked, 1.0))
         return Result(
             worth,
-            self.rules.breaches,
+            self.rules.violations,
             self._samples,
             [(w.cls, w.took, w.ending) for w in self.ledger.wishes],
             [w.at for w in self.ledger.wishes],
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -80,7 +80,7 @@
     script = (
         "import sys; from pathlib import Path; from loadbalancer.lab import policies, plays\n"
         "from loadbalancer.cli.lab import find\n"
-        "policies.use(Path(sys.argv[1]))\n"
+        "policies.replace_policy(Path(sys.argv[1]))\n"
         "plan = find('calm', ['load.seconds=3'])\n"
         "print(*(plays.play(plays.Job('calm', 1, name, name, plan)).figure for name in ('ours', 'least')))\n"
     )
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -178,10 +178,10 @@
 [clients]
 impatient = 0
 """
-    world = SimulatedFleet(draw(parse(text), 3), Balancer)
-    result = world.run()
+    simulate_policy = SimulatedFleet(draw(parse(text), 3), Balancer)
+    result = simulate_policy.run()
     assert result.worth.endings.keys() <= {"in time", "late"}
-    wishes = world.ledger.wishes
+    wishes = simulate_policy.ledger.wishes
     alone = [w for w in wishes if not any(0 < abs(w.at - other.at) < 1_000.0 for other in wishes)]
     assert len(alone) > 4
     for wish in alone:
@@ -285,26 +285,26 @@
 
 
 def test_a_trouble_of_a_zone_befalls_the_last_one_alone() -> None:
-    world = SimulatedFleet(
+    simulate_policy = SimulatedFleet(
         day('[[trouble]]\nkind = "errors"\nat_s = 1\nfor_s = 1\npart = 1\nsize = 0.5\nzone = true\n'),
         Balancer,
     )
     seen: set[str] = set()
 
     def look() -> None:
-        seen.update(s.build.zone for s in world.servers.values() if s.failing == 0.5)
+        seen.update(s.build.zone for s in simulate_policy.servers.values() if s.failing == 0.5)
 
-    world.clock.after(1_500.0, look)
-    world.run()
-    assert seen == {world.zones[-1]}
+    simulate_policy.clock.after(1_500.0, look)
+    simulate_policy.run()
+    assert seen == {simulate_policy.zones[-1]}
 
 
 @pytest.mark.parametrize("name", BASELINES)
 def test_baselines_play_a_day_and_the_oracle_is_the_best(name: str) -> None:
-    from loadbalancer.lab.policies import world
+    from loadbalancer.lab.policies import simulate_policy
 
     crowded = "[choke]\nshare = 1\n[[trouble]]\nkind = 'burst'\nat_s = 1\nfor_s = 3\nsize = 2.5\n"
-    plays = {which: world(day(crowded), which).run() for which in (name, "oracle")}
+    plays = {which: simulate_policy(day(crowded), which).run() for which in (name, "oracle")}
     assert plays[name].breaches == []
     assert plays[name].worth.figure <= plays["oracle"].worth.figure
 
