--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -1,4 +1,4 @@
-"""A drill's history and a scale run's figures that d282128 wrote are read, and judged as it judged them."""
+"""A drill's history, a scale run's figures and the lab's results of d282128 are read, judged and made again."""
 
 from __future__ import annotations
 
@@ -85,3 +85,11 @@
 @pytest.mark.parametrize("key", ["size", "mechanism", "steps"])
 def test_figures_of_a_scale_run_hold_what_others_read(key: str) -> None:
     assert key in json.loads((GOLDEN / "scale-figures.json").read_text(encoding="utf-8"))
+
+
+def test_plays_of_the_lab_have_the_recorded_results_byte_for_byte(tmp_path: Path) -> None:
+    """Nothing is masked: a play hangs on its scenario and seed alone."""
+    options = ("--seeds", "1", "--policy", "ours,least,oracle", "--set", "load.seconds=5", "--jobs", "1")
+    command = PROGRAM.command_line("lab", "run", "zone-returns-cold", *options, "--out", str(tmp_path))
+    subprocess.run(command, cwd=PROGRAM.cwd, check=True, stdout=subprocess.DEVNULL)
+    assert (tmp_path / "results.jsonl").read_bytes() == (GOLDEN / "lab-results.jsonl").read_bytes()
