--- a/loadbalancer/net/action_executor.py
+++ b/loadbalancer/net/action_executor.py
@@ -14,7 +14,9 @@
 from loadbalancer.net.log import Log
 from loadbalancer.net.request_attempts import RequestAttempts
 from loadbalancer.net.request_table import RequestTable
-from loadbalancer.net.upstream import AttemptHandler, UpstreamPools, UpstreamResponse
+from loadbalancer.net.upstream_attempt import AttemptHandler
+from loadbalancer.net.upstream_pool import UpstreamPools
+from loadbalancer.net.upstream_response import UpstreamResponse
 
 HEALTH_CHECK_TIMEOUT_MS = 250.0  # a server that answers later is of no use to requests either
 
--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -1,4 +1,4 @@
-"""A drill's history, a scale run's figures and the lab's results of d282128 are read, judged and made again."""
+"""Histories of a drill, a scale run and the lab that d282128 wrote are read, judged and made again."""
 
 from __future__ import annotations
 
