--- a/benchmarks/interest_balancer.py
+++ b/benchmarks/interest_balancer.py
@@ -35,7 +35,7 @@
         gc.collect()
         idle, size = rss_mb(), len(body := Path(told["body"]).read_bytes())
         began = time.process_time()
-        proxy.endpoint_list.discovery._note(news := decode_endpoint_list(json.loads(body)), 0.0)
+        proxy.endpoint_list.discovery._record_content(news := decode_endpoint_list(json.loads(body)), 0.0)
         proxy.endpoint_list.on_watch_update(news)
         took = time.process_time() - began
         del news, body
--- a/loadbalancer/net/endpoint_list.py
+++ b/loadbalancer/net/endpoint_list.py
@@ -7,12 +7,11 @@
 import time
 from collections.abc import Callable
 from dataclasses import replace
-from typing import Any
 
 from loadbalancer import interface
 from loadbalancer.interface import Outcome, Readiness, UpdateKind
 from loadbalancer.net.config import AddressedEndpoint, Config, EndpointList
-from loadbalancer.net.discovery import Discovery
+from loadbalancer.net.discovery import DiscoveryClient
 from loadbalancer.net.log import Log
 from loadbalancer.net.reports import EndpointListReport
 from loadbalancer.net.upstream_pool import UpstreamPools
@@ -50,12 +49,12 @@
         self.revision = 0
         self._remembered_servers: dict[str, None] = {}  # that lists have named, the newest last
         self._first_response = asyncio.Event()  # set once the watch has had a response, or failed
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             config,
             self.on_watch_update,
             self.on_watch_failed,
             needs_full_list,
-            lambda text: log.event("list_service", text),
+            lambda text: log.event("interest_subscription_failed", text),
         )
 
     def start(self) -> None:
@@ -69,7 +68,7 @@
     def apply_configuration(self, config: Config) -> None:
         """Watch the list that a new configuration names."""
         self._config = config
-        self.discovery.move(config.discovery, config.registry)
+        self.discovery.reconfigure(config.discovery, config.registry)
 
     async def wait_for_first_response(self) -> None:
         """Wait until the watch has had a response or has failed, for a bounded time."""
@@ -85,7 +84,7 @@
     def on_watch_failed(self) -> None:
         """Handle that a request of the watch has failed."""
         self._first_response.set()
-        self._dispatch(self.discovery.failure())
+        self._dispatch(self.discovery.failure_update())
 
     def apply_cached(self, known: EndpointList) -> None:
         """Go on from the list of another process or a snapshot, unless the configured one is newer."""
@@ -146,13 +145,14 @@
     def record_outcome(self, server: str, outcome: Outcome) -> None:
         """Record the outcome of an attempt: it may contradict what the list says of the server."""
         if self._config.registry is not None:
-            self.discovery.witnesses.note(server, outcome, asyncio.get_running_loop().time())
+            self.discovery.contradictions.record_outcome(server, outcome, asyncio.get_running_loop().time())
 
     def report(self) -> EndpointListReport:
         """Return where the list is from, how old it is, and which servers it omits that are in use."""
-        watch: dict[str, Any] = self.discovery.report()
-        source: str = watch["from"]
-        response_age_ms: float | None = watch["heard_ms_ago"]
+        watch = self.discovery.status()
+        host, port = watch.address
+        source = f"{host}:{port}"
+        response_age_ms = watch.response_age_ms
         suspected_servers: list[str] = []
         if response_age_ms is not None:
             suspected_servers = self._balancer.suspected_stale_servers()
@@ -163,12 +163,12 @@
             source = "configuration"
         return EndpointListReport(
             source=source,
-            revision=watch["index"],
+            revision=watch.index,
             last_response_age_ms=response_age_ms,
-            last_change_age_ms=watch["changed_ms_ago"],
-            source_changes=watch["moves"],
-            rewinds=watch["rewound"],
-            stalls=watch["stood_still"],
-            contradicted_servers=watch["contradicted"],
+            last_change_age_ms=watch.change_age_ms,
+            source_changes=watch.switch_count,
+            rewinds=watch.rewind_count,
+            stalls=watch.stale_instance_count,
+            contradicted_servers=watch.contradicting_servers,
             suspected_servers=suspected_servers,
         )
--- a/loadbalancer/net/interest_subscription.py
+++ b/loadbalancer/net/interest_subscription.py
@@ -1,103 +1,124 @@
-"""What a balancer's calls for the list ask for, and what their answers say of it.
+"""What a balancer's calls for the list request, and what their answers hold of that.
 
-    wants = Wants(config, has_list=False, log=print)
-    wants.query(now)                        # beside the version and the wait
-    held = wants.read(told)                 # ValueError if that is no answer to it
-    wants.heard(held)                       # the answer has been taken
+    interest = InterestSubscription(config, has_full_list=False, log=print)
+    interest.query_parameters(now)          # beside the version and the wait
+    view = interest.read_view(answer)       # ValueError if it answers something else
+    interest.record_answer(view)            # the answer has been taken
 
-Without services it asks for the tier that is named, if any, and looks at nothing.
+Without services it requests the tier that is configured, if any, and reads nothing of the answers.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 from typing import Any
 
 from loadbalancer.endpoint_watch import ListRequest, RateLimitedError, Subscription
 from loadbalancer.net.address import Address
 from loadbalancer.net.config import Config, RegistryConfig
 
-NO_INTERESTS = "the list service knows no interests: the whole of the service is taken"
-Held = tuple[str, bool]
-"""What is held with an answer, and whether its service knows of interests."""
+INTERESTS_UNSUPPORTED = "the list service knows no interests: the whole of the service is taken"
 
 
-class Wants:
+@dataclass(frozen=True, slots=True)
+class AnswerView:
+    """What is held with an answer."""
+
+    encoded_view: str
+    """As the service encodes it."""
+    supports_interests: bool
+    """Whether its service knows interests."""
+
+
+NO_VIEW = AnswerView(encoded_view="", supports_interests=True)
+"""Where no services are requested."""
+
+
+class InterestSubscription:
     """One balancer's interest in the list."""
 
-    def __init__(self, config: Config, has_list: bool, log: Callable[[str], None]) -> None:
-        """`has_list` if a list is at hand, of whatever interest; `log` takes a line on what can't be told."""
+    def __init__(self, config: Config, has_full_list: bool, log: Callable[[str], None]) -> None:
+        """`has_full_list` if a list is at hand, for any interest; `log` takes unsupported requests."""
         self._tier = config.registry.tier if config.registry else ""
-        self._wanted = _subscription(config, has_list)
-        self._log, self._said = log, ""
+        self._subscription = _subscription(config, has_full_list)
+        self._log = log
+        self._last_logged = ""
 
     @property
-    def by_interest(self) -> bool:
-        """Whether services are asked for by name."""
-        return self._wanted is not None
-
-    def may_be_late(self, ask: ListRequest) -> bool:
-        """Whether the answer of a call that was given up is of use: by interests it would depend on what was
-        wanted when it was asked."""
-        return self._wanted is None and not ask.waits
+    def names_services(self) -> bool:
+        """Whether services are requested by name."""
+        return self._subscription is not None
 
     @property
-    def is_known(self) -> bool:
-        """Whether the service can tell what has left an interest that changes."""
-        return self._wanted is None or self._wanted.is_known
+    def supports_interests(self) -> bool:
+        """Whether the service can report what has left an interest that changes."""
+        return self._subscription is None or self._subscription.supports_interests
+
+    def accepts_late_answer(self, request: ListRequest) -> bool:
+        """Return whether the answer of a call that was given up is of use.
+
+        With interests it would depend on what was requested at that time.
+        """
+        return self._subscription is None and not request.is_long_poll
 
-    def move(self, lists: RegistryConfig | None) -> bool:
-        """The configuration names other services, or another part; whether it does, and both name some."""
-        if self._wanted is None or lists is None or not lists.services:
+    def change_interest(self, registry: RegistryConfig | None) -> bool:
+        """Follow a configuration; return whether it requests other services, or another subset, by name."""
+        if self._subscription is None or registry is None or not registry.services:
             return False
-        return self._wanted.move(lists.services, lists.subset_size)
+        return self._subscription.change_interest(registry.services, registry.subset_size)
 
-    def query(self, now: float) -> list[str]:
-        """What is wanted, and what is held of it."""
-        if self._wanted is not None:
-            return self._wanted.query(now)
+    def query_parameters(self, now: float) -> list[str]:
+        """Return the query's parameters for what is requested and what is held."""
+        if self._subscription is not None:
+            return self._subscription.query_parameters(now)
         return [f"tier={self._tier}"] if self._tier else []
 
-    def look_for_pace(self, status: int, body: bytes) -> None:
-        """An answer that is no list: raises Paced if it says when to come again."""
-        if self._wanted is not None:
-            self._wanted.look_for_pace(status, body)
-
-    def read(self, told: Mapping[str, Any]) -> Held:
-        """What is held with an answer; ValueError if it is none to what was asked."""
-        return ("", True) if self._wanted is None else (self._wanted.check(told), "services" in told)
-
-    def heard(self, held: Held) -> None:
-        """An answer has been taken."""
-        if self._wanted is not None:
-            self._wanted.heard(*held)
-            self._say("" if self._wanted.is_known else NO_INTERESTS)
-
-    def paced(self, paced: RateLimitedError) -> None:
-        """We come again as the service says."""
-        if self._wanted is not None:
-            self._wanted.paced(paced)
-
-    def failed(self, address: Address, began: float, error: Exception) -> None:
-        """A call has failed."""
-        if self._wanted is not None:
-            self._wanted.failed(address, began)
+    def raise_if_rate_limited(self, status: int, body: bytes) -> None:
+        """Raise RateLimitedError if an answer that is no list says when to retry."""
+        if self._subscription is not None:
+            self._subscription.raise_if_rate_limited(status, body)
+
+    def read_view(self, answer: Mapping[str, Any]) -> AnswerView:
+        """Return what is held with an answer; ValueError if it answers something else."""
+        if self._subscription is None:
+            return NO_VIEW
+        return AnswerView(self._subscription.read_view(answer), "services" in answer)
+
+    def record_answer(self, view: AnswerView) -> None:
+        """Take over an answer's view."""
+        if self._subscription is not None:
+            self._subscription.record_answer(view.encoded_view, view.supports_interests)
+            self._log_once("" if view.supports_interests else INTERESTS_UNSUPPORTED)
+
+    def record_rate_limit(self, error: RateLimitedError) -> None:
+        """Present the ticket with the next request."""
+        if self._subscription is not None:
+            self._subscription.record_rate_limit(error)
+
+    def record_failure(self, address: Address, began: float, error: Exception) -> None:
+        """Record that a call to an instance, which `began` at that time, has failed."""
+        if self._subscription is not None:
+            self._subscription.record_failure(address, began)
             if isinstance(error, ValueError):
-                self._say(str(error))
+                self._log_once(str(error))
 
-    def _say(self, text: str) -> None:
-        """Log what is wrong with what a service tells, once."""
-        if text and text != self._said:
+    def _log_once(self, text: str) -> None:
+        """Log what is wrong with a service's answers, unless that was logged last; empty for nothing."""
+        if text and text != self._last_logged:
             self._log(text)
-        self._said = text
+        self._last_logged = text
 
 
-def _subscription(config: Config, has_list: bool) -> Subscription | None:
-    lists, settings = config.registry, config.settings
-    if lists is None or not lists.services:
+def _subscription(config: Config, has_full_list: bool) -> Subscription | None:
+    registry = config.registry
+    if registry is None or not registry.services:
         return None
     return Subscription(
-        lists.services, lists.subset_size, name=f"{config.name}/{settings.balancer_index}",
-        zone=settings.zone, balancers=settings.balancer_count,
-        holds_all=has_list or bool(config.initial_list.endpoints),
-    )  # fmt: skip
+        registry.services,
+        registry.subset_size,
+        name=f"{config.name}/{config.settings.balancer_index}",
+        zone=config.settings.zone,
+        balancer_count=config.settings.balancer_count,
+        has_full_list=has_full_list or bool(config.initial_list.endpoints),
+    )
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -84,7 +84,7 @@
 
 
 ENVIRONMENT = {"LB_CONFIG", "LB_CONSOLE"}
-PAGES = ("glossary.md",)
+PAGES = ("architecture.md", "glossary.md")
 
 
 def defined_names() -> dict[str, set[str]]:
