--- a/tests/test_change_notification_sockets.py
+++ b/tests/test_change_notification_sockets.py
@@ -30,7 +30,7 @@
     wait_until,
 )
 from tests.loopback import config_text, http_response
-from tests.test_upstreams import full_backlog
+from tests.test_upstream_attempts import full_backlog
 
 MAX_PLAY_S = 40.0
 CONTRACT = {"drainGrace": 300.0, "askWithin": 30_000.0}
--- a/tests/test_interest.py
+++ b/tests/test_interest_subscription.py
@@ -25,16 +25,14 @@
 from loadbalancer.registry import Catalog, Change, Registration, Rules, WriteRejectedError, first_revision
 from loadbalancer.registry.admission_queue import (
     BURST_S,
-    MAX_CPU_SHARE,
+    MAX_CPU_FRACTION,
     MAX_DELAY_S,
     TICKET_TOLERANCE_S,
     AdmissionQueue,
 )
 from loadbalancer.registry.anti_entropy import MAX_INSTANCES, AntiEntropy
-from loadbalancer.registry.interests import (
-    BALANCERS_PER_SERVER,
+from loadbalancer.registry.interest import (
     SLICES_PER_SERVER,
-    SubsetCache,
     SubsetSpec,
     SubsetView,
     decode_levels,
@@ -44,8 +42,9 @@
 from loadbalancer.registry.list_query import ListQuery, parse_list_query
 from loadbalancer.registry.query_evaluation import QueryEvaluator
 from loadbalancer.registry.store import CatalogStore
+from loadbalancer.registry.subset_cache import BALANCERS_PER_SERVER, SubsetCache
 from tests.loopback import ProxyHarness, Upstream, config_text, endpoint_entry, run_scenario
-from tests.test_directory import serving
+from tests.test_registry_service import serving
 
 RULES = Rules(settle_ms=0.0, learning_ms=0.0, max_tombstones=3)
 ROOMY = msgspec.structs.replace(RULES, max_tombstones=10_000)
@@ -81,7 +80,7 @@
         self.catalog.restore(store.entries(), now, store.incarnations(), *store.compaction_revisions())
         store.begin_incarnation(
             self.catalog.revision,
-            self.catalog.oldest_revision,
+            self.catalog.revisions.oldest,
             self.catalog.entries,
             self.catalog.change_index.compaction_revisions,
         )
@@ -731,10 +730,14 @@
             line = await rig.discovery.request_lines.get()
             assert "held=%7B%22a%22:%7B%7D%7D&after=8" in line, "it holds the whole of it"
             assert list(rig.proxy.endpoint_list.endpoints) == ["s0"]
-            assert [kind for kind, text in said if "knows no interests" in text] == ["list_service"]
+            assert [kind for kind, text in said if "knows no interests" in text] == [
+                "interest_subscription_failed"
+            ]
             rig.discovery.publish(9)
             await rig.discovery.request_lines.get()
-            assert len([kind for kind, _ in said if kind == "list_service"]) == 1, "it is said once"
+            assert len([kind for kind, _ in said if kind == "interest_subscription_failed"]) == 1, (
+                "it is said once"
+            )
         async with ProxyHarness(console="", lists={"services": ["a", "b"]}) as rig:
             said.clear()
             rig.proxy.log.event = lambda kind, text, **_: said.append((kind, text))  # type: ignore[method-assign]
@@ -768,9 +771,9 @@
     assert back(AdmissionQueue(), 100, 200e-6) == [0.0] * 100
     times = sorted(back(AdmissionQueue(), 10_000, 200e-6))
     at_once = times.count(0.0)
-    assert at_once == int((BURST_S + TICKET_TOLERANCE_S) * MAX_CPU_SHARE / 200e-6)
+    assert at_once == int((BURST_S + TICKET_TOLERANCE_S) * MAX_CPU_FRACTION / 200e-6)
     seconds = Counter(int(at) for at in times if at)
-    assert max(seconds.values()) <= MAX_CPU_SHARE / 200e-6 * 1.05 and times[-1] < MAX_DELAY_S
+    assert max(seconds.values()) <= MAX_CPU_FRACTION / 200e-6 * 1.05 and times[-1] < MAX_DELAY_S
 
 
 def test_a_crowd_beyond_the_pace_is_let_in_within_the_bound_all_the_same() -> None:
