--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -61,15 +61,15 @@
     began, and to come back so long after it has ended: what perfect and free knowledge would gain.
     """
     day = draw(load(Path("scenarios") / f"{scenario}.toml"), seed)
-    world = policies.simulate_policy(day, policy)
+    world = policies.create_fleet(day, policy)
     for trouble in day.scenario.trouble if told_s >= 0 else ():
         at, span = float(trouble.at_s), float(trouble.for_s)  # type: ignore[arg-type]
         for when, out in ((at, True), (at + span, False)):
             world.clock.after((when + told_s) * 1_000, tell_all, world, out)
     result = world.run()
     tries: dict[int, Counter[bool]] = defaultdict(Counter)
-    for wish in world.ledger.wishes:
-        tries[int(wish.at / 1_000)][wish.ending in ("in time", "late")] += 1
+    for wish in world.ledger.requested_values:
+        tries[int(wish.requested_at_ms / 1_000)][wish.ending in ("in time", "late")] += 1
     served = {s: c[True] / c.total() for s, c in sorted(tries.items()) if c.total() >= LEAST}
     first = int(START_MS / 1_000)
     parts = {
@@ -80,8 +80,8 @@
     began = min((int(float(at)) for at, _ in spans), default=1)  # type: ignore[arg-type]
     ended = max((int(float(at) + float(span)) for at, span in spans), default=1)  # type: ignore[arg-type]
     done = Play(
-        scenario, seed, served, parts, began, ended, result.worth.figure,
-        result.attempts / max(len(world.ledger.wishes), 1),
+        scenario, seed, served, parts, began, ended, result.utility.figure,
+        result.attempts / max(len(world.ledger.requested_values), 1),
         breaches=[f"{b.rule}: {b.detail}" for b in result.breaches[:5]],
     )  # fmt: skip
     judge(done, world.zones[-1])
--- a/loadbalancer/lab/plays.py
+++ b/loadbalancer/lab/plays.py
@@ -59,8 +59,8 @@
 
 def play(job: Job) -> Record:
     """Play a day."""
-    result = policies.simulate_policy(draw(job.scenario, job.seed), job.policy).run()
-    worth = result.worth
+    result = policies.create_fleet(draw(job.scenario, job.seed), job.policy).run()
+    utility = result.utility
     times: dict[str, HdrHistogram] = {}
     for cls, took, ending in result.took_ms:
         histogram = times.setdefault(cls, HdrHistogram(1, LONGEST_MS, DIGITS))
@@ -70,14 +70,14 @@
         scenario=job.name,
         seed=job.seed,
         policy=job.label,
-        figure=_short(worth.figure),
-        whole=_short(worth.whole),
-        worst_window=_short(worth.worst_window),
-        worst_class=_short(worth.worst_class),
-        worst_tenant=_short(worth.worst_tenant),
-        prices={name: _short(price) for name, price in worth.prices.items()},
-        served={name: _short(part) for name, part in worth.served.items()},
-        endings=worth.endings,
+        figure=_short(utility.figure),
+        whole=_short(utility.whole),
+        worst_window=_short(utility.worst_window),
+        worst_class=_short(utility.worst_class),
+        worst_tenant=_short(utility.worst_tenant),
+        prices={name: _short(price) for name, price in utility.prices.items()},
+        served={name: _short(part) for name, part in utility.served.items()},
+        endings=utility.endings,
         attempts=result.attempts,
         choked=result.choked_times,
         breaches=[f"{b.at_ms:.0f} ms: {b.rule}: {b.balancer}: {b.detail}" for b in result.breaches[:20]],
--- a/loadbalancer/lab/policies.py
+++ b/loadbalancer/lab/policies.py
@@ -21,7 +21,7 @@
     """A policy or a commit does not exist; the message is one line that names it."""
 
 
-def simulate_policy(day: Day, name: str) -> SimulatedFleet:
+def create_fleet(day: Day, name: str) -> SimulatedFleet:
     """Return the simulated fleet of a day, all its balancers with a policy.
 
     Raises PolicyError if there is none of that name.
--- a/loadbalancer/simulation/__init__.py
+++ b/loadbalancer/simulation/__init__.py
@@ -6,7 +6,7 @@
 
     day = draw(scenario, seed=3)
     result = World(day, Balancer).run()
-    print(result.worth.figure)
+    print(result.utility.figure)
 """
 
 from loadbalancer.simulation.fleet import SimulatedFleet
--- a/loadbalancer/simulation/balancers.py
+++ b/loadbalancer/simulation/balancers.py
@@ -220,7 +220,9 @@
         attempt.timer = world.clock.after(max(timeout, 0.0), self._over, number, index, Outcome.TIMED_OUT)
         server = world.servers[name]
         zone = server.build.zone
-        world.ledger.attempt(self.zone != zone, zone, self.tier == 0, world.clock.now)
+        world.ledger.record_attempt(
+            zone, world.clock.now, crosses_zones=self.zone != zone, is_from_front=self.tier == 0
+        )
         idle = self._idle.get(name)
         if idle:
             stale = world.clock.now - idle.pop() >= world.idle_ms
--- a/loadbalancer/simulation/clients.py
+++ b/loadbalancer/simulation/clients.py
@@ -113,7 +113,7 @@
             self._end("gave up")
             return
         self._try += 1
-        self._wish.tries += 1
+        self._wish.attempts += 1
         remaining = min(world.try_share * cls.deadline_ms, left)
         patience = remaining * (IMPATIENT_PART if self._impatient else 1.0)
         self._due = world.clock.after(patience, self._give_up)
@@ -166,7 +166,7 @@
         self._due, self._number = None, 0
         if ending == "served":
             took = self._world.clock.now - self._arrival.at
-            self._end("in time" if took <= self._wish.aim else "late")
+            self._end("in time" if took <= self._wish.latency_objective_ms else "late")
         elif ending != "failed" or self._world.day.scenario.classes[self._arrival.cls].effect == "safe":
             self._again(away if self._honours else 0.0, "refused" if ending == "refused" else "failed")
         else:
@@ -181,4 +181,4 @@
 
     def _end(self, ending: str) -> None:
         self._wish.ending = ending
-        self._wish.took = self._world.clock.now - self._arrival.at
+        self._wish.latency_ms = self._world.clock.now - self._arrival.at
--- a/loadbalancer/simulation/fleet.py
+++ b/loadbalancer/simulation/fleet.py
@@ -48,7 +48,7 @@
 class Result:
     """What came of a day."""
 
-    worth: Utility
+    utility: Utility
     breaches: list[RuleViolation]
     samples: list[Sample]
     took_ms: list[tuple[str, float, str]]  # class, time from the first try to its end, ending
@@ -218,7 +218,9 @@
         scenario = self.day.scenario
         cls = scenario.classes[arrival.cls]
         tenant = scenario.tenants[arrival.tenant].name if arrival.tenant >= 0 else ""
-        wish = self.ledger.open(arrival.at, cls.name, tenant, arrival.work, cls.worth, cls.aim_ms)
+        wish = self.ledger.record_requested_value(
+            arrival.at, cls.name, tenant, arrival.work, cls.worth, cls.aim_ms
+        )
         honours = mood[0] < number(scenario.clients.honour)
         moved = Arrival(
             self.clock.now, arrival.cls, arrival.tenant, arrival.zone, arrival.work, arrival.calls
@@ -336,13 +338,13 @@
         self.rules.record_unanswered()
         every = list(self.servers.values())
         choked = sum(s.choked_ms for s in every) / (length * len(every))
-        worth = self.ledger.close(sum(s.worked for s in every), min(choked, 1.0))
+        utility = self.ledger.compute_utility(sum(s.worked for s in every), min(choked, 1.0))
         return Result(
-            worth,
+            utility,
             self.rules.violations,
             self._samples,
-            [(w.cls, w.took, w.ending) for w in self.ledger.wishes],
-            [w.at for w in self.ledger.wishes],
+            [(w.class_name, w.latency_ms, w.ending) for w in self.ledger.requested_values],
+            [w.requested_at_ms for w in self.ledger.requested_values],
             self.ledger.attempts,
             sum(s.choked_times for s in every),
             self.clock.steps,
--- a/loadbalancer/simulation/utility.py
+++ b/loadbalancer/simulation/utility.py
@@ -1,37 +1,43 @@
-"""What a day was worth: answers within their aim, weighed by work, less what was paid for them."""
+"""Compute the utility of a day: requests served within their objective, by weight, less the prices paid."""
 
 from __future__ import annotations
 
 from collections import Counter, defaultdict
+from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from loadbalancer.simulation.scenario import Day
 
-WINDOW_MS = 10_000.0
-QUOTA_BURST_MS = 2_000.0
-SKIP_MS = 1_000.0  # what comes in the first second does not count
+UTILITY_WINDOW_MS = 10_000.0  # of the worst window, as the platform measures it
+UTILITY_WINDOW_STEP_MS = 1_000.0
+QUOTA_BURST_MS = 2_000.0  # a tenant may have saved up this much of its quota
+UNCOUNTED_START_MS = 1_000.0  # what comes in the first second does not count
 
 
 @dataclass(slots=True)
 class RequestedValue:
-    """What a client wanted, over all its tries."""
+    """What a client wanted, over all its attempts."""
 
     number: int
-    at: float
-    cls: str
+    requested_at_ms: float
+    class_name: str
     tenant: str
-    worth: float
-    work: float
-    in_share: bool
-    aim: float
+    weight: float
+    """Its work by the priority weight of its class, less where its tenant is over quota."""
+    work_ms: float
+    is_within_quota: bool
+    latency_objective_ms: float
     ending: str = ""  # 'in time', 'late', 'refused', 'failed', 'gave up'
-    took: float = 0.0
-    tries: int = 0
+    latency_ms: float = 0.0
+    attempts: int = 0
 
 
 @dataclass
 class Utility:
-    """The figure of a day and its parts, each from 0 to 1 but for the prices."""
+    """The figure of a day and its parts, each from 0 to 1 but for the prices.
+
+    The parts' names are the keys of a scenario's `goal` table and of result files.
+    """
 
     figure: float
     whole: float
@@ -40,90 +46,123 @@
     worst_tenant: float
     prices: dict[str, float]
     served: dict[str, float]
+    """By class: the part of the weight that was served in time."""
     endings: dict[str, int] = field(default_factory=dict)
 
 
 class Ledger:
-    """Keeps every wish and what it cost."""
+    """Records every requested value and what serving it cost."""
 
     def __init__(self, day: Day, quotas: dict[str, float]) -> None:
+        """`quotas` are requests a second by tenant."""
         self._day = day
-        self.wishes: list[RequestedValue] = []
-        self._quota = quotas
-        self._left = {name: QUOTA_BURST_MS / 1_000 * quota for name, quota in quotas.items()}
-        self._seen = 0.0
-        self.attempts, self.crossings, self.probes = 0, 0, 0
+        self.requested_values: list[RequestedValue] = []
+        self._quota_per_s = quotas
+        self._unused_quota = {name: QUOTA_BURST_MS / 1_000 * quota for name, quota in quotas.items()}
+        self._quota_updated_at_ms = 0.0
+        self.attempts = 0
+        self.crossings = 0
+        self.probes = 0
         self.by_zone: dict[int, Counter[str]] = defaultdict(Counter)  # calls of front balancers, by second
 
-    def open(self, at: float, cls: str, tenant: str, work: float, worth: float, aim: float) -> RequestedValue:
-        """A first try: worth little where its tenant is past its share."""
-        for name, quota in self._quota.items():
-            most = QUOTA_BURST_MS / 1_000 * quota
-            self._left[name] = min(most, self._left[name] + quota * (at - self._seen) / 1_000)
-        self._seen = at
-        in_share = self._left.get(tenant, 1.0) >= 1
-        if in_share and tenant in self._left:
-            self._left[tenant] -= 1
-        counts = worth * work * (1.0 if in_share else self._day.scenario.over_share_worth)
-        wish = RequestedValue(len(self.wishes), at, cls, tenant, counts, work, in_share, aim)
-        self.wishes.append(wish)
-        return wish
-
-    def attempt(self, crosses: bool, zone: str, of_front: bool, now: float) -> None:
-        """An attempt has been made to a zone; `crosses` says that it leaves its own."""
+    def record_requested_value(
+        self,
+        at_ms: float,
+        class_name: str,
+        tenant: str,
+        work_ms: float,
+        priority_weight: float,
+        latency_objective_ms: float,
+    ) -> RequestedValue:
+        """Record a client's first attempt; its weight is reduced where its tenant is over quota."""
+        for name, quota in self._quota_per_s.items():
+            max_unused = QUOTA_BURST_MS / 1_000 * quota
+            refilled = self._unused_quota[name] + quota * (at_ms - self._quota_updated_at_ms) / 1_000
+            self._unused_quota[name] = min(max_unused, refilled)
+        self._quota_updated_at_ms = at_ms
+        is_within_quota = self._unused_quota.get(tenant, 1.0) >= 1
+        if is_within_quota and tenant in self._unused_quota:
+            self._unused_quota[tenant] -= 1
+        quota_factor = 1.0 if is_within_quota else self._day.scenario.over_share_worth
+        requested = RequestedValue(
+            number=len(self.requested_values),
+            requested_at_ms=at_ms,
+            class_name=class_name,
+            tenant=tenant,
+            weight=priority_weight * work_ms * quota_factor,
+            work_ms=work_ms,
+            is_within_quota=is_within_quota,
+            latency_objective_ms=latency_objective_ms,
+        )
+        self.requested_values.append(requested)
+        return requested
+
+    def record_attempt(self, zone: str, now_ms: float, *, crosses_zones: bool, is_from_front: bool) -> None:
+        """Record an attempt that was sent to a zone."""
         self.attempts += 1
-        self.crossings += crosses
-        if of_front:
-            self.by_zone[int(now / 1_000)][zone] += 1
-
-    def close(self, worked: float, choked: float) -> Utility:
-        """The day's figure; `worked` is all work done, `choked` the part of servers that a crowd slowed."""
-        counted = [w for w in self.wishes if w.at >= SKIP_MS] or self.wishes
-        goal, price = self._day.scenario.goal, self._day.scenario.prices
-        offered = sum(w.work for w in counted) or 1.0
-        useful = sum(w.work for w in self.wishes if w.ending in ("in time", "late"))
-        late = sum(w.worth for w in counted if w.ending != "in time" and w.took > w.aim)
-        prices = {
-            "waste": price.waste * min(max(worked - useful, 0.0) / offered, 1.0),
-            "late_fail": price.late_fail * late / (sum(w.worth for w in counted) or 1.0),
-            "choke": price.choke * choked,
-            "cross_zone": price.cross_zone * self.crossings / max(len(self.wishes), 1),
-            "probe": price.probe * self.probes / max(len(self.wishes), 1),
-        }
-        by_class = _served_by(counted, lambda w: w.cls)
-        within = [w for w in counted if w.in_share]
-        whole = _served(counted)
+        self.crossings += crosses_zones
+        if is_from_front:
+            self.by_zone[int(now_ms / 1_000)][zone] += 1
+
+    def compute_utility(self, worked_ms: float, contended_fraction: float) -> Utility:
+        """Return the day's utility; `contended_fraction` is the part of servers that contention slowed."""
+        counted = [r for r in self.requested_values if r.requested_at_ms >= UNCOUNTED_START_MS]
+        counted = counted or self.requested_values
+        goal = self._day.scenario.goal
+        prices = self._compute_prices(counted, worked_ms, contended_fraction)
+        by_class = _served_fractions_by(counted, lambda requested: requested.class_name)
+        within_quota = [requested for requested in counted if requested.is_within_quota]
+        by_tenant = _served_fractions_by(within_quota, lambda requested: requested.tenant)
         parts = {
-            "whole": whole,
-            "worst_window": _worst_window(counted),
+            "whole": _served_fraction(counted),
+            "worst_window": _worst_window_fraction(counted),
             "worst_class": min(by_class.values(), default=0.0),
-            "worst_tenant": min(_served_by(within, lambda w: w.tenant).values(), default=0.0),
+            "worst_tenant": min(by_tenant.values(), default=0.0),
         }
         figure = sum(getattr(goal, name) * value for name, value in parts.items()) - sum(prices.values())
-        endings: dict[str, int] = defaultdict(int)
-        for wish in counted:
-            endings[wish.ending or "gave up"] += 1
+        endings = Counter(requested.ending or "gave up" for requested in counted)
         return Utility(figure, **parts, prices=prices, served=by_class, endings=dict(sorted(endings.items())))
 
+    def _compute_prices(
+        self, counted: list[RequestedValue], worked_ms: float, contended_fraction: float
+    ) -> dict[str, float]:
+        price = self._day.scenario.prices
+        offered_ms = sum(r.work_ms for r in counted) or 1.0
+        useful_ms = sum(r.work_ms for r in self.requested_values if r.ending in ("in time", "late"))
+        late = [r for r in counted if r.ending != "in time" and r.latency_ms > r.latency_objective_ms]
+        late_weight = sum(r.weight for r in late)
+        requested_count = max(len(self.requested_values), 1)
+        return {
+            "waste": price.waste * min(max(worked_ms - useful_ms, 0.0) / offered_ms, 1.0),
+            "late_fail": price.late_fail * late_weight / (sum(r.weight for r in counted) or 1.0),
+            "choke": price.choke * contended_fraction,
+            "cross_zone": price.cross_zone * self.crossings / requested_count,
+            "probe": price.probe * self.probes / requested_count,
+        }
+
 
-def _served(wishes: list[RequestedValue]) -> float:
-    return sum(w.worth for w in wishes if w.ending == "in time") / (sum(w.worth for w in wishes) or 1.0)
+def _served_fraction(requests: list[RequestedValue]) -> float:
+    served = sum(r.weight for r in requests if r.ending == "in time")
+    return served / (sum(r.weight for r in requests) or 1.0)
 
 
-def _served_by(wishes: list[RequestedValue], key: object) -> dict[str, float]:
+def _served_fractions_by(
+    requests: list[RequestedValue], key: Callable[[RequestedValue], str]
+) -> dict[str, float]:
     groups: dict[str, list[RequestedValue]] = defaultdict(list)
-    for wish in wishes:
-        groups[key(wish)].append(wish)  # type: ignore[operator]
-    return {name: _served(group) for name, group in sorted(groups.items())}
+    for requested in requests:
+        groups[key(requested)].append(requested)
+    return {name: _served_fraction(group) for name, group in sorted(groups.items())}
 
 
-def _worst_window(wishes: list[RequestedValue]) -> float:
-    first, last = wishes[0].at, wishes[-1].at
-    worst, start = 1.0, first
+def _worst_window_fraction(requests: list[RequestedValue]) -> float:
+    start_ms = requests[0].requested_at_ms
+    last_ms = requests[-1].requested_at_ms
+    worst = 1.0
     while True:
-        window = [w for w in wishes if start <= w.at < start + WINDOW_MS]
-        if window:
-            worst = min(worst, _served(window))
-        start += 1_000.0
-        if start + WINDOW_MS > last:
+        end_ms = start_ms + UTILITY_WINDOW_MS
+        if window := [r for r in requests if start_ms <= r.requested_at_ms < end_ms]:
+            worst = min(worst, _served_fraction(window))
+        start_ms += UTILITY_WINDOW_STEP_MS
+        if start_ms + UTILITY_WINDOW_MS > last_ms:
             return worst
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -138,7 +138,7 @@
 
 
 def test_the_same_seed_gives_the_same_day_and_another_one_another() -> None:
-    figures = [SimulatedFleet(day(seed=seed), Balancer).run().worth.figure for seed in (1, 1, 2)]
+    figures = [SimulatedFleet(day(seed=seed), Balancer).run().utility.figure for seed in (1, 1, 2)]
     assert figures[0] == figures[1] != figures[2]
 
 
@@ -178,15 +178,19 @@
 [clients]
 impatient = 0
 """
-    simulate_policy = SimulatedFleet(draw(parse(text), 3), Balancer)
-    result = simulate_policy.run()
-    assert result.worth.endings.keys() <= {"in time", "late"}
-    wishes = simulate_policy.ledger.wishes
-    alone = [w for w in wishes if not any(0 < abs(w.at - other.at) < 1_000.0 for other in wishes)]
+    fleet = SimulatedFleet(draw(parse(text), 3), Balancer)
+    result = fleet.run()
+    assert result.utility.endings.keys() <= {"in time", "late"}
+    wishes = fleet.ledger.requested_values
+    alone = [
+        w
+        for w in wishes
+        if not any(0 < abs(w.requested_at_ms - other.requested_at_ms) < 1_000.0 for other in wishes)
+    ]
     assert len(alone) > 4
     for wish in alone:
         # 6 to the client and back, 2 for the attempt and 2 for each call; 2 more for each new connection.
-        assert 12 - 0.01 <= wish.took - wish.work <= 18.01
+        assert 12 - 0.01 <= wish.latency_ms - wish.work_ms <= 18.01
 
 
 def test_every_balancer_is_told_its_own_number_and_how_many_there_are() -> None:
@@ -285,28 +289,28 @@
 
 
 def test_a_trouble_of_a_zone_befalls_the_last_one_alone() -> None:
-    simulate_policy = SimulatedFleet(
+    fleet = SimulatedFleet(
         day('[[trouble]]\nkind = "errors"\nat_s = 1\nfor_s = 1\npart = 1\nsize = 0.5\nzone = true\n'),
         Balancer,
     )
     seen: set[str] = set()
 
     def look() -> None:
-        seen.update(s.build.zone for s in simulate_policy.servers.values() if s.failing == 0.5)
+        seen.update(s.build.zone for s in fleet.servers.values() if s.failing == 0.5)
 
-    simulate_policy.clock.after(1_500.0, look)
-    simulate_policy.run()
-    assert seen == {simulate_policy.zones[-1]}
+    fleet.clock.after(1_500.0, look)
+    fleet.run()
+    assert seen == {fleet.zones[-1]}
 
 
 @pytest.mark.parametrize("name", BASELINES)
 def test_baselines_play_a_day_and_the_oracle_is_the_best(name: str) -> None:
-    from loadbalancer.lab.policies import simulate_policy
+    from loadbalancer.lab.policies import create_fleet
 
     crowded = "[choke]\nshare = 1\n[[trouble]]\nkind = 'burst'\nat_s = 1\nfor_s = 3\nsize = 2.5\n"
-    plays = {which: simulate_policy(day(crowded), which).run() for which in (name, "oracle")}
+    plays = {which: create_fleet(day(crowded), which).run() for which in (name, "oracle")}
     assert plays[name].breaches == []
-    assert plays[name].worth.figure <= plays["oracle"].worth.figure
+    assert plays[name].utility.figure <= plays["oracle"].utility.figure
 
 
 @pytest.mark.parametrize(
