--- a/benchmarks/capacity_added.py
+++ b/benchmarks/capacity_added.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from benchmarks.capacity_balancer import HOST, SINCE_MS, Instances, balancer, config, cpu_ms, entry, settled
-from loadbalancer.drill.processes.placement import free_port
+from loadbalancer.drill.processes.addresses import find_free_port
 
 RATE = 770_000 / 18_000  # calls a second of one balancer
 STEP_S = 12.0
@@ -183,7 +183,7 @@
 
 async def play(size: int, number: int) -> dict[str, float]:
     """All steps, with a list of so many servers; ms from the call to its whole answer."""
-    instances, listen, port = Instances(), free_port(HOST), free_port(HOST)
+    instances, listen, port = Instances(), find_free_port(HOST), find_free_port(HOST)
     await instances.start()
     entries = [entry(n, port, SINCE_MS) for n in range(size)]
     instances.hold(entries)
--- a/benchmarks/capacity_balancer.py
+++ b/benchmarks/capacity_balancer.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from loadbalancer.drill.processes.placement import free_port
+from loadbalancer.drill.processes.addresses import find_free_port
 
 HOST = "127.0.0.1"
 CHANGES = 60  # told one after another, of which the first WARM are not counted
@@ -241,7 +241,7 @@
 
 async def play(size: int) -> dict[str, float]:
     """One balancer with a list of so many servers; ms of processor time, MB, bytes."""
-    instances, listen = Instances(), free_port(HOST)
+    instances, listen = Instances(), find_free_port(HOST)
     await instances.start()
     silent = await asyncio.start_server(_silent, HOST, 0)
     entries = [entry(n, silent.sockets[0].getsockname()[1]) for n in range(size)]
--- a/benchmarks/capacity_service.py
+++ b/benchmarks/capacity_service.py
@@ -20,7 +20,7 @@
 
 from benchmarks.capacity_balancer import HOST, SINCE_MS, cpu_ms, entry, memory_mb
 from benchmarks.directory import SERVE
-from loadbalancer.drill.processes.placement import free_port
+from loadbalancer.drill.processes.addresses import find_free_port
 
 WRITERS, WHOLE_CALLS, ROUNDS, QUIET_S = 64, 12, 4, 2.0
 LEASE_MS = 86_400_000.0
@@ -34,7 +34,7 @@
     """So many instances that hold one list: their process IDs and addresses."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        at = [f"{HOST}:{free_port(HOST)}" for _ in range(instances)]
+        at = [f"{HOST}:{find_free_port(HOST)}" for _ in range(instances)]
         processes = []
         try:
             for number, address in enumerate(at):
--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -25,7 +25,7 @@
 import aiohttp
 import typer
 
-from loadbalancer.drill.processes.placement import free_port
+from loadbalancer.drill.processes.addresses import find_free_port
 
 SERVERS, ROUNDS, WRITERS = 1_000, 5, 128
 EACH = """
@@ -133,7 +133,7 @@
 
 def served(folder: Path, name: str, patch: str) -> tuple[subprocess.Popen[bytes], str]:
     """The service as a process on the first core that we may use."""
-    at = f"127.0.0.1:{free_port('127.0.0.1')}"
+    at = f"127.0.0.1:{find_free_port('127.0.0.1')}"
     file = folder / f"{name}.toml"
     file.write_text(f'listen = "{at}"\ndatabase = "{folder / name}.sqlite"\n', encoding="utf-8")
     core = min(os.sched_getaffinity(0))
--- a/loadbalancer/cli/demo.py
+++ b/loadbalancer/cli/demo.py
@@ -20,9 +20,11 @@
 from loadbalancer.cli.screen import screen
 from loadbalancer.drill import history, open_load
 from loadbalancer.drill.checks import judgement
-from loadbalancer.drill.execution.player import Drive
-from loadbalancer.drill.processes.placement import FIRST, Fleet
-from loadbalancer.drill.scenario import definition
+from loadbalancer.drill.execution.player import DrillPlayer
+from loadbalancer.drill.processes.placement import FIRST_TIER
+from loadbalancer.drill.processes.topology import Topology
+from loadbalancer.drill.scenario.loading import parse_scenario
+from loadbalancer.drill.scenario.tables import DrillScenario
 
 LOOK_S = 0.5
 NOT_HELD = 1
@@ -73,9 +75,9 @@
         self._before: dict[str, dict[str, Any]] = {}
         self._asked = 0
 
-    async def play(self, drill: definition.Script, seed: int, out: Path) -> None:
+    async def play(self, drill: DrillScenario, seed: int, out: Path) -> None:
         """Play the story with a live table; with `keep`, stay up until Ctrl-C."""
-        drive = Drive(drill, seed, out, on_progress=self._progress, on_over=self._stay)
+        drive = DrillPlayer(drill, seed, out, on_progress=self._progress, on_load_completed=self._stay)
         playing = asyncio.create_task(drive.run())
         try:
             with Live(console=self._console, auto_refresh=False) as live:
@@ -93,8 +95,8 @@
     def _progress(self, line: dict[str, Any]) -> None:
         self._asked = line["asked"]
 
-    async def _look(self, drive: Drive, drill: definition.Script) -> Group:
-        names = {spot.console: spot.name for spot in drive.fleet.balancers(FIRST)}
+    async def _look(self, drive: DrillPlayer, drill: DrillScenario) -> Group:
+        names = {spot.console: spot.name for spot in drive.topology.balancers(FIRST_TIER)}
         told, _ = await asyncio.to_thread(reports, list(names), "/admin/stats")
         found = {names[console]: figures for console, figures in told.items()}
         table = table_of(list(names.values()), found, self._before, LOOK_S)
@@ -103,17 +105,17 @@
             table, Text(f"{self._asked} of {drill.load.requests} requests asked"), *self._faults(drive)
         )
 
-    def _faults(self, drive: Drive) -> list[Text]:
-        told = [e for e in history.read(drive.out) if e["what"] == "fault"]
+    def _faults(self, drive: DrillPlayer) -> list[Text]:
+        told = [e for e in history.read_history(drive.out) if e["what"] == "fault"]
         return [
             Text(f"  {e['kind']} {' '.join(e['targets'])} {'' if e['on'] else '(over)'}", style="yellow")
             for e in told[-5:]
         ]
 
-    async def _stay(self, fleet: Fleet) -> None:
+    async def _stay(self, fleet: Topology) -> None:
         if not self._keep:
             return
-        front = fleet.balancers(FIRST)[0]
+        front = fleet.balancers(FIRST_TIER)[0]
         host, port = fleet.links[f"clients>{front.name}"].address
         self._console.print(
             "It stays up until Ctrl-C. In another shell:\n"
@@ -137,18 +139,18 @@
     Example: irondrum demo --keep
     """
     console, began = screen(), time.monotonic()
-    drill = definition.parse(STORY, "demo")
+    drill = parse_scenario(STORY, "demo")
     with tempfile.TemporaryDirectory() as folder:
         out = Path(folder) / "demo"
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(Demo(keep, console).play(drill, seed, out))
-        found = judgement.judge(drill, history.read(out))
+        found = judgement.judge(drill, history.read_history(out))
     for check in found:
-        mark = "[green]held[/green]" if check.held else f"[red]broken: {check.first}[/red]"
+        mark = "[green]held[/green]" if check.passed else f"[red]broken: {check.first_violation}[/red]"
         console.print(
             f"  {check.name:<14}{check.measured:>8g}  bound {check.bound:<6g} {mark}", highlight=False
         )
-    held = all(check.held for check in found)
+    held = all(check.passed for check in found)
     console.print(f"{'Nothing broke' if held else 'Something broke'}, {time.monotonic() - began:.0f} s")
     if not held:
         raise typer.Exit(NOT_HELD)
@@ -167,9 +169,9 @@
 
     Example: irondrum load http://127.0.0.1:8080 --class map:3:500 --class unlock:1:4000:unsafe --rate 100
     """
-    open_load.check(url, rate, seconds, anywhere)
-    kinds = [open_load.read_kind(text) for text in kind]
-    tallies = asyncio.run(open_load.run(url, kinds, rate, seconds, seed))
+    open_load.check_load(url, rate, seconds, anywhere)
+    kinds = [open_load.parse_request_kind(text) for text in kind]
+    tallies = asyncio.run(open_load.run_load(url, kinds, rate, seconds, seed))
     if as_json:
         told = {
             name: {"endings": dict(t.endings), "ms": {f"p{p:g}": t.percentile_ms(p) for p in PARTS}}
--- a/loadbalancer/cli/drill.py
+++ b/loadbalancer/cli/drill.py
@@ -9,6 +9,7 @@
 from pathlib import Path
 from typing import Annotated, Any
 
+import msgspec
 import typer
 import uvloop
 from rich.table import Table
@@ -17,9 +18,10 @@
 from loadbalancer.cli.screen import screen
 from loadbalancer.drill import history, seeded_defects
 from loadbalancer.drill.checks import judgement
-from loadbalancer.drill.checks.timeline import Check
-from loadbalancer.drill.execution.player import Drive
-from loadbalancer.drill.scenario import definition
+from loadbalancer.drill.checks.timeline import CheckResult
+from loadbalancer.drill.execution.player import DrillPlayer
+from loadbalancer.drill.scenario.loading import load_scenario
+from loadbalancer.drill.scenario.tables import DrillScenario
 
 app = typer.Typer(no_args_is_help=True, help="A fleet of real processes on this machine, with faults.")
 FOLDER = Path("drills")
@@ -27,13 +29,15 @@
 TOLD = ("name", "held", "measured", "bound")  # of each check, by `--json`
 
 
-def play(path: Path, drill: definition.Script, seed: int, out: Path, plant: str = "") -> list[Check]:
+def play(path: Path, drill: DrillScenario, seed: int, out: Path, plant: str = "") -> list[CheckResult]:
     """Play a drill from its file in an empty folder, and judge it; DriveError if it can't be played."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(Drive(drill, seed, out, plant).run())
+        runner.run(DrillPlayer(drill, seed, out, plant).run())
     (out / "drill.toml").write_bytes(path.read_bytes())
-    found = judgement.judge(drill, history.read(out))
-    verdict = {"seed": seed, "plant": plant} | verdict_of(path.stem, found, Check.__struct_fields__)
+    found = judgement.judge(drill, history.read_history(out))
+    verdict = {"seed": seed, "plant": plant} | verdict_of(
+        path.stem, found, CheckResult.__struct_encode_fields__
+    )
     (out / "verdict.json").write_text(json.dumps(verdict) + "\n", encoding="utf-8")
     return found
 
@@ -43,7 +47,7 @@
     """Tell the drills in `drills/`, and the defects that can be planted."""
     table = Table("drill", "what happens")
     for path in sorted(FOLDER.glob("*.toml")):
-        table.add_row(path.stem, definition.load(path).title)
+        table.add_row(path.stem, load_scenario(path).title)
     screen().print(table)
     screen().print(f"--plant: {', '.join(seeded_defects.DEFECTS)}", highlight=False)
 
@@ -63,13 +67,13 @@
     if plant and plant not in seeded_defects.DEFECTS:
         raise Misuse(f"no defect {plant!r}; there are {', '.join(seeded_defects.DEFECTS)}")
     paths = [find_file(FOLDER, "drill", name) for name in names]
-    drills = [(path, definition.load(path)) for path in paths]  # all are sound before the first is played
+    drills = [(path, load_scenario(path)) for path in paths]  # all are sound before the first is played
     held = True
     with tempfile.TemporaryDirectory() as spare:
         for path, drill in drills:
             into = (out or Path(spare)) / path.stem
             found = play(path, drill, seed, into, plant)
-            held = held and all(check.held for check in found)
+            held = held and all(check.passed for check in found)
             if as_json:
                 typer.echo(json.dumps(verdict_of(path.stem, found, TOLD)))
             else:
@@ -89,22 +93,26 @@
     from loadbalancer.drill import report as pages  # matplotlib takes a second to load
 
     try:
-        typer.echo(pages.write(folder))
+        typer.echo(pages.write_report(folder))
     except pages.ReportError as error:
         raise Misuse(str(error)) from None
 
 
-def verdict_of(name: str, found: list[Check], fields: Iterable[str]) -> dict[str, Any]:
+def verdict_of(name: str, found: list[CheckResult], fields: Iterable[str]) -> dict[str, Any]:
     """The verdict of a drill, with these fields of each check."""
-    told = [{field: getattr(check, field) for field in fields} for check in found]
-    return {"drill": name, "held": all(check.held for check in found), "checks": told}
+    told = [{field: record[field] for field in fields} for record in map(msgspec.to_builtins, found)]
+    return {"drill": name, "held": all(check.passed for check in found), "checks": told}
 
 
-def _show(name: str, found: list[Check]) -> None:
+def _show(name: str, found: list[CheckResult]) -> None:
     table = Table("check", "held", "measured", "bound", "first that broke it", title=name)
     for check in found:
-        word = "yes" if check.held else "[red]no[/red]"
+        word = "yes" if check.passed else "[red]no[/red]"
         table.add_row(
-            check.name, word, f"{check.measured:g}", f"{check.bound:g}", "" if check.held else check.first
+            check.name,
+            word,
+            f"{check.measured:g}",
+            f"{check.bound:g}",
+            "" if check.passed else check.first_violation,
         )
     screen().print(table)
--- a/loadbalancer/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -11,9 +11,9 @@
 from loadbalancer.cli import demo, directory, drill, lab, operate, scale, serve, zone
 from loadbalancer.cli.misuse import Misuse
 from loadbalancer.configuration import ConfigurationError
+from loadbalancer.drill.errors import DrillError
 from loadbalancer.drill.open_load import LoadError
-from loadbalancer.drill.processes.supervisor import DriveError
-from loadbalancer.drill.scenario.definition import ScriptError
+from loadbalancer.drill.scenario.loading import DrillScenarioError
 from loadbalancer.lab.policies import PolicyError
 from loadbalancer.registry.client import RegistryCallError
 from loadbalancer.registry.server import RegistryServerError
@@ -37,8 +37,8 @@
     Misuse,
     ScenarioError,
     PolicyError,
-    ScriptError,
-    DriveError,
+    DrillScenarioError,
+    DrillError,
     LoadError,
     RegistryServerError,
     RegistryCallError,
--- a/loadbalancer/cli/scale.py
+++ b/loadbalancer/cli/scale.py
@@ -11,9 +11,9 @@
 import uvloop
 
 from loadbalancer.cli.screen import screen
-from loadbalancer.scale.figures import kept
-from loadbalancer.scale.plan import SHORT, Plan
-from loadbalancer.scale.play import Play
+from loadbalancer.scale.figures import without_samples
+from loadbalancer.scale.plan import DEFAULT_STEPS, Plan
+from loadbalancer.scale.play import ScaleRun
 
 app = typer.Typer(no_args_is_help=True, help="Thousands of hollow balancers beside real ones, measured.")
 
@@ -32,7 +32,7 @@
 
     Example: irondrum scale keep found/scale benchmarks/figures
     """
-    told = kept(json.loads((folder / "figures.json").read_text(encoding="utf-8")))
+    told = without_samples(json.loads((folder / "figures.json").read_text(encoding="utf-8")))
     path = into / f"scale-{told['size']}-{told['mechanism']}.json"
     path.write_text(json.dumps(told, indent=1) + "\n", encoding="utf-8")
     typer.echo(path)
@@ -67,7 +67,9 @@
         bool, typer.Option("--shared-reading", help="A host's hollow ones read the same answer once.")
     ] = False,
     start_s: Annotated[float, typer.Option(help="Spread their start over so long.")] = 0.0,
-    steps: Annotated[str, typer.Option(help="With commas between; start is the first.")] = ",".join(SHORT),
+    steps: Annotated[str, typer.Option(help="With commas between; start is the first.")] = ",".join(
+        DEFAULT_STEPS
+    ),
     quiet_s: Annotated[float, typer.Option(help="Length of the quiet step.")] = 20.0,
     away_s: Annotated[float, typer.Option(help="How long all instances are away.")] = 30.0,
     changes: Annotated[int, typer.Option(help="In the step of changes.")] = 60,
@@ -84,11 +86,11 @@
     plan = Plan(
         balancers=balancers, hollow=balancers - real if hollow < 0 else hollow, real=real, hosts=hosts,
         instances=instances, services=services, lists=lists, steps=tuple(steps.split(",")), seed=seed,
-        part=part, shared_reading=shared_reading, start_s=start_s, quiet_s=quiet_s,
+        subset_size=part, shared_reading=shared_reading, start_s=start_s, quiet_s=quiet_s,
         away_s=away_s, changes=changes, changes_per_s=changes_per_s, settle_s=settle_s,
-        patience_s=patience_s,         plant=plant,
+        convergence_timeout_s=patience_s,         defect=plant,
     )  # fmt: skip
-    play = Play(plan, out, lambda line: screen().print(line, highlight=False))
+    play = ScaleRun(plan, out, lambda line: screen().print(line, highlight=False))
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(play.run())
     typer.echo(out / "figures.json")
--- a/loadbalancer/drill/clock.py
+++ b/loadbalancer/drill/clock.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 
-def offset_ms() -> float:
+def unix_offset_ms() -> float:
     """What is to be added to this machine's monotonic clock; taken once, by the driver."""
     return time.time() * 1_000 - time.monotonic() * 1_000
 
@@ -17,7 +17,7 @@
     """Hosts parts of the model on real time (`loadbalancer.simulation.clock.Timekeeper`)."""
 
     def __init__(self, offset: float) -> None:
-        """`offset` is the driver's `offset_ms()`."""
+        """`offset` is the driver's `unix_offset_ms()`."""
         self.offset = offset
 
     @property
--- /dev/null
+++ b/loadbalancer/drill/defects/__init__.py
@@ -0,0 +1,1 @@
+"""Seeded defects: the real programs, made worse in one place, for checks that must find it."""
--- a/loadbalancer/drill/execution/player.py
+++ b/loadbalancer/drill/execution/player.py
@@ -9,131 +9,151 @@
 
 import aiohttp
 
-from loadbalancer.drill.clock import RealClock, offset_ms
-from loadbalancer.drill.execution.step_execution import Deeds
-from loadbalancer.drill.history import Writer
-from loadbalancer.drill.processes.placement import FIRST, Fleet
-from loadbalancer.drill.processes.process_files import Papers
-from loadbalancer.drill.processes.supervisor import READY_S, Crew, DriveError
-from loadbalancer.drill.scenario import definition as steps
+from loadbalancer.drill.clock import RealClock, unix_offset_ms
+from loadbalancer.drill.errors import DrillError
+from loadbalancer.drill.execution.step_execution import StepExecutor
+from loadbalancer.drill.history import HistoryWriter
+from loadbalancer.drill.processes.placement import FIRST_TIER
+from loadbalancer.drill.processes.process import Message
+from loadbalancer.drill.processes.process_files import ProcessFiles
+from loadbalancer.drill.processes.process_group import READY_TIMEOUT_S
+from loadbalancer.drill.processes.supervisor import ProcessSupervisor
+from loadbalancer.drill.processes.topology import Topology
+from loadbalancer.drill.scenario.tables import DrillScenario
 from loadbalancer.registry.client import RegistryCallError
 
-PATIENCE_S = 120.0  # past the load's own length, after which a drill is given up
+MAX_OVERRUN_S = 120.0  # past twice the load's own length, after which a drill is given up
 
 
-class Drive:
+class DrillPlayer:
     """One play of a drill."""
 
     def __init__(
-        self, script: steps.Script, seed: int, out: Path, plant: str = "",
-        on_progress: Callable[[dict[str, Any]], None] = lambda line: None,
-        on_over: Callable[[Fleet], Awaitable[None]] | None = None,
+        self, scenario: DrillScenario, seed: int, out: Path, defect: str = "",
+        on_progress: Callable[[Message], None] = lambda message: None,
+        on_load_completed: Callable[[Topology], Awaitable[None]] | None = None,
     ) -> None:  # fmt: skip
-        """`out` is an empty folder for all that is written; `plant` starts balancers with that defect.
+        """Prepare a play into `out`, an empty folder; `defect` starts balancers or the registry with it.
 
-        `on_over` is awaited when all requests are answered and all processes still run.
+        `on_load_completed` is awaited when all requests are answered and all processes still run.
         """
-        self._script, self._seed, self.out, self._plant = script, seed, out, plant
-        self._on_progress, self._on_over = on_progress, on_over
-        self._clock = RealClock(offset_ms())
+        self._scenario = scenario
+        self._seed = seed
+        self.out = out
+        self._defect = defect
+        self._on_progress = on_progress
+        self._on_load_completed = on_load_completed
+        self._clock = RealClock(unix_offset_ms())
         self._progress = asyncio.Condition()
-        self._asked = 0
-        self._up: list[str] = []
-        self._later: set[asyncio.Task[None]] = set()
+        self._request_count = 0
+        self._healthy_balancers: list[str] = []
+        self._background_tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Play it; DriveError says why it could not be."""
+        """Play it; DrillError says why it could not be."""
         self.out.mkdir(parents=True, exist_ok=True)
         if any(self.out.iterdir()):
-            raise DriveError(f"{self.out} is not empty")
-        self._history = Writer(self.out, "driver", self._clock)
-        self.fleet = Fleet(self._script, self._seed, lambda link: self._history.write("knock", link=link))
-        self.papers = Papers(self.fleet, self._seed, self.out, self._clock.offset)
+            raise DrillError(f"{self.out} is not empty")
+        self._history = HistoryWriter(self.out, "driver", self._clock)
+        self.topology = Topology(
+            self._scenario, self._seed, lambda link: self._history.write("knock", link=link)
+        )
+        self._files = ProcessFiles(self.topology, self._seed, self.out, self._clock.offset)
         try:
             async with aiohttp.ClientSession() as http:
-                self.crew = Crew(
-                    self.fleet, self.papers, self._history, http, self._plant, self._heard_line, self._wake
-                )
+                self._supervisor = ProcessSupervisor(
+                    self.topology, self._files, self._history, http, self._defect, self._on_progress_line,
+                    self._on_clients_exit,
+                )  # fmt: skip
                 try:
                     await self._play_in_time()
                 finally:
-                    for task in self._later:
+                    for task in self._background_tasks:
                         task.cancel()
-                    await self.crew.finish()
+                    await self._supervisor.finish()
         finally:
-            self.fleet.close()
+            self.topology.close()
             self._history.close()
 
     async def _play_in_time(self) -> None:
-        load = self._script.load
+        load = self._scenario.load
         try:
-            async with asyncio.timeout(PATIENCE_S + 2 * load.requests / load.rate):
+            async with asyncio.timeout(MAX_OVERRUN_S + 2 * load.requests / load.rate):
                 await self._play()
-        except TimeoutError:
-            raise DriveError("the drill did not come to its end in time") from None
+        except TimeoutError as error:
+            raise DrillError("the drill did not come to its end in time") from error
         except RegistryCallError as error:
-            raise DriveError(f"the list service: {error}") from None
-        if self._on_over is not None:
-            await self._on_over(self.fleet)
+            raise DrillError(f"the registry: {error}") from error
+        if self._on_load_completed is not None:
+            await self._on_load_completed(self.topology)
 
     async def _play(self) -> None:
-        fleet, crew = self.fleet, self.crew
-        for spot in fleet.spots.values():
-            self._history.write("place", name=spot.name, host=spot.host, zone=spot.zone, tier=spot.tier)
-        await fleet.join_peers()
-        if crew.listing.is_there:
-            await crew.start_all([s.name for s in fleet.instances()])
-        await crew.start_all([s.name for s in fleet.servers() + fleet.lists()])
-        if crew.listing.is_there:
-            await crew.listing.wait_for_all(READY_S)
-        await crew.start_all([s.name for s in fleet.balancers()])
-        await crew.start_all(["clients"])
-        async with self._progress:
-            fronts = {s.name for s in fleet.balancers(FIRST)}
-            await self._progress.wait_for(lambda: set(self._up) >= fronts)
-        crew["clients"].tell({"begin": True})
-        deeds = Deeds(fleet, self.papers, crew, self._history, self._clock, self._seed, keep=self._keep)
-        asked = 0
-        for step in self._script.step:
-            asked += step.after
-            await self._until(asked)
-            await deeds.do(step)
-        await self._until(self._script.load.requests)
-        await crew["clients"].ended.wait()
-        await asyncio.gather(*self._later)
-        for way in fleet.ways.values():
-            self._history.write("notes", link=way.name, passed=way.passed, lost=way.lost)
+        await self._start_processes()
+        self._supervisor["clients"].send_command({"begin": True})
+        executor = StepExecutor(
+            self.topology, self._files, self._supervisor, self._history, self._clock, self._seed,
+            track=self._track,
+        )  # fmt: skip
+        requests = 0
+        for step in self._scenario.step:
+            requests += step.after
+            await self._wait_for_requests(requests)
+            await executor.execute(step)
+        await self._wait_for_requests(self._scenario.load.requests)
+        await self._supervisor["clients"].exited.wait()
+        await asyncio.gather(*self._background_tasks)
+        for link in self.topology.datagram_links.values():
+            self._history.write("notes", link=link.name, passed=link.forwarded_count, lost=link.lost_count)
         self._history.write("over")
 
-    async def _until(self, asked: int) -> None:
-        """Wait until so many first tries were made."""
-        clients = self.crew["clients"]
+    async def _start_processes(self) -> None:
+        """Start all, those that are called before those that call them."""
+        topology, supervisor = self.topology, self._supervisor
+        for place in topology.placements.values():
+            self._history.write("place", name=place.name, host=place.host, zone=place.zone, tier=place.tier)
+        await topology.start_datagram_links()
+        if supervisor.registry.is_used:
+            await supervisor.start_all(topology.registry_instances())
+        await supervisor.start_all(topology.servers() + topology.endpoint_lists())
+        if supervisor.registry.is_used:
+            await supervisor.registry.wait_for_all(READY_TIMEOUT_S)
+        await supervisor.start_all(topology.balancers())
+        await supervisor.start(topology.placements["clients"])
         async with self._progress:
-            await self._progress.wait_for(lambda: self._asked >= asked or clients.ended.is_set())
-        if self._asked < asked:
-            raise DriveError(f"the clients ended with status {clients.code}; see {self.out}/clients.log")
+            names = {balancer.name for balancer in topology.balancers(FIRST_TIER)}
+            await self._progress.wait_for(lambda: set(self._healthy_balancers) >= names)
 
-    async def _heard(self, line: dict[str, Any]) -> None:
+    async def _wait_for_requests(self, count: int) -> None:
+        """Wait until so many first attempts were made; DrillError if the clients end before that."""
+        clients = self._supervisor["clients"]
         async with self._progress:
-            self._asked, self._up = line["asked"], line["up"]
-            self._progress.notify_all()
-        self._on_progress(line)
+            await self._progress.wait_for(lambda: self._request_count >= count or clients.exited.is_set())
+        if self._request_count < count:
+            log = f"{self.out}/clients.log"
+            raise DrillError(f"the clients ended with status {clients.exit_status}; see {log}")
+
+    def _on_progress_line(self, message: Message) -> None:
+        self._track(asyncio.get_running_loop().create_task(self._handle_progress(message)))
 
-    def _heard_line(self, line: dict[str, Any]) -> None:
-        self._keep(asyncio.get_running_loop().create_task(self._heard(line)))
+    async def _handle_progress(self, message: dict[str, Any]) -> None:
+        async with self._progress:
+            self._request_count = message["asked"]
+            self._healthy_balancers = message["up"]
+            self._progress.notify_all()
+        self._on_progress(message)
 
-    def _wake(self) -> None:
-        self._keep(asyncio.get_running_loop().create_task(self._look_again()))
+    def _on_clients_exit(self) -> None:
+        self._track(asyncio.get_running_loop().create_task(self._notify_waiters()))
 
-    async def _look_again(self) -> None:
+    async def _notify_waiters(self) -> None:
         async with self._progress:
             self._progress.notify_all()
 
-    def _keep(self, task: asyncio.Task[None]) -> None:
-        """What goes on beside the timeline; what fails there fails the play at its end."""
-        self._later.add(task)
-        task.add_done_callback(self._let_go)
+    def _track(self, task: asyncio.Task[None]) -> None:
+        """Keep what goes on beside the timeline; what fails there fails the play at its end."""
+        self._background_tasks.add(task)
+        task.add_done_callback(self._on_task_done)
 
-    def _let_go(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         if task.cancelled() or task.exception() is None:
-            self._later.discard(task)
+            self._background_tasks.discard(task)
--- a/loadbalancer/drill/execution/step_execution.py
+++ b/loadbalancer/drill/execution/step_execution.py
@@ -1,4 +1,4 @@
-"""What a drill's steps do to its fleet: each is written into the history as it happens."""
+"""Carries out a drill's steps on its processes and links, and records each in the history as it happens."""
 
 from __future__ import annotations
 
@@ -6,207 +6,251 @@
 import random
 import signal
 import socket
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from fnmatch import fnmatchcase
 from pathlib import Path
 from typing import Any
 
 from loadbalancer.drill.clock import RealClock
-from loadbalancer.drill.history import Writer
-from loadbalancer.drill.links.tcp import DatagramLink, Fault, Link
-from loadbalancer.drill.processes.placement import FIRST, Fleet
-from loadbalancer.drill.processes.process_files import Papers
-from loadbalancer.drill.processes.supervisor import NEW, READY_S, Crew, DriveError
-from loadbalancer.drill.scenario import definition as steps
+from loadbalancer.drill.execution.link_faults import LinkFaults
+from loadbalancer.drill.history import HistoryWriter
+from loadbalancer.drill.links.faults import LinkFault
+from loadbalancer.drill.processes.placement import FIRST_TIER, Placement, ProcessKind, format_address
+from loadbalancer.drill.processes.process_files import ProcessFiles
+from loadbalancer.drill.processes.process_group import READY_TIMEOUT_S
+from loadbalancer.drill.processes.supervisor import REPLACEMENT_SUFFIX, ProcessSupervisor
+from loadbalancer.drill.processes.topology import Topology
+from loadbalancer.drill.scenario import steps
 
-DOWN = "list down"
+LIST_DOWN_FAULT = "list down"
+FAULTY_LIST_FAULT = "odd list"
+VIEW_POLL_INTERVAL_S = 0.02
+MAX_DATAGRAM_BYTES = 300  # of random bytes: about what a gossip message has
+FORGED_FRACTION = 10  # of the foreign datagrams, one in so many comes by way of each link
 
 
-class Deeds:
-    """Carries steps out on a fleet that runs."""
+class StepExecutor:
+    """Carries steps out on a drill that runs."""
 
     def __init__(
-        self, fleet: Fleet, papers: Papers, crew: Crew, history: Writer, clock: RealClock, seed: int,
-        keep: Callable[[asyncio.Task[None]], None],
+        self, topology: Topology, files: ProcessFiles, supervisor: ProcessSupervisor, history: HistoryWriter,
+        clock: RealClock, seed: int, *, track: Callable[[asyncio.Task[None]], None],
     ) -> None:  # fmt: skip
-        """`keep` gets what goes on beside the timeline."""
-        self._fleet, self._papers, self._crew, self._history = fleet, papers, crew, history
-        self._clock, self._seed, self._keep = clock, seed, keep
-        self._broken: dict[str, list[Link | DatagramLink]] = {}
+        """Prepare an executor; `track` gets what goes on beside the timeline."""
+        self._topology = topology
+        self._files = files
+        self._supervisor = supervisor
+        self._history = history
+        self._clock = clock
+        self._seed = seed
+        self._track = track
+        self._link_faults = LinkFaults(topology, history)
 
-    def _fault(self, kind: str, on: bool, targets: list[str], **more: Any) -> None:
+    def _record_fault(self, kind: str, targets: list[str], *, on: bool, **more: Any) -> None:
         self._history.write("fault", kind=kind, on=on, targets=targets, **more)
 
-    async def do(self, step: steps.Steps) -> None:
+    async def execute(self, step: steps.AnyStep) -> None:
         """Carry a step out."""
         match step:
-            case steps.Kill(who=who):
-                self._signal("kill", who, signal.SIGKILL)
-                await self._crew.ended(self._fleet.beside(who))
-            case steps.Term(who=who):
-                self._signal("term", who, signal.SIGTERM)
-            case steps.Stop(who=who, for_s=length):
-                self._signal("stop", who, signal.SIGSTOP)
-                self._keep(asyncio.create_task(self._continue(who, length)))
-            case steps.Start():
-                await self._start_again(step)
-            case steps.Drain(who=who):
-                self._list(who, "terminating")
-            case steps.Remove(who=who):
-                self._list(who, "terminated")
-                for link in self._fleet.links_to(who):
-                    link.put(barred=True)
-                for name in self._fleet.beside(who):
-                    self._crew[name].signal(signal.SIGTERM)
-            case steps.Behave(who=who, slower=slower, fails=fails, paused=paused):
-                well = slower == 1.0 and not fails and not paused
-                self._fault("behave", not well, [who], slower=slower, fails=fails, paused=paused)
-                self._crew[who].tell({"slower": slower, "fails": fails, "paused": paused})
-            case steps.Break():
-                self._break(step.name, step.link, step.fault, step.direction)
-            case steps.Lift(name=name):
-                self._lift(name)
-            case steps.List(state=state, who=who):
-                self._change_list(state, who)
-            case steps.Cordon(who=who, out=out):
-                await self._cordon(who, out)
-            case steps.Zone():
-                await self._move_zone(step)
-            case steps.Pin(who=who, at=at):
-                await self._crew.listing.pin(self._fleet.spots[at], who)
-            case steps.Replace():
+            case steps.SetLinkFault():
+                self._link_faults.set(step.name, step.link, step.fault, step.direction)
+            case steps.ClearLinkFault():
+                self._link_faults.clear(step.name)
+            case steps.ChangeEndpointList():
+                self._change_endpoint_list(step)
+            case steps.CordonServer() | steps.EvacuateZone() | steps.PinServer():
+                await self._call_operators(step)
+            case steps.ReplaceBalancer():
                 await self._replace(step)
-            case steps.Expect():
-                await self._expect(step)
-            case steps.Stranger(notes=count):
-                self._fault("stranger", True, [s.name for s in self._fleet.balancers(FIRST)])
-                self._make_noise(count)
-            case steps.Surge(rate=rate, retries=retries, backoff_ms=backoff):
-                self._fault("surge", True, ["clients"], rate=rate, retries=retries)
-                self._crew["clients"].tell({"rate": rate, "retries": retries, "backoff_ms": backoff})
-
-    def _signal(self, kind: str, who: str, number: int) -> None:
-        names = self._fleet.beside(who)
-        self._fault(kind, True, names)
-        for name in names:
-            self._crew[name].signal(number)
-
-    async def _continue(self, who: str, length: float) -> None:
-        await asyncio.sleep(length)
-        names = self._fleet.beside(who)
-        for name in names:
-            self._crew[name].signal(signal.SIGCONT)
-        self._fault("stop", False, names)
-
-    async def _start_again(self, step: steps.Start) -> None:
-        spot = self._fleet.spots[step.who]
-        await self._crew.ended(self._fleet.beside(step.who))
-        folder = Path(step.folder).resolve() if step.folder else None
-        if spot.kind == "directory":
-            self._crew.listing.change_memory(spot, step.memory)
-        if spot.kind == "server":
-            spot.since_ms, spot.version = self._clock.now, step.version
-        await self._crew.start(spot, folder)
-        for name in self._fleet.beside(step.who)[1:]:
-            await self._crew.start(self._fleet.spots[name], folder)
-        if spot.kind == "server" and not self._crew.listing.is_there:
-            self._list(step.who, "in_service")
-        self._fault("kill", False, self._fleet.beside(step.who), memory=step.memory)
-
-    def _list(self, who: str, status: str) -> None:
-        """Have the list show a server otherwise."""
-        spot = self._fleet.spots[who]
-        spot.status = status
-        self._fault("list", status != "in_service", [who], status=status)
-        if self._crew.listing.is_there:
-            self._keep(asyncio.create_task(self._crew.listing.tell(who, status)))
-        else:
-            for one in self._fleet.lists():
-                self._crew[one.name].tell({"tier": spot.tier, "entry": self._papers.entry(spot)})
-
-    def _break(self, name: str, pattern: str, fault: Fault, direction: str = "both") -> None:
-        links = self._fleet.matching(pattern)
-        if not links:
-            raise DriveError(f"no link is called {pattern!r}; there are {', '.join(self._fleet.links)}")
-        self._fault(name, True, [link.name for link in links])
-        self._broken.setdefault(name, []).extend(links)
-        for link in links:
-            link.set(name, fault, direction)
-
-    def _lift(self, name: str) -> None:
-        links = self._broken.pop(name, [])
-        self._fault(name, False, [link.name for link in links])
-        for link in links:
-            link.lift(name)
-
-    def _change_list(self, state: str, who: str) -> None:
-        match state:
+            case steps.ExpectMemberState():
+                await self._expect_member_state(step)
+            case steps.SendForeignDatagrams():
+                self._send_foreign_datagrams(step.count)
+            case steps.ChangeLoad():
+                self._change_load(step)
+            case _:
+                await self._change_process(step)
+
+    # ---- processes ------------------------------------------------------------------------------
+
+    async def _change_process(
+        self,
+        step: steps.KillProcess
+        | steps.TerminateProcess
+        | steps.PauseProcess
+        | steps.StartProcess
+        | steps.DrainServer
+        | steps.RemoveServer
+        | steps.ChangeServerBehavior,
+    ) -> None:
+        match step:
+            case steps.KillProcess(target=name):
+                self._signal("kill", name, signal.SIGKILL)
+                await self._supervisor.wait_for_exit(self._topology.with_companion(name))
+            case steps.TerminateProcess(target=name):
+                self._signal("term", name, signal.SIGTERM)
+            case steps.PauseProcess(target=name, duration_s=duration_s):
+                self._signal("stop", name, signal.SIGSTOP)
+                self._track(asyncio.create_task(self._resume(name, duration_s)))
+            case steps.StartProcess():
+                await self._restart(step)
+            case steps.DrainServer(target=name):
+                self._set_list_status(name, "terminating")
+            case steps.RemoveServer(target=name):
+                self._remove(name)
+            case steps.ChangeServerBehavior():
+                self._change_behavior(step)
+
+    def _signal(self, kind: str, name: str, number: int) -> None:
+        names = self._topology.with_companion(name)
+        self._record_fault(kind, names, on=True)
+        for each in names:
+            self._supervisor[each].signal(number)
+
+    async def _resume(self, name: str, duration_s: float) -> None:
+        await asyncio.sleep(duration_s)
+        names = self._topology.with_companion(name)
+        for each in names:
+            self._supervisor[each].signal(signal.SIGCONT)
+        self._record_fault("stop", names, on=False)
+
+    async def _restart(self, step: steps.StartProcess) -> None:
+        placement = self._topology.placements[step.target]
+        names = self._topology.with_companion(step.target)
+        await self._supervisor.wait_for_exit(names)
+        folder = _folder(step.folder)
+        if placement.kind is ProcessKind.REGISTRY:
+            self._supervisor.registry.restore_database(placement, step.memory)
+        if placement.kind is ProcessKind.SERVER:
+            placement.started_at_ms = self._clock.now
+            placement.version = step.version
+        for each in names:
+            await self._supervisor.start(self._topology.placements[each], folder)
+        if placement.kind is ProcessKind.SERVER and not self._supervisor.registry.is_used:
+            self._set_list_status(step.target, "in_service")
+        self._record_fault("kill", names, on=False, memory=step.memory)
+
+    def _remove(self, name: str) -> None:
+        """Take a server off the list; whoever calls it from now on is recorded."""
+        self._set_list_status(name, "terminated")
+        for link in self._topology.links_to(name):
+            link.update_target(is_withdrawn=True)
+        for each in self._topology.with_companion(name):
+            self._supervisor[each].signal(signal.SIGTERM)
+
+    def _change_behavior(self, step: steps.ChangeServerBehavior) -> None:
+        behavior = {"slower": step.slowdown, "fails": step.failure_rate, "paused": step.is_paused}
+        is_sound = step.slowdown == 1.0 and not step.failure_rate and not step.is_paused
+        self._record_fault("behave", [step.target], on=not is_sound, **behavior)
+        self._supervisor[step.target].send_command(behavior)
+
+    def _set_list_status(self, name: str, status: str) -> None:
+        """Have the endpoint list show a server otherwise."""
+        server = self._topology.placements[name]
+        server.status = status
+        self._record_fault("list", [name], on=status != "in_service", status=status)
+        if self._supervisor.registry.is_used:
+            self._track(asyncio.create_task(self._supervisor.registry.set_status(name, status)))
+            return
+        for endpoint_list in self._topology.endpoint_lists():
+            command = {"tier": server.tier, "entry": self._files.list_entry(server)}
+            self._supervisor[endpoint_list.name].send_command(command)
+
+    # ---- the endpoint list and the load ---------------------------------------------------------
+
+    def _change_endpoint_list(self, step: steps.ChangeEndpointList) -> None:
+        instance, down = step.instance, f"{LIST_DOWN_FAULT} {step.instance}"
+        match step.state:
             case "down":
-                self._break(f"{DOWN} {who}", f"*>{who}", Fault(refuse=True))
-                for link in self._fleet.links_to(who):
-                    link.reset_all()
+                self._link_faults.set(down, f"*>{instance}", LinkFault(refuse=True))
+                for link in self._topology.links_to(instance):
+                    link.reset_connections()
             case "up":
-                self._lift(f"{DOWN} {who}")
-            case _:
-                self._fault("odd list", state != "fresh", [who], state=state)
-                self._crew[who].tell({"state": state})
-
-    async def _expect(self, step: steps.Expect) -> None:
-        """Ask all consoles until they agree on a balancer; `views` judges how long that took."""
-        tier, clock = self._fleet.balancers(FIRST), self._clock
-        number = [spot.name for spot in tier].index(step.who)
-        began, said = clock.now, dict[str, str]()
-        while clock.now - began < step.within_s * 1_000:
-            said = {}
-            for spot in tier:
-                process = self._crew[spot.name]
-                if spot.name != step.who and fnmatchcase(spot.name, step.by) and process.code is None:
-                    said[spot.name] = await self._crew.belief(spot, number)
-            if set(said.values()) == {step.state}:
+                self._link_faults.clear(down)
+            case state:
+                self._record_fault(FAULTY_LIST_FAULT, [instance], on=state != "fresh", state=state)
+                self._supervisor[instance].send_command({"state": state})
+
+    def _change_load(self, step: steps.ChangeLoad) -> None:
+        self._record_fault("surge", ["clients"], on=True, rate=step.rate, retries=step.retries)
+        load = {"rate": step.rate, "retries": step.retries, "backoff_ms": step.backoff_ms}
+        self._supervisor["clients"].send_command(load)
+
+    # ---- membership -----------------------------------------------------------------------------
+
+    async def _expect_member_state(self, step: steps.ExpectMemberState) -> None:
+        """Poll all consoles until they agree on a balancer; the check `views` judges how long that took."""
+        number = [b.name for b in self._topology.balancers(FIRST_TIER)].index(step.target)
+        began_ms = self._clock.now
+        states: dict[str, str] = {}
+        while self._clock.now - began_ms < step.within_s * 1_000:
+            states = {b.name: await self._supervisor.member_state(b, number) for b in self._observers(step)}
+            if set(states.values()) == {step.state}:
                 break
-            await asyncio.sleep(0.02)
-        took = (clock.now - began) / 1_000
-        held = set(said.values()) == {step.state}
+            await asyncio.sleep(VIEW_POLL_INTERVAL_S)
+        took_s = (self._clock.now - began_ms) / 1_000
         self._history.write(
-            "view", of=step.who, wanted=step.state, said=said, took_s=round(took, 3), held=held
-        )
-
-    def _make_noise(self, count: int) -> None:
-        """Random bytes, from an address of no balancer and, by way of the relays, from those of balancers."""
-        chance = random.Random(f"{self._seed}/stranger")
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-            for spot in self._fleet.balancers(FIRST):
+            "view", of=step.target, wanted=step.state, said=states, took_s=round(took_s, 3),
+            held=set(states.values()) == {step.state},
+        )  # fmt: skip
+
+    def _observers(self, step: steps.ExpectMemberState) -> Iterator[Placement]:
+        """Yield the balancers that run and are to agree."""
+        for balancer in self._topology.balancers(FIRST_TIER):
+            is_observer = balancer.name != step.target and fnmatchcase(balancer.name, step.observers)
+            if is_observer and self._supervisor[balancer.name].exit_status is None:
+                yield balancer
+
+    def _send_foreign_datagrams(self, count: int) -> None:
+        """Send random bytes, from an address of no balancer and, by way of the links, from balancers'."""
+        balancers = self._topology.balancers(FIRST_TIER)
+        self._record_fault("stranger", [b.name for b in balancers], on=True)
+        rng = random.Random(f"{self._seed}/stranger")
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+            for balancer in balancers:
                 for _ in range(count):
-                    stranger.sendto(chance.randbytes(chance.randrange(300)), spot.notes)
-        for way in self._fleet.ways.values():
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as forger:
-                for _ in range(count // 10):
-                    forger.sendto(chance.randbytes(chance.randrange(300)), way.address)
-
-    async def _cordon(self, who: str, out: bool) -> None:
-        self._fault("cordon", out, [who])
-        call = "cordon" if out else "uncordon"
-        for spot in self._fleet.balancers(self._fleet.spots[who].tier):
-            await self._crew.call(spot.console, "POST", call, who)
-
-    async def _move_zone(self, step: steps.Zone) -> None:
-        self._fault("zone", step.out, [step.zone], zone=step.zone, over_s=step.over_s)
-        call = "zone/leave" if step.out else "zone/return"
-        for spot in self._fleet.balancers(FIRST):
-            await self._crew.call(spot.console, "POST", call, f"{step.zone} over={step.over_s:g}")
-
-    async def _replace(self, step: steps.Replace) -> None:
-        """The console's way: start the new process beside the old one, see it healthy, end the old one."""
-        spot, old = self._fleet.spots[step.who], self._crew[step.who]
-        self._fault("replace", True, [step.who])
-        console = f"{spot.host}:{self._fleet.port(spot.host)}"
-        folder = Path(step.folder).resolve() if step.folder else None
-        new = self._crew.launch_balancer(spot, console, folder)
-        self._crew.processes[step.who + NEW] = new
-        await self._crew.wait_healthy(new, console)
-        self._crew.processes[step.who], spot.console = new, console
-        del self._crew.processes[step.who + NEW]
+                    sock.sendto(rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES)), balancer.gossip_address)
+        for link in self._topology.datagram_links.values():
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+                for _ in range(count // FORGED_FRACTION):
+                    sock.sendto(rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES)), link.address)
+
+    # ---- operators ------------------------------------------------------------------------------
+
+    async def _call_operators(self, step: steps.CordonServer | steps.EvacuateZone | steps.PinServer) -> None:
+        match step:
+            case steps.CordonServer(target=name, is_cordoned=is_cordoned):
+                self._record_fault("cordon", [name], on=is_cordoned)
+                tier = self._topology.placements[name].tier
+                await self._call_consoles(tier, "cordon" if is_cordoned else "uncordon", name)
+            case steps.EvacuateZone(zone=zone, is_evacuated=is_evacuated, duration_s=duration_s):
+                self._record_fault("zone", [zone], on=is_evacuated, zone=zone, over_s=duration_s)
+                call = "zone/leave" if is_evacuated else "zone/return"
+                await self._call_consoles(FIRST_TIER, call, f"{zone} over={duration_s:g}")
+            case steps.PinServer(target=name, instance=instance):
+                await self._supervisor.registry.pin(self._topology.placements[instance], name)
+
+    async def _call_consoles(self, tier: str, call: str, body: str) -> None:
+        for balancer in self._topology.balancers(tier):
+            await self._supervisor.call_console(balancer.console, call, body)
+
+    async def _replace(self, step: steps.ReplaceBalancer) -> None:
+        """Start the new process beside the old one, see it healthy, end the old one: a hot restart."""
+        balancer = self._topology.placements[step.target]
+        processes, old = self._supervisor.processes, self._supervisor[step.target]
+        self._record_fault("replace", [step.target], on=True)
+        console = format_address((balancer.host, self._topology.reserve_port(balancer.host)))
+        new = self._supervisor.launch_balancer(balancer, console, _folder(step.folder))
+        processes[step.target + REPLACEMENT_SUFFIX] = new
+        await self._supervisor.wait_healthy(new, console)
+        processes[step.target] = processes.pop(step.target + REPLACEMENT_SUFFIX)
+        balancer.console = console
         try:
-            await old.finish(READY_S)
+            await old.finish(READY_TIMEOUT_S)
         finally:
-            self._fault("replace", False, [step.who])
+            self._record_fault("replace", [step.target], on=False)
+
+
+def _folder(name: str) -> Path | None:
+    """Return a folder that a step names; None for this checkout."""
+    return Path(name).resolve() if name else None
--- a/loadbalancer/drill/history.py
+++ b/loadbalancer/drill/history.py
@@ -35,38 +35,38 @@
 from loadbalancer.drill.clock import RealClock
 
 Event = dict[str, Any]
-MOST_BYTES = 64 * 1024 * 1024  # of one process's file
+MAX_FILE_BYTES = 64 * 1024 * 1024  # of one process's file
 SUFFIX = ".history.jsonl"
 
 
-class Writer:
+class HistoryWriter:
     """The lines of one process."""
 
-    def __init__(self, folder: Path, who: str, clock: RealClock, most: int = MOST_BYTES) -> None:
+    def __init__(self, folder: Path, who: str, clock: RealClock, most: int = MAX_FILE_BYTES) -> None:
         """Goes on where an earlier process of that name stopped; OSError if the folder can't be written."""
-        self._who, self._clock, self._most = who, clock, most
+        self._who, self._clock, self._max_bytes = who, clock, most
         path = folder / f"{who}{SUFFIX}"
         self._file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
         self._size = os.fstat(self._file).st_size
-        self.left_out = 0
+        self.dropped_lines = 0
 
     def write(self, what: str, **fields: Any) -> None:
         """Write an event that happens now; past the bound it is counted only."""
         line = json.dumps({"t": round(self._clock.now, 3), "who": self._who, "what": what} | fields)
-        if self._size + len(line) > self._most:
-            self.left_out += 1
+        if self._size + len(line) > self._max_bytes:
+            self.dropped_lines += 1
             return
         self._size += os.write(self._file, line.encode() + b"\n")
 
     def close(self) -> None:
         """Say what was left out, and close."""
-        if self.left_out:
-            self._most += 1_000
-            self.write("left_out", lines=self.left_out)
+        if self.dropped_lines:
+            self._max_bytes += 1_000
+            self.write("left_out", lines=self.dropped_lines)
         os.close(self._file)
 
 
-def read(folder: Path) -> list[Event]:
+def read_history(folder: Path) -> list[Event]:
     """All events of a drill in the order of time.
 
     ValueError names the file and line that can't be read; a last line that was cut off by a kill is passed
--- a/loadbalancer/drill/open_load.py
+++ b/loadbalancer/drill/open_load.py
@@ -16,11 +16,11 @@
 import aiohttp
 from hdrh.histogram import HdrHistogram
 
-from loadbalancer.drill.servers.specification import request_of
+from loadbalancer.drill.servers.specification import request_arguments
 from loadbalancer.net.request_counters import REJECTIONS
 
-MOST_RATE, MOST_SECONDS = 5_000.0, 600.0
-LONGEST_MS = 600_000
+MAX_RATE_PER_S, MAX_DURATION_S = 5_000.0, 600.0
+MAX_RECORDED_MS = 600_000
 
 
 class LoadError(ValueError):
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class Kind:
+class RequestKind:
     """A class of requests."""
 
     name: str
@@ -38,13 +38,13 @@
 
 
 @dataclass
-class Tally:
+class KindResults:
     """What came of a class's requests; times in ms."""
 
     endings: Counter[str] = field(default_factory=Counter)
-    times: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, LONGEST_MS * 1_000, 3))
+    times: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_RECORDED_MS * 1_000, 3))
 
-    def add(self, ending: str, took_ms: float) -> None:
+    def record(self, ending: str, took_ms: float) -> None:
         """Count one."""
         self.endings[ending] += 1
         self.times.record_value(max(int(took_ms * 1_000), 1))
@@ -54,14 +54,14 @@
         return float(self.times.get_value_at_percentile(part)) / 1_000
 
 
-def read_kind(text: str) -> Kind:
+def parse_request_kind(text: str) -> RequestKind:
     """A class from `NAME[:SHARE[:DEADLINE_MS[:unsafe]]]`; LoadError if it is none."""
     name, *rest = text.split(":")
     try:
         share, deadline_ms = [*map(float, rest[:2]), *(1.0, 2_000.0)[len(rest[:2]) :]]
-        kind = Kind(name, share, deadline_ms, rest[2:] == ["unsafe"])
+        kind = RequestKind(name, share, deadline_ms, rest[2:] == ["unsafe"])
     except ValueError:
-        kind = Kind("")
+        kind = RequestKind("")
     if not kind.name or kind.share <= 0 or kind.deadline_ms <= 0 or len(rest) > 3:
         raise LoadError(f"--class {text!r}: give NAME[:SHARE[:DEADLINE_MS[:unsafe]]], such as map:3:500")
     if len(rest) == 3 and not kind.unsafe:
@@ -69,17 +69,17 @@
     return kind
 
 
-def check(url: str, rate: float, seconds: float, anywhere: bool) -> None:
+def check_load(url: str, rate: float, seconds: float, anywhere: bool) -> None:
     """LoadError if a load may not, or can't, be made."""
     parts = urlsplit(url)
     if parts.scheme != "http" or not parts.hostname:
         raise LoadError(f"{url!r}: give an address such as http://127.0.0.1:8080")
     if not anywhere and not _is_loopback(parts.hostname):
         raise LoadError(f"{parts.hostname} is not this machine: only loopback is loaded, unless --anywhere")
-    if not 0 < rate <= MOST_RATE:
-        raise LoadError(f"--rate {rate:g}: allowed: above 0, at most {MOST_RATE:g} a second")
-    if not 0 < seconds <= MOST_SECONDS:
-        raise LoadError(f"--seconds {seconds:g}: allowed: above 0, at most {MOST_SECONDS:g}")
+    if not 0 < rate <= MAX_RATE_PER_S:
+        raise LoadError(f"--rate {rate:g}: allowed: above 0, at most {MAX_RATE_PER_S:g} a second")
+    if not 0 < seconds <= MAX_DURATION_S:
+        raise LoadError(f"--seconds {seconds:g}: allowed: above 0, at most {MAX_DURATION_S:g}")
 
 
 def _is_loopback(host: str) -> bool:
@@ -89,10 +89,12 @@
         return host == "localhost"
 
 
-async def run(url: str, kinds: list[Kind], rate: float, seconds: float, seed: int) -> dict[str, Tally]:
+async def run_load(
+    url: str, kinds: list[RequestKind], rate: float, seconds: float, seed: int
+) -> dict[str, KindResults]:
     """Make the load, and tell what came of each class."""
     chance, loop = random.Random(seed), asyncio.get_running_loop()
-    tallies = {kind.name: Tally() for kind in kinds}
+    tallies = {kind.name: KindResults() for kind in kinds}
     shares = [kind.share for kind in kinds]
     async with (
         aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session,
@@ -104,15 +106,15 @@
             await asyncio.sleep(max(due - loop.time(), 0.0))
             kind = chance.choices(kinds, shares)[0]
             number = f"{chance.getrandbits(64):016x}"
-            group.create_task(_ask(session, url, kind, number, due, tallies[kind.name]))
+            group.create_task(_send(session, url, kind, number, due, tallies[kind.name]))
     return tallies
 
 
-async def _ask(
-    session: aiohttp.ClientSession, url: str, kind: Kind, number: str, due: float, tally: Tally
+async def _send(
+    session: aiohttp.ClientSession, url: str, kind: RequestKind, number: str, due: float, tally: KindResults
 ) -> None:
     loop = asyncio.get_running_loop()
-    asked = request_of(number, kind.name, kind.deadline_ms, kind.unsafe)
+    asked = request_arguments(number, kind.name, kind.deadline_ms, is_unsafe=kind.unsafe)
     timeout = aiohttp.ClientTimeout(total=kind.deadline_ms / 1_000)
     try:
         async with session.request(url=f"{url.rstrip('/')}/{kind.name}", timeout=timeout, **asked) as answer:
@@ -123,4 +125,4 @@
         ending = "timed out"
     except (aiohttp.ClientError, OSError):
         ending = "lost"
-    tally.add(ending, (loop.time() - due) * 1_000)
+    tally.record(ending, (loop.time() - due) * 1_000)
--- /dev/null
+++ b/loadbalancer/drill/processes/commands.py
@@ -0,0 +1,48 @@
+"""How balancers and registry instances are started: commands and environments."""
+
+from __future__ import annotations
+
+import os
+import shlex
+import sys
+import tomllib
+from pathlib import Path
+
+from loadbalancer.drill.defects.names import REGISTRY_DEFECTS
+
+ROOT = Path(__file__).parents[3]  # of this checkout
+LAUNCHER = "loadbalancer.drill.seeded_defects"
+
+
+def defective_command(defect: str, role: str, *arguments: str) -> list[str]:
+    """Return the command of a process with a seeded defect; roles are those of the launcher."""
+    return [sys.executable, "-m", LAUNCHER, defect, role, *arguments]
+
+
+def balancer_command(folder: Path | None, defect: str = "") -> list[str]:
+    """Return how a balancer is started: as the deploy file of a folder says, where that folder was built.
+
+    Where it was not, the same module is run by this interpreter, as in a checkout without `.venv`.
+    """
+    if defect and defect not in REGISTRY_DEFECTS:
+        return defective_command(defect, "balancer")
+    root = folder or ROOT
+    deploy = root / "deploy" / "balancer.toml"
+    if deploy.exists():
+        argv = shlex.split(tomllib.loads(deploy.read_text(encoding="utf-8"))["run"])
+        if argv[0] == "exec" and (root / argv[1]).exists():
+            return argv[1:]
+    return [sys.executable, "-m", "loadbalancer"]
+
+
+def registry_command(config: Path, defect: str = "") -> list[str]:
+    """Return how an instance of the real registry is started."""
+    if defect:
+        return defective_command(defect, "registry", str(config))
+    cli = "from loadbalancer.cli import main; main()"
+    return [sys.executable, "-c", cli, "directory", "serve", str(config)]
+
+
+def process_environment(folder: Path | None, **variables: str) -> dict[str, str]:
+    """Return the environment of a process; the package is taken from `folder`."""
+    return os.environ | {"PYTHONPATH": str(folder or ROOT)} | variables
--- a/loadbalancer/drill/processes/process_files.py
+++ b/loadbalancer/drill/processes/process_files.py
@@ -1,194 +1,208 @@
-"""What each process of a drill is told: specifications, configurations, commands, environments."""
+"""The files that a drill's processes read at their start: specifications and configurations."""
 
 from __future__ import annotations
 
 import json
-import os
 import random
-import shlex
-import sys
-import tomllib
 from pathlib import Path
 from typing import Any
 
-import msgspec
-
-from loadbalancer.drill.links.tcp import Address
-from loadbalancer.drill.processes.placement import FIRST, INNER, Fleet, Spot
-from loadbalancer.drill.scenario.definition import Version
-from loadbalancer.drill.servers import clients, endpoint_list, upstream
-
-SNAPSHOT_MS = 500.0
-SERVICE_DEFECTS = (  # those of the list service: see `plants`
-    "believes-lapses", "reuses-versions", "lapses-unheard", "takes-drains-back", "keeps-old-starts",
-)  # fmt: skip
-ROOT = Path(__file__).parents[3]
-WORK_OF_INNER = 0.5  # of a class's work, for each call
-
-
-class Papers:
-    """Writes the files that the processes of a fleet read at their start, into one folder."""
-
-    def __init__(self, fleet: Fleet, seed: int, out: Path, offset_ms: float) -> None:
-        self._fleet, self._seed, self.out, self._offset = fleet, seed, out, offset_ms
-
-    def entry(self, spot: Spot) -> dict[str, Any]:
-        """A server as the list shows it, but for its address."""
-        cores = float(self._fleet.script.server.cores)
+from loadbalancer.drill.processes.placement import (
+    FIRST_TIER,
+    SECOND_TIER,
+    Placement,
+    ProcessKind,
+    format_address,
+)
+from loadbalancer.drill.processes.registry_config import write_registry_config
+from loadbalancer.drill.processes.topology import Topology
+from loadbalancer.drill.scenario.tables import ServerVersion
+from loadbalancer.drill.servers.clients import ClientsSpecification
+from loadbalancer.drill.servers.endpoint_list import EndpointListSpecification
+from loadbalancer.drill.servers.specification import ProcessSpecification
+from loadbalancer.drill.servers.upstream import UpstreamSpecification
+
+SNAPSHOT_INTERVAL_MS = 500.0
+SECOND_TIER_WORK = 0.5  # of a class's work, for each call
+CONFIGURED_EFFECTS = {"safe": "retryable", "unsafe": "fragile"}
+
+
+class ProcessFiles:
+    """Composes specifications, and writes configurations into one folder."""
+
+    def __init__(self, topology: Topology, seed: int, out: Path, offset_ms: float) -> None:
+        self._topology = topology
+        self._scenario = topology.scenario
+        self._seed = seed
+        self.out = out
+        self._offset_ms = offset_ms
+
+    # ---- test servers ---------------------------------------------------------------------------
+
+    def list_entry(self, server: Placement) -> dict[str, Any]:
+        """Return a server as the list shows it, but for its address."""
+        cores = float(self._scenario.server.cores)
         return {
-            "name": spot.name, "zone": spot.zone, "type": "m", "group": 0, "weight": cores,
-            "status": spot.status, "since_ms": spot.since_ms,
+            "name": server.name, "zone": server.zone, "type": "m", "group": 0, "weight": cores,
+            "status": server.status, "since_ms": server.started_at_ms,
         }  # fmt: skip
 
-    def _place(self, spot: Spot) -> dict[str, Any]:
+    def specification(self, placement: Placement) -> ProcessSpecification:
+        """Return what a test server or the clients are started with."""
+        if placement.kind is ProcessKind.SERVER:
+            return self._upstream_specification(placement)
+        if placement.kind is ProcessKind.ENDPOINT_LIST:
+            return self._endpoint_list_specification(placement)
+        first_tier = self._topology.balancers(FIRST_TIER)
+        balancers = {b.name: self._link_address("clients", b.name) for b in first_tier}
+        fields = self._common_fields(placement)
+        return ClientsSpecification(**fields, balancers=balancers, load=self._scenario.load)
+
+    def _common_fields(self, placement: Placement) -> dict[str, Any]:
         return {
-            "name": spot.name, "listen": spot.host, "port": spot.port, "folder": str(self.out),
-            "offset_ms": self._offset, "seed": self._seed,
+            "name": placement.name, "listen": placement.host, "port": placement.port,
+            "folder": str(self.out), "offset_ms": self._offset_ms, "seed": self._seed,
         }  # fmt: skip
 
-    def spec(self, spot: Spot) -> Path:
-        """The file that tells a stand-in what it is."""
-        place = self._place(spot)
-        told: msgspec.Struct
-        if spot.kind == "server":
-            beside = self._fleet.links.get(f"{spot.name}>{spot.name}.b")
-            part = WORK_OF_INNER if spot.tier == INNER else 1.0
-            told = upstream.Spec(
-                **place, zone=spot.zone, model=self._fleet.script.server, since_ms=spot.since_ms,
-                version=self._fleet.script.versions.get(spot.version, Version()),
-                work_ms={c.name: c.work_ms * part for c in self._fleet.script.load.classes},
-                calls=text(beside.address) if beside else "", tier=spot.tier,
-                directory=self._services(spot.name), lease_ms=self._fleet.script.fleet.lease_s * 1_000,
-            )  # fmt: skip
-        elif spot.kind == "list":
-            tiers = {t: [self.entry(s) for s in self._fleet.servers(t)] for t in (FIRST, INNER)}
-            askers = {b.host: b.tier for b in self._fleet.balancers()}
-            ways = {b.host: self._ways(b) for b in self._fleet.balancers()}
-            told = endpoint_list.Spec(
-                **place, askers=askers, tiers=tiers, addresses=ways, service=self._services(spot.name)
-            )
-        else:
-            fronts = {b.name: self._way("clients", b.name) for b in self._fleet.balancers(FIRST)}
-            told = clients.Spec(**place, balancers=fronts, load=self._fleet.script.load)
-        path = self.out / f"{spot.name}.spec.json"
-        path.write_bytes(msgspec.json.encode(told))
-        return path
-
-    def _way(self, one: str, other: str) -> str:
-        """Where a process reaches another."""
-        return text(self._fleet.links[f"{one}>{other}"].address)
-
-    def _ways(self, balancer: Spot) -> dict[str, str]:
-        return {s.name: self._way(balancer.name, s.name) for s in self._fleet.servers(balancer.tier)}
-
-    def _services(self, name: str) -> str:
-        """Where a process reaches the real list service, its own first instance first; empty for none."""
-        names = [one.name for one in self._fleet.instances()]
+    def _upstream_specification(self, server: Placement) -> UpstreamSpecification:
+        scenario = self._scenario
+        sidecar = self._topology.links.get(f"{server.name}>{server.name}.b")
+        work = SECOND_TIER_WORK if server.tier == SECOND_TIER else 1.0
+        return UpstreamSpecification(
+            **self._common_fields(server),
+            zone=server.zone,
+            model=scenario.server,
+            started_at_ms=server.started_at_ms,
+            version=scenario.versions.get(server.version, ServerVersion()),
+            work_ms={c.name: c.work_ms * work for c in scenario.load.classes},
+            next_tier=format_address(sidecar.address) if sidecar else "",
+            tier=server.tier,
+            registry=self._registry_addresses(server.name),
+            lease_ms=scenario.fleet.lease_s * 1_000,
+        )
+
+    def _endpoint_list_specification(self, placement: Placement) -> EndpointListSpecification:
+        topology = self._topology
+        tiers = {t: [self.list_entry(s) for s in topology.servers(t)] for t in (FIRST_TIER, SECOND_TIER)}
+        balancers = topology.balancers()
+        return EndpointListSpecification(
+            **self._common_fields(placement),
+            balancer_tiers={b.host: b.tier for b in balancers},
+            tiers=tiers,
+            addresses={b.host: self._server_addresses(b) for b in balancers},
+            registry=self._registry_addresses(placement.name),
+        )
+
+    # ---- addresses ------------------------------------------------------------------------------
+
+    def _link_address(self, source: str, target: str) -> str:
+        """Return where a process reaches another."""
+        return format_address(self._topology.links[f"{source}>{target}"].address)
+
+    def _server_addresses(self, balancer: Placement) -> dict[str, str]:
+        servers = self._topology.servers(balancer.tier)
+        return {server.name: self._link_address(balancer.name, server.name) for server in servers}
+
+    def _registry_addresses(self, name: str) -> str:
+        """Return where a process reaches the registry, its own first instance first; empty for none."""
+        names = [instance.name for instance in self._topology.registry_instances()]
         first = sum(name.encode()) % max(len(names), 1)
-        ways = [self._fleet.links.get(f"{name}>{one}") for one in names[first:] + names[:first]]
-        return ",".join(text(link.address) for link in ways if link)
-
-    def directory(self, spot: Spot) -> Path:
-        """The file that tells an instance of the real list service what it is."""
-        path, all_ = self.out / f"{spot.name}.toml", self._fleet.instances()
-        lines = [f'listen = "{spot.host}:{spot.port}"', f'database = "{self.database(spot.name)}"']
-        if len(all_) > 1:
-            at = [f"{o.host}:{o.port}" if o is spot else self._way(spot.name, o.name) for o in all_]
-            lines += [f"instances = {json.dumps(at)}", f"instance = {all_.index(spot)}"]
-        path.write_text("\n".join(lines) + "\n", encoding="utf-8")
+        links = [self._topology.links.get(f"{name}>{each}") for each in names[first:] + names[:first]]
+        return ",".join(format_address(link.address) for link in links if link)
+
+    # ---- the registry ---------------------------------------------------------------------------
+
+    def write_registry_config(self, instance: Placement) -> Path:
+        """Write the configuration of an instance of the real registry."""
+        path = self.out / f"{instance.name}.toml"
+        instances = self._topology.registry_instances()
+        listen = format_address(instance.address)
+        write_registry_config(
+            path,
+            listen=listen,
+            database=self.database_path(instance.name),
+            instances=[
+                listen if each is instance else self._link_address(instance.name, each.name)
+                for each in instances
+            ],
+            number=instances.index(instance),
+        )
         return path
 
-    def database(self, name: str) -> Path:
-        """The file of an instance of the real list service."""
+    def database_path(self, name: str) -> Path:
+        """Return the database of an instance of the real registry."""
         return self.out / f"{name}.sqlite"
 
-    def config(self, spot: Spot, console: str = "") -> Path:
-        """The configuration of a balancer, in the platform's form."""
-        model, load, bounds = self._fleet.script.server, self._fleet.script.load, self._fleet.script.bounds
-        tier = self._fleet.balancers(spot.tier)
-        effects = {"safe": "retryable", "unsafe": "fragile"}
-        settings: dict[str, Any] = {
+    # ---- balancers ------------------------------------------------------------------------------
+
+    def write_balancer_config(self, balancer: Placement, console: str = "") -> Path:
+        """Write the configuration of a balancer, in the platform's form; `console` replaces its own."""
+        settings = self._settings(balancer)
+        config: dict[str, Any] = {
+            "name": balancer.name,
+            "listen": format_address(balancer.address),
+            "discovery": self._link_address(balancer.name, "list"),
+            "console": console or balancer.console,
+            "seed": f"{random.Random(f'{self._seed}/{balancer.name}').getrandbits(63):x}",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "settings": settings,
+        }
+        if self._topology.datagram_links and balancer.tier == FIRST_TIER:
+            settings["limits"]["peers"] = True
+            config |= self._membership_config(balancer)
+        fleet = self._scenario.fleet
+        if fleet.validates_lists:
+            others = [self._link_address(balancer.name, e.name) for e in self._topology.endpoint_lists()[1:]]
+            interest = {"services": [balancer.tier], "part": fleet.subset_size}
+            config["lists"] = {"others": others} | (interest if fleet.subscribes_by_service else {})
+        if fleet.stores_snapshots:
+            folder = str(self.out / f"{balancer.name}.folder")
+            config |= {"snapshots": folder, "snapshotEvery": SNAPSHOT_INTERVAL_MS}
+        path = self.out / f"{balancer.name}.config.json"
+        path.write_text(json.dumps(config), encoding="utf-8")
+        return path
+
+    def _settings(self, balancer: Placement) -> dict[str, Any]:
+        """Return the platform's settings of a balancer."""
+        model, bounds = self._scenario.server, self._scenario.bounds
+        tier = self._topology.balancers(balancer.tier)
+        return {
             "classes": [
                 {
-                    "name": c.name, "target": c.aim_ms, "deadline": c.deadline_ms,
-                    "effect": effects[c.effect], "worth": c.worth,
+                    "name": c.name, "target": c.latency_objective_ms, "deadline": c.deadline_ms,
+                    "effect": CONFIGURED_EFFECTS[c.effect], "worth": c.priority_weight,
                 }
-                for c in load.classes
+                for c in self._scenario.load.classes
             ],
             "balancers": len(tier),
-            "myNumber": tier.index(spot),
-            "tier": 0 if spot.tier == FIRST else 1,
+            "myNumber": tier.index(balancer),
+            "tier": 0 if balancer.tier == FIRST_TIER else 1,
             "discovery": "ask",
-            "zone": spot.zone,
+            "zone": balancer.zone,
             "tick": 2.0,
             "limits": {
                 "attemptsCap": 4, "connIdle": 60_000.0, "connectTimeout": 250.0, "mayCancel": True,
                 "mayDuplicate": True, "retryAfter": True, "maxRetryAfter": 2_000.0,
             },
             "contract": {
-                "drainGrace": bounds.drain_s * 1_000, "askWithin": 10_000.0,
-                "coldFrom": model.cold_from, "cold": model.cold_s * 1_000,
-                "overloadFactor": bounds.cold_multiple, "tipAfter": bounds.cold_window_s * 1_000,
+                "drainGrace": bounds.drain_grace_s * 1_000, "askWithin": 10_000.0,
+                "coldFrom": model.initial_capacity, "cold": model.warm_up_s * 1_000,
+                "overloadFactor": bounds.max_overload_factor, "tipAfter": bounds.overload_window_s * 1_000,
             },
         }  # fmt: skip
-        told: dict[str, Any] = {
-            "name": spot.name,
-            "listen": f"{spot.host}:{spot.port}",
-            "discovery": text(self._fleet.links[f"{spot.name}>list"].address),
-            "console": console or spot.console,
-            "seed": f"{random.Random(f'{self._seed}/{spot.name}').getrandbits(63):x}",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "settings": settings,
-        }
-        if self._fleet.ways and spot.tier == FIRST:
-            settings["limits"]["peers"] = True
-            told |= {
-                "membership": True,
-                "peer_listen": text(spot.notes),
-                "peers": [text(spot.notes if o is spot else self._seen(spot, o)) for o in tier],
-            }
-        if self._fleet.script.fleet.doubt:
-            others = [self._way(spot.name, one.name) for one in self._fleet.lists()[1:]]
-            wants = {"services": [spot.tier], "part": self._fleet.script.fleet.part}
-            told |= {"lists": {"others": others} | (wants if self._fleet.script.fleet.interests else {})}
-        if self._fleet.script.fleet.snapshots:
-            told |= {"snapshots": str(self.out / f"{spot.name}.folder"), "snapshotEvery": SNAPSHOT_MS}
-        path = self.out / f"{spot.name}.config.json"
-        path.write_text(json.dumps(told), encoding="utf-8")
-        return path
-
-    def _seen(self, spot: Spot, other: Spot) -> Address:
-        return self._fleet.ways[f"{spot.name}>{other.name}"].address
-
-
-def text(address: Address) -> str:
-    """An address as `host:port`."""
-    return f"{address[0]}:{address[1]}"
-
 
-def run_argv(folder: Path | None, plant: str) -> list[str]:
-    """How a balancer is started: as the deploy file of a folder says, where that folder was built.
-
-    Where it was not, the same module is run by this interpreter, as in a checkout without `.venv`.
-    """
-    if plant and plant not in SERVICE_DEFECTS:
-        return [sys.executable, "-m", "loadbalancer.drill.seeded_defects", plant]
-    root = folder or ROOT
-    deploy = root / "deploy" / "balancer.toml"
-    if deploy.exists():
-        argv = shlex.split(tomllib.loads(deploy.read_text(encoding="utf-8"))["run"])
-        if argv[0] == "exec" and (root / argv[1]).exists():
-            return argv[1:]
-    return [sys.executable, "-m", "loadbalancer"]
-
-
-def directory_argv(plant: str) -> list[str]:
-    """How the real list service's command is started."""
-    if plant in SERVICE_DEFECTS:
-        return [sys.executable, "-m", "loadbalancer.drill.seeded_defects", plant]
-    return [sys.executable, "-c", "from loadbalancer.cli import main; main()", "directory"]
-
-
-def environment(folder: Path | None, **more: str) -> dict[str, str]:
-    """What a process finds in its environment; the package is taken from `folder`."""
-    return os.environ | {"PYTHONPATH": str(folder or ROOT)} | more
+    def _membership_config(self, balancer: Placement) -> dict[str, Any]:
+        """Return who the other balancers of the tier are, each where this one sends its gossip."""
+        links = self._topology.datagram_links
+        return {
+            "membership": True,
+            "peer_listen": format_address(balancer.gossip_address),
+            "peers": [
+                format_address(
+                    balancer.gossip_address
+                    if other is balancer
+                    else links[f"{balancer.name}>{other.name}"].address
+                )
+                for other in self._topology.balancers(balancer.tier)
+            ],
+        }
--- a/loadbalancer/drill/processes/registry_control.py
+++ b/loadbalancer/drill/processes/registry_control.py
@@ -1,4 +1,4 @@
-"""What the driver does with a real list service: looks at it, tells it, and changes what it remembers."""
+"""What the driver does with a real registry: reads its list, changes it, and replaces its database."""
 
 from __future__ import annotations
 
@@ -9,73 +9,80 @@
 
 import aiohttp
 
-from loadbalancer.drill.processes.placement import Fleet, Spot
-from loadbalancer.drill.processes.process_files import Papers
+from loadbalancer.drill.processes.placement import Placement, format_address
+from loadbalancer.drill.processes.process_files import ProcessFiles
+from loadbalancer.drill.processes.topology import Topology
 from loadbalancer.registry.client import RegistryCallError, RegistryClient
 
-LOOK_S = 0.02
+LIST_POLL_INTERVAL_S = 0.02
+LIST_TIMEOUT_S = 1.0
+CALLER = "driver"  # by this name the registry's history tells the drill's calls from others
+REASON = "the drill"
 
 
-class Listing:
-    """The list service of a drill, where it has one."""
+class RegistryControl:
+    """The registry of a drill, where it has one."""
 
-    def __init__(self, fleet: Fleet, papers: Papers, http: aiohttp.ClientSession) -> None:
-        self._fleet, self._papers, self._http = fleet, papers, http
+    def __init__(self, topology: Topology, files: ProcessFiles, http: aiohttp.ClientSession) -> None:
+        self._topology = topology
+        self._files = files
+        self._http = http
 
     @property
-    def is_there(self) -> bool:
-        """Whether the list is the real service, and not the stand-in."""
-        return bool(self._fleet.instances())
+    def is_used(self) -> bool:
+        """Whether the list is the real registry, and not the test server."""
+        return bool(self._topology.registry_instances())
 
-    def _files(self, spot: Spot) -> tuple[Path, Path]:
-        database = self._papers.database(spot.name)
+    def _database_paths(self, instance: Placement) -> tuple[Path, Path]:
+        """Return an instance's database, and its copy of when the load began."""
+        database = self._files.database_path(instance.name)
         return database, database.with_suffix(".old")
 
-    async def names(self, spot: Spot) -> set[str] | None:
-        """The servers on the list of an instance; None while it does not answer."""
-        timeout = aiohttp.ClientTimeout(total=1.0)
+    async def listed_servers(self, instance: Placement) -> set[str] | None:
+        """Return the servers on an instance's list; None while it does not answer."""
+        timeout = aiohttp.ClientTimeout(total=LIST_TIMEOUT_S)
         try:
-            url = f"http://{spot.host}:{spot.port}/v1/state"
+            url = f"http://{format_address(instance.address)}/v1/state"
             async with self._http.get(url, timeout=timeout) as answer:
                 return {entry["name"] for entry in (await answer.json())["entries"]}
         except (aiohttp.ClientError, OSError, TimeoutError):
             return None
 
-    async def wait_for_all(self, patience_s: float) -> None:
-        """Wait until all servers are on the list of each instance, and keep copies of what they remember."""
-        wanted = {spot.name for spot in self._fleet.servers()}
-        async with asyncio.timeout(patience_s):
-            for spot in self._fleet.instances():
-                while (await self.names(spot) or set()) < wanted:
-                    await asyncio.sleep(LOOK_S)
-                _copy(*self._files(spot))
-
-    def change_memory(self, spot: Spot, memory: str) -> None:
-        """Let an instance, while it is down, forget all, or remember what it did when the load began."""
-        database, old = self._files(spot)
+    async def wait_for_all(self, timeout_s: float) -> None:
+        """Wait until all servers are on each instance's list, and keep copies of the databases."""
+        expected = {server.name for server in self._topology.servers()}
+        async with asyncio.timeout(timeout_s):
+            for instance in self._topology.registry_instances():
+                while (await self.listed_servers(instance) or set()) < expected:
+                    await asyncio.sleep(LIST_POLL_INTERVAL_S)
+                _copy_database(*self._database_paths(instance))
+
+    def restore_database(self, instance: Placement, memory: str) -> None:
+        """Replace an instance's database while it is down: `kept`, `lost`, or `old`, of the load's begin."""
+        database, old = self._database_paths(instance)
         if memory != "kept":
             for path in database.parent.glob(f"{database.name}*"):
                 path.unlink()
         if memory == "old":
-            _copy(old, database)
+            _copy_database(old, database)
 
-    async def tell(self, server: str, status: str) -> None:
-        """Drain or remove a server; CallError if that can't be, but for one that is not listed any more."""
-        at = ",".join(f"{spot.host}:{spot.port}" for spot in self._fleet.instances())
-        caller = RegistryClient(at, who="driver")
+    async def set_status(self, server: str, status: str) -> None:
+        """Drain or remove a server; RegistryCallError if that fails, but for one that is not listed any more."""
+        instances = self._topology.registry_instances()
+        client = RegistryClient(",".join(format_address(i.address) for i in instances), who=CALLER)
         method, what = ("POST", "/drain") if status == "terminating" else ("DELETE", "")
         try:
-            await asyncio.to_thread(caller.on, method, server, what, why="the drill")
+            await asyncio.to_thread(client.on, method, server, what, why=REASON)
         except RegistryCallError as error:
             if error.status != 404:
                 raise
 
-    async def pin(self, spot: Spot, server: str) -> None:
+    async def pin(self, instance: Placement, server: str) -> None:
         """Pin a server at one instance."""
-        caller = RegistryClient(f"{spot.host}:{spot.port}", who="driver")
-        await asyncio.to_thread(caller.on, "POST", server, "/pin", why="the drill")
+        client = RegistryClient(format_address(instance.address), who=CALLER)
+        await asyncio.to_thread(client.on, "POST", server, "/pin", why=REASON)
 
 
-def _copy(one: Path, other: Path) -> None:
-    with closing(sqlite3.connect(one)) as source, closing(sqlite3.connect(other)) as target:
+def _copy_database(source_path: Path, target_path: Path) -> None:
+    with closing(sqlite3.connect(source_path)) as source, closing(sqlite3.connect(target_path)) as target:
         source.backup(target)
--- a/loadbalancer/drill/processes/supervisor.py
+++ b/loadbalancer/drill/processes/supervisor.py
@@ -1,183 +1,201 @@
-"""The processes of a drill: started, made ready, asked by operators' calls, ended."""
+"""The supervisor of a drill's processes: starts them, waits until they are ready, calls consoles, ends them."""
 
 from __future__ import annotations
 
 import asyncio
-import sys
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 import aiohttp
 
-from loadbalancer.drill.history import Writer
-from loadbalancer.drill.processes.placement import FIRST, Fleet, Spot
-from loadbalancer.drill.processes.process import Process
-from loadbalancer.drill.processes.process_files import Papers, directory_argv, environment, run_argv
-from loadbalancer.drill.processes.registry_control import Listing
-
-READY_S = 60.0  # for a process to be ready, on a machine that is busy
-NEW = " (new)"
-READ_ONLY = "/proc/1"  # a folder in which nobody can make a file, whatever rights they have
-KINDS = (("balancer", "clients"), ("server", "list"), ("directory",))  # who calls ends before who is called
-
-
-class DriveError(RuntimeError):
-    """A drill that could not be played to its end, in a line."""
-
-
-class Crew:
-    """All processes by the names of their places; one that is about to take over has a name of its own."""
+from loadbalancer.drill.defects.names import REGISTRY_DEFECTS
+from loadbalancer.drill.errors import DrillError
+from loadbalancer.drill.history import HistoryWriter
+from loadbalancer.drill.processes.commands import balancer_command, process_environment, registry_command
+from loadbalancer.drill.processes.placement import FIRST_TIER, Placement, ProcessKind
+from loadbalancer.drill.processes.process import Message, Process
+from loadbalancer.drill.processes.process_files import ProcessFiles
+from loadbalancer.drill.processes.process_group import READY_POLL_INTERVAL_S, READY_TIMEOUT_S, ProcessGroup
+from loadbalancer.drill.processes.registry_control import RegistryControl
+from loadbalancer.drill.processes.topology import Topology
+from loadbalancer.drill.servers import clients, endpoint_list, upstream
+
+REPLACEMENT_SUFFIX = " (new)"
+READ_ONLY_FOLDER = "/proc/1"  # nobody can make a file there, whatever rights they have
+STOP_ORDER = (  # who calls ends before who is called
+    (ProcessKind.BALANCER, ProcessKind.CLIENTS),
+    (ProcessKind.SERVER, ProcessKind.ENDPOINT_LIST),
+    (ProcessKind.REGISTRY,),
+)
+MODULES = {
+    ProcessKind.SERVER: upstream.__name__,
+    ProcessKind.ENDPOINT_LIST: endpoint_list.__name__,
+    ProcessKind.CLIENTS: clients.__name__,
+}
+HEALTH_TIMEOUT_S = 1.0
+MEMBERS_TIMEOUT_S = 2.0
+
+
+class ProcessSupervisor(ProcessGroup):
+    """All processes by the names of their placements; one that is about to take over has its own name."""
 
     def __init__(
-        self, fleet: Fleet, papers: Papers, history: Writer, http: aiohttp.ClientSession, plant: str,
-        on_line: Callable[[dict[str, Any]], None], on_clients_end: Callable[[], None],
+        self, topology: Topology, files: ProcessFiles, history: HistoryWriter, http: aiohttp.ClientSession,
+        defect: str, on_progress: Callable[[Message], None], on_clients_exit: Callable[[], None],
     ) -> None:  # fmt: skip
-        """`on_line` gets what the clients tell of themselves."""
-        self.fleet, self._papers, self._history, self.http = fleet, papers, history, http
-        self.listing = Listing(fleet, papers, http)
-        self.out, self._plant = papers.out, plant
-        self._on_line, self._on_clients_end = on_line, on_clients_end
+        """Prepare a supervisor; `on_progress` gets what the clients report of themselves."""
+        super().__init__(files.out)
+        self._topology = topology
+        self._files = files
+        self._history = history
+        self._http = http
+        self.registry = RegistryControl(topology, files, http)
+        self._defect = defect
+        self._on_progress = on_progress
+        self._on_clients_exit = on_clients_exit
         self.processes: dict[str, Process] = {}
 
     def __getitem__(self, name: str) -> Process:
         return self.processes[name]
 
-    async def start_all(self, names: list[str]) -> None:
+    async def start_all(self, placements: list[Placement]) -> None:
         """Start some at once, and wait until all are ready."""
-        await asyncio.gather(*(self.start(self.fleet.spots[name]) for name in names))
-
-    async def start(self, spot: Spot, folder: Path | None = None) -> None:
-        """Start a process and wait until it is ready; DriveError if it does not get so."""
-        if spot.kind == "balancer":
-            process = self.launch_balancer(spot, spot.console, folder)
-            self.processes[spot.name] = process
-            await self.wait_healthy(process, spot.console)
-            self.fleet.reached(spot.name, (spot.host, spot.port))
-        elif spot.kind == "directory":
-            await self._start_directory(spot)
-        else:
-            await self._start_stand_in(spot)
-        self._history.write("process", name=spot.name, state="ready")
-
-    async def ended(self, names: list[str]) -> None:
+        await asyncio.gather(*(self.start(placement) for placement in placements))
+
+    async def start(self, placement: Placement, folder: Path | None = None) -> None:
+        """Start a process and wait until it is ready; DrillError if it does not get so."""
+        match placement.kind:
+            case ProcessKind.BALANCER:
+                process = self.launch_balancer(placement, placement.console, folder)
+                self.processes[placement.name] = process
+                await self.wait_healthy(process, placement.console)
+                self._topology.on_listening(placement.name, placement.address)
+            case ProcessKind.REGISTRY:
+                await self._start_registry(placement)
+            case _:
+                await self._start_test_process(placement)
+        self._history.write("process", name=placement.name, state="ready")
+
+    async def wait_for_exit(self, names: list[str]) -> None:
         """Wait until processes have ended."""
-        await asyncio.gather(*(self.processes[name].ended.wait() for name in names))
+        await asyncio.gather(*(self.processes[name].exited.wait() for name in names))
 
     async def finish(self) -> None:
         """End all, and wait until they are gone."""
-        spots = self.fleet.spots
-        for kinds in KINDS:
-            some = [p for name, p in self.processes.items() if spots[name.removesuffix(NEW)].kind in kinds]
-            await asyncio.gather(*(process.finish() for process in some))
-
-    async def _start_stand_in(self, spot: Spot) -> None:
-        module = {"server": "upstream", "list": "endpoint_list", "clients": "clients"}[spot.kind]
-        argv = [sys.executable, "-m", f"loadbalancer.drill.servers.{module}", str(self._papers.spec(spot))]
+        placements = self._topology.placements
+        for kinds in STOP_ORDER:
+            await self.finish_all(
+                process
+                for name, process in self.processes.items()
+                if placements[name.removesuffix(REPLACEMENT_SUFFIX)].kind in kinds
+            )
+
+    async def _start_test_process(self, placement: Placement) -> None:
+        path = self.write_specification(self._files.specification(placement))
         ready = asyncio.Event()
 
-        def heard(line: dict[str, Any]) -> None:
-            if "ready" in line:
-                host, port = line["ready"]
-                self.fleet.reached(spot.name, (host, port))
+        def on_message(message: Message) -> None:
+            if "ready" in message:
+                host, port = message["ready"]
+                self._topology.on_listening(placement.name, (host, port))
                 ready.set()
             else:
-                self._on_line(line)
-
-        process = Process(
-            spot.name, argv, self.out / f"{spot.name}.log", env=environment(None), on_line=heard,
-            on_end=self._over,
-        )  # fmt: skip
-        self._begin(process)
-        await self._first_of(ready, process)
-
-    async def _start_directory(self, spot: Spot) -> None:
-        argv = [*directory_argv(self._plant), "serve", str(self._papers.directory(spot))]
-        process = Process(
-            spot.name, argv, self.out / f"{spot.name}.log", env=environment(None), on_end=self._over
-        )
-        self._begin(process)
-        async with asyncio.timeout(READY_S):
-            while await self.listing.names(spot) is None:
-                if process.ended.is_set():
-                    raise DriveError(f"the list service ended; see {self.out}/{spot.name}.log")
-                await asyncio.sleep(0.02)
-        self.fleet.reached(spot.name, (spot.host, spot.port))
-
-    def launch_balancer(self, spot: Spot, console: str, folder: Path | None = None) -> Process:
+                self._on_progress(message)
+
+        argv = self.module_command(MODULES[placement.kind], str(path))
+        process = self.launch(placement.name, argv, on_message=on_message)
+        self._record_start(process)
+        self.processes[placement.name] = process
+        await self._wait_ready(ready, process)
+
+    async def _start_registry(self, instance: Placement) -> None:
+        config = self._files.write_registry_config(instance)
+        defect = self._defect if self._defect in REGISTRY_DEFECTS else ""
+        process = self.launch(instance.name, registry_command(config, defect))
+        self._record_start(process)
+        self.processes[instance.name] = process
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            while await self.registry.listed_servers(instance) is None:
+                if process.exited.is_set():
+                    raise DrillError(f"the registry ended; see {self.log_path(instance.name)}")
+                await asyncio.sleep(READY_POLL_INTERVAL_S)
+        self._topology.on_listening(instance.name, instance.address)
+
+    def launch_balancer(self, balancer: Placement, console: str, folder: Path | None = None) -> Process:
         """Start a balancer that answers operators at `console`, and wait for nothing."""
-        config = self._papers.config(spot, console)
-        own = self.out / f"{spot.name}.folder"
-        own.mkdir(exist_ok=True)
-        kind = self.fleet.script.fleet.folders
-        tmp = READ_ONLY if kind == "read-only" else str(own)
-        argv = run_argv(folder, self._plant if spot.tier == FIRST else "")
-        process = Process(
-            spot.name, argv, self.out / f"{spot.name}.log", folder=folder or None,
-            env=environment(folder, LB_CONFIG=str(config), TMPDIR=tmp),
-            on_end=self._over, file_limit=0 if kind == "full" else None,
-        )  # fmt: skip
-        self._begin(process, keep=False)
+        config = self._files.write_balancer_config(balancer, console)
+        own_folder = self.out / f"{balancer.name}.folder"
+        own_folder.mkdir(exist_ok=True)
+        kind = self._topology.scenario.fleet.temp_folder
+        temp_folder = READ_ONLY_FOLDER if kind == "read-only" else str(own_folder)
+        process = self.launch(
+            balancer.name,
+            balancer_command(folder, self._defect if balancer.tier == FIRST_TIER else ""),
+            environment=process_environment(folder, LB_CONFIG=str(config), TMPDIR=temp_folder),
+            folder=folder,
+            file_limit=0 if kind == "full" else None,
+        )
+        self._record_start(process)
         return process
 
-    def _begin(self, process: Process, keep: bool = True) -> None:
-        try:
-            process.start()
-        except OSError as error:
-            raise DriveError(f"{process.name} can't be started: {error}") from None
-        if keep:
-            self.processes[process.name] = process
+    def _record_start(self, process: Process) -> None:
         self._history.write("process", name=process.name, state="started", pid=process.pid)
 
-    def _over(self, process: Process) -> None:
+    def on_exit(self, process: Process) -> None:
+        """Record the end of a process, and have calls to it refused."""
         self._history.write(
-            "process", name=process.name, state="ended", code=process.code, wanted=process.wanted
-        )
+            "process", name=process.name, state="ended", code=process.exit_status,
+            wanted=process.is_exit_expected,
+        )  # fmt: skip
         if self.processes.get(process.name) is process:
-            for link in self.fleet.links_to(process.name):
-                link.put(up=False)
+            for link in self._topology.links_to(process.name):
+                link.update_target(is_up=False)
         if process.name == "clients":
-            self._on_clients_end()
+            self._on_clients_exit()
 
-    async def _first_of(self, ready: asyncio.Event, process: Process) -> None:
-        """Wait until a process is ready; DriveError if it ends or takes too long."""
-        waits = [asyncio.ensure_future(e.wait()) for e in (ready, process.ended)]
-        await asyncio.wait(waits, timeout=READY_S, return_when=asyncio.FIRST_COMPLETED)
+    async def _wait_ready(self, ready: asyncio.Event, process: Process) -> None:
+        """Wait until a process is ready; DrillError if it ends or takes too long."""
+        waits = [asyncio.ensure_future(event.wait()) for event in (ready, process.exited)]
+        await asyncio.wait(waits, timeout=READY_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
         if not ready.is_set():
-            raise DriveError(f"{process.name} did not get ready; see {self.out}/{process.name}.log")
+            raise DrillError(f"{process.name} did not get ready; see {self.log_path(process.name)}")
+
+    # ---- consoles -------------------------------------------------------------------------------
 
     async def wait_healthy(self, process: Process, console: str) -> None:
-        """Wait until a balancer's console says that it takes clients."""
-        async with asyncio.timeout(READY_S):
-            while not process.ended.is_set():
-                if await self.call(console, "GET", "health", quiet=True) == 200:
+        """Wait until a balancer's console says that it takes clients; DrillError if it ends."""
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            while not process.exited.is_set():
+                if await self._request(console, "GET", "health", "", HEALTH_TIMEOUT_S) == 200:
                     return
-                await asyncio.sleep(0.02)
-        log = f"{self.out}/{process.name}.log"
-        raise DriveError(f"{process.name} ended with status {process.code}; see {log}")
-
-    async def call(self, console: str, method: str, what: str, body: str = "", quiet: bool = False) -> int:
-        """An operator's call; its status, 0 where nobody answers."""
-        status = 0
-        timeout = aiohttp.ClientTimeout(total=READY_S if not quiet else 1.0)
+                await asyncio.sleep(READY_POLL_INTERVAL_S)
+        status, log = process.exit_status, self.log_path(process.name)
+        raise DrillError(f"{process.name} ended with status {status}; see {log}")
+
+    async def call_console(self, console: str, what: str, body: str) -> int:
+        """Make an operator's call and record it; return its status, 0 where nobody answers."""
+        status = await self._request(console, "POST", what, body, READY_TIMEOUT_S)
+        host = console.partition(":")[0]
+        self._history.write("call", to=host, call=what, body=body, status=status)
+        return status
+
+    async def _request(self, console: str, method: str, what: str, body: str, timeout_s: float) -> int:
+        timeout = aiohttp.ClientTimeout(total=timeout_s)
         try:
             url = f"http://{console}/admin/{what}"
-            async with self.http.request(method, url, data=body or None, timeout=timeout) as answer:
-                status = answer.status
+            async with self._http.request(method, url, data=body or None, timeout=timeout) as answer:
+                return answer.status
         except (aiohttp.ClientError, OSError, TimeoutError):
-            status = 0
-        if not quiet:
-            host = console.partition(":")[0]
-            self._history.write("call", to=host, call=what, body=body, status=status)
-        return status
+            return 0
 
-    async def belief(self, spot: Spot, number: int) -> str:
-        """What a balancer believes of another; empty where it does not say."""
-        timeout = aiohttp.ClientTimeout(total=2.0)
+    async def member_state(self, balancer: Placement, number: int) -> str:
+        """Return what a balancer holds another of its tier for; empty where it does not say."""
+        timeout = aiohttp.ClientTimeout(total=MEMBERS_TIMEOUT_S)
         try:
-            async with self.http.get(f"http://{spot.console}/admin/peers", timeout=timeout) as answer:
+            url = f"http://{balancer.console}/admin/peers"
+            async with self._http.get(url, timeout=timeout) as answer:
                 return str((await answer.json())["members"][number]["state"])
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError, KeyError):
             return ""
--- /dev/null
+++ b/loadbalancer/drill/processes/topology.py
@@ -0,0 +1,165 @@
+"""Who there is in a drill: where each process runs, and the links between them."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Iterator
+from fnmatch import fnmatchcase
+from itertools import permutations
+
+from loadbalancer.drill.links.listener import Address
+from loadbalancer.drill.links.tcp import TcpLink
+from loadbalancer.drill.links.udp import DatagramLink
+from loadbalancer.drill.processes.addresses import LoopbackAddresses, find_free_port
+from loadbalancer.drill.processes.placement import (
+    FIRST_TIER,
+    SECOND_TIER,
+    Placement,
+    ProcessKind,
+    format_address,
+)
+from loadbalancer.drill.scenario.tables import DrillScenario, discovery_names
+
+
+class Topology:
+    """The placements of a drill's processes, and the links that join them."""
+
+    def __init__(self, scenario: DrillScenario, seed: int, on_unexpected_call: Callable[[str], None]) -> None:
+        """Place all processes; `on_unexpected_call` gets the link over which a removed server is called."""
+        self.scenario = scenario
+        self._addresses = LoopbackAddresses()
+        self.placements: dict[str, Placement] = {}
+        self.links: dict[str, TcpLink] = {}
+        self.datagram_links: dict[str, DatagramLink] = {}  # of gossip between balancers
+        self._random = random.Random(f"{seed}/links")
+        self._place_all()
+        for source_name, target_name in self._call_paths():
+            source, target = self.placements[source_name], self.placements[target_name]
+            link = TcpLink(
+                f"{source_name}>{target_name}", source.host, self._addresses.next_host(), target.address,
+                self._random, on_unexpected_call,
+            )  # fmt: skip
+            link.start()
+            self.links[link.name] = link
+
+    def _place_all(self) -> None:
+        fleet = self.scenario.fleet
+        zones = fleet.zones
+        for index in range(fleet.balancers):
+            self._place_balancer(f"b{index}", zones[index % len(zones)], FIRST_TIER)
+        for index in range(fleet.servers):
+            zone = zones[index % len(zones)]
+            self._place(f"s{index}", ProcessKind.SERVER, zone, FIRST_TIER)
+            if fleet.second_tier_servers:
+                self._place_balancer(f"s{index}.b", zone, SECOND_TIER)
+        for index in range(fleet.second_tier_servers):
+            self._place(f"t{index}", ProcessKind.SERVER, zones[index % len(zones)], SECOND_TIER)
+        for name in discovery_names(fleet):
+            placement = self._place(name, ProcessKind(name.rstrip("0123456789")))
+            if placement.kind is ProcessKind.REGISTRY:
+                placement.port = self.reserve_port(placement.host)
+        self._place("clients", ProcessKind.CLIENTS)
+
+    def _place(self, name: str, kind: ProcessKind, zone: str = "", tier: str = "") -> Placement:
+        placement = Placement(name, kind, self._addresses.next_host(), zone, tier)
+        self.placements[name] = placement
+        return placement
+
+    def _place_balancer(self, name: str, zone: str, tier: str) -> None:
+        placement = self._place(name, ProcessKind.BALANCER, zone, tier)
+        host = placement.host
+        placement.port = self.reserve_port(host)
+        placement.console = format_address((host, self.reserve_port(host)))
+        placement.gossip_address = (host, find_free_port(host))
+
+    async def start_datagram_links(self) -> None:
+        """Start the links of gossip: each balancer sees each other one at an address of its own."""
+        if not self.scenario.fleet.has_membership:
+            return
+        pairs = list(permutations(self.balancers(FIRST_TIER), 2))
+        for source, target in pairs:
+            link = DatagramLink(f"{source.name}>{target.name}", target.gossip_address, self._random)
+            await link.start(self._addresses.next_host())
+            self.datagram_links[link.name] = link
+        for source, target in pairs:
+            reverse_link = self.datagram_links[f"{target.name}>{source.name}"]
+            self.datagram_links[f"{source.name}>{target.name}"].reverse_link = reverse_link
+
+    def reserve_port(self, host: str) -> int:
+        """Return a port of a process's address that is kept from others."""
+        return self._addresses.reserve_port(host)
+
+    def _call_paths(self) -> Iterator[tuple[str, str]]:
+        """Yield who calls whom."""
+        for balancer in self.balancers():
+            yield from ((balancer.name, each.name) for each in self.endpoint_lists())
+            yield from ((balancer.name, server.name) for server in self.servers(balancer.tier))
+            is_sidecar = balancer.tier == SECOND_TIER
+            yield balancer.name.removesuffix(".b") if is_sidecar else "clients", balancer.name
+        if self.scenario.fleet.uses_registry:
+            instances = self.registry_instances()
+            for server in self.servers():
+                yield from ((server.name, instance.name) for instance in instances)
+            for endpoint_list, instance in zip(self.endpoint_lists(), instances, strict=True):
+                yield endpoint_list.name, instance.name
+            yield from ((a.name, b.name) for a, b in permutations(instances, 2))
+
+    # ---- who ------------------------------------------------------------------------------------
+
+    def _of_kind(self, kind: ProcessKind, tier: str = "") -> list[Placement]:
+        return [p for p in self.placements.values() if p.kind is kind and tier in ("", p.tier)]
+
+    def balancers(self, tier: str = "") -> list[Placement]:
+        """Return the balancers of a tier, or all."""
+        return self._of_kind(ProcessKind.BALANCER, tier)
+
+    def servers(self, tier: str = "") -> list[Placement]:
+        """Return the servers of a tier, or all."""
+        return self._of_kind(ProcessKind.SERVER, tier)
+
+    def endpoint_lists(self) -> list[Placement]:
+        """Return the test servers that balancers ask for the endpoint list."""
+        return self._of_kind(ProcessKind.ENDPOINT_LIST)
+
+    def registry_instances(self) -> list[Placement]:
+        """Return the instances of the real registry; none where a test server keeps the list."""
+        return self._of_kind(ProcessKind.REGISTRY)
+
+    def with_companion(self, name: str) -> list[str]:
+        """Return a process, and the balancer beside it that starts and stops with it."""
+        return [each for each in (name, f"{name}.b") if each in self.placements]
+
+    def links_to(self, name: str) -> list[TcpLink]:
+        """Return the links that lead to a process."""
+        return [link for link in self.links.values() if link.name.endswith(f">{name}")]
+
+    def matching(self, pattern: str) -> list[TcpLink | DatagramLink]:
+        """Return the links of a pattern such as `b*>s1`; `@east` is whoever is in that zone."""
+        every: dict[str, TcpLink | DatagramLink] = {**self.links, **self.datagram_links}
+        source, _, target = pattern.partition(">")
+        return [
+            link
+            for name, link in every.items()
+            if fnmatchcase(name, pattern) or (target and self._joins(name, source, target))
+        ]
+
+    def _joins(self, link: str, source: str, target: str) -> bool:
+        """Return whether a link leads from somebody of one pattern to somebody of another."""
+        ends = zip(link.split(">"), (source, target), strict=True)
+        return all(
+            self.placements[name].zone == pattern[1:]
+            if pattern.startswith("@")
+            else fnmatchcase(name, pattern)
+            for name, pattern in ends
+        )
+
+    def on_listening(self, name: str, address: Address) -> None:
+        """Lead the links of a process to where it listens now."""
+        for link in self.links_to(name):
+            link.update_target(is_up=True, is_withdrawn=False, target=address)
+
+    def close(self) -> None:
+        """Take the links down."""
+        for link in self.matching("*"):
+            link.close()
+        self._addresses.close()
--- a/loadbalancer/drill/report.py
+++ b/loadbalancer/drill/report.py
@@ -13,7 +13,7 @@
 from matplotlib.figure import Figure
 
 from loadbalancer.drill import history
-from loadbalancer.drill.checks.timeline import SECOND, Story
+from loadbalancer.drill.checks.timeline import SECOND_MS, Timeline
 
 ENDINGS = {
     "served": "#2a7f62",
@@ -31,14 +31,14 @@
     "td.n{text-align:right;font-variant-numeric:tabular-nums}.no{color:#b23a48;font-weight:600}"
     "svg{width:100%;height:auto}"
 )
-Verdict = dict[str, Any]
+VerdictRecord = dict[str, Any]
 
 
 class ReportError(ValueError):
     """A folder that holds no drill: one line."""
 
 
-def draw(story: Story) -> Figure:
+def draw_timeline(story: Timeline) -> Figure:
     """What each second was like: endings, attempts by server and by zone, and the faults."""
     figure = Figure(figsize=(WIDTH, HEIGHT), layout="constrained")
     ends, servers, zones = figure.subplots(3, 1, sharex=True)
@@ -48,7 +48,7 @@
     for event, balancer in story.arrivals():
         second = _second(story, event["t"])
         by_server[event["who"]][second] += 1
-        one, other = story.by_name[balancer].zone, story.by_name[event["who"]].zone
+        one, other = story.location_by_name[balancer].zone, story.location_by_name[event["who"]].zone
         by_zone[one if one == other else f"{one} to {other}"][second] += 1
     _draw_counts(servers, by_server, "calls by server")
     _draw_counts(zones, by_zone, "calls by zone")
@@ -61,13 +61,13 @@
     return figure
 
 
-def _second(story: Story, when: float) -> int:
-    return int((when - story.start) // SECOND)
+def _second(story: Timeline, when: float) -> int:
+    return int((when - story.start_ms) // SECOND_MS)
 
 
-def _draw_endings(axes: Axes, story: Story) -> None:
+def _draw_endings(axes: Axes, story: Timeline) -> None:
     counts: dict[str, Counter[int]] = defaultdict(Counter)
-    for event in story.by_kind["done"]:
+    for event in story.events_by_kind["done"]:
         counts[event["ending"]][_second(story, event["first"])] += 1
     length = max((max(c) for c in counts.values()), default=0) + 1
     floor = [0] * length
@@ -86,10 +86,10 @@
     axes.set_ylabel(label)
 
 
-def _mark_faults(axes: Axes, story: Story, with_names: bool) -> None:
+def _mark_faults(axes: Axes, story: Timeline, with_names: bool) -> None:
     marks: dict[tuple[float, str, bool], list[str]] = defaultdict(list)
-    for event in story.by_kind["fault"]:
-        at = round((event["t"] - story.start) / SECOND, 1)  # what is done at once is one mark
+    for event in story.events_by_kind["fault"]:
+        at = round((event["t"] - story.start_ms) / SECOND_MS, 1)  # what is done at once is one mark
         marks[at, event["kind"], event["on"]] += event["targets"]
     for (at, kind, on), targets in marks.items():
         axes.axvline(at, color="#444444", linewidth=0.8, linestyle="-" if on else ":")
@@ -101,7 +101,7 @@
             )
 
 
-def write(folder: Path) -> Path:
+def write_report(folder: Path) -> Path:
     """Write `report.html` on the drills in a folder; ReportError if it holds none."""
     drills = sorted(path.parent for path in folder.glob("**/verdict.json"))
     if not drills:
@@ -109,7 +109,7 @@
     verdicts = [json.loads((drill / "verdict.json").read_text(encoding="utf-8")) for drill in drills]
     parts = [_overview(verdicts)]
     for drill, verdict in zip(drills, verdicts, strict=True):
-        parts.append(_section(verdict, Story(history.read(drill))))
+        parts.append(_section(verdict, Timeline(history.read_history(drill))))
     page = folder / "report.html"
     page.write_text(
         "<!doctype html><html lang=en><meta charset=utf-8><title>Drills</title>"
@@ -123,7 +123,7 @@
     return "held" if held else "<span class=no>not held</span>"
 
 
-def _overview(verdicts: list[Verdict]) -> str:
+def _overview(verdicts: list[VerdictRecord]) -> str:
     rows = "".join(
         f"<tr><td><a href='#{_anchor(v)}'>{html.escape(v['drill'])}</a><td class=n>{v['seed']}"
         f"<td>{html.escape(v['plant'])}<td>{_word(v['held'])}"
@@ -132,18 +132,18 @@
     return f"<table><tr><th>drill<th>seed<th>planted<th>verdict{rows}</table>"
 
 
-def _anchor(verdict: Verdict) -> str:
+def _anchor(verdict: VerdictRecord) -> str:
     return html.escape(f"{verdict['drill']}-{verdict['seed']}-{verdict['plant']}", quote=True)
 
 
-def _section(verdict: Verdict, story: Story) -> str:
+def _section(verdict: VerdictRecord, story: Timeline) -> str:
     rows = "".join(
         f"<tr><td>{c['name']}<td>{_word(c['held'])}<td class=n>{c['measured']:g}<td class=n>{c['bound']:g}"
         f"<td>{'' if c['held'] else html.escape(c['first'])}"
         for c in verdict["checks"]
     )
     picture = io.StringIO()
-    draw(story).savefig(picture, format="svg")
+    draw_timeline(story).savefig(picture, format="svg")
     svg = picture.getvalue()
     return (
         f"<h2 id='{_anchor(verdict)}'>{html.escape(verdict['drill'])}, seed {verdict['seed']}</h2>"
--- /dev/null
+++ b/loadbalancer/drill/scenario/loading.py
@@ -0,0 +1,160 @@
+"""Reads a scenario from TOML and rejects what can't be played, each fault in a line that says what may stand."""
+
+from __future__ import annotations
+
+import re
+import tomllib
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from loadbalancer.drill.scenario import steps
+from loadbalancer.drill.scenario.tables import (
+    ClientLoad,
+    DrillScenario,
+    FleetTable,
+    discovery_names,
+    process_names,
+)
+
+REQUEST_EFFECTS = ("safe", "unsafe")
+MEMBER_STATES = ("alive", "gone", "left")
+REGISTRY_MEMORIES = ("kept", "lost", "old")
+TEMP_FOLDERS = ("own", "full", "read-only")
+LINK_DIRECTIONS = ("both", "there", "back")
+MAX_COUNT = 100_000  # of anything in a scenario: more is a slip of the keyboard
+MAX_RATE_PER_S = 10_000  # what one client process can send
+
+
+class DrillScenarioError(ValueError):
+    """A scenario that can't be used: one line that names file, key and what is allowed."""
+
+
+def load_scenario(path: Path) -> DrillScenario:
+    """Read a scenario from a file; DrillScenarioError if it can't be read or used."""
+    try:
+        return parse_scenario(path.read_text(encoding="utf-8"), str(path))
+    except (OSError, UnicodeDecodeError) as error:
+        raise DrillScenarioError(f"{path}: can't be read: {error}") from error
+
+
+def parse_scenario(text: str, name: str = "drill") -> DrillScenario:
+    """Read a scenario from TOML; DrillScenarioError says in one line what is wrong where, and what is allowed."""
+    try:
+        scenario = msgspec.convert(tomllib.loads(text), type=DrillScenario)
+    except tomllib.TOMLDecodeError as error:
+        raise DrillScenarioError(f"{name}: not TOML: {error}") from error
+    except msgspec.ValidationError as error:
+        message, _, location = str(error).partition(" - at `")
+        path = location.rstrip("`") or "$"
+        hint = f"; allowed: {_allowed_keys(path)}" if "unknown field" in message else ""
+        raise DrillScenarioError(f"{name}: {path.removeprefix('$.')}: {message}{hint}") from error
+    if fault := next(_find_faults(scenario), ""):
+        raise DrillScenarioError(f"{name}: {fault}")
+    return scenario
+
+
+def _allowed_keys(path: str) -> str:
+    """Return the keys that may stand at a place such as `$.fleet` or `$.step[...]`."""
+    kind: Any = DrillScenario
+    for name in [s for s in re.split(r"[.\[\]]+", path.removeprefix("$")) if s and s != "..."]:
+        if kind is DrillScenario and name == "step":
+            return "do, after and the keys of that step: see loadbalancer/drill/scenario/steps.py"
+        if not hasattr(kind, "__struct_fields__"):
+            break
+        kind = next((f.type for f in msgspec.structs.fields(kind) if f.encode_name == name), kind)
+        kind = getattr(kind, "__args__", (kind,))[-1 if "dict" in str(kind) else 0]
+    return ", ".join(kind.__struct_encode_fields__) if hasattr(kind, "__struct_fields__") else ""
+
+
+def _find_faults(scenario: DrillScenario) -> Iterator[str]:
+    """Yield what can't be played, a line each."""
+    yield from _count_faults(scenario)
+    yield from _fleet_faults(scenario.fleet)
+    yield from _load_faults(scenario.load)
+    requests = 0
+    for number, step in enumerate(scenario.step):
+        requests += step.after
+        if step.after < 0 or requests > scenario.load.requests:
+            limit = scenario.load.requests
+            yield f"step[{number}].after: {step.after}; all together may come to {limit} at most"
+        for key, fault in _step_faults(step, scenario):
+            yield f"step[{number}].{key}: {fault}"
+
+
+def _count_faults(scenario: DrillScenario) -> Iterator[str]:
+    fleet, load = scenario.fleet, scenario.load
+    for key, value, least in (
+        ("fleet.balancers", fleet.balancers, 1),
+        ("fleet.servers", fleet.servers, 1),
+        ("fleet.inner", fleet.second_tier_servers, 0),
+        ("fleet.zones", len(fleet.zones), 1),
+        ("fleet.instances", fleet.registry_instances, 1),
+        ("load.requests", load.requests, 1),
+        ("load.classes", len(load.classes), 1),
+    ):
+        if not least <= value <= MAX_COUNT:
+            yield f"{key}: {value}; allowed: {least} or more"
+
+
+def _fleet_faults(fleet: FleetTable) -> Iterator[str]:
+    has_validated_registry = fleet.uses_registry and fleet.validates_lists
+    if fleet.registry_instances > 1 and not has_validated_registry:
+        yield "fleet.instances: several need fleet.directory, and fleet.doubt for balancers to know of them"
+    if (fleet.subscribes_by_service or fleet.subset_size) and not has_validated_registry:
+        yield "fleet.interests: needs fleet.directory and fleet.doubt"
+    if fleet.subset_size and not fleet.subscribes_by_service:
+        yield f"fleet.part: {fleet.subset_size}; allowed: only with fleet.interests"
+    if fleet.temp_folder not in TEMP_FOLDERS:
+        yield f"fleet.folders: {fleet.temp_folder!r}; allowed: {', '.join(TEMP_FOLDERS)}"
+
+
+def _load_faults(load: ClientLoad) -> Iterator[str]:
+    if not 0 < load.rate <= MAX_RATE_PER_S:
+        yield f"load.rate: {load.rate}; allowed: above 0, at most {MAX_RATE_PER_S:,} a second"
+    for item in load.classes:
+        if item.effect not in REQUEST_EFFECTS:
+            yield f"load.classes: {item.name}: effect {item.effect!r}; allowed: {', '.join(REQUEST_EFFECTS)}"
+        if item.deadline_ms <= 0 or item.work_ms <= 0 or item.share < 0:
+            yield f"load.classes: {item.name}: times must be above 0, the share 0 or more"
+    if sum(item.share for item in load.classes) <= 0:
+        yield "load.classes: no class has a share"
+
+
+def _step_faults(step: steps.AnyStep, scenario: DrillScenario) -> Iterator[tuple[str, str]]:
+    """Yield the key of a step and what is wrong with its value."""
+    fleet = scenario.fleet
+    instances = discovery_names(fleet)
+    choices: list[tuple[type[steps.Step], str, Callable[[Any], str], Any]] = [
+        (steps.SetLinkFault, "direction", lambda s: s.direction, LINK_DIRECTIONS),
+        (steps.ChangeEndpointList, "state", lambda s: s.state, steps.ENDPOINT_LIST_STATES),
+        (steps.EvacuateZone, "zone", lambda s: s.zone, fleet.zones),
+        (steps.PinServer, "at", lambda s: s.instance, instances),
+    ]
+    yield from _wrong_choices(step, choices)
+    if isinstance(step, steps.ExpectMemberState | steps.SendForeignDatagrams) and not fleet.has_membership:
+        yield "do", "fleet.peers is off, and there is nothing to look at"
+    choices = [
+        (steps.ExpectMemberState, "state", lambda s: s.state, MEMBER_STATES),
+        (steps.StartProcess, "memory", lambda s: s.memory, REGISTRY_MEMORIES),
+    ]
+    yield from _wrong_choices(step, choices)
+    if isinstance(step, steps.ChangeEndpointList) and fleet.uses_registry and step.state == "stale":
+        yield "state", f"{step.state!r}; the real service has no such fault"
+    if isinstance(step, steps.StartProcess) and step.version and step.version not in scenario.versions:
+        known = ", ".join(scenario.versions) or "none"
+        yield "version", f"{step.version!r}; the versions are: {known}"
+    name = step.instance if isinstance(step, steps.ChangeEndpointList) else getattr(step, "target", None)
+    known_names = process_names(scenario)
+    if name is not None and name not in known_names:
+        yield "who", f"{name!r}; allowed: {', '.join(known_names)}"
+
+
+def _wrong_choices(
+    step: steps.AnyStep, choices: list[tuple[type[steps.Step], str, Callable[[Any], str], Any]]
+) -> Iterator[tuple[str, str]]:
+    for kind, key, read, allowed in choices:
+        if isinstance(step, kind) and read(step) not in allowed:
+            yield key, f"{read(step)!r}; allowed: {', '.join(allowed)}"
--- a/loadbalancer/drill/seeded_defects.py
+++ b/loadbalancer/drill/seeded_defects.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from loadbalancer import interface
-from loadbalancer.drill.processes.process_files import SERVICE_DEFECTS
+from loadbalancer.drill.defects.names import REGISTRY_DEFECTS as SERVICE_DEFECTS
 from loadbalancer.interface import Outcome, Readiness
 from loadbalancer.net import discovery, proxy
 from loadbalancer.net.config import ServerList
--- a/loadbalancer/drill/servers/clients.py
+++ b/loadbalancer/drill/servers/clients.py
@@ -1,9 +1,9 @@
-"""The clients and their front as a process: an open load on balancers, and what each request came to.
+"""The clients and their front end as a process: an open load on balancers, and what each request came to.
 
     python -m loadbalancer.drill.servers.clients SPEC.json
 
-First tries come at random at a rate, whether or not earlier ones were answered. The front deals them out in
-turn among the balancers that answer `GET /healthz`, and notices only after some checks that one has died.
+First attempts come at random at a rate, whether or not earlier ones were answered. The front end rotates over
+the balancers that answer `GET /healthz`, and notices only after some checks that one has died.
 """
 
 from __future__ import annotations
@@ -12,187 +12,229 @@
 import itertools
 import json
 import random
-from typing import Any
+from typing import Any, NamedTuple
 
 import aiohttp
 import msgspec
 
 from loadbalancer.drill.clock import RealClock
-from loadbalancer.drill.scenario.definition import Class, Load
-from loadbalancer.drill.servers.specification import Place, follow, read_spec, request_of, say
+from loadbalancer.drill.scenario.tables import ClientLoad, RequestClass
+from loadbalancer.drill.servers.specification import (
+    ProcessSpecification,
+    read_specification,
+    receive_commands,
+    request_arguments,
+    send_message,
+)
 from loadbalancer.net.request_counters import REJECTIONS
 
-CHECK_S, CHECK_PATIENCE_S, FAILS_TO_LEAVE = 0.3, 1.0, 2
-PATIENCE_MS = 1_500.0  # past its time, in which a late answer is still seen
-REPORT_S = 0.1
-ELSEWHERE = 3  # balancers that are tried when connections are refused
+HEALTH_CHECK_INTERVAL_S = 0.3
+HEALTH_CHECK_TIMEOUT_S = 1.0
+UNHEALTHY_THRESHOLD = 2  # failed checks in a row
+LATE_ANSWER_WINDOW_MS = 1_500.0  # past its deadline, in which an answer that comes late is still seen
+PROGRESS_INTERVAL_S = 0.1
+MAX_CONNECT_ATTEMPTS = 3  # balancers that are tried when connections are refused
 
 
-class Spec(Place, kw_only=True, frozen=True):
-    """What the clients are told."""
+class ClientsSpecification(ProcessSpecification, kw_only=True, frozen=True):
+    """What the clients are started with."""
 
-    balancers: dict[str, str]  # name: host:port
-    load: Load
+    balancers: dict[str, str]
+    """By name: host:port."""
+    load: ClientLoad
 
 
-class Front:
-    """Knows which balancers answer, and deals requests out among them."""
+class BalancerRotation:
+    """Checks which balancers answer, and rotates requests over them."""
 
     def __init__(self, session: aiohttp.ClientSession, balancers: dict[str, str]) -> None:
-        self._session, self.balancers = session, balancers
-        self._fails = dict.fromkeys(balancers, FAILS_TO_LEAVE)
-        self._turn = itertools.count()
+        self._session = session
+        self.balancers = balancers
+        self._failure_counts = dict.fromkeys(balancers, UNHEALTHY_THRESHOLD)
+        self._sequence = itertools.count()
 
     @property
-    def up(self) -> list[str]:
+    def healthy(self) -> list[str]:
         """Those that are not known to be dead."""
-        return [name for name, fails in self._fails.items() if fails < FAILS_TO_LEAVE]
+        return [name for name, count in self._failure_counts.items() if count < UNHEALTHY_THRESHOLD]
 
-    def next(self) -> str:
-        """The balancer for the next try."""
-        known = self.up or list(self.balancers)
-        return known[next(self._turn) % len(known)]
+    def next_balancer(self) -> str:
+        """Return the balancer for the next attempt."""
+        known = self.healthy or list(self.balancers)
+        return known[next(self._sequence) % len(known)]
 
-    async def check(self, name: str) -> None:
-        """Look after one balancer for ever."""
+    async def check_health(self, name: str) -> None:
+        """Check one balancer for ever."""
         url = f"http://{self.balancers[name]}/healthz"
-        timeout = aiohttp.ClientTimeout(total=CHECK_PATIENCE_S)
+        timeout = aiohttp.ClientTimeout(total=HEALTH_CHECK_TIMEOUT_S)
         while True:
             try:
                 async with self._session.get(url, timeout=timeout) as answer:
-                    good = answer.status == 200
+                    is_healthy = answer.status == 200
             except (aiohttp.ClientError, OSError, TimeoutError):
-                good = False
-            self._fails[name] = 0 if good else self._fails[name] + 1
-            await asyncio.sleep(CHECK_S)
+                is_healthy = False
+            self._failure_counts[name] = 0 if is_healthy else self._failure_counts[name] + 1
+            await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
 
 
-class Clients:
-    """All first tries of a drill, and what follows each."""
+class AttemptResult(NamedTuple):
+    """How an attempt ended, and how long Retry-After has its client wait, in s."""
 
-    def __init__(self, spec: Spec, front: Front, session: aiohttp.ClientSession) -> None:
-        self.spec, self.load, self.front, self.session = spec, spec.load, front, session
-        self.clock, self.history = RealClock(spec.offset_ms), spec.writer()
-        self.chance = random.Random(f"{spec.seed}/clients")
-        self.asked = self.ended = 0
-        self._number = 0
+    ending: str
+    retry_after_s: float = 0.0
 
-    def command(self, line: dict[str, Any]) -> None:
-        """Ask at another rate, with other retries."""
-        self.load = msgspec.structs.replace(self.load, **line)
+
+class LoadGenerator:
+    """All first attempts of a drill, and what follows each."""
+
+    def __init__(
+        self, spec: ClientsSpecification, rotation: BalancerRotation, session: aiohttp.ClientSession
+    ) -> None:
+        self._load = spec.load
+        self.rotation = rotation
+        self._session = session
+        self._clock = RealClock(spec.offset_ms)
+        self.history = spec.open_history()
+        self._random = random.Random(f"{spec.seed}/clients")
+        self.started_count = 0
+        self.completed_count = 0
+        self._last_request_number = 0
+
+    def handle_command(self, command: dict[str, Any]) -> None:
+        """Send at another rate, with other retries."""
+        self._load = msgspec.structs.replace(self._load, **command)
 
     async def run(self) -> None:
-        """Make all first tries, and wait for the last one's end."""
-        classes = self.load.classes
-        shares = [cls.share for cls in classes]
+        """Make all first attempts, and wait for the last one's end."""
+        classes = self._load.classes
+        weights = [request_class.share for request_class in classes]
         loop = asyncio.get_running_loop()
-        due = loop.time()
+        due_s = loop.time()
         async with asyncio.TaskGroup() as group:
-            while self.asked < self.load.requests:
-                due += self.chance.expovariate(self.load.rate)
-                await asyncio.sleep(max(due - loop.time(), 0.0))
-                self.asked += 1
-                cls = self.chance.choices(classes, shares)[0]
-                group.create_task(self._wish(self.asked, cls))
-
-    async def _wish(self, wish: int, cls: Class) -> None:
-        first, tries, left = self.clock.now, 0, self.load.retries
+            while self.started_count < self._load.requests:
+                due_s += self._random.expovariate(self._load.rate)
+                await asyncio.sleep(max(due_s - loop.time(), 0.0))
+                self.started_count += 1
+                request_class = self._random.choices(classes, weights)[0]
+                group.create_task(self._perform(self.started_count, request_class))
+
+    async def _perform(self, number: int, request_class: RequestClass) -> None:
+        """Attempt what a client wants until it is served, its deadline is over, or no retry remains."""
+        first_ms = self._clock.now
+        attempts, retries = 0, self._load.retries
         ending = "gave up"
-        while (remaining := cls.deadline_ms - (self.clock.now - first)) > 0:
-            tries += 1
-            ending, away_s = await self._try(wish, tries, cls, remaining)
-            again = ending == "refused" or (ending in ("failed", "lost") and cls.effect == "safe")
-            if not again or left <= 0:
+        while (remaining_ms := request_class.deadline_ms - (self._clock.now - first_ms)) > 0:
+            attempts += 1
+            ending, retry_after_s = await self._attempt(number, attempts, request_class, remaining_ms)
+            is_safe = request_class.effect == "safe"
+            may_retry = ending == "refused" or (ending in ("failed", "lost") and is_safe)
+            if not may_retry or retries <= 0:
                 break
-            left -= 1
-            heeds = self.chance.random() < self.load.heed
-            await asyncio.sleep(max(away_s if heeds else 0.0, self.load.backoff_ms / 1_000))
-        took = self.clock.now - first
-        if ending == "served" and took > cls.aim_ms:
+            retries -= 1
+            is_compliant = self._random.random() < self._load.retry_after_compliance
+            await asyncio.sleep(max(retry_after_s if is_compliant else 0.0, self._load.backoff_ms / 1_000))
+        took_ms = self._clock.now - first_ms
+        if ending == "served" and took_ms > request_class.latency_objective_ms:
             ending = "late"
         self.history.write(
-            "done", wish=wish, cls=cls.name, ending=ending, took=round(took, 3), tries=tries, first=first
-        )
-        self.ended += 1
-
-    async def _try(self, wish: int, number: int, cls: Class, remaining: float) -> tuple[str, float]:
-        """One try: what came of it, and how long to stay away in s."""
-        for _ in range(ELSEWHERE):
-            self._number += 1
-            id_ = f"{self._number:x}-{self.chance.randrange(1 << 48):012x}"
-            name = self.front.next()
-            sent = {"wish": wish, "id": id_, "try": number, "cls": cls.name, "to": name}
-            self.history.write("asked", **sent, deadline=round(remaining, 3))
+            "done", wish=number, cls=request_class.name, ending=ending, took=round(took_ms, 3),
+            tries=attempts, first=first_ms,
+        )  # fmt: skip
+        self.completed_count += 1
+
+    async def _attempt(
+        self, number: int, attempt: int, request_class: RequestClass, remaining_ms: float
+    ) -> AttemptResult:
+        """Make one attempt, at another balancer where one refuses the connection."""
+        for _ in range(MAX_CONNECT_ATTEMPTS):
+            self._last_request_number += 1
+            request_id = f"{self._last_request_number:x}-{self._random.randrange(1 << 48):012x}"
+            name = self.rotation.next_balancer()
+            sent = {"wish": number, "id": request_id, "try": attempt, "cls": request_class.name, "to": name}
+            self.history.write("asked", **sent, deadline=round(remaining_ms, 3))
             try:
-                return await self._ask(id_, name, cls, remaining, number > 1)
+                return await self._send(request_id, name, request_class, remaining_ms, is_retry=attempt > 1)
             except aiohttp.ClientConnectorError:
-                self.history.write("lost", id=id_, how="refused", sent=False)
+                self.history.write("lost", id=request_id, how="refused", sent=False)
             except (aiohttp.ClientError, OSError) as error:
-                self.history.write("lost", id=id_, how=type(error).__name__, sent=True)
-                return "lost", 0.0
+                self.history.write("lost", id=request_id, how=type(error).__name__, sent=True)
+                return AttemptResult("lost")
             except TimeoutError:
-                self.history.write("left", id=id_)
-                return "left", 0.0
-        return "lost", 0.0
-
-    async def _ask(self, id_: str, name: str, cls: Class, remaining: float, again: bool) -> tuple[str, float]:
-        began = self.clock.now
-        asked = request_of(id_, cls.name, remaining, cls.effect == "unsafe")
-        if again:
-            asked["headers"]["X-Retry"] = "1"
-        url = f"http://{self.front.balancers[name]}/{cls.name}/{id_}"
-        timeout = aiohttp.ClientTimeout(total=(remaining + PATIENCE_MS) / 1_000)
-        async with self.session.request(url=url, timeout=timeout, **asked) as answer:
+                self.history.write("left", id=request_id)
+                return AttemptResult("left")
+        return AttemptResult("lost")
+
+    async def _send(
+        self, request_id: str, balancer: str, request_class: RequestClass, remaining_ms: float, *,
+        is_retry: bool,
+    ) -> AttemptResult:  # fmt: skip
+        began_ms = self._clock.now
+        is_unsafe = request_class.effect == "unsafe"
+        arguments = request_arguments(request_id, request_class.name, remaining_ms, is_unsafe=is_unsafe)
+        if is_retry:
+            arguments["headers"]["X-Retry"] = "1"
+        url = f"http://{self.rotation.balancers[balancer]}/{request_class.name}/{request_id}"
+        timeout = aiohttp.ClientTimeout(total=(remaining_ms + LATE_ANSWER_WINDOW_MS) / 1_000)
+        async with self._session.request(url=url, timeout=timeout, **arguments) as answer:
             body = await answer.read()
-            status, away = answer.status, answer.headers.get("Retry-After", "0")
-        took = round(self.clock.now - began, 3)
-        self.history.write("answered", id=id_, status=status, took=took, run=_run_of(body, id_))
+            status, retry_after = answer.status, answer.headers.get("Retry-After", "0")
+        took_ms = round(self._clock.now - began_ms, 3)
+        execution_id = _execution_id(body, request_id)
+        self.history.write("answered", id=request_id, status=status, took=took_ms, run=execution_id)
         if status == 200:
-            return "served", 0.0
-        return ("refused" if status in REJECTIONS else "failed"), float(away)
+            return AttemptResult("served")
+        return AttemptResult("refused" if status in REJECTIONS else "failed", float(retry_after))
 
 
-def _run_of(body: bytes, id_: str) -> str:
-    """Who made an answer, by its own word; empty where it does not say, or answers something else."""
+def _execution_id(body: bytes, request_id: str) -> str:
+    """Return who made an answer, as it says; empty where it says nothing, or answers something else."""
     try:
         answer = json.loads(body)
-        return str(answer["run"]) if answer["id"] == id_ else ""
+        return str(answer["run"]) if answer["id"] == request_id else ""
     except (ValueError, KeyError, TypeError):
         return ""
 
 
-async def report(clients: Clients) -> None:
-    """Tell the driver how far things are."""
+def _send_progress(generator: LoadGenerator) -> None:
+    send_message(
+        asked=generator.started_count, ended=generator.completed_count, up=generator.rotation.healthy
+    )
+
+
+async def report_progress(generator: LoadGenerator) -> None:
+    """Report to the driver how far things are, for ever."""
     while True:
-        say(asked=clients.asked, ended=clients.ended, up=clients.front.up)
-        await asyncio.sleep(REPORT_S)
+        _send_progress(generator)
+        await asyncio.sleep(PROGRESS_INTERVAL_S)
 
 
 async def main() -> None:
-    """Wait for the word to begin, ask all there is to ask, and say so."""
-    spec = read_spec(Spec)
+    """Wait for the command to begin, make all attempts, and report it."""
+    spec = read_specification(ClientsSpecification)
     begin = asyncio.Event()
-    async with aiohttp.ClientSession(
-        connector=aiohttp.TCPConnector(limit=0), connector_owner=True
-    ) as session, aiohttp.ClientSession() as checks:  # fmt: skip
-        front = Front(checks, spec.balancers)
-        clients = Clients(spec, front, session)
-
-        def command(line: dict[str, Any]) -> None:
-            if "begin" in line:
+    async with (
+        aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session,
+        aiohttp.ClientSession() as health_checks,
+    ):
+        rotation = BalancerRotation(health_checks, spec.balancers)
+        generator = LoadGenerator(spec, rotation, session)
+
+        def handle_command(command: dict[str, Any]) -> None:
+            if "begin" in command:
                 begin.set()
             else:
-                clients.command(line)
+                generator.handle_command(command)
 
-        tasks = [asyncio.create_task(front.check(name)) for name in spec.balancers]
-        tasks += [asyncio.create_task(report(clients)), asyncio.create_task(follow(command))]
-        say(ready=["", 0])
+        tasks = [asyncio.create_task(rotation.check_health(name)) for name in spec.balancers]
+        tasks.append(asyncio.create_task(report_progress(generator)))
+        tasks.append(asyncio.create_task(receive_commands(handle_command)))
+        send_message(ready=["", 0])
         await begin.wait()
-        await clients.run()
+        await generator.run()
         for task in tasks:
             task.cancel()
-        say(asked=clients.asked, ended=clients.ended, up=front.up)
-    clients.history.close()
+        _send_progress(generator)
+    generator.history.close()
 
 
 if __name__ == "__main__":
--- a/loadbalancer/drill/servers/endpoint_list.py
+++ b/loadbalancer/drill/servers/endpoint_list.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery as a process: PROTOCOL's list and watches, and what may be wrong with them.
+"""A test server for discovery as a process: PROTOCOL's list and watches, and what may be wrong with them.
 
 python -m loadbalancer.drill.servers.endpoint_list SPEC.json
 """
@@ -6,172 +6,226 @@
 from __future__ import annotations
 
 import asyncio
+from dataclasses import dataclass
 from typing import Any
 
 import aiohttp
 from aiohttp import web
 
-from loadbalancer.drill.servers.specification import Place, follow, read_spec, say
+from loadbalancer.drill.servers.specification import (
+    ProcessSpecification,
+    read_specification,
+    receive_commands,
+    send_message,
+)
 
 Entry = dict[str, Any]
-WAIT_MOST_MS = 60_000.0
-ODD = ("stale", "empty", "halved", "garbled", "frozen", "failing")
-ODD_PAUSE_S = 0.2  # such a service answers each watch at once: that must not become a storm of its own
+MAX_WAIT_MS = 60_000.0
+FAULTY_STATES = ("stale", "empty", "halved", "garbled", "frozen", "failing")
+FAULTY_ANSWER_DELAY_S = 0.2  # a faulty server answers each watch at once: that must not become a storm
+SHUTDOWN_TIMEOUT_S = 0.1
+GARBLED = b'{"index": 7, "snapshot"'
 
 
-class Spec(Place, kw_only=True, frozen=True):
-    """What the list is told: who may ask, by address, and what it lists for them."""
+class EndpointListSpecification(
+    ProcessSpecification, kw_only=True, frozen=True,
+    rename={"balancer_tiers": "askers", "registry": "service"},
+):  # fmt: skip
+    """What the endpoint list is started with: who may ask, by address, and what is listed for them."""
 
-    askers: dict[str, str]  # the address of a balancer: the name of its tier
-    tiers: dict[str, list[Entry]]  # entries without addresses
-    addresses: dict[str, dict[str, str]]  # the address of a balancer: for each server, where it reaches it
-    service: str = ""  # host:port of a real list service, whose answers are passed on
+    balancer_tiers: dict[str, str]
+    """The address of a balancer: the name of its tier."""
+    tiers: dict[str, list[Entry]]
+    """Entries without addresses."""
+    addresses: dict[str, dict[str, str]]
+    """The address of a balancer: for each server, where it reaches it."""
+    registry: str = ""
+    """host:port of a real registry, whose answers are forwarded."""
 
 
-class Lists:
+@dataclass(frozen=True, slots=True)
+class ListAnswer:
+    """What a balancer is answered: entries are without addresses."""
+
+    index: int
+    is_snapshot: bool
+    entries: list[Entry]
+
+
+class EndpointListServer:
     """One list for each tier, one index for all."""
 
-    def __init__(self, spec: Spec) -> None:
-        self.spec = spec
-        self.history = spec.writer()
-        self.index = 1
-        self.tiers = {tier: {e["name"]: e for e in entries} for tier, entries in spec.tiers.items()}
-        self.changed: dict[str, int] = {e["name"]: 1 for entries in spec.tiers.values() for e in entries}
-        self.news = asyncio.Event()
-        self.state = "fresh"
-        self.session: aiohttp.ClientSession | None = None
-        self.last: dict[tuple[str, str], tuple[int, bool, list[Entry]]] = {}
-        self._first = {tier: dict(entries) for tier, entries in self.tiers.items()}
-
-    def command(self, line: dict[str, Any]) -> None:
+    def __init__(self, spec: EndpointListSpecification, session: aiohttp.ClientSession) -> None:
+        self._spec = spec
+        self._session = session
+        self.history = spec.open_history()
+        self._index = 1
+        self._tiers = {tier: {e["name"]: e for e in entries} for tier, entries in spec.tiers.items()}
+        self._initial_tiers = {tier: dict(entries) for tier, entries in self._tiers.items()}
+        self._changed_at = {e["name"]: 1 for entries in spec.tiers.values() for e in entries}  # index
+        self._changed = asyncio.Event()
+        self._state = "fresh"
+        self._last_answers: dict[tuple[str, str], ListAnswer] = {}  # by address and tier, as snapshots
+
+    def handle_command(self, command: dict[str, Any]) -> None:
         """Change an entry, or what is wrong with the list."""
-        if "state" in line:
-            self.state = line["state"]
+        if "state" in command:
+            self._state = command["state"]
         else:
-            entry = line["entry"]
-            self.index += 1
-            self.tiers[line["tier"]][entry["name"]] = entry
-            self.changed[entry["name"]] = self.index
-        waiting, self.news = self.news, asyncio.Event()
-        waiting.set()
-
-    async def servers(self, request: web.Request) -> web.Response:
-        """The whole list, or a watch."""
+            entry = command["entry"]
+            self._index += 1
+            self._tiers[command["tier"]][entry["name"]] = entry
+            self._changed_at[entry["name"]] = self._index
+        changed, self._changed = self._changed, asyncio.Event()
+        changed.set()
+
+    @property
+    def _is_faulty(self) -> bool:
+        return self._state in FAULTY_STATES
+
+    async def handle_list_request(self, request: web.Request) -> web.Response:
+        """Answer with the full list, or with a watch."""
         peer = request.transport.get_extra_info("peername")[0] if request.transport else ""
-        tier = self.spec.askers.get(peer)
+        tier = self._spec.balancer_tiers.get(peer)
         if tier is None:
             return web.json_response({"error": f"no balancer has the address {peer}"}, status=404)
         after = int(request.query.get("after", "-1"))
-        if self.state in ODD:
-            return await self._odd(request, peer, tier, after)
-        if self.spec.service:
-            return await self._pass_on(request, peer, tier)
-        if not 0 < after <= self.index:
-            live = [e for e in self.tiers[tier].values() if e["status"] != "terminated"]
-            return self._answer(peer, self.index, True, live)
-        wait_ms = min(float(request.query.get("wait_ms", "0")), WAIT_MOST_MS)
-        changes = self._since(tier, after)
-        if not changes:
-            try:
-                async with asyncio.timeout(wait_ms / 1_000):
-                    while not changes and self.state not in ODD:
-                        await self.news.wait()
-                        changes = self._since(tier, after)
-            except TimeoutError:
-                pass
-        if self.state in ODD:
-            return await self._odd(request, peer, tier, after)
-        return self._answer(peer, self.index, False, changes)
-
-    async def _odd(self, request: web.Request, peer: str, tier: str, after: int) -> web.Response:
-        """What a service tells that is out of order."""
-        if self.state == "failing":
+        if self._is_faulty:
+            return await self._answer_faulty(request, peer, tier, after)
+        if self._spec.registry:
+            return await self._forward(request, peer, tier)
+        if not 0 < after <= self._index:
+            return self._answer(peer, ListAnswer(self._index, True, self._live_entries(tier)))
+        changes = await self._wait_for_changes(request, tier, after)
+        if self._is_faulty:
+            return await self._answer_faulty(request, peer, tier, after)
+        return self._answer(peer, ListAnswer(self._index, False, changes))
+
+    async def _wait_for_changes(self, request: web.Request, tier: str, after: int) -> list[Entry]:
+        """Return the entries that changed after an index, as soon as there are some or the wait is over."""
+        wait_ms = min(float(request.query.get("wait_ms", "0")), MAX_WAIT_MS)
+        changes = self._changes_after(tier, after)
+        if changes:
+            return changes
+        try:
+            async with asyncio.timeout(wait_ms / 1_000):
+                while not changes and not self._is_faulty:
+                    await self._changed.wait()
+                    changes = self._changes_after(tier, after)
+        except TimeoutError:
+            pass
+        return changes
+
+    def _changes_after(self, tier: str, after: int) -> list[Entry]:
+        return [e for name, e in self._tiers[tier].items() if self._changed_at[name] > after]
+
+    def _live_entries(self, tier: str) -> list[Entry]:
+        return [e for e in self._tiers[tier].values() if e["status"] != "terminated"]
+
+    # ---- faults ---------------------------------------------------------------------------------
+
+    async def _answer_faulty(self, request: web.Request, peer: str, tier: str, after: int) -> web.Response:
+        """Answer as a server does that has a fault."""
+        if self._state == "failing":
             self.history.write("turned_away", to=peer)
             return web.Response(status=503)
-        await asyncio.sleep(ODD_PAUSE_S)
-        if self.state == "garbled":
-            return web.Response(body=b'{"index": 7, "snapshot"', content_type="application/json")
-        if self.state == "stale":
-            return self._answer(peer, 1, True, list(self._first[tier].values()))
-        if self.state == "frozen":
-            last = self.last.get((peer, tier))
-            if after >= 0:
-                await asyncio.sleep(float(request.query.get("wait_ms", "0")) / 1_000)
-                return self._answer(peer, after, False, [])
-            return self._answer(peer, *last) if last else web.Response(status=503)
-        if self.spec.service:
-            whole = await self._ask_service(tier, {})
-            if whole is None:
+        await asyncio.sleep(FAULTY_ANSWER_DELAY_S)
+        match self._state:
+            case "garbled":
+                return web.Response(body=GARBLED, content_type="application/json")
+            case "stale":
+                entries = list(self._initial_tiers[tier].values())
+                return self._answer(peer, ListAnswer(1, True, entries))
+            case "frozen":
+                return await self._answer_frozen(request, peer, tier, after)
+            case state:
+                return await self._answer_incomplete(peer, tier, is_empty=state == "empty")
+
+    async def _answer_frozen(self, request: web.Request, peer: str, tier: str, after: int) -> web.Response:
+        """Answer that nothing changes, and new callers with what was answered last."""
+        last = self._last_answers.get((peer, tier))
+        if after >= 0:
+            await asyncio.sleep(float(request.query.get("wait_ms", "0")) / 1_000)
+            return self._answer(peer, ListAnswer(after, False, []))
+        return self._answer(peer, last) if last else web.Response(status=503)
+
+    async def _answer_incomplete(self, peer: str, tier: str, *, is_empty: bool) -> web.Response:
+        """Answer with a full snapshot that leaves out all servers, or every other one."""
+        if self._spec.registry:
+            snapshot = await self._request_registry(tier, {})
+            if snapshot is None:
                 return web.Response(status=503)
-            index, entries = whole["index"], whole["endpoints"]
+            index, entries = snapshot["index"], snapshot["endpoints"]
         else:
-            self.index += 1
-            index = self.index
-            entries = [e for e in self.tiers[tier].values() if e["status"] != "terminated"]
-        kept = [] if self.state == "empty" else [e for e in entries if e["name"] in self._half(tier)]
-        return self._answer(peer, index, True, kept, is_true=False)
-
-    def _half(self, tier: str) -> set[str]:
-        return set(sorted(self._first[tier])[::2])
-
-    async def _pass_on(self, request: web.Request, peer: str, tier: str) -> web.Response:
-        """Ask the real service, and give its answer with the addresses that this balancer uses."""
-        news = await self._ask_service(tier, dict(request.query))
-        if news is None:
+            self._index += 1
+            index, entries = self._index, self._live_entries(tier)
+        half = set(sorted(self._initial_tiers[tier])[::2])
+        listed = [] if is_empty else [e for e in entries if e["name"] in half]
+        return self._answer(peer, ListAnswer(index, True, listed), is_true=False)
+
+    # ---- a real registry ------------------------------------------------------------------------
+
+    async def _forward(self, request: web.Request, peer: str, tier: str) -> web.Response:
+        """Ask the real registry, and answer with the addresses that this balancer uses."""
+        answer = await self._request_registry(tier, dict(request.query))
+        if answer is None:
             return web.Response(status=503)
-        if self.state in ODD:
-            return await self._odd(request, peer, tier, int(request.query.get("after", "-1")))
-        known = self.spec.addresses[peer]
-        entries = [e for e in news["endpoints"] if e["name"] in known]
-        self._remember(peer, tier, news["index"], news["snapshot"], entries)
-        told = {key: news[key] for key in ("services", "held") if key in news}
-        return self._answer(peer, news["index"], news["snapshot"], entries, told=told)
-
-    def _remember(self, peer: str, tier: str, index: int, whole: bool, entries: list[Entry]) -> None:
-        """What was told last, as a whole: a frozen service goes on telling that."""
-        known = self.last.get((peer, tier))
-        before = {} if whole or known is None else {e["name"]: e for e in known[2]}
-        now = before | {e["name"]: e for e in entries}
-        self.last[peer, tier] = index, True, [e for e in now.values() if e["status"] != "terminated"]
-
-    async def _ask_service(self, tier: str, query: dict[str, str]) -> Any:
-        """The real service's answer; None if there is none."""
-        assert self.session is not None
+        if self._is_faulty:
+            return await self._answer_faulty(request, peer, tier, int(request.query.get("after", "-1")))
+        known = self._spec.addresses[peer]
+        entries = [e for e in answer["endpoints"] if e["name"] in known]
+        update = ListAnswer(answer["index"], answer["snapshot"], entries)
+        self._remember(peer, tier, update)
+        extra = {key: answer[key] for key in ("services", "held") if key in answer}
+        return self._answer(peer, update, extra=extra)
+
+    def _remember(self, peer: str, tier: str, update: ListAnswer) -> None:
+        """Keep the list as the balancer has it now: a frozen server goes on answering with that."""
+        last = self._last_answers.get((peer, tier))
+        known = {} if update.is_snapshot or last is None else {e["name"]: e for e in last.entries}
+        known |= {e["name"]: e for e in update.entries}
+        live = [e for e in known.values() if e["status"] != "terminated"]
+        self._last_answers[peer, tier] = ListAnswer(update.index, True, live)
+
+    async def _request_registry(self, tier: str, query: dict[str, str]) -> Any:
+        """Return the real registry's answer; None if there is none."""
         query = query | {"tier": tier}
         try:
-            async with self.session.get(f"http://{self.spec.service}/v1/servers", params=query) as answer:
+            url = f"http://{self._spec.registry}/v1/servers"
+            async with self._session.get(url, params=query) as answer:
                 return await answer.json() if answer.status == 200 else None
         except (aiohttp.ClientError, OSError, ValueError):
             return None
 
-    def _since(self, tier: str, after: int) -> list[Entry]:
-        return [e for name, e in self.tiers[tier].items() if self.changed[name] > after]
-
     def _answer(
-        self, peer: str, index: int, snapshot: bool, entries: list[Entry], is_true: bool = True,
-        told: dict[str, Any] | None = None,
-    ) -> web.Response:  # fmt: skip
-        ways = self.spec.addresses[peer]
-        listed = [e | {"address": ways[e["name"]]} for e in entries]
-        states = {e["name"]: e["status"] for e in entries}
-        whole = snapshot and is_true  # what an untrue list leaves out, nobody has said
-        self.history.write("told", to=peer, index=index, snapshot=whole, entries=states)
-        return web.json_response({"index": index, "snapshot": snapshot, "endpoints": listed} | (told or {}))
+        self, peer: str, answer: ListAnswer, *, is_true: bool = True, extra: dict[str, Any] | None = None
+    ) -> web.Response:
+        """Answer a balancer and record it; what an untrue list leaves out, nobody has removed."""
+        addresses = self._spec.addresses[peer]
+        states = {e["name"]: e["status"] for e in answer.entries}
+        is_full = answer.is_snapshot and is_true
+        self.history.write("told", to=peer, index=answer.index, snapshot=is_full, entries=states)
+        listed = [e | {"address": addresses[e["name"]]} for e in answer.entries]
+        body = {"index": answer.index, "snapshot": answer.is_snapshot, "endpoints": listed}
+        return web.json_response(body | (extra or {}))
 
 
 async def main() -> None:
     """Serve until the driver closes our input."""
-    lists = Lists(spec := read_spec(Spec))
-    app = web.Application()
-    app.router.add_get("/v1/servers", lists.servers)
-    runner = web.AppRunner(app, access_log=None, handler_cancellation=True, shutdown_timeout=0.1)
-    await runner.setup()
-    await web.TCPSite(runner, spec.listen, spec.port).start()
-    async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as lists.session:
-        say(ready=list(runner.addresses[0][:2]))
-        await follow(lists.command)
+    spec = read_specification(EndpointListSpecification)
+    async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
+        server = EndpointListServer(spec, session)
+        app = web.Application()
+        app.router.add_get("/v1/servers", server.handle_list_request)
+        runner = web.AppRunner(
+            app, access_log=None, handler_cancellation=True, shutdown_timeout=SHUTDOWN_TIMEOUT_S
+        )
+        await runner.setup()
+        await web.TCPSite(runner, spec.listen, spec.port).start()
+        send_message(ready=list(runner.addresses[0][:2]))
+        await receive_commands(server.handle_command)
     await runner.cleanup()
-    lists.history.close()
+    server.history.close()
 
 
 if __name__ == "__main__":
--- a/loadbalancer/drill/servers/upstream.py
+++ b/loadbalancer/drill/servers/upstream.py
@@ -1,4 +1,4 @@
-"""A stand-in server as a process: the model of `loadbalancer.simulation.servers` on real sockets.
+"""A test server as a process: the model of `loadbalancer.simulation.servers` on real sockets.
 
 python -m loadbalancer.drill.servers.upstream SPEC.json
 """
@@ -19,202 +19,251 @@
 from aiohttp import web
 
 from loadbalancer.drill.clock import RealClock
-from loadbalancer.drill.scenario.definition import Model, Version
-from loadbalancer.drill.servers.specification import Place, follow, read_spec, request_of, say
+from loadbalancer.drill.scenario.tables import ServerModel, ServerVersion
+from loadbalancer.drill.servers.specification import (
+    ProcessSpecification,
+    read_specification,
+    receive_commands,
+    request_arguments,
+    send_message,
+)
 from loadbalancer.net.downstream import parse_duration_ms
 from loadbalancer.registry.client import RegistryCallError, RegistryClient
 from loadbalancer.registry.entries import Registration
 from loadbalancer.registry.lease import Lease
 from loadbalancer.simulation.servers import Build, Job, Server
 
-BEFORE_CALLS = 0.5  # the part of its work that comes before its calls to the next tier
-WORK_SPREAD = 0.6  # of the logarithm of a request's work
-NO_DEADLINE_MS = 1_000.0  # for a request that tells none
-LIST_PATIENCE_S, LIST_RETRY_S = 1.0, 0.3
-NOT_RUN = {"X-Not-Run": "1"}
+WORK_BEFORE_NEXT_TIER = 0.5  # the fraction of its work that comes before its calls to the next tier
+WORK_SPREAD = 0.6  # standard deviation of the logarithm of a request's work
+DEFAULT_WORK_MS = 10.0  # for a class that the specification does not know
+DEFAULT_DEADLINE_MS = 1_000.0  # for a request without one
+NEXT_TIER_DEADLINE = 0.8  # of a request's own deadline, for its calls to the next tier
+REGISTRY_TIMEOUT_S = 1.0
+REGISTRY_RETRY_INTERVAL_S = 0.3
+SHUTDOWN_TIMEOUT_S = 5.0
+NOT_EXECUTED_HEADERS = {"X-Not-Run": "1"}
 
 
-class Spec(Place, kw_only=True, frozen=True):
-    """What a server is told."""
+class UpstreamSpecification(
+    ProcessSpecification, kw_only=True, frozen=True,
+    rename={"next_tier": "calls", "registry": "directory", "started_at_ms": "since_ms"},
+):  # fmt: skip
+    """What a test server is started with."""
 
     zone: str
-    model: Model
-    version: Version = Version()
+    model: ServerModel
+    version: ServerVersion = ServerVersion()
     work_ms: dict[str, float]
-    calls: str = ""  # host:port of the balancer beside it; empty where it makes no calls
-    since_ms: float = 0.0
-    directory: str = ""  # host:port of a real list service; empty where the driver tells the list
+    """By class, on a standard core."""
+    next_tier: str = ""
+    """host:port of the balancer beside it; empty where it makes no calls."""
+    started_at_ms: float = 0.0
+    registry: str = ""
+    """host:port of real registry instances; empty where the driver changes the list."""
     tier: str = "first"
     lease_ms: float = 3_000.0
 
 
-class StandIn:
-    """One server: takes requests, works on them as the model says, and writes down what it did."""
-
-    def __init__(self, spec: Spec) -> None:
-        self.spec, self.version = spec, spec.version
-        self.clock = RealClock(spec.offset_ms)
-        model = spec.model
-        self.machine = Server(
-            self.clock,
-            Build(
-                spec.name, 0, spec.zone, model.cores, model.speed, model.slots, model.queue,
-                connections=10_000, thrash=0.0, thrash_at=math.inf, error_rate=0.0,
-                cold_from=model.cold_from, cold_ms=model.cold_s * 1_000,
-            ),
-        )  # fmt: skip
-        self.machine.started_at = spec.since_ms
-        self.machine.slow = spec.version.slower
-        self.history = spec.writer()
-        self.chance = random.Random(f"{spec.seed}/{spec.name}/{spec.since_ms}")
-        self.session: aiohttp.ClientSession | None = None
-        self.served = 0
+class TestServer:
+    """One server: accepts requests, works on them as the model says, and records what it did."""
+
+    def __init__(self, spec: UpstreamSpecification, session: aiohttp.ClientSession) -> None:
+        self._spec = spec
+        self._session = session
+        self._version = spec.version
+        self._model = _create_model(spec)
+        self.history = spec.open_history()
+        self._random = random.Random(f"{spec.seed}/{spec.name}/{spec.started_at_ms}")
+        self._completed_count = 0
         self.stopping = asyncio.Event()
         self.history.write(
-            "up", cores=model.cores, speed=model.speed / spec.version.slower, cold_from=model.cold_from,
-            cold_ms=model.cold_s * 1_000, since=spec.since_ms,
+            "up", cores=spec.model.cores, speed=spec.model.speed / spec.version.slowdown,
+            cold_from=spec.model.initial_capacity, cold_ms=spec.model.warm_up_s * 1_000,
+            since=spec.started_at_ms,
         )  # fmt: skip
 
-    def command(self, line: dict[str, Any]) -> None:
+    def handle_command(self, command: dict[str, Any]) -> None:
         """Behave otherwise from now on."""
-        machine = self.machine
-        machine.slow = self.version.slower * float(line["slower"])
-        machine.failing, machine.paused = float(line["fails"]), bool(line["paused"])
-        machine.changed()
-
-    async def health(self, request: web.Request) -> web.Response:
-        """Whether it would take requests."""
-        ready = self.version.ready and not self.stopping.is_set()
-        return web.Response(status=200 if ready else 503)
-
-    async def handle(self, request: web.Request) -> web.Response:
-        """One request, from its last byte on."""
-        number = request.headers.get("X-Request-Id", "")
-        if not number:
+        model = self._model
+        model.slow = self._version.slowdown * float(command["slower"])
+        model.failing = float(command["fails"])
+        model.paused = bool(command["paused"])
+        model.changed()
+
+    async def handle_health_check(self, request: web.Request) -> web.Response:
+        """Answer whether it would accept requests."""
+        is_ready = self._version.is_ready and not self.stopping.is_set()
+        return web.Response(status=200 if is_ready else 503)
+
+    async def handle_request(self, request: web.Request) -> web.Response:
+        """Answer one request, whose work is counted from its last byte on."""
+        request_id = request.headers.get("X-Request-Id", "")
+        if not request_id:
             return web.Response(status=404)
         await request.read()
-        cls = request.headers.get("X-Class", "")
-        mean = self.spec.work_ms.get(cls, 10.0) + self.version.leak_ms * self.served
-        spread = random.Random(number).lognormvariate(-(WORK_SPREAD**2) / 2, WORK_SPREAD)
-        work = mean * spread
+        request_class = request.headers.get("X-Class", "")
+        mean_ms = self._spec.work_ms.get(request_class, DEFAULT_WORK_MS)
+        mean_ms += self._version.leak_ms * self._completed_count
+        spread = random.Random(request_id).lognormvariate(-(WORK_SPREAD**2) / 2, WORK_SPREAD)
+        work_ms = mean_ms * spread
         peer = request.transport.get_extra_info("peername") if request.transport else ("", 0)
-        self.history.write("arrived", id=number, cls=cls, work=round(work, 3), **{"from": peer[0]})
+        origin = {"from": peer[0]}
+        self.history.write("arrived", id=request_id, cls=request_class, work=round(work_ms, 3), **origin)
         if self.stopping.is_set():
-            return web.Response(status=503, headers=NOT_RUN)
-        return await self._work(request, number, cls, work)
+            return web.Response(status=503, headers=NOT_EXECUTED_HEADERS)
+        return await self._execute(request, request_id, request_class, work_ms)
 
-    async def _work(self, request: web.Request, number: str, cls: str, work: float) -> web.Response:
-        loop = asyncio.get_running_loop()
-        started: asyncio.Future[None] = loop.create_future()
-        parts: list[asyncio.Future[None]] = [loop.create_future(), loop.create_future()]
-        turns = iter(parts)
-
-        def begun(job: Job) -> None:
-            if not started.done():
-                started.set_result(None)
-
-        def done(job: Job) -> None:
-            part = next(turns)
-            if not part.done():
-                part.set_result(None)
-
-        job = Job(0.0, begun, done)
-        if not self.machine.submit(job):
-            return web.Response(status=503, headers=NOT_RUN)
-        status, run = 500, ""
+    async def _execute(
+        self, request: web.Request, request_id: str, request_class: str, work_ms: float
+    ) -> web.Response:
+        """Queue a request, work on it, and answer."""
+        job = ModelJob()
+        if not self._model.submit(job.job):
+            return web.Response(status=503, headers=NOT_EXECUTED_HEADERS)
+        status, execution_id = 500, ""
         try:
-            await started
-            self.history.write("began", id=number, cls=cls)
-            if self._fails(cls):
+            await job.started
+            self.history.write("began", id=request_id, cls=request_class)
+            if self._fails(request_class) or not await self._work(job, request, request_id, work_ms):
                 return web.Response(status=500)
-            first = work * (BEFORE_CALLS if self.spec.calls else 1.0)
-            self.machine.start(job, first)
-            await parts[0]
-            if self.spec.calls:
-                if not await self._call(request, number, cls):
-                    return web.Response(status=500)
-                self.machine.start(job, work * (1 - BEFORE_CALLS))
-                await parts[1]
-            self.served += 1
-            run = hashlib.sha256(f"{number}/{os.getpid()}/{time.monotonic_ns()}".encode()).hexdigest()[:20]
+            self._completed_count += 1
+            execution = f"{request_id}/{os.getpid()}/{time.monotonic_ns()}"
+            execution_id = hashlib.sha256(execution.encode()).hexdigest()[:20]
             status = 200
-            return web.json_response({"id": number, "server": self.spec.name, "run": run})
+            answer = {"id": request_id, "server": self._spec.name, "run": execution_id}
+            return web.json_response(answer)
         except asyncio.CancelledError:
             status = 0
             raise
         finally:
-            self.machine.release(job)
-            self.history.write("ended", id=number, cls=cls, status=status, run=run)
+            self._model.release(job.job)
+            self.history.write("ended", id=request_id, cls=request_class, status=status, run=execution_id)
 
-    def _fails(self, cls: str) -> bool:
-        version, machine = self.version, self.machine
-        if version.fails_past and machine.held > version.fails_past:
+    def _fails(self, request_class: str) -> bool:
+        version, model = self._version, self._model
+        if version.fails_above_in_flight and model.held > version.fails_above_in_flight:
             return True
-        return self.chance.random() < max(machine.failing, version.fails.get(cls, 0.0))
-
-    async def _call(self, request: web.Request, number: str, cls: str) -> bool:
-        """Make our own call to the next tier, with what is left of the time; whether it was served."""
-        assert self.session is not None
-        left_ms = (parse_duration_ms(request.headers.get("X-Deadline", "").encode()) or NO_DEADLINE_MS) * 0.8
-        inner = f"{number}.{self.spec.name}.{self.chance.randrange(1 << 32):08x}"
-        asked = request_of(inner, cls, left_ms, request.method == "POST")
-        timeout = aiohttp.ClientTimeout(total=left_ms / 1_000)
+        return self._random.random() < max(model.failing, version.failure_rates.get(request_class, 0.0))
+
+    async def _work(self, job: ModelJob, request: web.Request, request_id: str, work_ms: float) -> bool:
+        """Do a request's work, around its call to the next tier; return whether that was served."""
+        if not self._spec.next_tier:
+            await job.work(self._model, work_ms)
+            return True
+        await job.work(self._model, work_ms * WORK_BEFORE_NEXT_TIER)
+        if not await self._call_next_tier(request, request_id):
+            return False
+        await job.work(self._model, work_ms * (1 - WORK_BEFORE_NEXT_TIER))
+        return True
+
+    async def _call_next_tier(self, request: web.Request, request_id: str) -> bool:
+        """Call the next tier with what remains of the deadline; return whether that was served."""
+        deadline_ms = parse_duration_ms(request.headers.get("X-Deadline", "").encode())
+        remaining_ms = (deadline_ms or DEFAULT_DEADLINE_MS) * NEXT_TIER_DEADLINE
+        call_id = f"{request_id}.{self._spec.name}.{self._random.randrange(1 << 32):08x}"
+        request_class = request.headers.get("X-Class", "")
+        arguments = request_arguments(
+            call_id, request_class, remaining_ms, is_unsafe=request.method == "POST"
+        )
+        timeout = aiohttp.ClientTimeout(total=remaining_ms / 1_000)
+        url = f"http://{self._spec.next_tier}/{request_class}"
         try:
-            async with self.session.request(
-                url=f"http://{self.spec.calls}/{cls}", timeout=timeout, **asked
-            ) as answer:
+            async with self._session.request(url=url, timeout=timeout, **arguments) as answer:
                 await answer.read()
                 return answer.status == 200
         except (aiohttp.ClientError, OSError, TimeoutError):
             return False
 
 
-def _lease(spec: Spec, address: str) -> Lease:
-    told = Registration(
+class ModelJob:
+    """A request in the model of a server, whose callbacks are awaited."""
+
+    def __init__(self) -> None:
+        loop = asyncio.get_running_loop()
+        self.started: asyncio.Future[None] = loop.create_future()
+        self._worked: asyncio.Future[None] = loop.create_future()
+        self.job = Job(0.0, self._on_started, self._on_worked)
+
+    def _on_started(self, job: Job) -> None:
+        if not self.started.done():
+            self.started.set_result(None)
+
+    def _on_worked(self, job: Job) -> None:
+        if not self._worked.done():
+            self._worked.set_result(None)
+
+    async def work(self, model: Server, work_ms: float) -> None:
+        """Work on a core of the model for so long, as measured on a standard core."""
+        self._worked = asyncio.get_running_loop().create_future()
+        model.start(self.job, work_ms)
+        await self._worked
+
+
+def _create_model(spec: UpstreamSpecification) -> Server:
+    """Return the model of a server that neither thrashes nor fails of itself."""
+    model = spec.model
+    server = Server(
+        RealClock(spec.offset_ms),
+        Build(
+            spec.name, 0, spec.zone, model.cores, model.speed, model.slots, model.queue, connections=10_000,
+            thrash=0.0, thrash_at=math.inf, error_rate=0.0, cold_from=model.initial_capacity,
+            cold_ms=model.warm_up_s * 1_000,
+        ),
+    )  # fmt: skip
+    server.started_at = spec.started_at_ms
+    server.slow = spec.version.slowdown
+    return server
+
+
+def _create_lease(spec: UpstreamSpecification, address: str) -> Lease:
+    """Return the lease of a server in the real registry."""
+    registration = Registration(
         address=address, zone=spec.zone, type="m", weight=float(spec.model.cores), tier=spec.tier,
-        since_ms=spec.since_ms, lease_ms=spec.lease_ms,
+        since_ms=spec.started_at_ms, lease_ms=spec.lease_ms,
     )  # fmt: skip
-    return Lease(RegistryClient(spec.directory, who=spec.name, patience_s=LIST_PATIENCE_S), spec.name, told)
+    client = RegistryClient(spec.registry, who=spec.name, patience_s=REGISTRY_TIMEOUT_S)
+    return Lease(client, spec.name, registration)
 
 
-async def _hold(lease: Lease) -> None:
-    """Keep the place on the list for ever; what fails is tried again soon."""
+async def _renew_lease(lease: Lease) -> None:
+    """Register and renew for ever; what fails is repeated soon."""
     while True:
         try:
             await asyncio.to_thread(lease.keep)
             wait_s = lease.step_s
         except RegistryCallError:
-            wait_s = LIST_RETRY_S
+            wait_s = REGISTRY_RETRY_INTERVAL_S
         await asyncio.sleep(wait_s)
 
 
 async def main() -> None:
-    """Serve until SIGTERM, then until all that was taken is answered."""
-    stand_in = StandIn(spec := read_spec(Spec))
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stand_in.stopping.set)
-    app = web.Application()
-    app.router.add_get("/healthz", stand_in.health)
-    app.router.add_route("*", "/{path:.*}", stand_in.handle)
-    runner = web.AppRunner(app, handler_cancellation=True, access_log=None, shutdown_timeout=5.0)
-    await runner.setup()
-    site = web.TCPSite(runner, spec.listen, spec.port)
-    await site.start()
+    """Serve until SIGTERM, then until all that was accepted is answered."""
+    spec = read_specification(UpstreamSpecification)
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
-        stand_in.session = session
-        say(ready=list(runner.addresses[0][:2]))
-        tasks = [asyncio.create_task(follow(stand_in.command))]
+        server = TestServer(spec, session)
+        asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, server.stopping.set)
+        app = web.Application()
+        app.router.add_get("/healthz", server.handle_health_check)
+        app.router.add_route("*", "/{path:.*}", server.handle_request)
+        runner = web.AppRunner(
+            app, handler_cancellation=True, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S
+        )
+        await runner.setup()
+        await web.TCPSite(runner, spec.listen, spec.port).start()
         host, port = runner.addresses[0][:2]
-        lease = _lease(spec, f"{host}:{port}") if spec.directory else None
+        send_message(ready=[host, port])
+        tasks = [asyncio.create_task(receive_commands(server.handle_command))]
+        lease = _create_lease(spec, f"{host}:{port}") if spec.registry else None
         if lease is not None:
-            tasks.append(asyncio.create_task(_hold(lease)))
-        await stand_in.stopping.wait()
+            tasks.append(asyncio.create_task(_renew_lease(lease)))
+        await server.stopping.wait()
         for task in tasks:
             task.cancel()
         if lease is not None:
             with contextlib.suppress(RegistryCallError):
                 await asyncio.to_thread(lease.leave, "it ends")
         await runner.cleanup()
-    stand_in.history.close()
+    server.history.close()
 
 
 if __name__ == "__main__":
--- a/loadbalancer/scale/allowances.py
+++ b/loadbalancer/scale/allowances.py
@@ -24,7 +24,7 @@
     """A balancer, over the worst ten seconds: pauses begin at half a second and double."""
 
 
-def over(told: dict[str, Any], allowed: Allowances = Allowances()) -> list[dict[str, Any]]:  # noqa: B008
+def find_excesses(told: dict[str, Any], allowed: Allowances = Allowances()) -> list[dict[str, Any]]:  # noqa: B008
     """What is over its allowance in the `steps` of a run's figures: step, role, figure, value, allowance.
 
     Memory is judged of real processes only: a hollow balancer shares its process with others.
--- a/loadbalancer/scale/counted_relays.py
+++ b/loadbalancer/scale/counted_relays.py
@@ -1,60 +1,64 @@
-"""The counted ways of a scale run: between instances, and from each real balancer to each instance."""
+"""The counted relays of a scale run: between instances, and from each real balancer to each instance."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Iterator
+from itertools import permutations
 from typing import Any
 
 from loadbalancer.scale.relay import Relay
 
 
-class Ways:
+class CountedRelays:
     """Relays, and what passed through them in each second."""
 
     def __init__(self, instances: list[str]) -> None:
-        """`instances` are the addresses that they listen on themselves."""
+        """Prepare relays to `instances`, the addresses that they listen on themselves."""
         self._instances = instances
-        self.between: dict[tuple[int, int], Relay] = {}
-        self._real: dict[int, list[Relay]] = {}
-
-    async def join(self) -> None:
-        """Lay the instances' ways to one another."""
-        for one in range(len(self._instances)):
-            for other, at in enumerate(self._instances):
-                if one != other:
-                    way = self.between[one, other] = Relay(at)
-                    await way.start()
-
-    async def of_real(self, number: int) -> list[str]:
-        """Lay a real balancer's ways to the instances; where it reaches them."""
-        ways = self._real[number] = [Relay(at) for at in self._instances]
-        for way in ways:
-            await way.start()
-        return [way.at for way in ways]
-
-    def cut(self, is_cut: bool) -> None:
+        self.between_instances: dict[tuple[int, int], Relay] = {}
+        self._by_balancer: dict[int, list[Relay]] = {}
+
+    async def start(self) -> None:
+        """Start the instances' relays to one another."""
+        for source, target in permutations(range(len(self._instances)), 2):
+            relay = Relay(self._instances[target])
+            await relay.start()
+            self.between_instances[source, target] = relay
+
+    async def add_balancer(self, number: int) -> list[str]:
+        """Start a real balancer's relays to the instances; return where it reaches them."""
+        relays = [Relay(address) for address in self._instances]
+        for relay in relays:
+            await relay.start()
+        self._by_balancer[number] = relays
+        return [relay.address for relay in relays]
+
+    def set_partitioned(self, *, is_partitioned: bool) -> None:
         """Part the instances from one another, or join them again."""
-        for way in self.between.values():
-            way.cut(is_cut)
-
-    def second(self, second: int) -> Iterator[tuple[str, dict[str, Any]]]:
-        """What passed since it was asked last, by the name of the process that it is booked for."""
-        for number, ways in self._real.items():
-            taken = {way.to: way.take() for way in ways}
-            calls = {to: told["calls"] for to, told in taken.items()}
-            passed = {to: told["bytes"] for to, told in taken.items()}
+        for relay in self.between_instances.values():
+            relay.set_cut(is_cut=is_partitioned)
+
+    def take_counts(self, second: int) -> Iterator[tuple[str, dict[str, Any]]]:
+        """Yield what passed since the last call, as a row of the process that it is counted for."""
+        for number, relays in self._by_balancer.items():
+            counts = {relay.target: relay.take_counts() for relay in relays}
+            calls = {target: count["calls"] for target, count in counts.items()}
+            passed = {target: count["bytes"] for target, count in counts.items()}
             yield f"b{number}", {"second": second, "calls": calls, "bytes": passed}
-        exchanged, asked = Counter[int](), Counter[int]()
-        for (asker, other), way in self.between.items():
-            told = way.take()
-            exchanged[asker] += told["bytes"]
-            exchanged[other] += told["bytes"]
-            asked[other] += told["calls"]
+        exchanged_bytes = Counter[int]()
+        calls_received = Counter[int]()
+        for (source, target), relay in self.between_instances.items():
+            count = relay.take_counts()
+            exchanged_bytes[source] += count["bytes"]
+            exchanged_bytes[target] += count["bytes"]
+            calls_received[target] += count["calls"]
         for number in range(len(self._instances)):
-            yield f"list{number}", {"second": second, "exchanged": exchanged[number], "asked": asked[number]}
+            row = {"exchanged": exchanged_bytes[number], "asked": calls_received[number]}
+            yield f"list{number}", {"second": second} | row
 
     def close(self) -> None:
-        """Listen no more."""
-        for way in (*self.between.values(), *(way for ways in self._real.values() for way in ways)):
-            way.close()
+        """Stop listening."""
+        of_balancers = (relay for relays in self._by_balancer.values() for relay in relays)
+        for relay in (*self.between_instances.values(), *of_balancers):
+            relay.close()
--- a/loadbalancer/scale/figures.py
+++ b/loadbalancer/scale/figures.py
@@ -8,15 +8,15 @@
 
 from hdrh.histogram import HdrHistogram
 
-from loadbalancer.scale.supervisor import Crew, One
+from loadbalancer.scale.supervisor import ScaleProcess, ScaleSupervisor
 
-MOST_MS = 600_000
-TEN = 10  # seconds of the letter's worst spell
+MAX_RECORDED_MS = 600_000
+SPELL_S = 10  # seconds of the letter's worst spell
 Row = dict[str, Any]
 Series = dict[int, dict[str, float]]  # by second: cpu (cores), bytes, calls, of one unit of a role
 
 
-def balancer_series(one: One, share: int) -> Series:
+def balancer_series(one: ScaleProcess, share: int) -> Series:
     """Each second of a balancer: of a hollow one the mean of its host, which holds `share`."""
     found: Series = defaultdict(dict)
     for row in one.rows:
@@ -32,18 +32,18 @@
     return found
 
 
-def instance_series(crew: Crew, number: int) -> Series:
+def instance_series(crew: ScaleSupervisor, number: int) -> Series:
     """Each second of an instance: what all others have told of their calls at it, and the exchange."""
     at, found = crew.instances[number], defaultdict[int, dict[str, float]](dict)
     counts: dict[int, Counter[str]] = defaultdict(Counter)
-    for one in crew.ones.values():
+    for one in crew.processes.values():
         for row in one.rows:
             if "calls" in row:
                 counts[row["second"]]["bytes"] += row["bytes"].get(at, 0)
                 counts[row["second"]]["calls"] += row["calls"].get(at, 0)
                 if one.kind != "registrar":
                     counts[row["second"]]["watches"] += row["calls"].get(at, 0)
-    for row in crew.ones[f"list{number}"].rows:
+    for row in crew.processes[f"list{number}"].rows:
         if "cpu" in row:
             found[row["second"]]["cpu"] = row["cpu"]
         if "exchanged" in row:
@@ -54,10 +54,10 @@
     return found
 
 
-def series_of(crew: Crew, hollow: dict[str, int]) -> dict[str, list[Series]]:
+def series_of(crew: ScaleSupervisor, hollow: dict[str, int]) -> dict[str, list[Series]]:
     """All that was seen by role: one series for each unit. `hollow` says how many a host holds."""
     roles: dict[str, list[Series]] = defaultdict(list)
-    for name, one in crew.ones.items():
+    for name, one in crew.processes.items():
         if one.kind == "hollow":
             roles["hollow"].append(balancer_series(one, max(hollow[name], 1)))
         elif one.kind in ("real_idle", "real_called"):
@@ -69,7 +69,7 @@
     return roles
 
 
-def cost(units: list[Series], begin: int, end: int) -> dict[str, float]:
+def role_cost(units: list[Series], begin: int, end: int) -> dict[str, float]:
     """Mean, worst second and worst ten of the units of a role, between two seconds of Unix time."""
     told: dict[str, float] = {}
     for key in ("cpu", "bytes", "calls", "dials", "watches"):
@@ -83,7 +83,7 @@
         every = [value for span in spans for value in span]
         told[f"{name}_mean"] = sum(every) / len(every)
         told[f"{name}_worst"] = max(every)
-        told[f"{name}_worst10"] = max(_worst(span, TEN) for span in spans)
+        told[f"{name}_worst10"] = max(_worst_mean(span, SPELL_S) for span in spans)
     lag_ms = max((s.get("lag_ms", 0.0) for u in units for at, s in u.items() if begin <= at < end), default=0)
     if lag_ms:
         told["lag_ms_worst"] = lag_ms  # of a host's loop: what is late by it is no balancer's fault
@@ -93,12 +93,12 @@
     return {key: round(value, 6 if key.startswith("cpu") else 3) for key, value in told.items()}
 
 
-def _worst(span: list[float], width: int) -> float:
+def _worst_mean(span: list[float], width: int) -> float:
     width = min(width, len(span))
     return max(sum(span[at : at + width]) / width for at in range(len(span) - width + 1))
 
 
-def in_force(changes: Iterable[Row], reports: list[Row], has_part: bool = False) -> dict[str, Any]:
+def time_in_force(changes: Iterable[Row], reports: list[Row], has_part: bool = False) -> dict[str, Any]:
     """How soon changes were in force at the last balancer, ms; who was never told one, and who is stale.
 
     Each change has `name`, `state`, `tier` and `at_ms`, when the service was asked for it by the call that it
@@ -123,14 +123,14 @@
             took.append(max(last[key] - change["at_ms"], 0.0))
     stale = sum(report["stale"] for report in reports)
     first = next((report["first_stale"] for report in reports if report["first_stale"]), "")
-    return summary(took) | {"never_told": never, "stale_after": stale, "first_stale": first}
+    return summarize_times(took) | {"never_told": never, "stale_after": stale, "first_stale": first}
 
 
-def summary(took_ms: list[float]) -> dict[str, Any]:
+def summarize_times(took_ms: list[float]) -> dict[str, Any]:
     """Median, p99 and most of some times in ms, through an HDR histogram; 0 of none."""
-    histogram = HdrHistogram(1, MOST_MS, 3)
+    histogram = HdrHistogram(1, MAX_RECORDED_MS, 3)
     for span in took_ms:
-        histogram.record_value(min(max(round(span), 1), MOST_MS))
+        histogram.record_value(min(max(round(span), 1), MAX_RECORDED_MS))
     if not took_ms:
         return {"count": 0, "median": 0, "p99": 0, "max": 0}
     return {
@@ -142,7 +142,7 @@
     }
 
 
-def kept(told: Row) -> Row:
+def without_samples(told: Row) -> Row:
     """A run's figures as they are kept beside others: without each second, and the histograms' buckets."""
     steps = {}
     for step, one in told["steps"].items():
