--- a/loadbalancer/scale/plan.py
+++ b/loadbalancer/scale/plan.py
@@ -12,13 +12,13 @@
 STEPS = (
     "start", "quiet", "changes", "rack", "zone", "rolling", "replaced", "instance-killed", "away", "regions",
 )  # fmt: skip
-SHORT = ("start", "quiet", "changes", "instance-killed", "away")
+DEFAULT_STEPS = ("start", "quiet", "changes", "instance-killed", "away")
 DEFECTS = ("polls", "quadratic-fan-out", "never-backs-off")  # see `plants`
-FIRST_PART = 0.1  # of the upstreams that belong to the first service; the others are alike
-CALLED = 8  # services that a balancer calls
+FIRST_SERVICE_FRACTION = 0.1  # of the upstreams that belong to the first service; the others are alike
+CALLED_SERVICES = 8  # services that a balancer calls
 MECHANISMS = ("whole", "interest")
-RACK = 40  # upstreams that go with a rack
-PROCESSES_MOST, MEMORY_PART = 300, 0.5
+RACK_SIZE = 40  # upstreams that go with a rack
+MAX_PROCESSES, MAX_MEMORY_FRACTION = 300, 0.5
 CLASSES = [{"name": "plain", "target": 100.0, "deadline": 1_000.0, "effect": "retryable", "worth": 1.0}]
 
 
@@ -26,7 +26,10 @@
     """A plan that can't be carried out: one line."""
 
 
-class Plan(msgspec.Struct, frozen=True, kw_only=True):
+class Plan(
+    msgspec.Struct, frozen=True, kw_only=True,
+    rename={"defect": "plant", "subset_size": "part", "convergence_timeout_s": "patience_s"},
+):  # fmt: skip
     """A scale run; times in seconds."""
 
     balancers: int
@@ -41,16 +44,16 @@
     services: int = 1
     zones: int = 12
     lists: str = "whole"
-    part: int = 0
+    subset_size: int = 0
     """By interest: servers of each service that are held in each zone at the least; 0 for all."""
     shared_reading: bool = False
     """Hollow balancers of a host read an answer that they all get only once: for sizes that one machine
     can't read for all. Their processor time is then too small, and real ones tell it alone."""
     start_s: float = 0.0
     """All start at once, or spread over so long, where the machine can't take that."""
-    steps: tuple[str, ...] = SHORT
+    steps: tuple[str, ...] = DEFAULT_STEPS
     seed: int = 1
-    plant: str = ""
+    defect: str = ""
     lease_s: float = 10.0
     quiet_s: float = 20.0
     changes: int = 60
@@ -58,7 +61,7 @@
     away_s: float = 30.0
     settle_s: float = 8.0
     """After each step, part of it; who is stale then is counted."""
-    patience_s: float = 0.0
+    convergence_timeout_s: float = 0.0
     """So long past that, who is stale or untold is waited for: for checks on a machine of any speed."""
     calls_per_s: float = 20.0
     """At each real balancer that is called."""
@@ -67,8 +70,8 @@
         """PlanError if it can't be carried out."""
         if unknown := [step for step in self.steps if step not in STEPS]:
             raise PlanError(f"no step {unknown[0]!r}; there are {', '.join(STEPS)}")
-        if self.plant and self.plant not in DEFECTS:
-            raise PlanError(f"no defect {self.plant!r}; there are {', '.join(DEFECTS)}")
+        if self.defect and self.defect not in DEFECTS:
+            raise PlanError(f"no defect {self.defect!r}; there are {', '.join(DEFECTS)}")
         if self.lists not in MECHANISMS:
             raise PlanError(f"no lists {self.lists!r}; there are {', '.join(MECHANISMS)}")
         if self.lists == "interest" and self.shared_reading:
@@ -79,8 +82,8 @@
             raise PlanError(f"hollow: {self.hollow}; allowed: 0 to {self.balancers - self.real}")
         if not 1 <= self.instances <= 8:
             raise PlanError(f"instances: {self.instances}; allowed: 1 to 8")
-        if self.hosts + self.instances + self.real + 2 > PROCESSES_MOST:
-            raise PlanError(f"more than {PROCESSES_MOST} processes")
+        if self.hosts + self.instances + self.real + 2 > MAX_PROCESSES:
+            raise PlanError(f"more than {MAX_PROCESSES} processes")
         if self.changes * 2 > self.balancers:
             raise PlanError(f"changes: {self.changes}; allowed: half of the upstreams at the most")
 
@@ -103,41 +106,43 @@
 
     def rack(self, zone: int) -> list[int]:
         """The upstreams of the first rack of a zone."""
-        return list(range(zone, self.balancers, self.zones))[:RACK]
+        return list(range(zone, self.balancers, self.zones))[:RACK_SIZE]
 
     def service(self, number: int) -> int:
         """The service of an upstream, by its number: the first one is a large one."""
-        first = round(self.balancers * FIRST_PART) if self.services > 1 else self.balancers
+        first = round(self.balancers * FIRST_SERVICE_FRACTION) if self.services > 1 else self.balancers
         return 0 if number < first else 1 + number % (self.services - 1)
 
     def tier(self, number: int) -> str:
         """Where an upstream stands on the list: in its service, or with all."""
         return f"v{self.service(number)}" if self.lists == "interest" else "first"
 
-    def wants(self, number: int) -> list[str]:
+    def subscribed_tiers(self, number: int) -> list[str]:
         """The tiers that a balancer asks for."""
-        return [f"v{one}" for one in self.called(number)] if self.lists == "interest" else ["first"]
+        return [f"v{one}" for one in self.called_services(number)] if self.lists == "interest" else ["first"]
 
-    def held(self) -> float:
+    def mean_list_size(self) -> float:
         """Upstreams on a hollow balancer's list, on average; a part is not taken off."""
         sizes = Counter(self.tier(number) for number in range(self.balancers))
-        held = [sum(sizes[tier] for tier in self.wants(number)) for number in self.hollow_numbers()]
+        held = [
+            sum(sizes[tier] for tier in self.subscribed_tiers(number)) for number in self.hollow_numbers()
+        ]
         return sum(held) / len(held) if held else 0.0
 
-    def called(self, number: int) -> list[int]:
+    def called_services(self, number: int) -> list[int]:
         """The services that a balancer calls: one in ten balancers calls the first."""
         others = range(1, self.services)
         chance = random.Random(f"{self.seed}/{number}")
-        drawn = chance.sample(others, min(CALLED, len(others)))
+        drawn = chance.sample(others, min(CALLED_SERVICES, len(others)))
         return sorted([0, *drawn] if number % 10 == 0 or not drawn else drawn)
 
 
-def name_of(number: int) -> str:
+def upstream_name(number: int) -> str:
     """An upstream's name."""
     return f"s{number}"
 
 
-def number_of(name: str) -> int:
+def upstream_number(name: str) -> int:
     """Its number again."""
     return int(name.removeprefix("s"))
 
@@ -154,7 +159,9 @@
     """How one balancer asks the list service: the one place that knows the mechanism (`Plan.lists`)."""
     lists: dict[str, Any] = {"others": ways[1:]}
     if plan.lists == "interest":
-        lists |= {"services": plan.wants(number)} | ({"part": plan.part} if plan.part else {})
+        lists |= {"services": plan.subscribed_tiers(number)} | (
+            {"part": plan.subset_size} if plan.subset_size else {}
+        )
     return {"discovery": ways[0], "lists": lists}
 
 
--- a/loadbalancer/scale/play.py
+++ b/loadbalancer/scale/play.py
@@ -12,150 +12,162 @@
 
 import aiohttp
 
-from loadbalancer.drill.processes.supervisor import DriveError
+from loadbalancer.drill.errors import DrillError
 from loadbalancer.scale import figures, resource_usage
-from loadbalancer.scale.plan import MEMORY_PART, Plan, PlanError
-from loadbalancer.scale.steps import START_S, Changes, Steps
-from loadbalancer.scale.supervisor import Crew
+from loadbalancer.scale.plan import MAX_MEMORY_FRACTION, Plan, PlanError
+from loadbalancer.scale.steps import START_TIMEOUT_S, Changes, ScaleSteps
+from loadbalancer.scale.supervisor import ScaleSupervisor
 
-PAIR_KB, HOST_MB, REAL_MB = 1.15, 60.0, 60.0  # of a listed server in a hollow balancer; of processes
-SPARE_FILES = 500
-OVERDUE_S = 900.0  # for a whole run, beside its steps' own lengths
-WORDS = {"in_service": "READY", "terminating": "DRAINING"}
+LISTED_SERVER_KB, HOST_MB, REAL_MB = 1.15, 60.0, 60.0  # of a listed server in a hollow balancer; of processes
+SPARE_DESCRIPTORS = 500
+MAX_RUN_S = 900.0  # for a whole run, beside its steps' own lengths
+READINESS_BY_STATUS = {"in_service": "READY", "terminating": "DRAINING"}
 
 
-def guard(plan: Plan) -> None:
+def check_resources(plan: Plan) -> None:
     """PlanError if this machine should not hold it: half of its memory, 20,000 descriptors a process."""
     plan.check()
-    all_mb, _ = resource_usage.memory_mb()
+    all_mb, _ = resource_usage.machine_memory_mb()
     own_mb = plan.hosts * HOST_MB + plan.real * REAL_MB + plan.instances * 2 * HOST_MB
-    held = plan.held()
-    pairs_mb = plan.hollow * held * PAIR_KB / 1_024
-    if own_mb + pairs_mb > MEMORY_PART * all_mb:
-        room = int((MEMORY_PART * all_mb - own_mb) * 1_024 / PAIR_KB / held)
+    held = plan.mean_list_size()
+    pairs_mb = plan.hollow * held * LISTED_SERVER_KB / 1_024
+    if own_mb + pairs_mb > MAX_MEMORY_FRACTION * all_mb:
+        room = int((MAX_MEMORY_FRACTION * all_mb - own_mb) * 1_024 / LISTED_SERVER_KB / held)
         raise PlanError(
-            f"memory: {own_mb + pairs_mb:,.0f} MB, allowed are {MEMORY_PART:.0%} of {all_mb:,.0f}; "
+            f"memory: {own_mb + pairs_mb:,.0f} MB, allowed are {MAX_MEMORY_FRACTION:.0%} of {all_mb:,.0f}; "
             f" --hollow {max(room, 0)} at the most"
         )
     files, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    need = plan.hollow + plan.real + SPARE_FILES  # at an instance, where all others are away
+    need = plan.hollow + plan.real + SPARE_DESCRIPTORS  # at an instance, where all others are away
     if need > files:
         raise PlanError(f"descriptors: an instance may need {need}, allowed are {files}")
 
 
-class Play:
+class ScaleRun:
     """One run; `on_progress` gets a line now and then."""
 
     def __init__(self, plan: Plan, out: Path, on_progress: Callable[[str], None] = lambda line: None) -> None:
         """`out` is an empty or new folder for all that is written."""
-        guard(plan)
-        self._plan, self._out, self._say = plan, out, on_progress
+        check_resources(plan)
+        self._plan, self._out, self._on_progress = plan, out, on_progress
         self._steps: dict[str, Any] = {}
-        self._memory_most = 0.0
+        self._peak_memory_mb = 0.0
 
     async def run(self) -> dict[str, Any]:
         """Play it, and write `figures.json`; DriveError says why it could not be."""
         self._out.mkdir(parents=True, exist_ok=True)
         if any(self._out.iterdir()):
-            raise DriveError(f"{self._out} is not empty")
+            raise DrillError(f"{self._out} is not empty")
         async with aiohttp.ClientSession() as http:
-            self._http, self._crew = http, Crew(self._plan, self._out, http)
-            ticking = asyncio.create_task(self._tick())
-            ticking.add_done_callback(self._tick_ended)
+            self._http, self._supervisor = http, ScaleSupervisor(self._plan, self._out, http)
+            ticking = asyncio.create_task(self._sample_each_second())
+            ticking.add_done_callback(self._on_sampling_ended)
             try:
-                async with asyncio.timeout(OVERDUE_S):
+                async with asyncio.timeout(MAX_RUN_S):
                     await self._play()
             except TimeoutError:
-                raise DriveError("the run did not come to its end in time") from None
+                raise DrillError("the run did not come to its end in time") from None
             finally:
                 ticking.cancel()
-                await self._crew.finish()
-        told = self._told()
+                await self._supervisor.finish()
+        told = self._run_figures()
         (self._out / "figures.json").write_text(json.dumps(told) + "\n", encoding="utf-8")
         return told
 
     async def _play(self) -> None:
         await self._prepare()
-        steps = Steps(self._plan, self._crew, self._http)
+        steps = ScaleSteps(self._plan, self._supervisor, self._http)
         for step in self._plan.steps:
-            await self._do(step, steps.by_name[step])
+            await self._measure_step(step, steps.by_name[step])
             await steps.restore()
 
     async def _prepare(self) -> None:
         """All that is there before the balancers."""
-        crew, plan = self._crew, self._plan
-        crew.stand_in("edge", "edge", calls_per_s=plan.calls_per_s)
+        crew, plan = self._supervisor, self._plan
+        crew.start_helper("edge", "edge", calls_per_s=plan.calls_per_s)
         await crew.start_instances()
-        await crew.until_ready(["edge"])
-        crew.stand_in("registrar", "registrar", plan=plan, ways=crew.instances, address=crew.ready["edge"])
+        await crew.wait_ready(["edge"])
+        crew.start_helper(
+            "registrar",
+            "registrar",
+            plan=plan,
+            instance_addresses=crew.instances,
+            address=crew.ready_messages["edge"],
+        )
         numbers = plan.hollow_numbers()
         for host in range(plan.hosts):
             own = numbers[host :: plan.hosts]
-            crew.stand_in(f"hollow{host}", "hollow", plan=plan, numbers=own, ways=crew.instances)
+            crew.start_helper(
+                f"hollow{host}", "hollow", plan=plan, numbers=own, instance_addresses=crew.instances
+            )
         for number in plan.real_numbers():
-            await crew.start_real(number)
-        await crew.until_ready(["registrar", *crew.hosts()])
-        self._say(f"{plan.balancers} upstreams register")
+            await crew.prepare_real(number)
+        await crew.wait_ready(["registrar", *crew.hollow_hosts()])
+        self._on_progress(f"{plan.balancers} upstreams register")
         began = time.monotonic()
-        crew.ones["registrar"].process.tell({"do": "register"})
-        await self._wait_row("registrar", lambda row: row.get("held", 0) == plan.balancers, "registered")
-        self._say(f"registered in {time.monotonic() - began:.1f} s")
+        crew.processes["registrar"].process.send_command({"do": "register"})
+        await self._wait_for_row("registrar", lambda row: row.get("held", 0) == plan.balancers, "registered")
+        self._on_progress(f"registered in {time.monotonic() - began:.1f} s")
 
-    async def _wait_row(self, name: str, is_so: Callable[[dict[str, Any]], bool], what: str) -> None:
-        until = time.monotonic() + START_S
-        while not any(is_so(row) for row in self._crew.ones[name].rows[-4:]):
+    async def _wait_for_row(self, name: str, is_so: Callable[[dict[str, Any]], bool], what: str) -> None:
+        until = time.monotonic() + START_TIMEOUT_S
+        while not any(is_so(row) for row in self._supervisor.processes[name].rows[-4:]):
             if time.monotonic() > until:
-                raise DriveError(f"{name}: not {what} in {START_S:.0f} s")
-            if self._crew.troubles:
-                raise DriveError(f"{self._crew.troubles[0]}; see its log in {self._out}")
+                raise DrillError(f"{name}: not {what} in {START_TIMEOUT_S:.0f} s")
+            if self._supervisor.faults:
+                raise DrillError(f"{self._supervisor.faults[0]}; see its log in {self._out}")
             await asyncio.sleep(0.1)
 
     # ---- steps ----------------------------------------------------------------------------------
 
-    async def _do(self, step: str, work: Callable[[], Awaitable[Changes]]) -> None:
+    async def _measure_step(self, step: str, work: Callable[[], Awaitable[Changes]]) -> None:
         """One step: its work, time to settle, then what it cost and who is stale."""
-        self._crew.tell_hosts(do="begin")
-        begin, before = int(time.time()), resource_usage.machine_s()
+        self._supervisor.command_hollow_hosts(do="begin")
+        begin, before = int(time.time()), resource_usage.machine_processor_time_s()
         changes = await work()
         await asyncio.sleep(self._plan.settle_s)
-        end, after = int(time.time()) + 1, resource_usage.machine_s()
+        end, after = int(time.time()) + 1, resource_usage.machine_processor_time_s()
         await asyncio.sleep(1.1)  # the last second's lines are still on their way
-        memory = resource_usage.memory_by_name({n: one.process.pid for n, one in self._crew.ones.items()})
-        reports = await self._settled(changes)
-        self._steps[step] = told = self._measured(step, begin, end, changes, reports, memory)
+        memory = resource_usage.memory_by_name(
+            {n: one.process.pid for n, one in self._supervisor.processes.items()}
+        )
+        reports = await self._converged_reports(changes)
+        self._steps[step] = told = self._step_figures(step, begin, end, changes, reports, memory)
         told["machine_cores"] = {
             key: round((after[key] - before[key]) / max(end - begin, 1), 2) for key in after
         }
-        self._say(self._line(step, told))
+        self._on_progress(self._progress_line(step, told))
 
-    async def _settled(self, changes: Changes) -> list[Any]:
+    async def _converged_reports(self, changes: Changes) -> list[Any]:
         """What hosts report after a step: at once, or as soon as all are told within the plan's patience."""
-        until = time.monotonic() + self._plan.patience_s
+        until = time.monotonic() + self._plan.convergence_timeout_s
         while True:
-            reports = await self._reports(await self._truth())
-            told = figures.in_force(changes, reports, has_part=bool(self._plan.part))
+            reports = await self._collect_reports(await self._write_expected_lists())
+            told = figures.time_in_force(changes, reports, has_part=bool(self._plan.subset_size))
             if not (told["never_told"] or told["stale_after"]) or time.monotonic() >= until:
                 return reports
             await asyncio.sleep(0.5)
 
-    def _measured(
+    def _step_figures(
         self, step: str, begin: int, end: int, changes: Changes, reports: list[Any], memory: dict[str, float]
     ) -> dict[str, Any]:
-        roles, crew = {}, self._crew
-        held = {host: max(report["here"], 1) for host, report in zip(crew.hosts(), reports, strict=True)}
+        roles, crew = {}, self._supervisor
+        held = {
+            host: max(report["here"], 1) for host, report in zip(crew.hollow_hosts(), reports, strict=True)
+        }
         for role, units in figures.series_of(crew, held).items():
-            names = [name for name, one in crew.ones.items() if one.kind == role and name in memory]
+            names = [name for name, one in crew.processes.items() if one.kind == role and name in memory]
             count = sum(held[name] if role == "hollow" else 1 for name in names)
             pss = sum(memory[name] for name in names) / max(count, 1)
-            roles[role] = figures.cost(units, begin, end) | {"pss_mb": round(pss, 2), "units": count}
-        told = figures.in_force(changes, reports, has_part=bool(self._plan.part))
+            roles[role] = figures.role_cost(units, begin, end) | {"pss_mb": round(pss, 2), "units": count}
+        told = figures.time_in_force(changes, reports, has_part=bool(self._plan.subset_size))
         if step == "start":
             ready = [ms for report in reports for ms in report["ready_ms"]]
-            told |= figures.summary([ms for ms in ready if ms is not None])
+            told |= figures.summarize_times([ms for ms in ready if ms is not None])
             told["never_told"] = sum(ms is None for ms in ready)
         return {"begin": begin, "end": end, "roles": roles, "in_force_ms": told}
 
-    def _line(self, step: str, told: dict[str, Any]) -> str:
+    def _progress_line(self, step: str, told: dict[str, Any]) -> str:
         force, hollow = told["in_force_ms"], told["roles"].get("hollow", {})
         list_ = told["roles"]["instance"]
         return (
@@ -168,41 +180,50 @@
 
     # ---- measuring ------------------------------------------------------------------------------
 
-    async def _truth(self) -> Path:
+    async def _write_expected_lists(self) -> Path:
         """What the service lists, in the form that hollow balancers compare with."""
-        async with self._http.get(f"http://{self._crew.instances[-1]}/v1/state") as answer:
+        async with self._http.get(f"http://{self._supervisor.instances[-1]}/v1/state") as answer:
             told = await answer.json()
         truth: dict[str, dict[str, list[Any]]] = {}
         for entry in told["entries"]:
-            truth.setdefault(entry["tier"], {})[entry["name"]] = [WORDS[entry["status"]], entry["since_ms"]]
+            truth.setdefault(entry["tier"], {})[entry["name"]] = [
+                READINESS_BY_STATUS[entry["status"]],
+                entry["since_ms"],
+            ]
         path = self._out / "truth.json"
         path.write_text(json.dumps(truth))
         return path
 
-    async def _reports(self, truth: Path) -> list[Any]:
+    async def _collect_reports(self, truth: Path) -> list[Any]:
         line = {"do": "report", "truth": str(truth)}
-        answers = await asyncio.gather(*(self._crew.asked(host, line) for host in self._crew.hosts()))
+        answers = await asyncio.gather(
+            *(self._supervisor.request(host, line) for host in self._supervisor.hollow_hosts())
+        )
         return [json.loads(Path(answer["report"]).read_text()) for answer in answers]
 
-    async def _tick(self) -> None:
+    async def _sample_each_second(self) -> None:
         """At each second's end look at all, and guard the memory."""
-        all_mb, _ = resource_usage.memory_mb()
+        all_mb, _ = resource_usage.machine_memory_mb()
         while True:
             now = time.time()
             await asyncio.sleep(int(now) + 1 - now)
-            self._crew.look(int(now))
-            used = sum(resource_usage.resident_mb(one.process.pid) for one in self._crew.ones.values())
-            self._memory_most = max(self._memory_most, used)
-            if used > MEMORY_PART * all_mb:
-                self._crew.troubles.append(f"memory: {used:,.0f} MB in use, over {MEMORY_PART:.0%} of all")
-
-    def _tick_ended(self, task: asyncio.Task[None]) -> None:
+            self._supervisor.sample_usage(int(now))
+            used = sum(
+                resource_usage.resident_mb(one.process.pid) for one in self._supervisor.processes.values()
+            )
+            self._peak_memory_mb = max(self._peak_memory_mb, used)
+            if used > MAX_MEMORY_FRACTION * all_mb:
+                self._supervisor.faults.append(
+                    f"memory: {used:,.0f} MB in use, over {MAX_MEMORY_FRACTION:.0%} of all"
+                )
+
+    def _on_sampling_ended(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and (error := task.exception()):
-            self._crew.troubles.append(f"the look at all has failed: {error!r}")
+            self._supervisor.faults.append(f"the look at all has failed: {error!r}")
 
-    def _told(self) -> dict[str, Any]:
-        plan, crew = self._plan, self._crew
-        hollow = {host: max(plan.hollow // plan.hosts, 1) for host in crew.hosts()}
+    def _run_figures(self) -> dict[str, Any]:
+        plan, crew = self._plan, self._supervisor
+        hollow = {host: max(plan.hollow // plan.hosts, 1) for host in crew.hollow_hosts()}
         roles = figures.series_of(crew, hollow)
         by_time = {
             role: [{second: values for second, values in sorted(unit.items())} for unit in units]
@@ -211,6 +232,6 @@
         return {
             "size": plan.balancers, "mechanism": plan.lists, "hollow": plan.hollow, "real": plan.real,
             "hosts": plan.hosts, "instances": plan.instances, "services": plan.services, "seed": plan.seed,
-            "plant": plan.plant, "resident_most_mb": round(self._memory_most), "steps": self._steps,
+            "plant": plan.defect, "resident_most_mb": round(self._peak_memory_mb), "steps": self._steps,
             "by_time": by_time,
         }  # fmt: skip
--- a/loadbalancer/scale/relay.py
+++ b/loadbalancer/scale/relay.py
@@ -1,4 +1,4 @@
-"""A way from one process to another that counts bytes and calls, and can be cut."""
+"""A relay from one process to another that counts bytes and calls, and can be cut."""
 
 from __future__ import annotations
 
@@ -8,127 +8,135 @@
 
 from loadbalancer.net.config import read_address
 
-HELD_MOST = 1 << 20  # bytes that wait for a slow end before the other is read no more
-METHODS = (b"GET /", b"POST /", b"PUT /", b"DELETE /")
+MAX_BUFFERED_BYTES = 1 << 20  # that wait for a slow end before the other is read no more
+LISTEN_BACKLOG = 1_024
+REQUEST_PREFIXES = (b"GET /", b"POST /", b"PUT /", b"DELETE /")
 
 
-class _End(asyncio.Protocol):
-    """One side of a connection through a relay."""
+class _RelayEndpoint(asyncio.Protocol):
+    """One side of a connection through a relay; a caller's side has no `other` yet."""
 
-    def __init__(self, relay: Relay, other: _End | None) -> None:
-        self._relay, self.other, self.is_caller = relay, other, other is None
+    def __init__(self, relay: Relay, other: _RelayEndpoint | None) -> None:
+        self._relay = relay
+        self._other = other
+        self._is_caller = other is None
         self.transport: asyncio.Transport | None = None
-        self._early: list[bytes] = []
+        self._early_data: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A caller is connected on; what it has sent meanwhile follows."""
+        """Connect a caller on; what it has sent meanwhile follows."""
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(HELD_MOST)
-        if self.other is None:
-            self._relay.add(self)
+        self.transport.set_write_buffer_limits(MAX_BUFFERED_BYTES)
+        if self._other is None:
+            self._relay.on_connected(self)
         else:
-            self.other.joined(self)
+            self._other.on_peer_connected(self)
 
-    def joined(self, other: _End) -> None:
-        """The other side is there."""
-        self.other = other
-        for data in self._early:
+    def on_peer_connected(self, other: _RelayEndpoint) -> None:
+        """Send the other side, which is there now, what came before it was."""
+        self._other = other
+        for data in self._early_data:
             other.send(data)
-        self._early.clear()
+        self._early_data.clear()
         if self.transport is None or self.transport.is_closing():
             other.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Count, and pass on."""
+        """Count, and forward."""
         self._relay.bytes += len(data)
-        if self.is_caller:
-            self._relay.calls += data.startswith(METHODS)
-        if self.other is None or self.other.transport is None:
-            self._early.append(data)
+        if self._is_caller:
+            self._relay.calls += data.startswith(REQUEST_PREFIXES)
+        if self._other is None or self._other.transport is None:
+            self._early_data.append(data)
         else:
-            self.other.send(data)
+            self._other.send(data)
 
     def send(self, data: bytes) -> None:
-        """Write to our side."""
+        """Write to this side."""
         if self.transport is not None:
             self.transport.write(data)
 
     def pause_writing(self) -> None:
-        """Our side takes nothing: the other is not read."""
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.pause_reading()
+        """Stop reading the other side while this one accepts nothing."""
+        if self._other is not None and self._other.transport is not None:
+            self._other.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """It does again."""
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.resume_reading()
+        """Read the other side again."""
+        if self._other is not None and self._other.transport is not None:
+            self._other.transport.resume_reading()
 
     def eof_received(self) -> None:
-        """One side has ended: so has the other, when all is written."""
+        """Let the transport close: one side has ended, and so has the other when all is written."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Both go."""
-        self._relay.drop(self)
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.close()
+        """Close the other side."""
+        self._relay.on_disconnected(self)
+        if self._other is not None and self._other.transport is not None:
+            self._other.transport.close()
 
     def abort(self) -> None:
-        """Go at once."""
+        """Close at once."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class Relay:
-    """Listens on a port of the loopback and passes on to `to`; a cut one refuses, and breaks what stands."""
-
-    def __init__(self, to: str) -> None:
-        self.to, self.at = to, ""
-        self.bytes = self.calls = 0
-        self.is_cut = False
-        self._ends: set[_End] = set()
+    """Listens on a port of the loopback and forwards to `target`; a cut one breaks its connections."""
+
+    def __init__(self, target: str) -> None:
+        self.target = target
+        self.address = ""
+        self.bytes = 0
+        self.calls = 0
+        self._is_cut = False
+        self._endpoints: set[_RelayEndpoint] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
         """Listen."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _End(self, None), "127.0.0.1", 0, backlog=1_024)
-        self.at = "{}:{}".format(*self._server.sockets[0].getsockname())
-
-    def add(self, caller: _End) -> None:
-        """A caller has come."""
-        self._ends.add(caller)
-        if self.is_cut:
+        self._server = await loop.create_server(
+            lambda: _RelayEndpoint(self, None), "127.0.0.1", 0, backlog=LISTEN_BACKLOG
+        )
+        self.address = "{}:{}".format(*self._server.sockets[0].getsockname())
+
+    def on_connected(self, caller: _RelayEndpoint) -> None:
+        """Connect a caller to the target, or break the connection while the relay is cut."""
+        self._endpoints.add(caller)
+        if self._is_cut:
             caller.abort()
             return
         task = asyncio.get_running_loop().create_task(self._connect(caller))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _connect(self, caller: _End) -> None:
+    async def _connect(self, caller: _RelayEndpoint) -> None:
         try:
             loop = asyncio.get_running_loop()
-            await loop.create_connection(lambda: _End(self, caller), *read_address(self.to))
+            await loop.create_connection(lambda: _RelayEndpoint(self, caller), *read_address(self.target))
         except OSError:
             caller.abort()
 
-    def drop(self, end: _End) -> None:
-        """A side has gone."""
-        self._ends.discard(end)
+    def on_disconnected(self, endpoint: _RelayEndpoint) -> None:
+        """Forget a side that is closed."""
+        self._endpoints.discard(endpoint)
 
-    def cut(self, is_cut: bool) -> None:
+    def set_cut(self, *, is_cut: bool) -> None:
         """Let nothing pass from now on, or let it pass again."""
-        self.is_cut = is_cut
-        for end in list(self._ends) if is_cut else ():
-            end.abort()
+        self._is_cut = is_cut
+        for endpoint in list(self._endpoints) if is_cut else ():
+            endpoint.abort()
 
-    def take(self) -> Counter[str]:
-        """Bytes and calls since this was asked last."""
-        told = Counter(bytes=self.bytes, calls=self.calls)
-        self.bytes = self.calls = 0
-        return told
+    def take_counts(self) -> Counter[str]:
+        """Return bytes and calls since the last call."""
+        counts = Counter(bytes=self.bytes, calls=self.calls)
+        self.bytes = 0
+        self.calls = 0
+        return counts
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening, and break all connections."""
         self._server.close()
-        for end in list(self._ends):
-            end.abort()
+        for endpoint in list(self._endpoints):
+            endpoint.abort()
--- a/loadbalancer/scale/report.py
+++ b/loadbalancer/scale/report.py
@@ -12,7 +12,7 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from loadbalancer.scale.allowances import Allowances, over
+from loadbalancer.scale.allowances import Allowances, find_excesses
 from loadbalancer.scale.plan import PlanError
 
 WIDTH, HEIGHT, DOTS = 9.0, 8.0, 110
@@ -91,7 +91,7 @@
 
 
 def _over(told: Row) -> Iterable[str]:
-    found = over(told)
+    found = find_excesses(told)
     yield f"Over an allowance: {len(found) or 'nothing'}."
     for one in found:
         where = f"{one['step']}, {one['role']}"
--- a/loadbalancer/scale/resource_usage.py
+++ b/loadbalancer/scale/resource_usage.py
@@ -9,7 +9,7 @@
 PAGE_MB = os.sysconf("SC_PAGE_SIZE") / 1_048_576
 
 
-def processor_s(pid: int) -> float | None:
+def processor_time_s(pid: int) -> float | None:
     """Processor time of all its threads since its start, in s (/proc/PID/stat); None if it is gone."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
@@ -35,7 +35,7 @@
     return {name: mb for name, mb in found.items() if mb is not None}
 
 
-def memory_mb() -> tuple[float, float]:
+def machine_memory_mb() -> tuple[float, float]:
     """Of this machine: all its memory, and what is available now, in MB."""
     told = dict(line.split(":") for line in Path("/proc/meminfo").read_text().splitlines())
     return int(told["MemTotal"].split()[0]) / 1_024, int(told["MemAvailable"].split()[0]) / 1_024
@@ -49,7 +49,7 @@
         return 0.0
 
 
-def machine_s() -> dict[str, float]:
+def machine_processor_time_s() -> dict[str, float]:
     """Processor time of this machine since its start, in s: spent, and stolen by whoever hosts it."""
     user, nice, system, _, _, irq, soft, stolen = (
         int(part) * TICK_S for part in Path("/proc/stat").read_text().split("\n")[0].split()[1:9]
--- a/loadbalancer/scale/seeded_defects.py
+++ b/loadbalancer/scale/seeded_defects.py
@@ -73,10 +73,10 @@
         server.serve(told, server.open_service(told))
         return
     from loadbalancer.scale import hollow, registrar, upstream_stub
-    from loadbalancer.scale.counting import run
+    from loadbalancer.scale.second_counts import run_helper
 
     sys.argv = [kind, path]  # the specification is the first argument there
-    run({"hollow": hollow, "registrar": registrar, "edge": upstream_stub}[kind].serve())
+    run_helper({"hollow": hollow, "registrar": registrar, "edge": upstream_stub}[kind].serve())
 
 
 if __name__ == "__main__":
--- a/loadbalancer/scale/supervisor.py
+++ b/loadbalancer/scale/supervisor.py
@@ -1,12 +1,11 @@
-"""The processes of a scale run: started, made ready, told things, looked at each second, ended."""
+"""The supervisor of a scale run's processes: starts them, exchanges messages, samples each second, ends them."""
 
 from __future__ import annotations
 
 import asyncio
 import signal
-import sys
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine, Iterable
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
@@ -14,208 +13,244 @@
 import aiohttp
 import msgspec
 
-from loadbalancer.drill.clock import offset_ms
-from loadbalancer.drill.processes.placement import free_port
-from loadbalancer.drill.processes.process import Line, Process
-from loadbalancer.drill.processes.process_files import directory_argv, environment, run_argv
-from loadbalancer.drill.processes.supervisor import DriveError
+from loadbalancer.drill.clock import unix_offset_ms
+from loadbalancer.drill.errors import DrillError
+from loadbalancer.drill.processes.addresses import find_free_port
+from loadbalancer.drill.processes.commands import (
+    balancer_command,
+    defective_command,
+    process_environment,
+    registry_command,
+)
+from loadbalancer.drill.processes.process import Message, Process
+from loadbalancer.drill.processes.process_group import READY_POLL_INTERVAL_S, READY_TIMEOUT_S, ProcessGroup
+from loadbalancer.drill.processes.registry_config import write_registry_config
 from loadbalancer.scale import hollow, registrar, resource_usage, upstream_stub
-from loadbalancer.scale.counted_relays import Ways
+from loadbalancer.scale.counted_relays import CountedRelays
 from loadbalancer.scale.plan import Plan, balancer_config
 
 HOST = "127.0.0.1"
-READY_S = 60.0
-DONE_S = 180.0  # for what the driver has asked of a stand-in
-MODULES = {"hollow": hollow, "registrar": registrar, "edge": upstream_stub}
+COMMAND_TIMEOUT_S = 180.0  # for what the driver has asked of a helper process
+INSTANCE_TIMEOUT_S = 2.0  # for one poll of an instance that starts
+MODULES = {
+    "hollow": (hollow.__name__, hollow.HollowSpecification),
+    "registrar": (registrar.__name__, registrar.RegistrarSpecification),
+    "edge": (upstream_stub.__name__, upstream_stub.UpstreamStubSpecification),
+}
+"""Helper processes by their role in figures and files: module and specification."""
 
 
 @dataclass
-class One:
-    """A process, its kind, and what was seen of it: second, cores, and what it told of that second."""
+class ScaleProcess:
+    """A process, its role, and what was seen of it, second by second."""
 
     kind: str
     process: Process
     rows: list[dict[str, Any]] = field(default_factory=list)
+    """Each has `second`, and `cpu` (cores) or what the process reported of that second."""
     cpu_s: float = 0.0
-    seen_s: float = 0.0
+    sampled_at_s: float = 0.0
 
 
-class Crew:
-    """All processes by name, and the counted ways between some of them."""
+class ScaleSupervisor(ProcessGroup):
+    """All processes by name, and the counted relays between some of them."""
 
     def __init__(self, plan: Plan, out: Path, http: aiohttp.ClientSession) -> None:
-        self._plan, self._out, self._http = plan, out, http
-        self.ones: dict[str, One] = {}
-        self.ready: dict[str, Any] = {}
-        self.instances = [f"{HOST}:{free_port(HOST)}" for _ in range(plan.instances)]
-        self.ways = Ways(self.instances)
-        self.consoles: dict[int, str] = {}
-        self.listens: dict[int, str] = {}
+        super().__init__(out)
+        self._plan = plan
+        self._http = http
+        self.processes: dict[str, ScaleProcess] = {}
+        self.ready_messages: dict[str, Any] = {}
+        self.instances = [f"{HOST}:{find_free_port(HOST)}" for _ in range(plan.instances)]
+        self.relays = CountedRelays(self.instances)
+        self.listen_addresses: dict[int, str] = {}  # of real balancers, by number
+        self.faults: list[str] = []
         self._changed = asyncio.Condition()
-        self._done: dict[str, Line] = {}
-        self._asked = 0
+        self._replies: dict[str, Message] = {}
+        self._last_request_number = 0
         self._tasks: set[asyncio.Task[None]] = set()
-        self.troubles: list[str] = []
 
     # ---- starting -------------------------------------------------------------------------------
 
-    def launch(self, name: str, kind: str, argv: list[str], hears: bool = True, **env: str) -> Process:
-        """Start a process; what it prints as JSON lines is taken if it `hears`."""
-        process = Process(
-            name, argv, self._out / f"{name}.log", env=environment(None, **env),
-            on_line=(lambda line: self._hear(name, line)) if hears else None, on_end=self._ended,
-        )  # fmt: skip
-        process.start()
-        before = self.ones.get(name)
-        self.ones[name] = One(kind, process, before.rows if before else [])
-        return process
-
-    def stand_in(self, name: str, kind: str, **told: Any) -> Process:
-        """Start a hollow host, the registrar or the edge."""
-        spec = MODULES[kind].Spec(
-            name=name, folder=str(self._out), offset_ms=offset_ms(), seed=self._plan.seed, **told
+    def _start(
+        self, name: str, kind: str, argv: list[str], *, has_messages: bool = False, **environment: str
+    ) -> None:
+        """Start a process; one of the same name that ran before it hands on its rows."""
+        process = self.launch(
+            name,
+            argv,
+            environment=process_environment(None, **environment),
+            on_message=(lambda message: self._on_message(name, message)) if has_messages else None,
         )
-        path = self._out / f"{name}.spec.json"
-        path.write_bytes(msgspec.json.encode(spec))
-        defect = self._plan.plant
-        module = ["loadbalancer.scale.seeded_defects", defect, kind] if defect else [MODULES[kind].__name__]
-        return self.launch(name, kind, [sys.executable, "-m", *module, str(path)])
+        before = self.processes.get(name)
+        self.processes[name] = ScaleProcess(kind, process, before.rows if before else [])
+
+    def start_helper(self, name: str, kind: str, **fields: Any) -> None:
+        """Start a hollow host, the registrar or the upstream stub; `fields` are of its specification."""
+        module, specification_type = MODULES[kind]
+        offset_ms, seed = unix_offset_ms(), self._plan.seed
+        specification = specification_type(
+            name=name, folder=str(self.out), offset_ms=offset_ms, seed=seed, **fields
+        )
+        path = str(self.write_specification(specification))
+        defect = self._plan.defect
+        argv = defective_command(defect, kind, path) if defect else self.module_command(module, path)
+        self._start(name, kind, argv, has_messages=True)
 
     async def start_instances(self) -> None:
-        """Start the list service, and wait until it may be asked."""
-        await self.ways.join()
+        """Start the registry, and wait until its instances answer."""
+        await self.relays.start()
         for number in range(self._plan.instances):
             self.start_instance(number)
-        await self.wait_reached(range(self._plan.instances))
+        await self.wait_for_instances(range(self._plan.instances))
 
     def start_instance(self, number: int) -> None:
-        """Start one; it may have run before, and has its file."""
-        file, at = self._out / f"list{number}.toml", self.instances
-        lines = [f'listen = "{at[number]}"', f'database = "{self._out / f"list{number}.sqlite"}"']
-        if len(at) > 1:
-            ways = [at[n] if n == number else self.ways.between[number, n].at for n in range(len(at))]
-            lines += [f"instances = {msgspec.json.encode(ways).decode()}", f"instance = {number}"]
-        file.write_text("\n".join(lines) + "\n", encoding="utf-8")
-        argv = [*directory_argv(""), "serve"]
-        if self._plan.plant:
-            argv = [sys.executable, "-m", "loadbalancer.scale.seeded_defects", self._plan.plant, "instance"]
-        self.launch(f"list{number}", "instance", [*argv, str(file)], hears=False)
-
-    async def wait_reached(self, numbers: Any) -> float:
-        """Wait until all these instances answer for the list; Unix ms of the first that does."""
-        firsts = await asyncio.gather(*(self._reached(number) for number in numbers))
-        return min(firsts)
-
-    async def _reached(self, number: int) -> float:
+        """Start one; it may have run before, and has its database."""
+        path, addresses = self.out / f"list{number}.toml", self.instances
+        relays = self.relays.between_instances
+        write_registry_config(
+            path,
+            listen=addresses[number],
+            database=self.out / f"list{number}.sqlite",
+            instances=[
+                addresses[other] if other == number else relays[number, other].address
+                for other in range(len(addresses))
+            ],
+            number=number,
+        )
+        self._start(f"list{number}", "instance", registry_command(path, self._plan.defect))
+
+    async def wait_for_instances(self, numbers: Iterable[int]) -> float:
+        """Wait until all these instances answer for the list; return Unix ms of the first that does."""
+        answered_at_ms = await asyncio.gather(*(self._wait_for_instance(number) for number in numbers))
+        return min(answered_at_ms)
+
+    async def _wait_for_instance(self, number: int) -> float:
+        name = f"list{number}"
         url = f"http://{self.instances[number]}/v1/servers?tier=none"
-        until = time.monotonic() + READY_S
+        timeout = aiohttp.ClientTimeout(total=INSTANCE_TIMEOUT_S)
+        until = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < until:
             try:
-                async with self._http.get(url, timeout=aiohttp.ClientTimeout(total=2.0)) as answer:
+                async with self._http.get(url, timeout=timeout) as answer:
                     if answer.status == 200:
                         return time.time() * 1_000
             except (aiohttp.ClientError, OSError, TimeoutError):
                 pass
-            if self.ones[f"list{number}"].process.ended.is_set():
-                raise DriveError(f"list{number} ended; see {self._out}/list{number}.log")
-            await asyncio.sleep(0.02)
-        raise DriveError(f"list{number} was not ready in {READY_S:.0f} s")
-
-    async def start_real(self, number: int) -> None:
-        """Prepare a real balancer and its ways; `run_real` starts it."""
-        ways = await self.ways.of_real(number)
-        self.listens[number] = f"{HOST}:{free_port(HOST)}"
-        told = balancer_config(self._plan, number, ways, self.listens[number])
-        (self._out / f"b{number}.config.json").write_bytes(msgspec.json.encode(told))
-
-    def run_real(self, number: int) -> None:
-        """Start it."""
+            if self.processes[name].process.exited.is_set():
+                raise DrillError(f"{name} ended; see {self.log_path(name)}")
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
+        raise DrillError(f"{name} was not ready in {READY_TIMEOUT_S:.0f} s")
+
+    async def prepare_real(self, number: int) -> None:
+        """Start a real balancer's relays and write its configuration; `start_real` starts it."""
+        instance_addresses = await self.relays.add_balancer(number)
+        self.listen_addresses[number] = f"{HOST}:{find_free_port(HOST)}"
+        config = balancer_config(self._plan, number, instance_addresses, self.listen_addresses[number])
+        self._config_path(number).write_bytes(msgspec.json.encode(config))
+
+    def start_real(self, number: int) -> None:
+        """Start a real balancer that was prepared."""
         kind = "real_called" if self._plan.is_called(number) else "real_idle"
-        path = str(self._out / f"b{number}.config.json")
-        self.launch(f"b{number}", kind, run_argv(None, ""), hears=False, LB_CONFIG=path)
+        self._start(f"b{number}", kind, balancer_command(None), LB_CONFIG=str(self._config_path(number)))
 
-    # ---- telling and hearing --------------------------------------------------------------------
+    def _config_path(self, number: int) -> Path:
+        return self.out / f"b{number}.config.json"
 
-    def _hear(self, name: str, line: Line) -> None:
-        if "second" in line:
-            self.ones[name].rows.append(line)
+    # ---- messages -------------------------------------------------------------------------------
+
+    def _on_message(self, name: str, message: Message) -> None:
+        if "second" in message:
+            self.processes[name].rows.append(message)
             return
-        self._later(self._take(name, line))
+        self._track(self._handle_message(name, message))
 
-    async def _take(self, name: str, line: Line) -> None:
+    async def _handle_message(self, name: str, message: Message) -> None:
         async with self._changed:
-            if "ready" in line:
-                self.ready[name] = line["ready"]
-            if "done" in line:
-                self._done[f"{name}/{line['done']}"] = line
+            if "ready" in message:
+                self.ready_messages[name] = message["ready"]
+            if "done" in message:
+                self._replies[f"{name}/{message['done']}"] = message
             self._changed.notify_all()
 
-    def _ended(self, process: Process) -> None:
-        if not process.wanted:
-            self.troubles.append(f"{process.name} ended with status {process.code}")
-        self._later(self._wake())
+    def on_exit(self, process: Process) -> None:
+        """Note the end of a process that was not told to; whoever waits looks again."""
+        if not process.is_exit_expected:
+            self.faults.append(f"{process.name} ended with status {process.exit_status}")
+        self._track(self._notify_waiters())
 
-    async def _wake(self) -> None:
+    async def _notify_waiters(self) -> None:
         async with self._changed:
             self._changed.notify_all()
 
-    def _later(self, work: Any) -> None:
+    def _track(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def until(self, is_so: Callable[[], bool], what: str, patience_s: float = DONE_S) -> None:
-        """Wait for what stand-ins tell; DriveError if it does not come, or one has ended."""
+    def raise_faults(self) -> None:
+        """Raise DrillError if a process has ended by itself, or the machine can't hold the run."""
+        if self.faults:
+            raise DrillError(f"{self.faults[0]}; see its log in {self.out}")
+
+    async def wait_until(
+        self, is_so: Callable[[], bool], what: str, timeout_s: float = COMMAND_TIMEOUT_S
+    ) -> None:
+        """Wait for messages of helper processes; DrillError if they do not come, or there is a fault."""
         try:
-            async with asyncio.timeout(patience_s), self._changed:
-                await self._changed.wait_for(lambda: bool(self.troubles) or is_so())
-        except TimeoutError:
-            raise DriveError(f"{what}: not in {patience_s:.0f} s") from None
-        if self.troubles:
-            raise DriveError(f"{self.troubles[0]}; see its log in {self._out}")
-
-    async def until_ready(self, names: list[str]) -> None:
-        """Wait until stand-ins are ready."""
-        await self.until(lambda: all(name in self.ready for name in names), "stand-ins ready", READY_S)
-
-    async def asked(self, name: str, line: Line) -> Line:
-        """Tell a stand-in something and wait for its answer."""
-        self._asked += 1
-        key = f"{name}/{self._asked}"
-        self.ones[name].process.tell(line | {"id": self._asked})
-        await self.until(lambda: key in self._done, f"{name}: {line['do']}")
-        return self._done.pop(key)
-
-    def tell_hosts(self, **line: Any) -> None:
-        """Tell all hosts of hollow balancers something."""
-        for name in self.hosts():
-            self.ones[name].process.tell(line)
-
-    def hosts(self) -> list[str]:
-        """Their names."""
-        return [name for name, one in self.ones.items() if one.kind == "hollow"]
-
-    # ---- looking --------------------------------------------------------------------------------
-
-    def look(self, second: int) -> None:
-        """Once a second: each process's processor time; and what passed on the ways of real ones."""
-        for one in self.ones.values():
-            now, cpu_s = time.monotonic(), resource_usage.processor_s(one.process.pid)
-            if cpu_s is None or one.process.ended.is_set():
-                one.seen_s = 0.0
+            async with asyncio.timeout(timeout_s), self._changed:
+                await self._changed.wait_for(lambda: bool(self.faults) or is_so())
+        except TimeoutError as error:
+            raise DrillError(f"{what}: not in {timeout_s:.0f} s") from error
+        self.raise_faults()
+
+    async def wait_ready(self, names: list[str]) -> None:
+        """Wait until helper processes are ready."""
+        await self.wait_until(
+            lambda: all(name in self.ready_messages for name in names), "helpers ready", READY_TIMEOUT_S
+        )
+
+    async def request(self, name: str, command: Message) -> Message:
+        """Send a helper process a command, and wait for its reply."""
+        self._last_request_number += 1
+        key = f"{name}/{self._last_request_number}"
+        self.processes[name].process.send_command(command | {"id": self._last_request_number})
+        await self.wait_until(lambda: key in self._replies, f"{name}: {command['do']}")
+        return self._replies.pop(key)
+
+    def command_hollow_hosts(self, **command: Any) -> None:
+        """Send all hosts of hollow balancers a command."""
+        for name in self.hollow_hosts():
+            self.processes[name].process.send_command(command)
+
+    def hollow_hosts(self) -> list[str]:
+        """Return the names of the hosts of hollow balancers."""
+        return [name for name, each in self.processes.items() if each.kind == "hollow"]
+
+    # ---- sampling and ending --------------------------------------------------------------------
+
+    def sample_usage(self, second: int) -> None:
+        """Add each process's processor time, and what passed through the relays of real balancers."""
+        for each in self.processes.values():
+            now_s = time.monotonic()
+            cpu_s = resource_usage.processor_time_s(each.process.pid)
+            if cpu_s is None or each.process.exited.is_set():
+                each.sampled_at_s = 0.0
                 continue
-            if one.seen_s:
-                one.rows.append({"second": second, "cpu": (cpu_s - one.cpu_s) / (now - one.seen_s)})
-            one.cpu_s, one.seen_s = cpu_s, now
-        for name, row in self.ways.second(second):
-            if place := self.ones.get(name):
-                place.rows.append(row)
+            if each.sampled_at_s:
+                cores = (cpu_s - each.cpu_s) / (now_s - each.sampled_at_s)
+                each.rows.append({"second": second, "cpu": cores})
+            each.cpu_s = cpu_s
+            each.sampled_at_s = now_s
+        for name, row in self.relays.take_counts(second):
+            if process := self.processes.get(name):
+                process.rows.append(row)
 
     def kill(self, name: str) -> None:
         """Kill a process."""
-        self.ones[name].process.signal(signal.SIGKILL)
+        self.processes[name].process.signal(signal.SIGKILL)
 
     async def finish(self) -> None:
         """End all."""
-        await asyncio.gather(*(one.process.finish() for one in self.ones.values()))
-        self.ways.close()
+        await self.finish_all(each.process for each in self.processes.values())
+        self.relays.close()
--- a/loadbalancer/scale/upstream_stub.py
+++ b/loadbalancer/scale/upstream_stub.py
@@ -10,74 +10,90 @@
 
 import aiohttp
 
-from loadbalancer.drill.servers.specification import Place, follow, read_spec, request_of, say
-from loadbalancer.scale.counting import in_background, run, tell_each_second
+from loadbalancer.drill.servers.specification import (
+    ProcessSpecification,
+    read_specification,
+    receive_commands,
+    request_arguments,
+    send_message,
+)
+from loadbalancer.scale.second_counts import report_each_second, run_helper, start_critical_task
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 3\r\n\r\nok\n"
-END = b"\r\n\r\n"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 3\r\n\r\nok\n"
+HEAD_END = b"\r\n\r\n"
+LISTEN_BACKLOG = 1_024
+REQUEST_DEADLINE_MS = 1_000.0
 
 
-class Spec(Place, kw_only=True, frozen=True):
-    """What the edge is told."""
+class UpstreamStubSpecification(ProcessSpecification, kw_only=True, frozen=True):
+    """What the stub is started with."""
 
     calls_per_s: float
+    """At each real balancer that is called."""
 
 
-class Upstream(asyncio.Protocol):
+class UpstreamConnection(asyncio.Protocol):
     """A connection on which each request without a body is answered at once."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
-        self._transport, self._rest = cast(asyncio.Transport, transport), b""
+        self._transport = cast(asyncio.Transport, transport)
+        self._partial_head = b""
 
     def data_received(self, data: bytes) -> None:
-        """Answer all that is whole."""
-        *whole, self._rest = (self._rest + data).split(END)
-        self._transport.write(ANSWER * len(whole))
+        """Answer each request whose head is complete."""
+        *heads, self._partial_head = (self._partial_head + data).split(HEAD_END)
+        self._transport.write(RESPONSE * len(heads))
 
 
-class Load:
+class BalancerLoad:
     """Calls at the real balancers, so many a second at each."""
 
-    def __init__(self, spec: Spec) -> None:
-        self._spec, self.served, self.failed, self._last = spec, 0, 0, 0
+    def __init__(self, spec: UpstreamStubSpecification) -> None:
+        self._spec = spec
+        self._served_count = 0
+        self._failed_count = 0
+        self._last_request_number = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def command(self, line: dict[str, Any]) -> None:
+    def handle_command(self, command: dict[str, Any]) -> None:
         """Call a balancer from now on."""
-        task = in_background(asyncio.get_running_loop(), self._call_on(line["call"]))
+        task = start_critical_task(asyncio.get_running_loop(), self._call_repeatedly(command["call"]))
         self._tasks.add(task)
 
-    async def _call_on(self, at: str) -> None:
+    async def _call_repeatedly(self, address: str) -> None:
         async with aiohttp.ClientSession() as http:
             while True:
                 await asyncio.sleep(1 / self._spec.calls_per_s)
-                self._last += 1
-                asked = request_of(f"{self._last}", "plain", 1_000.0, False)
+                self._last_request_number += 1
+                arguments = request_arguments(
+                    f"{self._last_request_number}", "plain", REQUEST_DEADLINE_MS, is_unsafe=False
+                )
                 try:
-                    async with http.request(url=f"http://{at}/", **asked) as answer:
-                        self.served += answer.status == 200
-                        self.failed += answer.status != 200
+                    async with http.request(url=f"http://{address}/", **arguments) as answer:
+                        self._served_count += answer.status == 200
+                        self._failed_count += answer.status != 200
                 except (aiohttp.ClientError, OSError):
-                    self.failed += 1
+                    self._failed_count += 1
 
-    def second(self) -> dict[str, object]:
-        """The counts of a second."""
-        told: dict[str, object] = {"served": self.served, "failed": self.failed}
-        self.served = self.failed = 0
-        return told
+    def take_counts(self) -> dict[str, object]:
+        """Return the counts of a second, and begin anew."""
+        counts: dict[str, object] = {"served": self._served_count, "failed": self._failed_count}
+        self._served_count = 0
+        self._failed_count = 0
+        return counts
 
 
 async def serve() -> None:
     """Answer, and call, until the driver closes our input."""
-    spec, loop = read_spec(Spec), asyncio.get_running_loop()
-    load = Load(spec)
-    server = await loop.create_server(Upstream, "127.0.0.1", 0, backlog=1_024)
-    task = in_background(loop, tell_each_second(load.second))
-    say(ready="{}:{}".format(*server.sockets[0].getsockname()))
-    await follow(load.command)
+    spec, loop = read_specification(UpstreamStubSpecification), asyncio.get_running_loop()
+    load = BalancerLoad(spec)
+    server = await loop.create_server(UpstreamConnection, "127.0.0.1", 0, backlog=LISTEN_BACKLOG)
+    task = start_critical_task(loop, report_each_second(load.take_counts))
+    send_message(ready="{}:{}".format(*server.sockets[0].getsockname()))
+    await receive_commands(load.handle_command)
     task.cancel()
 
 
 if __name__ == "__main__":
-    run(serve())
+    run_helper(serve())
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from loadbalancer.drill.processes.placement import free_port
+from loadbalancer.drill.processes.addresses import find_free_port
 from loadbalancer.net import descriptors, downstream
 from loadbalancer.net.descriptors import EVICT_MOST, EVICT_S, FRESH_S, IDLE_S, IdleEviction, side_cap
 from tests.loopback import (
@@ -236,7 +236,7 @@
     folder: Path, discovery: str, entries: list[dict[str, Any]], sockets: int
 ) -> AsyncIterator[Balancer]:
     """A process that may open `LEAST` descriptors, and is told that it may hold `sockets`."""
-    port, console = free_port(HOST), free_port(HOST)
+    port, console = find_free_port(HOST), find_free_port(HOST)
     raw = json.loads(config_text(discovery, entries, console=f"{HOST}:{console}", discovery="push"))
     raw["listen"], raw["limits"]["sockets"] = f"{HOST}:{port}", sockets
     path = folder / "config.json"
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -21,7 +21,7 @@
 import pytest
 from aiohttp import web
 
-from loadbalancer.drill.processes.placement import free_port
+from loadbalancer.drill.processes.addresses import find_free_port
 from loadbalancer.net.config import read_list
 from loadbalancer.registry import (
     Catalog,
@@ -469,7 +469,7 @@
     async def scenario() -> None:
         first, second = Upstream(), Upstream()
         addresses = [await first.start(), await second.start()]
-        port = free_port(HOST)
+        port = find_free_port(HOST)
 
         async def service(name: str) -> web.AppRunner:
             runner = web.AppRunner(Service(CatalogStore(tmp_path / name), RULES).app(), shutdown_timeout=0.05)
@@ -525,7 +525,7 @@
 
 
 def test_what_was_answered_outlasts_kills_and_versions_only_grow(tmp_path: Path) -> None:
-    path, port = tmp_path / "list.toml", free_port(HOST)
+    path, port = tmp_path / "list.toml", find_free_port(HOST)
     caller, versions = RegistryClient(f"{HOST}:{port}", who="test"), [0]
     answered: list[str] = []
     for life in range(3):
@@ -549,7 +549,7 @@
 
 
 def test_the_commands_for_people(tmp_path: Path) -> None:
-    path, port = tmp_path / "list.toml", free_port(HOST)
+    path, port = tmp_path / "list.toml", find_free_port(HOST)
     process, at = served(path, port), f"{HOST}:{port}"
 
     def say(*args: str, status: int = 0) -> str:
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -17,9 +17,10 @@
 
 import pytest
 
-from loadbalancer.drill.execution.step_execution import Deeds
-from loadbalancer.drill.links.tcp import Fault
-from loadbalancer.drill.scenario.definition import Break, Lift, ScriptError, load, parse
+from loadbalancer.drill.execution.step_execution import StepExecutor
+from loadbalancer.drill.links.faults import LinkFault
+from loadbalancer.drill.scenario.loading import DrillScenarioError, load_scenario, parse_scenario
+from loadbalancer.drill.scenario.steps import ClearLinkFault, SetLinkFault
 
 ROOT = Path(__file__).parent.parent
 PATIENCE_S = 300
@@ -150,14 +151,14 @@
     fleet: Any = SimpleNamespace(matching=lambda pattern: [Link()])
     history: Any = SimpleNamespace(write=lambda what, **fields: told.append(fields))
     rest: Any = None
-    deeds = Deeds(fleet, rest, rest, history, rest, 1, keep=rest)
-    for step in (Break(name="cut", link="*", fault=Fault(cut=True)), Lift(name="cut")):
-        asyncio.run(deeds.do(step))
+    deeds = StepExecutor(fleet, rest, rest, history, rest, 1, track=rest)
+    for step in (SetLinkFault(name="cut", link="*", fault=LinkFault(cut=True)), ClearLinkFault(name="cut")):
+        asyncio.run(deeds.execute(step))
     assert [(e["on"], e["targets"]) for e in told] == [(True, ["clients>b0"]), (False, ["clients>b0"])]
 
 
 def test_every_drill_in_the_folder_can_be_read() -> None:
-    names = {path.stem for path in (ROOT / "drills").glob("*.toml") if load(path).title}
+    names = {path.stem for path in (ROOT / "drills").glob("*.toml") if load_scenario(path).title}
     assert names >= set(
         "calm server-killed server-silent server-slow balancer-killed balancer-stopped replace list-down "
         "reset-storm retry-storm".split()
@@ -180,8 +181,8 @@
     ],
 )
 def test_a_drill_that_cannot_be_used_is_told_in_a_line(text: str, told: str) -> None:
-    with pytest.raises(ScriptError) as caught:
-        parse(text, "x.toml")
+    with pytest.raises(DrillScenarioError) as caught:
+        parse_scenario(text, "x.toml")
     assert told in str(caught.value) and "\n" not in str(caught.value)
 
 
--- a/tests/test_drill_checks.py
+++ b/tests/test_drill_checks.py
@@ -12,9 +12,18 @@
 from loadbalancer.drill.checks import judgement
 from loadbalancer.drill.clock import RealClock
 from loadbalancer.drill.history import Event
-from loadbalancer.drill.scenario.definition import Bounds, Load, Script
-
-SCRIPT = Script(load=Load(requests=20), bounds=Bounds(served=0.95, back_s=1.0, asked=5, heard_s=1.0, turns=2))
+from loadbalancer.drill.scenario.tables import Bounds, ClientLoad, DrillScenario
+
+SCRIPT = DrillScenario(
+    load=ClientLoad(requests=20),
+    bounds=Bounds(
+        min_served=0.95,
+        max_recovery_s=1.0,
+        max_list_requests=5,
+        max_notification_s=1.0,
+        max_direction_changes=2,
+    ),
+)
 START = 1_000_000.0
 
 
@@ -51,7 +60,7 @@
 
 def judged(events: list[Event]) -> dict[str, bool]:
     ordered = sorted(events, key=lambda e: e["t"])
-    return {check.name: check.held for check in judgement.judge(SCRIPT, ordered)}
+    return {check.name: check.passed for check in judgement.judge(SCRIPT, ordered)}
 
 
 def without(events: list[Event], what: str, number: str) -> list[Event]:
@@ -264,15 +273,15 @@
 
 def test_history_passes_over_a_line_that_a_kill_cut_off_and_tells_any_other(tmp_path: Path) -> None:
     clock = RealClock(0.0)
-    writer = history.Writer(tmp_path, "s0", clock, most=200)
+    writer = history.HistoryWriter(tmp_path, "s0", clock, most=200)
     for number in range(5):
         writer.write("arrived", id=str(number))
     writer.close()
     path = tmp_path / "s0.history.jsonl"
-    events = history.read(tmp_path)
+    events = history.read_history(tmp_path)
     assert sum(e["lines"] for e in events if e["what"] == "left_out") + len(events) - 1 == 5
     path.write_bytes(path.read_bytes() + b'{"t": 1, "wh')
-    assert history.read(tmp_path) == events
+    assert history.read_history(tmp_path) == events
     path.write_bytes(b"noise\n" + path.read_bytes())
     with pytest.raises(ValueError, match=r"s0.*line 1 "):
-        history.read(tmp_path)
+        history.read_history(tmp_path)
--- a/tests/test_drill_links.py
+++ b/tests/test_drill_links.py
@@ -10,7 +10,9 @@
 
 import pytest
 
-from loadbalancer.drill.links.tcp import DatagramLink, Fault, Link
+from loadbalancer.drill.links.faults import LinkFault
+from loadbalancer.drill.links.tcp import TcpLink
+from loadbalancer.drill.links.udp import DatagramLink
 from tests.loopback import run
 
 HOST = "127.0.0.1"
@@ -23,9 +25,9 @@
 
 
 @asynccontextmanager
-async def linked() -> AsyncIterator[Link]:
+async def linked() -> AsyncIterator[TcpLink]:
     server = await asyncio.start_server(echo, HOST, 0)
-    link = Link("a>b", HOST, HOST, server.sockets[0].getsockname()[:2], random.Random(1))
+    link = TcpLink("a>b", HOST, HOST, server.sockets[0].getsockname()[:2], random.Random(1))
     link.start()
     try:
         yield link
@@ -34,7 +36,7 @@
         server.close()
 
 
-async def said(link: Link, data: bytes) -> bytes:
+async def said(link: TcpLink, data: bytes) -> bytes:
     """What comes back for some bytes on a new connection."""
     reader, writer = await asyncio.open_connection(*link.address)
     try:
@@ -60,7 +62,7 @@
 def test_a_delay_holds_every_piece_in_order_and_ends_when_it_is_lifted() -> None:
     async def scenario() -> None:
         async with linked() as link:
-            link.set("slow", Fault(delay_ms=40, jitter_ms=40), "back")
+            link.set("slow", LinkFault(delay_ms=40, jitter_ms=40), "back")
             loop = asyncio.get_running_loop()
             began = loop.time()
             reader, writer = await asyncio.open_connection(*link.address)
@@ -82,7 +84,7 @@
             reader, writer = await asyncio.open_connection(*link.address)
             writer.write(b"a")
             assert await reader.readexactly(1) == b"a"
-            link.set("cut", Fault(cut=True), "there")
+            link.set("cut", LinkFault(cut=True), "there")
             writer.write(b"b")
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(reader.readexactly(1), 0.2)
@@ -99,18 +101,18 @@
 def test_refused_reset_and_short_are_three_things_to_a_caller() -> None:
     async def scenario() -> None:
         async with linked() as link:
-            link.set("no", Fault(refuse=True))
+            link.set("no", LinkFault(refuse=True))
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*link.address)
             link.lift("no")
-            link.set("reset", Fault(reset_after=3), "back")
+            link.set("reset", LinkFault(reset_after=3), "back")
             with pytest.raises(ConnectionResetError):
                 reader, writer = await asyncio.open_connection(*link.address)
                 writer.write(b"abcdef")
                 await reader.read(-1)
                 raise AssertionError("an end in place of a reset")
             link.lift("reset")
-            link.set("short", Fault(short_after=3), "back")
+            link.set("short", LinkFault(short_after=3), "back")
             reader, writer = await asyncio.open_connection(*link.address)
             writer.write(b"abcdef")
             assert await reader.read(-1) == b"abc"
@@ -123,17 +125,17 @@
     async def scenario() -> None:
         async with linked() as link:
             knocks: list[str] = []
-            link._on_knock = knocks.append
-            link.put(up=False)
+            link._on_unexpected_call = knocks.append
+            link.update_target(is_up=False)
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*link.address)
             assert knocks == []
-            link.put(barred=True)
+            link.update_target(is_withdrawn=True)
             with pytest.raises(ConnectionResetError):
                 reader, _ = await asyncio.open_connection(*link.address)
                 await reader.read(-1)
             assert knocks == ["a>b"]
-            link.put(up=True, barred=False)
+            link.update_target(is_up=True, is_withdrawn=False)
             assert await said(link, b"back") == b"back"
 
     run(scenario())
@@ -143,10 +145,10 @@
     async def scenario() -> None:
         async with linked() as link:
             reader, _ = await asyncio.open_connection(*link.address)
-            while not link._open or len(link._open) < 2:
+            while not link._transports or len(link._transports) < 2:
                 await asyncio.sleep(0.001)
-            link.set("cut", Fault(cut=True))
-            for transport in list(link._open):
+            link.set("cut", LinkFault(cut=True))
+            for transport in list(link._transports):
                 if transport.get_extra_info("peername")[1] == link.target[1]:
                     transport.abort()
             with pytest.raises(TimeoutError):
@@ -168,26 +170,28 @@
         await link.start(HOST)
         sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
 
-        async def exchange(fault: Fault, count: int) -> list[int]:
+        async def exchange(fault: LinkFault, count: int) -> list[int]:
             link.direction.set("f", fault)
-            passed, lost = link.passed, link.lost
+            passed, lost = link.forwarded_count, link.lost_count
             for number in range(count):
                 sender.sendto(b"%d" % number, link.address)
-                while link.passed + link.lost == passed + lost and fault == Fault():
+                while link.forwarded_count + link.lost_count == passed + lost and fault == LinkFault():
                     await asyncio.sleep(0)
-            while link.passed - passed < (count - (link.lost - lost)) * (2 if fault.doubled else 1):
+            while link.forwarded_count - passed < (count - (link.lost_count - lost)) * (
+                2 if fault.doubled else 1
+            ):
                 await asyncio.sleep(0.001)
-            got = link.passed - passed
+            got = link.forwarded_count - passed
             return [int(await loop.sock_recv(sock, 256)) for _ in range(got)]
 
-        assert await exchange(Fault(), 3) == [0, 1, 2]
-        assert sorted(await exchange(Fault(doubled=1.0), 2)) == [0, 0, 1, 1]
-        mixed = await exchange(Fault(disorder=1.0), 20)
+        assert await exchange(LinkFault(), 3) == [0, 1, 2]
+        assert sorted(await exchange(LinkFault(doubled=1.0), 2)) == [0, 0, 1, 1]
+        mixed = await exchange(LinkFault(disorder=1.0), 20)
         assert sorted(mixed) == list(range(20)) and mixed != sorted(mixed)
-        link.direction.set("f", Fault(loss=1.0))
-        before = link.lost
+        link.direction.set("f", LinkFault(loss=1.0))
+        before = link.lost_count
         sender.sendto(b"x", link.address)
-        while link.lost == before:
+        while link.lost_count == before:
             await asyncio.sleep(0.001)
         link.close()
         sender.close()
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -14,8 +14,8 @@
 import pytest
 
 from loadbalancer.cli import operate
-from loadbalancer.drill.open_load import LoadError, check, read_kind
-from loadbalancer.drill.processes.placement import free_port
+from loadbalancer.drill.open_load import LoadError, check_load, parse_request_kind
+from loadbalancer.drill.processes.addresses import find_free_port
 
 ROOT = Path(__file__).parent.parent
 HOST = "127.0.0.1"
@@ -45,9 +45,9 @@
 
 @pytest.fixture
 def served(tmp_path: Path) -> Iterator[Served]:
-    address, console = (f"{HOST}:{free_port(HOST)}" for _ in range(2))
+    address, console = (f"{HOST}:{find_free_port(HOST)}" for _ in range(2))
     path = tmp_path / "b.toml"
-    path.write_text(file_text(address, console, f"{HOST}:{free_port(HOST)}"))
+    path.write_text(file_text(address, console, f"{HOST}:{find_free_port(HOST)}"))
     command = [sys.executable, "-c", "from loadbalancer.cli import main; main()", "serve", str(path)]
     with subprocess.Popen(
         [*command, "--log", "json"], cwd=ROOT, stderr=subprocess.PIPE, text=True,
@@ -96,7 +96,7 @@
 
 
 def test_a_call_to_several_balancers_tells_who_did_not_take_it(served: Served) -> None:
-    nobody = f"{HOST}:{free_port(HOST)}"
+    nobody = f"{HOST}:{find_free_port(HOST)}"
     done = irondrum("health", "--console", served.console, "--console", nobody)
     assert done.returncode == 1
     assert done.stderr.splitlines()[-1] == f"irondrum: 1 of 2 did not say yes: {nobody}"
@@ -122,17 +122,17 @@
 
 
 def test_a_load_stays_on_this_machine_and_within_its_bounds() -> None:
-    check("http://127.0.0.1:1", 1, 1, anywhere=False)
-    check("http://192.0.2.1", 1, 1, anywhere=True)
+    check_load("http://127.0.0.1:1", 1, 1, anywhere=False)
+    check_load("http://192.0.2.1", 1, 1, anywhere=True)
     for url, rate, seconds in (("http://192.0.2.1", 1, 1), ("http://[::1]", 0, 1), ("http://[::1]", 1, 601)):
         with pytest.raises(LoadError):
-            check(url, rate, seconds, anywhere=False)
-    kind = read_kind("pay:2:500:unsafe")
+            check_load(url, rate, seconds, anywhere=False)
+    kind = parse_request_kind("pay:2:500:unsafe")
     assert (kind.name, kind.share, kind.deadline_ms, kind.unsafe) == ("pay", 2.0, 500.0, True)
-    assert read_kind("map:3").deadline_ms == 2_000.0
+    assert parse_request_kind("map:3").deadline_ms == 2_000.0
     for text in ("", "a:0", "a:1:0", "a:1:1:safe", "a:1:1:unsafe:x"):
         with pytest.raises(LoadError):
-            read_kind(text)
+            parse_request_kind(text)
 
 
 def test_where_the_list_is_from_is_told_by_console(served: Served) -> None:
@@ -140,4 +140,4 @@
     assert told.returncode == 0
     assert "configuration" in told.stdout
     assert "never" in told.stdout
-    assert irondrum("lists", "--console", f"{HOST}:{free_port(HOST)}").returncode == 1
+    assert irondrum("lists", "--console", f"{HOST}:{find_free_port(HOST)}").returncode == 1
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -14,7 +14,7 @@
 import pytest
 import uvloop
 
-from loadbalancer.drill.processes.placement import free_port
+from loadbalancer.drill.processes.addresses import find_free_port
 from loadbalancer.net.config import read_config
 from loadbalancer.net.proxy import Proxy
 from tests.loopback import config_text, entry, program, response, run
@@ -34,7 +34,7 @@
         self._way, self.calls = way, 0
 
     async def start(self) -> str:
-        port = free_port(HOST)
+        port = find_free_port(HOST)
         if self._way != "refused":
             self._server = await asyncio.start_server(self._serve, HOST, port)
         return f"{HOST}:{port}"
@@ -74,14 +74,14 @@
 @asynccontextmanager
 async def process(config: dict[str, Any], path: Path) -> AsyncIterator[int]:
     """One balancer as the platform starts it; gives the port that it listens on, and ends it."""
-    port = free_port(HOST)
+    port = find_free_port(HOST)
     path.write_text(json.dumps(config | {"listen": f"{HOST}:{port}"}))
     async with program(path):
         yield port
 
 
 def configuration(address: str, how: str, knows: bool, own: bool = False) -> dict[str, Any]:
-    lists = {"others": [f"{HOST}:{free_port(HOST)}"]} if own else None
+    lists = {"others": [f"{HOST}:{find_free_port(HOST)}"]} if own else None
     contract = {"drainGrace": 300.0, "askWithin": 30_000.0}
     text = config_text(
         address, KNOWN if knows else [], lists=lists, discovery=how, balancers=18_000, contract=contract
@@ -124,7 +124,7 @@
     how: str, knows: bool, own: bool
 ) -> None:
     async def scenario() -> None:
-        text = json.dumps(configuration(f"{HOST}:{free_port(HOST)}", how, knows, own))
+        text = json.dumps(configuration(f"{HOST}:{find_free_port(HOST)}", how, knows, own))
         driver = Proxy(read_config(text, lambda note: None), asyncio.get_running_loop())
         driver.start()
         assert driver.is_serving()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,10 +19,10 @@
 
 from loadbalancer.net.config import read_address
 from loadbalancer.scale import seeded_defects
-from loadbalancer.scale.allowances import Allowances, over
-from loadbalancer.scale.figures import kept
+from loadbalancer.scale.allowances import Allowances, find_excesses
+from loadbalancer.scale.figures import without_samples
 from loadbalancer.scale.plan import DEFECTS, Plan, PlanError
-from loadbalancer.scale.play import guard
+from loadbalancer.scale.play import check_resources
 from loadbalancer.scale.relay import Relay
 from loadbalancer.scale.report import write
 
@@ -97,7 +97,7 @@
 
 
 def test_nothing_is_over_its_allowance_in_counts_and_bytes(figures: dict[str, Any]) -> None:
-    assert over(figures, COUNTED) == []
+    assert find_excesses(figures, COUNTED) == []
 
 
 def test_a_quiet_step_costs_a_call_each_few_seconds(figures: dict[str, Any]) -> None:
@@ -126,7 +126,7 @@
 def test_a_planted_defect_goes_over_an_allowance(
     planted: dict[str, Future[dict[str, Any]]], defect: str
 ) -> None:
-    found = {(one["step"], one["figure"]) for one in over(planted[defect].result(), COUNTED)}
+    found = {(one["step"], one["figure"]) for one in find_excesses(planted[defect].result(), COUNTED)}
     assert PLANTS[defect][1] in found
 
 
@@ -138,7 +138,7 @@
     figures: dict[str, Any], tmp_path: Path
 ) -> None:
     (tmp_path / "figures.json").write_text(json.dumps(figures), encoding="utf-8")
-    (tmp_path / "scale-60-whole.json").write_text(json.dumps(kept(figures)), encoding="utf-8")
+    (tmp_path / "scale-60-whole.json").write_text(json.dumps(without_samples(figures)), encoding="utf-8")
     page = write(tmp_path, tmp_path).read_text(encoding="utf-8")
     assert all(f"| {step} | list service instance |" in page for step in figures["steps"])
     assert "| changes | bytes_s_mean |" in page
@@ -172,19 +172,19 @@
     server = await loop.create_server(Echo, "127.0.0.1", 0)
     relay = Relay("{}:{}".format(*server.sockets[0].getsockname()))
     await relay.start()
-    host, port = read_address(relay.at)
+    host, port = read_address(relay.address)
     reader, writer = await asyncio.open_connection(host, port)
     writer.write(b"GET /one")
     heard = await reader.readexactly(8)
-    passed = relay.take()
-    relay.cut(True)
+    passed = relay.take_counts()
+    relay.set_cut(is_cut=True)
     after = [await reader.read()]
     reader, writer = await asyncio.open_connection(host, port)
     try:
         after.append(await reader.read())
     except ConnectionResetError:
         after.append(b"")
-    relay.cut(False)
+    relay.set_cut(is_cut=False)
     reader, writer = await asyncio.open_connection(host, port)
     writer.write(b"POST /two")
     after.append(await reader.readexactly(9))
@@ -205,7 +205,7 @@
         ({"steps": ("quiet",)}, "the first is start"),
         ({"steps": ("start", "party")}, "no step 'party'"),
         ({"hollow": 99}, "hollow: 99"),
-        ({"plant": "none"}, "no defect 'none'"),
+        ({"defect": "none"}, "no defect 'none'"),
         ({"lists": "none"}, "no lists 'none'"),
         ({"balancers": 1_000_000, "hollow": 500_000}, "memory"),
     ],
@@ -213,4 +213,4 @@
 def test_a_plan_that_does_not_fit_is_told_in_a_line(changes: dict[str, Any], why: str) -> None:
     plan = {"balancers": 60, "hollow": 10} | changes
     with pytest.raises(PlanError, match=why):
-        guard(Plan(**plan))
+        check_resources(Plan(**plan))
--- a/tests/test_scale_registrar.py
+++ b/tests/test_scale_registrar.py
@@ -9,7 +9,7 @@
 
 from loadbalancer.scale import registrar
 from loadbalancer.scale.plan import Plan
-from loadbalancer.scale.registrar import Registrar, Spec
+from loadbalancer.scale.registrar import Registrar, RegistrarSpecification
 
 
 class Taken:
@@ -36,25 +36,31 @@
 
     async def scenario() -> None:
         taken = Taken()
-        monkeypatch.setattr(registrar, "Links", lambda ways, tally: taken)
+        monkeypatch.setattr(registrar, "InstanceConnections", lambda ways, tally: taken)
         plan = Plan(balancers=1, hollow=0, real=1, lease_s=0.2)
-        spec = Spec(
-            name="registrar", folder="", offset_ms=0.0, seed=1, plan=plan, ways=[], address="127.0.0.1:2"
+        spec = RegistrarSpecification(
+            name="registrar",
+            folder="",
+            offset_ms=0.0,
+            seed=1,
+            plan=plan,
+            instance_addresses=[],
+            address="127.0.0.1:2",
         )
         one = Registrar(spec)
         one.start()
-        one.command({"do": "register"})
+        one.handle_command({"do": "register"})
         await taken.until("POST renew")
         if ends == "silent":
-            one.command({"do": "silent", "numbers": [0]})
+            one.handle_command({"do": "silent", "numbers": [0]})
         else:
-            one.command({"do": "write", "id": 1, "writes": [[0, "remove"]], "per_s": 100.0})
+            one.handle_command({"do": "write", "id": 1, "writes": [[0, "remove"]], "per_s": 100.0})
             await taken.until("DELETE s0")
         while not one._due:  # the renewal that is under way has its answer, and the next one is due
             await asyncio.sleep(0.001)
         while one._due or not one._jobs.empty():  # its turn has come and gone
             await asyncio.sleep(0.001)
-        one.command({"do": "write", "id": 2, "writes": [[0, "start"]], "per_s": 100.0})
+        one.handle_command({"do": "write", "id": 2, "writes": [[0, "start"]], "per_s": 100.0})
         await taken.until("PUT s0")
         for _ in range(3):
             await taken.until("POST renew")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from loadbalancer.drill.processes.placement import free_port
+from loadbalancer.drill.processes.addresses import find_free_port
 from loadbalancer.interface import Endpoint, TakeoverChanged
 from loadbalancer.net import hot_restart
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
@@ -44,7 +44,7 @@
         self._deadline_ms = deadline_ms
         (folder / "shared").mkdir()
         self.discovery = ListServer()
-        self.port = free_port("127.0.0.1")
+        self.port = find_free_port("127.0.0.1")
         self.entries: list[dict[str, Any]] = []
 
     async def start(self) -> None:
@@ -54,7 +54,7 @@
 
     @asynccontextmanager
     async def process(self) -> AsyncIterator[Process]:
-        console = free_port("127.0.0.1")
+        console = find_free_port("127.0.0.1")
         raw = json.loads(config_text(self._discovery, self.entries, f"127.0.0.1:{console}"))
         raw["listen"], raw["limits"]["sockets"] = f"127.0.0.1:{self.port}", self._sockets
         for cls in raw["settings"]["classes"]:
