--- a/loadbalancer/cli/drill.py
+++ b/loadbalancer/cli/drill.py
@@ -16,9 +16,10 @@
 
 from loadbalancer.cli.misuse import Misuse, find_file
 from loadbalancer.cli.screen import screen
-from loadbalancer.drill import history, seeded_defects
+from loadbalancer.drill import history
 from loadbalancer.drill.checks import judgement
 from loadbalancer.drill.checks.timeline import CheckResult
+from loadbalancer.drill.defects.names import DRILL_DEFECTS
 from loadbalancer.drill.execution.player import DrillPlayer
 from loadbalancer.drill.scenario.loading import load_scenario
 from loadbalancer.drill.scenario.tables import DrillScenario
@@ -49,7 +50,7 @@
     for path in sorted(FOLDER.glob("*.toml")):
         table.add_row(path.stem, load_scenario(path).title)
     screen().print(table)
-    screen().print(f"--plant: {', '.join(seeded_defects.DEFECTS)}", highlight=False)
+    screen().print(f"--plant: {', '.join(DRILL_DEFECTS)}", highlight=False)
 
 
 @app.command()
@@ -64,8 +65,8 @@
 
     Example: irondrum drill run calm server-killed --seed 2 --out found/drills
     """
-    if plant and plant not in seeded_defects.DEFECTS:
-        raise Misuse(f"no defect {plant!r}; there are {', '.join(seeded_defects.DEFECTS)}")
+    if plant and plant not in DRILL_DEFECTS:
+        raise Misuse(f"no defect {plant!r}; there are {', '.join(DRILL_DEFECTS)}")
     paths = [find_file(FOLDER, "drill", name) for name in names]
     drills = [(path, load_scenario(path)) for path in paths]  # all are sound before the first is played
     held = True
--- a/loadbalancer/drill/checks/endpoint_lists.py
+++ b/loadbalancer/drill/checks/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""What a drill's history says of the list: its versions, who hears of changes, who is taken off it."""
+"""Checks of the endpoint list: its versions, who is notified of changes, who is taken off it."""
 
 from __future__ import annotations
 
@@ -7,134 +7,138 @@
 from loadbalancer.drill.checks.timeline import (
     SECOND_MS,
     CheckResult,
+    StatusChange,
     Timeline,
+    check_maximum,
     count_violations,
     status_changes,
 )
 from loadbalancer.drill.history import Event
 from loadbalancer.drill.scenario.tables import DrillScenario
 
-FAULTY_LIST = "odd list"  # the fault of a service that tells what is not so
-EXCUSING_FAULTS = (
-    "kill",
-    "stop",
-    "term",
-    "list",
-)  # what is done to a server that may end its place on the list
+FAULTY_LIST = "odd list"  # the fault of a server that answers with what is not so
+EXCUSING_FAULTS = ("kill", "stop", "term", "list")  # of a server: they may end its place on the list
 EXCUSE_DURATION_S = 5.0  # for so long, and its lease, after the end of that
 
 
-def check_list_versions(story: Timeline, script: DrillScenario) -> CheckResult:
-    """The version of the list that a balancer is told never goes back, unless a drill makes it."""
-    back = []
-    for balancer, lists in story.list_notifications.items():
+def check_list_versions(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
+    """Check that the version that a balancer receives never goes back, unless a drill makes it."""
+    violations = []
+    for balancer, notifications in timeline.list_notifications.items():
         newest: dict[str, int] = {}
-        for when, by, index, _, _ in lists:
-            if index < newest.get(by, -1) and not _was_faulty(story, by, when):
-                at_s = (when - story.start_ms) / SECOND_MS
-                back.append(f"{balancer} was told {index} after {newest[by]} by {by}, at {at_s:.2f} s")
-            newest[by] = index
-    return count_violations("versions", back)
-
-
-def _was_faulty(story: Timeline, by: str, when: float) -> bool:
-    """Whether a service was out of order at a time, or had been before it: it tells what it told then."""
-    return any(start <= when for start, _ in story.fault_intervals([FAULTY_LIST], by))
-
-
-def check_notification_delay(story: Timeline, script: DrillScenario) -> CheckResult:
-    """Every drain and removal that operators told was told to each balancer of the tier in time."""
-    bound = script.bounds.max_notification_s
-    worst, first = 0.0, ""
-    fronts = [
-        p
-        for p in story.location_by_name.values()
-        if p.name in story.list_notifications and not _was_down(story, p.name)
-    ]
-    over = max((e["t"] for e in story.events_by_kind["over"]), default=float("inf"))
-    for event in _operator_changes(story) if bound else []:
-        (server,) = event["targets"]
-        wanted = {event["status"], "terminated"}
-        for place in (p for p in fronts if p.tier == story.location_by_name[server].tier):
-            times = [
-                when - event["t"]
-                for when, _, name, status in status_changes(story.list_notifications[place.name])
-                if name == server and status in wanted and when >= event["t"]
-            ]
-            took = min(times, default=over - event["t"]) / SECOND_MS
-            if took > worst:
-                worst, first = (
-                    took,
-                    f"{place.name} heard of {server} {event['status']} {story.format_time(event)}",
+        for update in notifications:
+            source, index = update.source, update.index
+            if index < newest.get(source, -1) and not _was_faulty(timeline, source, update.at_ms):
+                at_s = timeline.seconds(update.at_ms)
+                violations.append(
+                    f"{balancer} was told {index} after {newest[source]} by {source}, at {at_s:.2f} s"
                 )
-    return CheckResult("heard", not bound or worst <= bound, worst, bound, first if worst > bound else "")
+            newest[source] = index
+    return count_violations("versions", violations)
+
+
+def _was_faulty(timeline: Timeline, source: str, at_ms: float) -> bool:
+    """Return whether a server was faulty at a time, or had been before: it repeats what it answered then."""
+    return any(begin <= at_ms for begin, _ in timeline.fault_intervals([FAULTY_LIST], source))
 
 
-def _operator_changes(story: Timeline) -> list[Event]:
-    return [e for e in story.events_by_kind["fault"] if e["kind"] == "list" and e["on"]]
+def check_notification_delay(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
+    """Check that each drain and removal by operators reached all balancers of the tier in time."""
+    bound = scenario.bounds.max_notification_s
+    if not bound:
+        return CheckResult("heard", True, 0.0, bound)
+    worst_s, first = 0.0, ""
+    balancers = [
+        location
+        for location in timeline.location_by_name.values()
+        if location.name in timeline.list_notifications and not _was_down(timeline, location.name)
+    ]
+    for event in timeline.events_by_kind["fault"]:
+        if event["kind"] != "list" or not event["on"]:
+            continue
+        (server,) = event["targets"]
+        for balancer in (b for b in balancers if b.tier == timeline.tier_of(server)):
+            took_s = _notification_delay_s(timeline, event, server, balancer.name)
+            if took_s > worst_s:
+                what = f"{balancer.name} heard of {server} {event['status']}"
+                worst_s, first = took_s, f"{what} {timeline.time_of(event)}"
+    return check_maximum("heard", worst_s, bound, first)
+
+
+def _notification_delay_s(timeline: Timeline, event: Event, server: str, balancer: str) -> float:
+    """Return how long after a change a balancer received it, or until the end if it did not."""
+    expected = {event["status"], "terminated"}
+    delays_ms = [
+        change.at_ms - event["t"]
+        for change in status_changes(timeline.list_notifications[balancer])
+        if change.server == server and change.status in expected and change.at_ms >= event["t"]
+    ]
+    return float(min(delays_ms, default=timeline.end_ms() - event["t"])) / SECOND_MS
 
 
-def _was_down(story: Timeline, name: str) -> bool:
-    return bool(story.fault_intervals(("kill", "stop", "term", "replace"), name))
+def _was_down(timeline: Timeline, name: str) -> bool:
+    return bool(timeline.fault_intervals(("kill", "stop", "term", "replace"), name))
 
 
-def check_list_request_rate(story: Timeline, script: DrillScenario) -> CheckResult:
-    """No balancer asks more often within a second than it needs to: storms show here."""
-    most_, first = 0, ""
-    away: dict[str, list[float]] = defaultdict(list)
-    for event in story.events_by_kind["turned_away"]:
-        away[story.location_by_host[event["to"]].name].append(event["t"])
-    for balancer, lists in story.list_notifications.items():
-        times = sorted([when for when, *_ in lists] + away[balancer])
+def check_list_request_rate(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
+    """Check that no balancer asks for the list too often within a second: storms show here."""
+    worst, first = 0, ""
+    rejections: dict[str, list[float]] = defaultdict(list)
+    for event in timeline.events_by_kind["turned_away"]:
+        rejections[timeline.location_by_host[event["to"]].name].append(event["t"])
+    for balancer, notifications in timeline.list_notifications.items():
+        times = sorted([update.at_ms for update in notifications] + rejections[balancer])
         begin = 0
-        for end, when in enumerate(times):
-            while times[begin] < when - SECOND_MS:
+        for end, at_ms in enumerate(times):
+            while times[begin] < at_ms - SECOND_MS:
                 begin += 1
-            if end - begin + 1 > most_:
-                most_, first = end - begin + 1, f"{balancer} at {(when - story.start_ms) / SECOND_MS:.2f} s"
-    bound = script.bounds.max_list_requests
-    return CheckResult("asked", most_ <= bound, most_, bound, first if most_ > bound else "")
-
-
-def check_unrequested_removals(story: Timeline, script: DrillScenario) -> CheckResult:
-    """No server is taken off the list that ran all the time, and that nobody took off it."""
-    wrong = []
-    grace = (script.fleet.lease_s + EXCUSE_DURATION_S) * SECOND_MS
-    for balancer, lists in story.list_notifications.items():
-        for when, by, server, status in status_changes(lists):
-            if status != "terminated" or _was_faulty(story, by, when):
+            if end - begin + 1 > worst:
+                worst, first = end - begin + 1, f"{balancer} at {timeline.seconds(at_ms):.2f} s"
+    return check_maximum("asked", worst, scenario.bounds.max_list_requests, first)
+
+
+def check_unrequested_removals(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
+    """Check that no server is taken off the list that ran all the time, and that nobody took off it."""
+    grace_ms = (scenario.fleet.lease_s + EXCUSE_DURATION_S) * SECOND_MS
+    violations = []
+    for balancer, notifications in timeline.list_notifications.items():
+        for change in status_changes(notifications):
+            if change.status != "terminated" or _was_faulty(timeline, change.source, change.at_ms):
                 continue
-            if not any(
-                start <= when <= end + grace for start, end in story.fault_intervals(EXCUSING_FAULTS, server)
-            ):
-                at_s = (when - story.start_ms) / SECOND_MS
-                wrong.append(f"{balancer} was told by {by} at {at_s:.2f} s that {server} is gone")
-    return count_violations("kept", wrong)
-
-
-def check_drains_stay(story: Timeline, script: DrillScenario) -> CheckResult:
-    """A server that a balancer was told drains is never told in service again, but for a new start."""
-    wrong = []
-    for balancer, lists in story.list_notifications.items():
+            intervals = timeline.fault_intervals(EXCUSING_FAULTS, change.server)
+            if not any(begin <= change.at_ms <= end + grace_ms for begin, end in intervals):
+                violations.append(f"{_notified(timeline, balancer, change)} is gone")
+    return count_violations("kept", violations)
+
+
+def check_drains_stay(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
+    """Check that a server whose drain a balancer received is not in service again, but after a new start."""
+    violations = []
+    for balancer, notifications in timeline.list_notifications.items():
         draining: set[str] = set()
-        for when, by, server, status in status_changes(lists):
-            if status == "terminating":
-                draining.add(server)
-            elif status == "in_service" and server in draining:
-                draining.discard(server)
-                if not _was_restarted(story, server, when) and not _had_lost_state(story, by, when):
-                    at_s = (when - story.start_ms) / SECOND_MS
-                    wrong.append(f"{balancer} was told by {by} at {at_s:.2f} s that {server} serves again")
-    return count_violations("undone", wrong)
-
-
-def _was_restarted(story: Timeline, server: str, until: float) -> bool:
-    """Whether a server was started anew by then."""
-    ends = [end for _, end in story.fault_intervals(("kill",), server)]
-    return any(end <= until for end in ends)
-
-
-def _had_lost_state(story: Timeline, by: str, when: float) -> bool:
-    """Whether a service was out of order, or had come back with less than it knew."""
-    lost = any(e["t"] <= when and e.get("memory", "kept") != "kept" for e in story.events_by_kind["fault"])
-    return lost or _was_faulty(story, by, when)
+        for change in status_changes(notifications):
+            if change.status == "terminating":
+                draining.add(change.server)
+            elif change.status == "in_service" and change.server in draining:
+                draining.discard(change.server)
+                if not _was_restarted(timeline, change) and not _had_lost_state(timeline, change):
+                    violations.append(f"{_notified(timeline, balancer, change)} serves again")
+    return count_violations("undone", violations)
+
+
+def _notified(timeline: Timeline, balancer: str, change: StatusChange) -> str:
+    at_s = timeline.seconds(change.at_ms)
+    return f"{balancer} was told by {change.source} at {at_s:.2f} s that {change.server}"
+
+
+def _was_restarted(timeline: Timeline, change: StatusChange) -> bool:
+    """Return whether the server was started anew by then."""
+    return any(end <= change.at_ms for _, end in timeline.fault_intervals(("kill",), change.server))
+
+
+def _had_lost_state(timeline: Timeline, change: StatusChange) -> bool:
+    """Return whether the list's server was faulty, or a registry had come back with less than it knew."""
+    has_lost = any(
+        e["t"] <= change.at_ms and e.get("memory", "kept") != "kept" for e in timeline.events_by_kind["fault"]
+    )
+    return has_lost or _was_faulty(timeline, change.source, change.at_ms)
--- a/loadbalancer/drill/checks/timeline.py
+++ b/loadbalancer/drill/checks/timeline.py
@@ -1,4 +1,4 @@
-"""A drill's history, read once into what its checks ask of it, and what a check says."""
+"""A drill's history, read once into what its checks look up, and the result of a check."""
 
 from __future__ import annotations
 
@@ -13,13 +13,8 @@
 
 SECOND_MS = 1_000.0
 
-ListNotification = tuple[float, str, int, bool, dict[str, str]]
-"""A list as a balancer was told it: when, by whom, its index, whether it was whole, each entry's status."""
 
-
-class CheckResult(
-    msgspec.Struct, frozen=True, rename={"passed": "held", "first_violation": "first"}
-):  # fmt: skip
+class CheckResult(msgspec.Struct, frozen=True, rename={"passed": "held", "first_violation": "first"}):
     """One check: what was measured against which bound, and one event that broke it."""
 
     name: str
@@ -29,17 +24,38 @@
     first_violation: str = ""
 
 
-@dataclass
+@dataclass(frozen=True)
 class ProcessLocation:
-    """Where a process was."""
+    """Where a process ran."""
 
     name: str
     zone: str
     tier: str
 
 
+@dataclass(frozen=True, slots=True)
+class ListNotification:
+    """A list as a balancer received it, with each entry's status."""
+
+    at_ms: float
+    source: str
+    index: int
+    is_snapshot: bool
+    statuses: dict[str, str]
+
+
+@dataclass(frozen=True, slots=True)
+class StatusChange:
+    """What a balancer was notified of one server."""
+
+    at_ms: float
+    source: str
+    server: str
+    status: str
+
+
 class Timeline:
-    """A history, read once into what the checks ask of it."""
+    """A history, indexed for the checks."""
 
     def __init__(self, events: list[Event]) -> None:
         self.events = events
@@ -54,58 +70,83 @@
 
     @cached_property
     def list_notifications(self) -> dict[str, list[ListNotification]]:
-        """What each balancer was told by lists, as it came."""
-        told: dict[str, list[ListNotification]] = defaultdict(list)
+        """The lists that each balancer received, in order."""
+        notifications: dict[str, list[ListNotification]] = defaultdict(list)
         for event in self.events_by_kind["told"]:
-            place = self.location_by_host.get(event["to"])
-            if place is not None:
-                news = event["index"], event["snapshot"], event["entries"]
-                told[place.name].append((event["t"], event["who"], *news))
-        return told
+            location = self.location_by_host.get(event["to"])
+            if location is not None:
+                notifications[location.name].append(
+                    ListNotification(
+                        event["t"], event["who"], event["index"], event["snapshot"], event["entries"]
+                    )
+                )
+        return notifications
 
     def arrivals(self) -> Iterator[tuple[Event, str]]:
-        """Each request that reached a server, with the balancer that sent it."""
+        """Yield each request that reached a server, with the balancer that sent it."""
         for event in self.events_by_kind["arrived"]:
-            place = self.location_by_host.get(event["from"])
-            if place is not None:
-                yield event, place.name
+            location = self.location_by_host.get(event["from"])
+            if location is not None:
+                yield event, location.name
 
-    def format_time(self, event: Event) -> str:
-        """When an event was, in words."""
-        return f"at {(event['t'] - self.start_ms) / SECOND_MS:.2f} s"
+    def zone_of(self, name: str) -> str:
+        """Return the zone of a process."""
+        return self.location_by_name[name].zone
+
+    def tier_of(self, name: str) -> str:
+        """Return the tier of a process."""
+        return self.location_by_name[name].tier
+
+    def time_of(self, event: Event) -> str:
+        """Return when an event was, in words."""
+        return f"at {self.seconds(event['t']):.2f} s"
+
+    def seconds(self, at_ms: float) -> float:
+        """Return a time as seconds since the first request."""
+        return (at_ms - self.start_ms) / SECOND_MS
+
+    def end_ms(self) -> float:
+        """Return when the drill was over; infinity if it never was."""
+        return max((e["t"] for e in self.events_by_kind["over"]), default=float("inf"))
 
     def fault_intervals(self, kinds: Iterable[str], target: str) -> list[tuple[float, float]]:
-        """When faults of some kinds befell a process: from, to."""
-        spans: list[tuple[float, float]] = []
+        """Return when faults of some kinds were on a process, as begin and end in ms."""
+        intervals: list[tuple[float, float]] = []
         for event in self.events_by_kind["fault"]:
             if event["kind"] in kinds and target in event["targets"]:
                 if event["on"]:
-                    spans.append((event["t"], float("inf")))
-                elif spans:
-                    spans[-1] = (spans[-1][0], event["t"])
-        return spans
+                    intervals.append((event["t"], float("inf")))
+                elif intervals:
+                    intervals[-1] = (intervals[-1][0], event["t"])
+        return intervals
+
+
+def count_violations(name: str, violations: list[str], bound: float = 0) -> CheckResult:
+    """Return a check on a count of events, of which there may be `bound` at the most."""
+    first = violations[0] if violations else ""
+    return CheckResult(name, len(violations) <= bound, len(violations), bound, first)
 
 
-def count_violations(name: str, found: list[str], bound: float = 0) -> CheckResult:
-    """A check on a count of events, none of which should be."""
-    return CheckResult(name, len(found) <= bound, len(found), bound, found[0] if found else "")
+def check_maximum(name: str, measured: float, bound: float, first_violation: str) -> CheckResult:
+    """Return a check on a measure that may be `bound` at the most."""
+    passed = measured <= bound
+    return CheckResult(name, passed, measured, bound, "" if passed else first_violation)
 
 
-def status_changes(lists: Iterable[ListNotification]) -> Iterator[tuple[float, str, str, str]]:
-    """When a balancer was told what of whom, and by whom; what a whole list leaves out is `terminated`."""
+def status_changes(notifications: Iterable[ListNotification]) -> Iterator[StatusChange]:
+    """Yield what a balancer was notified of each server; one that a snapshot leaves out is `terminated`."""
     listed: set[str] = set()
-    for when, by, _, whole, entries in lists:
-        gone = dict.fromkeys(listed - set(entries), "terminated") if whole else {}
-        for server, status in (entries | gone).items():
-            yield when, by, server, status
+    for update in notifications:
+        missing = listed - set(update.statuses) if update.is_snapshot else ()
+        for server, status in (update.statuses | dict.fromkeys(missing, "terminated")).items():
+            yield StatusChange(update.at_ms, update.source, server, status)
             (listed.discard if status == "terminated" else listed.add)(server)
 
 
-def without_outdated(lists: Iterable[ListNotification]) -> Iterator[ListNotification]:
-    """The lists but for those that are older than one that the same service told before."""
+def without_outdated(notifications: Iterable[ListNotification]) -> Iterator[ListNotification]:
+    """Yield the lists but for those that are older than one that the same source sent before."""
     newest: dict[str, int] = {}
-    for told in lists:
-        _, by, index, _, _ = told
-        if index >= newest.get(by, index):
-            newest[by] = index
-            yield told
+    for update in notifications:
+        if update.index >= newest.get(update.source, update.index):
+            newest[update.source] = update.index
+            yield update
--- a/loadbalancer/drill/checks/zones.py
+++ b/loadbalancer/drill/checks/zones.py
@@ -1,101 +1,133 @@
-"""What a drill's history says of zones: left and come back to in steps, and not to and fro."""
+"""Checks of zones: evacuated and returned to in steps, without oscillation, and rarely crossed."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Iterator
-
-from loadbalancer.drill.checks.timeline import SECOND_MS, CheckResult, Timeline, count_violations
+from dataclasses import dataclass
+
+from loadbalancer.drill.checks.timeline import (
+    SECOND_MS,
+    CheckResult,
+    Timeline,
+    check_maximum,
+    count_violations,
+)
 from loadbalancer.drill.history import Event
 from loadbalancer.drill.scenario.tables import DrillScenario
 from loadbalancer.simulation.direction_changes import turns
 
-MIN_CALLS = 15  # calls in a span, below which a zone's part says nothing
+MIN_CALLS = 15  # in an interval, below which a zone's fraction says nothing
 SETTLE_S = 0.5  # between an operators' call and the first calls that follow it
-MIN_CHANGE = 0.15  # a turn of a zone's part within a second that is smaller is chance
+MIN_SWING = 0.15  # a change of a zone's fraction within a second that is smaller is chance
+MAX_EARLY_PROGRESS = 0.6  # of an evacuation, that may be done in its first quarter
 
 
-def _calls_by_zone(story: Timeline, since: float, until: float) -> Counter[str]:
-    """Calls of the first tier's balancers to each zone in a span."""
+def _calls_by_zone(timeline: Timeline, begin_ms: float, end_ms: float) -> Counter[str]:
+    """Count the calls of the first tier's balancers to each zone in an interval."""
     return Counter(
-        story.location_by_name[event["who"]].zone
-        for event, balancer in story.arrivals()
-        if since <= event["t"] < until and story.location_by_name[balancer].tier == "first"
+        timeline.zone_of(event["who"])
+        for event, balancer in timeline.arrivals()
+        if begin_ms <= event["t"] < end_ms and timeline.tier_of(balancer) == "first"
     )
 
 
-def _zone_fraction(story: Timeline, zone: str, since: float, until: float) -> float | None:
-    counts = _calls_by_zone(story, since, until)
+def _zone_fraction(timeline: Timeline, zone: str, begin_ms: float, end_ms: float) -> float | None:
+    """Return a zone's fraction of all calls in an interval; None where they are too few."""
+    counts = _calls_by_zone(timeline, begin_ms, end_ms)
     return counts[zone] / counts.total() if counts.total() >= MIN_CALLS else None
 
 
-def _evacuations(story: Timeline) -> Iterator[tuple[Event, str, float, float, float]]:
-    """Each move of a zone: its event, zone, when it began and was over, and when the next one begins."""
-    moves = [e for e in story.events_by_kind["fault"] if e["kind"] == "zone"]
-    over = max((e["t"] for e in story.events_by_kind["done"]), default=0.0)
-    for number, event in enumerate(moves):
-        later = [e["t"] for e in moves[number + 1 :] if e["zone"] == event["zone"]]
-        end = event["t"] + event["over_s"] * SECOND_MS
-        yield event, event["zone"], event["t"], end, min([*later, over])
-
-
-def check_evacuation(story: Timeline, script: DrillScenario) -> CheckResult:
-    """Nothing goes to a zone that has been left, and its calls are back when it has been come back to."""
-    wrong = []
-    for event, zone, began, end, until in _evacuations(story):
-        settled = end + SETTLE_S * SECOND_MS
-        if event["on"]:
-            strays = _calls_by_zone(story, settled, until)[zone]
-            wrong += (
-                [f"{strays} calls went to {zone} after it was left {story.format_time(event)}"]
-                if strays
-                else []
-            )
+@dataclass(frozen=True)
+class Evacuation:
+    """Operators evacuate a zone, or return to it."""
+
+    event: Event
+    zone: str
+    begin_ms: float
+    end_ms: float
+    until_ms: float
+    """When the next one of the zone begins, or the drill is over."""
+
+    @property
+    def is_return(self) -> bool:
+        """Whether the zone is returned to."""
+        return not self.event["on"]
+
+
+def _evacuations(timeline: Timeline) -> Iterator[Evacuation]:
+    events = [e for e in timeline.events_by_kind["fault"] if e["kind"] == "zone"]
+    over_ms = max((e["t"] for e in timeline.events_by_kind["done"]), default=0.0)
+    for number, event in enumerate(events):
+        later = [e["t"] for e in events[number + 1 :] if e["zone"] == event["zone"]]
+        end_ms = event["t"] + event["over_s"] * SECOND_MS
+        yield Evacuation(event, event["zone"], event["t"], end_ms, min([*later, over_ms]))
+
+
+def _usual_fraction(timeline: Timeline, zone: str) -> float | None:
+    """Return a zone's fraction of all calls before it was first evacuated."""
+    events = [e for e in timeline.events_by_kind["fault"] if e["kind"] == "zone" and e["zone"] == zone]
+    return _zone_fraction(timeline, zone, timeline.start_ms, min(float(e["t"]) for e in events))
+
+
+def check_evacuation(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
+    """Check that nothing goes to an evacuated zone, and that its calls are back when it is returned to."""
+    violations = []
+    for evacuation in _evacuations(timeline):
+        zone, when = evacuation.zone, timeline.time_of(evacuation.event)
+        settled_ms = evacuation.end_ms + SETTLE_S * SECOND_MS
+        if not evacuation.is_return:
+            strays = _calls_by_zone(timeline, settled_ms, evacuation.until_ms)[zone]
+            if strays:
+                violations.append(f"{strays} calls went to {zone} after it was left {when}")
             continue
-        before = _zone_fraction(story, zone, story.start_ms, _first_evacuation_ms(story, zone))
-        now = _zone_fraction(story, zone, settled, until)
+        before = _usual_fraction(timeline, zone)
+        now = _zone_fraction(timeline, zone, settled_ms, evacuation.until_ms)
         if before is not None and now is not None and now < before / 2:
-            wrong.append(f"{zone} gets {now:.0%} of calls, {before:.0%} before it was left")
-        if began >= until:
-            wrong.append(f"the move of {zone} {story.format_time(event)} was never over")
-    return count_violations("left", wrong)
-
-
-def _first_evacuation_ms(story: Timeline, zone: str) -> float:
-    moves = [e for e in story.events_by_kind["fault"] if e["kind"] == "zone" and e["zone"] == zone]
-    return min(float(e["t"]) for e in moves)
+            violations.append(f"{zone} gets {now:.0%} of calls, {before:.0%} before it was left")
+        if evacuation.begin_ms >= evacuation.until_ms:
+            violations.append(f"the move of {zone} {when} was never over")
+    return count_violations("left", violations)
 
 
-def check_evacuation_ramp(story: Timeline, script: DrillScenario) -> CheckResult:
-    """A zone is left, and come back to, in steps: a quarter into a move, most is still as it was."""
-    wrong = []
-    for event, zone, began, end, _ in _evacuations(story):
-        if event["over_s"] <= 0:
+def check_evacuation_ramp(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
+    """Check that a zone is left, and returned to, in steps: a quarter into it, most is still as it was."""
+    violations = []
+    for evacuation in _evacuations(timeline):
+        if evacuation.event["over_s"] <= 0:
             continue
-        usual = _zone_fraction(story, zone, story.start_ms, _first_evacuation_ms(story, zone))
-        early = _zone_fraction(story, zone, began, began + (end - began) / 4)
+        zone, begin_ms = evacuation.zone, evacuation.begin_ms
+        usual = _usual_fraction(timeline, zone)
+        quarter_ms = begin_ms + (evacuation.end_ms - begin_ms) / 4
+        early = _zone_fraction(timeline, zone, begin_ms, quarter_ms)
         if usual is None or early is None:
             continue
-        moved = 1 - early / usual if event["on"] else early / usual
-        if moved > 0.6:
-            wrong.append(
-                f"{zone}: {moved:.0%} of the move {story.format_time(event)} was done in its first quarter"
-            )
-    return count_violations("ramps", wrong)
+        progress = early / usual if evacuation.is_return else 1 - early / usual
+        if progress > MAX_EARLY_PROGRESS:
+            when = timeline.time_of(evacuation.event)
+            violations.append(f"{zone}: {progress:.0%} of the move {when} was done in its first quarter")
+    return count_violations("ramps", violations)
 
 
-def check_zone_oscillation(story: Timeline, script: DrillScenario) -> CheckResult:
-    """No zone's part of all calls turns more often than the drill allows."""
+def check_zone_oscillation(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
+    """Check that no zone's fraction of all calls changes direction more often than the drill allows."""
     worst, first = 0, ""
-    last = max((e["t"] for e in story.events_by_kind["done"]), default=story.start_ms)
-    seconds = [story.start_ms + s * SECOND_MS for s in range(int((last - story.start_ms) / SECOND_MS))]
-    calls = [
-        counts for at in seconds if (counts := _calls_by_zone(story, at, at + SECOND_MS)).total() >= MIN_CALLS
-    ]
-    for zone in sorted({p.zone for p in story.location_by_name.values() if p.zone}):
-        parts = [counts[zone] / counts.total() for counts in calls]
-        count = turns(parts, MIN_CHANGE)
+    start_ms = timeline.start_ms
+    last_ms = max((e["t"] for e in timeline.events_by_kind["done"]), default=start_ms)
+    seconds = [start_ms + s * SECOND_MS for s in range(int((last_ms - start_ms) / SECOND_MS))]
+    every = [_calls_by_zone(timeline, at_ms, at_ms + SECOND_MS) for at_ms in seconds]
+    calls = [counts for counts in every if counts.total() >= MIN_CALLS]
+    for zone in sorted({p.zone for p in timeline.location_by_name.values() if p.zone}):
+        fractions = [counts[zone] / counts.total() for counts in calls]
+        count = turns(fractions, MIN_SWING)
         if count > worst:
-            worst, first = count, f"{zone}: {' '.join(f'{p:.2f}' for p in parts)}"
-    bound = script.bounds.max_direction_changes
-    return CheckResult("swings", worst <= bound, worst, bound, first if worst > bound else "")
+            worst, first = count, f"{zone}: {' '.join(f'{p:.2f}' for p in fractions)}"
+    return check_maximum("swings", worst, scenario.bounds.max_direction_changes, first)
+
+
+def check_cross_zone_calls(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
+    """Check the fraction of calls that went to a server of another zone than the balancer's."""
+    calls = [(timeline.zone_of(b), timeline.zone_of(e["who"])) for e, b in timeline.arrivals()]
+    fraction = sum(source != target for source, target in calls) / max(len(calls), 1)
+    bound = scenario.bounds.max_cross_zone
+    return CheckResult("crossed", bool(calls) and fraction <= bound, round(fraction, 3), bound)
--- /dev/null
+++ b/loadbalancer/drill/defects/registry.py
@@ -0,0 +1,54 @@
+"""Defects of the registry's instances."""
+
+from __future__ import annotations
+
+from loadbalancer.drill.defects.patching import replace_global
+from loadbalancer.registry import Catalog, catalog, service
+from loadbalancer.registry.merge import SharedEntry
+from loadbalancer.registry.self_preservation import SelfPreservation
+
+
+def believes_lapses() -> None:
+    """Remove every server whose lease expires: no self-preservation."""
+    Catalog._see_whether_to_doubt = lambda self, tier, now: None  # type: ignore[method-assign]
+    SelfPreservation.spare = lambda self, entry: False  # type: ignore[method-assign]
+
+
+def reuses_versions() -> None:
+    """Begin at revision 1 without a database, and give who has seen more no full snapshot."""
+    real = Catalog.goes_on
+
+    def first_revision(stored: int, now_ms: float, number: int, stride: int) -> int:
+        return (stored // stride + 1) * stride + number
+
+    replace_global(service, "first_revision", first_revision)
+
+    def goes_on(self: Catalog, services: tuple[str, ...], after: int, now: float) -> bool:
+        return real(self, services, min(after, self.index), now)
+
+    Catalog.goes_on = goes_on  # type: ignore[method-assign]
+
+
+def lapses_unheard() -> None:
+    """Let a lease expire though another instance, out of reach, may have renewed it."""
+    real = Catalog.lapse
+    Catalog.lapse = lambda self, now, heard=0.0: real(self, now)  # type: ignore[method-assign]
+
+
+def takes_drains_back() -> None:
+    """Merge two entries of a server by taking the one with more changes, whatever the other says."""
+
+    def join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
+        return max(one, other, key=lambda account: (account.start, account.rev, account.beats))
+
+    replace_global(catalog, "join", join)
+
+
+def keeps_old_starts() -> None:
+    """Merge two entries of a server by taking the earlier start."""
+
+    def join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
+        joined: SharedEntry = real(one, other)
+        return joined if one.start == other.start else min(one, other, key=lambda a: a.start)
+
+    real = replace_global(catalog, "join", join)
--- /dev/null
+++ b/loadbalancer/drill/defects/scale.py
@@ -0,0 +1,47 @@
+"""Defects that scale runs must flag by a figure over its allowance."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from loadbalancer import interface
+from loadbalancer.endpoint_watch import ListRequest, Watch
+from loadbalancer.policy.endpoints import EndpointSet
+from loadbalancer.registry.query_evaluation import QueryEvaluator
+
+POLL_WAIT_MS = 100.0  # the wait of a watch that polls
+RETRY_INTERVAL_S = 0.05  # between calls of a caller that never backs off
+
+
+def polls() -> None:
+    """Poll again and again, in place of watches that wait for a change."""
+    real = Watch.ask
+
+    def ask(self: Watch, now: float = 0.0) -> ListRequest:
+        request = real(self, now)
+        return replace(request, wait_ms=min(request.wait_ms, POLL_WAIT_MS))
+
+    Watch.ask = ask  # type: ignore[method-assign]
+
+
+def quadratic_fan_out() -> None:
+    """Send each watch a full snapshot for each change."""
+    QueryEvaluator._goes_on = lambda self, asked: False  # type: ignore[method-assign]
+
+
+def never_backs_off() -> None:
+    """Repeat a call that has failed at once, whoever else does the same."""
+    real_failed, real_watch = EndpointSet.handle_list_failure, Watch.failed
+
+    def failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
+        actions = real_failed(self, now, again_ms)
+        retry_at_ms = now + RETRY_INTERVAL_S * 1_000
+        return [replace(a, at_ms=retry_at_ms) if isinstance(a, interface.SetTimer) else a for a in actions]
+
+    def watch_failed(
+        self: Watch, took_s: float, fell_silent: bool, turned_away: bool = False
+    ) -> float | None:
+        pause_s = real_watch(self, took_s, fell_silent, turned_away)
+        return None if pause_s is None else RETRY_INTERVAL_S
+
+    EndpointSet.handle_list_failure, Watch.failed = failed, watch_failed  # type: ignore[method-assign]
--- /dev/null
+++ b/loadbalancer/drill/defects/stored_state.py
@@ -0,0 +1,23 @@
+"""Defects in what a balancer stores over a restart."""
+
+from __future__ import annotations
+
+import sys
+
+from loadbalancer.drill.defects.patching import replace_global
+from loadbalancer.net.hot_restart import CordonFile
+from loadbalancer.snapshots import LoadResult, SnapshotStore
+
+
+def forgets_snapshot() -> None:
+    """Read no snapshot after a restart."""
+
+    def load(self: SnapshotStore) -> LoadResult:
+        return LoadResult(None, ())
+
+    SnapshotStore.load = load  # type: ignore[method-assign]
+
+
+def forgets_zones() -> None:
+    """Lose zone evacuations when the process is replaced."""
+    replace_global(sys.modules[CordonFile.__module__], "_read_zones", lambda raw: {})
--- a/loadbalancer/drill/links/listener.py
+++ b/loadbalancer/drill/links/listener.py
@@ -13,7 +13,7 @@
 
 
 class FaultyListener:
-    """Listens on one address, keeps its port while it refuses, and hands accepted sockets to `on_accepted`."""
+    """Listens on one address, whose port it keeps, and hands accepted sockets to `on_accepted`."""
 
     def __init__(self, host: str, on_accepted: Callable[[socket.socket], None]) -> None:
         self._host = host
@@ -28,7 +28,10 @@
         return self._host, self._port
 
     def accept_connections(self) -> None:
-        """Listen; OSError if the address can't be had. Who waited in a silent queue is reset, as after a cut."""
+        """Listen; OSError if the address can't be had.
+
+        Whoever waited in a silent queue is reset, as after a cut.
+        """
         if self._queue_fillers:
             self.refuse_connections()
         if self._socket is None:
--- a/loadbalancer/drill/links/pipe.py
+++ b/loadbalancer/drill/links/pipe.py
@@ -1,4 +1,4 @@
-"""One relayed TCP connection: a pipe for each direction, which delays, limits and ends it as faults have it."""
+"""One relayed TCP connection: a pipe for each direction, which delays and ends it as faults have it."""
 
 from __future__ import annotations
 
--- a/loadbalancer/drill/processes/commands.py
+++ b/loadbalancer/drill/processes/commands.py
@@ -11,7 +11,7 @@
 from loadbalancer.drill.defects.names import REGISTRY_DEFECTS
 
 ROOT = Path(__file__).parents[3]  # of this checkout
-LAUNCHER = "loadbalancer.drill.seeded_defects"
+LAUNCHER = "loadbalancer.drill.defects.launch"
 
 
 def defective_command(defect: str, role: str, *arguments: str) -> list[str]:
--- a/loadbalancer/drill/processes/process_group.py
+++ b/loadbalancer/drill/processes/process_group.py
@@ -1,4 +1,4 @@
-"""What the supervisors of drills and of scale runs share: starting processes, with their logs, and ending them."""
+"""What the supervisors of drills and of scale runs share: starting processes, and ending them."""
 
 from __future__ import annotations
 
--- a/loadbalancer/drill/processes/registry_control.py
+++ b/loadbalancer/drill/processes/registry_control.py
@@ -67,7 +67,7 @@
             _copy_database(old, database)
 
     async def set_status(self, server: str, status: str) -> None:
-        """Drain or remove a server; RegistryCallError if that fails, but for one that is not listed any more."""
+        """Drain or remove a server; RegistryCallError if that fails, but for one that is not listed."""
         instances = self._topology.registry_instances()
         client = RegistryClient(",".join(format_address(i.address) for i in instances), who=CALLER)
         method, what = ("POST", "/drain") if status == "terminating" else ("DELETE", "")
--- a/loadbalancer/drill/processes/supervisor.py
+++ b/loadbalancer/drill/processes/supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor of a drill's processes: starts them, waits until they are ready, calls consoles, ends them."""
+"""The supervisor of a drill's processes: starts them, calls their consoles, and ends them."""
 
 from __future__ import annotations
 
--- a/loadbalancer/drill/scenario/loading.py
+++ b/loadbalancer/drill/scenario/loading.py
@@ -1,4 +1,4 @@
-"""Reads a scenario from TOML and rejects what can't be played, each fault in a line that says what may stand."""
+"""Reads a scenario from TOML, and rejects what can't be played in a line that says what may stand."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def parse_scenario(text: str, name: str = "drill") -> DrillScenario:
-    """Read a scenario from TOML; DrillScenarioError says in one line what is wrong where, and what is allowed."""
+    """Read a scenario from TOML; DrillScenarioError says what is wrong where, and what is allowed."""
     try:
         scenario = msgspec.convert(tomllib.loads(text), type=DrillScenario)
     except tomllib.TOMLDecodeError as error:
--- a/loadbalancer/scale/plan.py
+++ b/loadbalancer/scale/plan.py
@@ -9,11 +9,12 @@
 
 import msgspec
 
+from loadbalancer.drill.defects.names import SCALE_DEFECTS
+
 STEPS = (
     "start", "quiet", "changes", "rack", "zone", "rolling", "replaced", "instance-killed", "away", "regions",
 )  # fmt: skip
 DEFAULT_STEPS = ("start", "quiet", "changes", "instance-killed", "away")
-DEFECTS = ("polls", "quadratic-fan-out", "never-backs-off")  # see `plants`
 FIRST_SERVICE_FRACTION = 0.1  # of the upstreams that belong to the first service; the others are alike
 CALLED_SERVICES = 8  # services that a balancer calls
 MECHANISMS = ("whole", "interest")
@@ -70,8 +71,8 @@
         """PlanError if it can't be carried out."""
         if unknown := [step for step in self.steps if step not in STEPS]:
             raise PlanError(f"no step {unknown[0]!r}; there are {', '.join(STEPS)}")
-        if self.defect and self.defect not in DEFECTS:
-            raise PlanError(f"no defect {self.defect!r}; there are {', '.join(DEFECTS)}")
+        if self.defect and self.defect not in SCALE_DEFECTS:
+            raise PlanError(f"no defect {self.defect!r}; there are {', '.join(SCALE_DEFECTS)}")
         if self.lists not in MECHANISMS:
             raise PlanError(f"no lists {self.lists!r}; there are {', '.join(MECHANISMS)}")
         if self.lists == "interest" and self.shared_reading:
--- a/loadbalancer/scale/registrar.py
+++ b/loadbalancer/scale/registrar.py
@@ -1,4 +1,4 @@
-"""Speaks for all upstreams, as their agents would, over a few connections: registers, renews, changes.
+"""The registrar of a scale run: speaks for all upstreams, as their agents would, over a few connections.
 
 python -m loadbalancer.scale.registrar SPEC.json
 """
@@ -30,62 +30,68 @@
     start_critical_task,
 )
 
-MAX_CONNECTIONS = 12  # connections to each instance at the most, for leases; one more for changes
-CALL_TIMEOUT_S, RETRY_INTERVAL_S = (
-    5.0,
-    1.0,
-)  # for an answer; and until a call that failed is made anew, as an agent's step
+MAX_CONNECTIONS = 12  # to each instance at the most, for leases; one more for changes
+CALL_TIMEOUT_S = 5.0
+RETRY_INTERVAL_S = 1.0  # until a call that failed is repeated, as an agent does
 SCHEDULER_INTERVAL_S = 0.02
-MAX_WRITE_MS = 60_000.0
+MAX_WRITE_MS = 60_000.0  # for which a change is repeated
+WRITE_RETRY_INTERVAL_S = 0.05
+ANSWER_HEAD_BYTES = 160  # what the head of an answer takes, about
 
 
 class RegistrarSpecification(
     ProcessSpecification, kw_only=True, frozen=True, rename={"instance_addresses": "ways"}
 ):
-    """What the registrar is told."""
+    """What the registrar is started with."""
 
     plan: Plan
     instance_addresses: list[str]
-    address: str  # where all upstreams answer
+    address: str
+    """Where all upstreams answer."""
 
 
 @dataclass(slots=True)
 class UpstreamLease:
-    """One lease."""
+    """The lease of one upstream."""
 
     number: int
     started_at_ms: float = 0.0
     is_registered: bool = False
     is_silent: bool = True  # nobody speaks for it
-    instance: int = 0  # of the instance that is told
+    instance: int = 0  # that it calls; counts on past the last one
+
+    @property
+    def path(self) -> str:
+        """Its path at the registry."""
+        return f"/v1/servers/{upstream_name(self.number)}"
 
 
 class InstanceConnections:
     """One worker's connections, one to each instance that it calls."""
 
-    def __init__(self, ways: list[str], tally: TrafficCounts) -> None:
-        self._instance_addresses, self._counts = ways, tally
+    def __init__(self, instance_addresses: list[str], counts: TrafficCounts) -> None:
+        self._instance_addresses = instance_addresses
+        self._counts = counts
         self._connections: dict[str, discovery._Link] = {}
 
-    async def call(self, place: int, method: str, path: str, body: object) -> int:
-        """One call: its status; OSError, ValueError or TimeoutError if there is no answer."""
-        at = self._instance_addresses[place % len(self._instance_addresses)]
+    async def call(self, instance: int, method: str, path: str, body: object) -> int:
+        """Make one call; return its status. OSError, ValueError or TimeoutError if there is no answer."""
+        address = self._instance_addresses[instance % len(self._instance_addresses)]
         data = json.dumps(body).encode() if body is not None else b""
-        head = (
-            f"{method} {path} HTTP/1.1\r\nHost: {at}\r\nX-Who: scale\r\nContent-Length: {len(data)}\r\n\r\n"
-        )
-        request = head.encode() + data
+        head = f"{method} {path} HTTP/1.1\r\nHost: {address}\r\nX-Who: scale\r\n"
+        request = f"{head}Content-Length: {len(data)}\r\n\r\n".encode() + data
         async with asyncio.timeout(CALL_TIMEOUT_S):
-            link = self._connections.get(at)
-            if link is None or link.closed:
-                link = self._connections[at] = await discovery._connect(read_address(at))
-            self._counts.calls[at] += 1
+            connection = self._connections.get(address)
+            if connection is None or connection.closed:
+                connection = await discovery._connect(read_address(address))
+                self._connections[address] = connection
+            self._counts.calls[address] += 1
             try:
-                answer = await link.call(request)
+                answer = await connection.call(request)
             except BaseException:
-                link.close()
+                connection.close()
                 raise
-        self._counts.bytes[at] += len(request) + len(answer.body) + 160  # what heads take, about
+        self._counts.bytes[address] += len(request) + len(answer.body) + ANSWER_HEAD_BYTES
         return answer.status
 
 
@@ -93,81 +99,82 @@
     """All leases, and the writes that the driver asks for."""
 
     def __init__(self, spec: RegistrarSpecification) -> None:
-        self._spec, self.clock, self.counts = spec, RealClock(spec.offset_ms), TrafficCounts()
+        self._spec = spec
+        self._clock = RealClock(spec.offset_ms)
+        self._counts = TrafficCounts()
         self._random = random.Random(spec.seed)
         self._upstreams = [UpstreamLease(n, instance=n) for n in range(spec.plan.balancers)]
-        self._due: list[tuple[float, int]] = []
+        self._due: list[tuple[float, int]] = []  # when, and the upstream's number
         self._jobs: asyncio.Queue[UpstreamLease] = asyncio.Queue()
         self._tasks: set[asyncio.Task[None]] = set()
         self._max_delay_ms = 0.0
-        self._held = 0
 
     def start(self) -> None:
-        """Begin to work."""
+        """Start to work."""
         loop = asyncio.get_running_loop()
-        for work in (
-            *(self._run_worker() for _ in range(MAX_CONNECTIONS)),
-            self._schedule_due(),
-            report_each_second(self.take_counts),
-        ):
+        workers = (self._run_worker() for _ in range(MAX_CONNECTIONS))
+        for work in (*workers, self._schedule_due(), report_each_second(self.take_counts)):
             self._tasks.add(start_critical_task(loop, work))
 
-    def handle_command(self, line: dict[str, Any]) -> None:
-        """What the driver wants: `register` all, `write` some changes, be `silent` for some, or `speak`."""
-        loop, now = asyncio.get_running_loop(), self.clock.now
-        match line["do"]:
+    def handle_command(self, command: dict[str, Any]) -> None:
+        """Follow the driver: `register` all, `write` some changes, be `silent` for some, or `speak`."""
+        loop, now_ms = asyncio.get_running_loop(), self._clock.now
+        match command["do"]:
             case "register":
                 for upstream in self._upstreams:
                     self._activate(upstream, 0.0)
             case "speak":
-                for number in line["numbers"]:
-                    self._activate(self._upstreams[number], now)
+                for number in command["numbers"]:
+                    self._activate(self._upstreams[number], now_ms)
             case "silent":
-                for number in line["numbers"]:
-                    self._upstreams[number].silent = True
+                for number in command["numbers"]:
+                    self._upstreams[number].is_silent = True
             case "write":
-                self._tasks.add(start_critical_task(loop, self._write_all(line)))
+                self._tasks.add(start_critical_task(loop, self._write_all(command)))
 
-    def _activate(self, upstream: UpstreamLease, since_ms: float) -> None:
-        upstream.is_silent, upstream.is_registered = False, False
-        upstream.started_at_ms = since_ms
+    def _activate(self, upstream: UpstreamLease, started_at_ms: float) -> None:
+        upstream.is_silent = False
+        upstream.is_registered = False
+        upstream.started_at_ms = started_at_ms
         self._jobs.put_nowait(upstream)
 
+    # ---- leases ---------------------------------------------------------------------------------
+
     async def _schedule_due(self) -> None:
-        """Put up what is due."""
+        """Queue what is due."""
         while True:
-            now = self.clock.now
-            while self._due and self._due[0][0] <= now:
-                at, number = heapq.heappop(self._due)
-                self._max_delay_ms = max(self._max_delay_ms, now - at)
+            now_ms = self._clock.now
+            while self._due and self._due[0][0] <= now_ms:
+                due_ms, number = heapq.heappop(self._due)
+                self._max_delay_ms = max(self._max_delay_ms, now_ms - due_ms)
                 self._jobs.put_nowait(self._upstreams[number])
             await asyncio.sleep(SCHEDULER_INTERVAL_S)
 
     async def _run_worker(self) -> None:
-        links = InstanceConnections(self._spec.instance_addresses, self.counts)
+        """Register and renew what is queued, for ever."""
+        connections = InstanceConnections(self._spec.instance_addresses, self._counts)
         while True:
             upstream = await self._jobs.get()
             if upstream.is_silent:
-                upstream.is_registered = False  # who speaks for it again has to put it up anew
+                upstream.is_registered = False  # whoever speaks for it again has to queue it anew
                 continue
-            lease_ms, part = self._spec.plan.lease_s * 1_000, RENEW_PART
-            first = not upstream.is_registered
-            wait_ms = lease_ms * part
-            if not await self._register_or_renew(links, upstream):
+            wait_ms = self._spec.plan.lease_s * 1_000 * RENEW_PART
+            is_first = not upstream.is_registered
+            if not await self._register_or_renew(connections, upstream):
                 wait_ms = RETRY_INTERVAL_S * 1_000 * (0.5 + self._random.random())
-            elif first:
+            elif is_first:
                 wait_ms *= self._random.random()  # agents of a fleet are not in step
-            heapq.heappush(self._due, (self.clock.now + wait_ms, upstream.number))
+            heapq.heappush(self._due, (self._clock.now + wait_ms, upstream.number))
 
-    async def _register_or_renew(self, links: InstanceConnections, upstream: UpstreamLease) -> bool:
-        """Register or renew once; whether that was done."""
-        path = f"/v1/servers/{upstream_name(upstream.number)}"
+    async def _register_or_renew(self, connections: InstanceConnections, upstream: UpstreamLease) -> bool:
+        """Register or renew once; return whether that was done."""
         try:
             if upstream.is_registered:
                 body = {"since_ms": upstream.started_at_ms}
-                status = await links.call(upstream.instance, "POST", f"{path}/renew", body)
+                status = await connections.call(upstream.instance, "POST", f"{upstream.path}/renew", body)
             else:
-                status = await links.call(upstream.instance, "PUT", path, self._registration(upstream))
+                body = self._registration(upstream)
+                status = await connections.call(upstream.instance, "PUT", upstream.path, body)
         except (OSError, ValueError, TimeoutError):
             upstream.instance += 1
             return False
@@ -182,56 +189,69 @@
     def _registration(self, upstream: UpstreamLease) -> dict[str, Any]:
         return registration(self._spec.plan, upstream.number, self._spec.address, upstream.started_at_ms)
 
-    async def _write_all(self, line: dict[str, Any]) -> None:
-        """Make changes, so many a second: each as [number, what]; tell when each was answered, and how."""
-        links, written = InstanceConnections(self._spec.instance_addresses, self.counts), []
-        began = self.clock.now
-        for place, (number, what) in enumerate(line["writes"]):
-            wait_ms = began + place * 1_000 / line["per_s"] - self.clock.now
-            await asyncio.sleep(max(wait_ms, 0.0) / 1_000)
-            written.append(await self._write(links, self._upstreams[number], what))
-        send_message(done=line["id"], written=written)
+    # ---- changes --------------------------------------------------------------------------------
 
-    async def _write(self, links: InstanceConnections, upstream: UpstreamLease, what: str) -> dict[str, Any]:
-        path, until = f"/v1/servers/{upstream_name(upstream.number)}", self.clock.now + MAX_WRITE_MS
+    async def _write_all(self, command: dict[str, Any]) -> None:
+        """Make changes, so many a second: each as [number, what]; reply when each was answered, and how."""
+        connections = InstanceConnections(self._spec.instance_addresses, self._counts)
+        written = []
+        began_ms = self._clock.now
+        for index, (number, what) in enumerate(command["writes"]):
+            wait_ms = began_ms + index * 1_000 / command["per_s"] - self._clock.now
+            await asyncio.sleep(max(wait_ms, 0.0) / 1_000)
+            written.append(await self._write(connections, self._upstreams[number], what))
+        send_message(done=command["id"], written=written)
+
+    async def _write(
+        self, connections: InstanceConnections, upstream: UpstreamLease, what: str
+    ) -> dict[str, Any]:
+        """Make one change: `start`, `drain` or `remove`; return what came of it."""
+        until_ms = self._clock.now + MAX_WRITE_MS
         if what == "start":
-            upstream.started_at_ms = round(self.clock.now)
+            upstream.started_at_ms = round(self._clock.now)
+        upstream.is_silent = what == "remove"
+        status, sent_ms = await self._write_until(connections, upstream, what, until_ms)
+        if what == "start" and not upstream.is_registered:
+            upstream.is_registered = True
+            heapq.heappush(self._due, (self._clock.now, upstream.number))
+        started_at = f"{upstream.started_at_ms:.0f}"
+        states = {"start": f"READY/{started_at}", "drain": f"DRAINING/{started_at}"}
+        if what == "remove":
+            upstream.is_registered = False
+        return {
+            "name": upstream_name(upstream.number), "state": states.get(what, "gone"), "status": status,
+            "sent_ms": sent_ms, "done_ms": self._clock.now,
+        }  # fmt: skip
+
+    async def _write_until(
+        self, connections: InstanceConnections, upstream: UpstreamLease, what: str, until_ms: float
+    ) -> tuple[int, float]:
+        """Repeat a change at one instance after another until one accepts it; return status and time sent."""
+        drain_path = f"{upstream.path}/drain"
         calls = {
-            "start": ("PUT", path, self._registration(upstream)),
-            "drain": ("POST", f"{path}/drain", None),
+            "start": ("PUT", upstream.path, self._registration(upstream)),
+            "drain": ("POST", drain_path, None),
         }
-        method, where, body = calls.get(what, ("DELETE", path, None))
-        upstream.is_silent = what == "remove"
-        first = self.clock.now
+        method, path, body = calls.get(what, ("DELETE", upstream.path, None))
+        first_sent_ms = self._clock.now
         while True:
-            sent = self.clock.now
+            sent_ms = self._clock.now
             try:
-                status = await links.call(upstream.instance, method, where, body)
+                status = await connections.call(upstream.instance, method, path, body)
             except (OSError, ValueError, TimeoutError):
                 status = 0
-            if status == 404 and what == "remove" and sent > first:
-                status, sent = 200, first  # the call before went through, and its answer was lost
-            if status == 200 or sent > until:
-                break
+            if status == 404 and what == "remove" and sent_ms > first_sent_ms:
+                return 200, first_sent_ms  # the call before went through, and its answer was lost
+            if status == 200 or sent_ms > until_ms:
+                return status, sent_ms
             upstream.instance += 1
-            await asyncio.sleep(0.05)
-        if what == "start" and not upstream.is_registered:
-            upstream.is_registered = True
-            heapq.heappush(self._due, (self.clock.now, upstream.number))
-        state = {
-            "start": f"READY/{upstream.started_at_ms:.0f}",
-            "drain": f"DRAINING/{upstream.started_at_ms:.0f}",
-        }
-        told = {"name": upstream_name(upstream.number), "state": state.get(what, "gone"), "status": status}
-        if what == "remove":
-            upstream.is_registered = False
-        return told | {"sent_ms": sent, "done_ms": self.clock.now}
+            await asyncio.sleep(WRITE_RETRY_INTERVAL_S)
 
     def take_counts(self) -> dict[str, object]:
-        """The counts of a second."""
-        late, self._max_delay_ms = self._max_delay_ms, 0.0
-        held = sum(u.is_registered for u in self._upstreams)
-        return self.counts.take() | {"held": held, "late_ms": round(late)}
+        """Return the counts of a second, and begin anew."""
+        delay_ms, self._max_delay_ms = self._max_delay_ms, 0.0
+        registered_count = sum(upstream.is_registered for upstream in self._upstreams)
+        return self._counts.take() | {"held": registered_count, "late_ms": round(delay_ms)}
 
 
 async def serve() -> None:
--- a/loadbalancer/scale/supervisor.py
+++ b/loadbalancer/scale/supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor of a scale run's processes: starts them, exchanges messages, samples each second, ends them."""
+"""The supervisor of a scale run's processes: starts them, commands and samples them, and ends them."""
 
 from __future__ import annotations
 
--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -14,8 +14,8 @@
 
 from loadbalancer.drill import history
 from loadbalancer.drill.checks import judgement
-from loadbalancer.drill.scenario import definition
-from loadbalancer.scale.figures import kept
+from loadbalancer.drill.scenario.loading import load_scenario
+from loadbalancer.scale.figures import without_samples
 from loadbalancer.scale.report import write
 from tests.golden import replay
 
@@ -40,14 +40,14 @@
 
 
 def test_history_of_a_drill_is_judged_as_recorded() -> None:
-    found = judgement.judge(definition.load(DRILL / "drill.toml"), history.read(DRILL))
+    found = judgement.judge(load_scenario(DRILL / "drill.toml"), history.read_history(DRILL))
     verdict = json.loads((DRILL / "verdict.json").read_text(encoding="utf-8"))
     assert json.loads(msgspec.json.encode(found)) == verdict["checks"]
     assert list(json.loads(msgspec.json.encode(found[0]))) == list(verdict["checks"][0])
 
 
 def test_history_of_a_drill_is_read_whole() -> None:
-    events = history.read(DRILL)
+    events = history.read_history(DRILL)
     lines = [line for path in DRILL.glob("*.history.jsonl") for line in path.read_bytes().splitlines()]
     assert sorted(json.dumps(event) for event in events) == sorted(line.decode() for line in lines)
 
@@ -71,7 +71,7 @@
 def test_figures_of_a_scale_run_are_kept_as_recorded() -> None:
     data = (GOLDEN / "scale-figures.json").read_text(encoding="utf-8")
     recorded = (GOLDEN / "scale-kept.json").read_text(encoding="utf-8")
-    assert json.dumps(kept(json.loads(data))) + "\n" == recorded
+    assert json.dumps(without_samples(json.loads(data))) + "\n" == recorded
 
 
 def test_page_on_a_scale_run_holds_the_recorded_figures(tmp_path: Path) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import inspect
 import json
 import os
 import signal
@@ -17,11 +18,12 @@
 
 import pytest
 
+from loadbalancer.drill.defects import scale
+from loadbalancer.drill.defects.names import SCALE_DEFECTS
 from loadbalancer.net.config import read_address
-from loadbalancer.scale import seeded_defects
 from loadbalancer.scale.allowances import Allowances, find_excesses
 from loadbalancer.scale.figures import without_samples
-from loadbalancer.scale.plan import DEFECTS, Plan, PlanError
+from loadbalancer.scale.plan import Plan, PlanError
 from loadbalancer.scale.play import check_resources
 from loadbalancer.scale.relay import Relay
 from loadbalancer.scale.report import write
@@ -131,7 +133,12 @@
 
 
 def test_every_defect_is_played(planted: dict[str, Future[dict[str, Any]]]) -> None:
-    assert set(PLANTS) == set(DEFECTS) == set(seeded_defects.DEFECTS)
+    functions = {
+        name
+        for name, value in vars(scale).items()
+        if inspect.isfunction(value) and value.__module__ == scale.__name__
+    }
+    assert set(PLANTS) == set(SCALE_DEFECTS) == {name.replace("_", "-") for name in functions}
 
 
 def test_the_page_tells_of_each_step_and_compares_hollow_with_real(
