--- a/loadbalancer/cli/scale.py
+++ b/loadbalancer/cli/scale.py
@@ -49,7 +49,7 @@
     """
     from loadbalancer.scale import report as pages  # matplotlib takes a second to load
 
-    typer.echo(pages.write(folder, sizes))
+    typer.echo(pages.write_report(folder, sizes))
 
 
 @app.command()
--- a/loadbalancer/drill/checks/requests.py
+++ b/loadbalancer/drill/checks/requests.py
@@ -58,11 +58,11 @@
     for event in timeline.events_by_kind["began"]:
         if event["cls"] in unsafe:
             client_id, _, call = event["id"].partition(".")
-            wish = timeline.requests.get(client_id, {}).get("wish", client_id)
-            executions[str(wish), call.partition(".")[0]].append(event)
+            wish_id = timeline.requests.get(client_id, {}).get("wish", client_id)
+            executions[str(wish_id), call.partition(".")[0]].append(event)
     violations = [
-        f"wish {wish} ran at {', '.join(e['who'] for e in events)}, then {timeline.time_of(events[-1])}"
-        for (wish, _), events in executions.items()
+        f"wish {wish_id} ran at {', '.join(e['who'] for e in events)}, then {timeline.time_of(events[-1])}"
+        for (wish_id, _), events in executions.items()
         if len(events) > 1
     ]
     return count_violations("once", violations)
@@ -97,7 +97,7 @@
     """Of one second: the wishes whose first attempt was in it, and those of them that were served."""
 
     begin_ms: float
-    wishes: int = 0
+    total: int = 0
     served: int = 0
 
 
@@ -107,14 +107,14 @@
     for event in timeline.events_by_kind["done"]:
         number = int((event["first"] - timeline.start_ms) // SECOND_MS)
         counts = seconds.setdefault(number, SuccessCounts(timeline.start_ms + number * SECOND_MS))
-        counts.wishes += 1
+        counts.total += 1
         counts.served += _is_success(event)
     return [counts for _, counts in sorted(seconds.items())]
 
 
 def check_recovery(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
     """Check the longest time after a fault, or its end, until the success rate is back to what it was."""
-    seconds = [s for s in success_by_second(timeline) if s.wishes >= MIN_REQUESTS_PER_SECOND]
+    seconds = [s for s in success_by_second(timeline) if s.total >= MIN_REQUESTS_PER_SECOND]
     faults = [e for e in timeline.events_by_kind["fault"] if e["t"] >= timeline.start_ms]
     bound = scenario.bounds.max_recovery_s
     if not seconds or not faults:
@@ -122,7 +122,7 @@
             "back", bool(seconds), 0.0, bound, "" if seconds else "no second has enough first tries"
         )
     before = [s for s in seconds if s.begin_ms + SECOND_MS <= faults[0]["t"]] or seconds[:1]
-    usual_rate = sum(s.served for s in before) / sum(s.wishes for s in before)
+    usual_rate = sum(s.served for s in before) / sum(s.total for s in before)
     min_rate = usual_rate - scenario.bounds.recovery_tolerance
     worst_s, first = 0.0, ""
     for index, fault in enumerate(faults):
@@ -130,7 +130,7 @@
         low = [
             s
             for s in seconds
-            if fault["t"] - SECOND_MS < s.begin_ms <= until_ms and s.served / s.wishes < min_rate
+            if fault["t"] - SECOND_MS < s.begin_ms <= until_ms and s.served / s.total < min_rate
         ]
         took_s = (low[-1].begin_ms + SECOND_MS - fault["t"]) / SECOND_MS if low else 0.0
         if took_s > worst_s:
--- a/loadbalancer/drill/checks/timeline.py
+++ b/loadbalancer/drill/checks/timeline.py
@@ -62,8 +62,9 @@
         self.events_by_kind: dict[str, list[Event]] = defaultdict(list)
         for event in events:
             self.events_by_kind[event["what"]].append(event)
-        places = self.events_by_kind["place"]
-        self.location_by_host = {e["host"]: ProcessLocation(e["name"], e["zone"], e["tier"]) for e in places}
+        self.location_by_host = {
+            e["host"]: ProcessLocation(e["name"], e["zone"], e["tier"]) for e in self.events_by_kind["place"]
+        }
         self.location_by_name = {p.name: p for p in self.location_by_host.values()}
         self.requests = {e["id"]: e for e in self.events_by_kind["asked"]}
         self.start_ms = min((e["t"] for e in self.events_by_kind["asked"]), default=0.0)
--- a/loadbalancer/drill/clock.py
+++ b/loadbalancer/drill/clock.py
@@ -9,26 +9,26 @@
 
 
 def unix_offset_ms() -> float:
-    """What is to be added to this machine's monotonic clock; taken once, by the driver."""
+    """Return what is to be added to this machine's monotonic clock; taken once, by the driver."""
     return time.time() * 1_000 - time.monotonic() * 1_000
 
 
 class RealClock:
-    """Hosts parts of the model on real time (`loadbalancer.simulation.clock.Timekeeper`)."""
+    """Runs parts of the model in real time (`loadbalancer.simulation.clock.Timekeeper`); times in ms."""
 
     def __init__(self, offset: float) -> None:
-        """`offset` is the driver's `unix_offset_ms()`."""
+        """Prepare a clock; `offset` is the driver's `unix_offset_ms()`."""
         self.offset = offset
 
     @property
     def now(self) -> float:
-        """The time, in ms."""
+        """The time, in Unix ms."""
         return self.offset + time.monotonic() * 1_000
 
     def at(self, when: float, do: Callable[..., Any], *args: Any) -> asyncio.TimerHandle:
-        """Do something at a time, at once if that has passed."""
+        """Call a function at a time, at once if that has passed."""
         return self.after(when - self.now, do, *args)
 
     def after(self, delay: float, do: Callable[..., Any], *args: Any) -> asyncio.TimerHandle:
-        """Do something so many ms from now."""
+        """Call a function after a delay."""
         return asyncio.get_running_loop().call_later(max(delay, 0.0) / 1_000, do, *args)
--- a/loadbalancer/drill/defects/endpoint_list.py
+++ b/loadbalancer/drill/defects/endpoint_list.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from loadbalancer import interface
-from loadbalancer.drill.defects.patching import replace_global
+from loadbalancer.drill.patching import replace_global
 from loadbalancer.endpoint_watch.instance_selection import InstanceSelector
 from loadbalancer.net import discovery
 from loadbalancer.net.config import ServerList
@@ -19,13 +19,13 @@
     """Apply a list that is older than the one at hand."""
     newest = 0
 
-    def read_list(answer: Any) -> ServerList:
+    def _read_list(answer: Any) -> ServerList:
         nonlocal newest
         update: ServerList = real(answer)
         newest = max(newest, update.index)
         return replace(update, index=newest)
 
-    real = replace_global(discovery, "read_list", read_list)
+    real = replace_global(discovery, "read_list", _read_list)
 
 
 def obeys_lists() -> None:
@@ -41,28 +41,28 @@
 def never_compares() -> None:
     """Never cross-check with another instance's list."""
 
-    async def compare(self: discovery.Discovery) -> None:
+    async def _compare(self: discovery.Discovery) -> None:
         return None
 
-    discovery.Discovery._compare = compare  # type: ignore[method-assign]
+    discovery.Discovery._compare = _compare  # type: ignore[method-assign]
 
 
 def asks_without_pause() -> None:
     """Poll a list that is out of reach at once, all balancers together."""
 
-    def failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
+    def _failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
         return [interface.SetTimer(now + 1.0, "list")]
 
-    EndpointSet.handle_list_failure = failed  # type: ignore[method-assign]
+    EndpointSet.handle_list_failure = _failed  # type: ignore[method-assign]
 
 
 def forgets_list() -> None:
     """Forget all servers when the list does not answer."""
     real = Proxy._list_failed
 
-    def failed(self: Proxy) -> None:
+    def _failed(self: Proxy) -> None:
         real(self)
         self._listed(interface.UpdateKind.FULL_SNAPSHOT, ServerList(self._index, True, ()))
 
-    Proxy._list_failed = failed  # type: ignore[method-assign]
+    Proxy._list_failed = _failed  # type: ignore[method-assign]
     obeys_lists()
--- a/loadbalancer/drill/defects/membership.py
+++ b/loadbalancer/drill/defects/membership.py
@@ -10,28 +10,28 @@
 def deaf_to_peers() -> None:
     """Drop all gossip, and answer none."""
 
-    def heard(self: Membership, sender: int, data: bytes, now: float) -> list[Any]:
+    def _heard(self: Membership, sender: int, data: bytes, now: float) -> list[Any]:
         return []
 
-    Membership.heard = heard  # type: ignore[method-assign]
+    Membership.heard = _heard  # type: ignore[method-assign]
 
 
 def never_gives_up() -> None:
     """Suspect a balancer that is silent for ever."""
 
-    def give_up(self: MemberTable, number: int, now: float) -> None:
+    def _give_up(self: MemberTable, number: int, now: float) -> None:
         return None
 
-    MemberTable.give_up = give_up  # type: ignore[method-assign]
+    MemberTable.give_up = _give_up  # type: ignore[method-assign]
 
 
 def forgets_returns() -> None:
     """Hold whoever was dead once for dead, whatever it says of itself."""
     real = MemberTable.learn
 
-    def learn(self: MemberTable, number: int, state: MemberState, incarnation: int, now: float) -> bool:
+    def _learn(self: MemberTable, number: int, state: MemberState, incarnation: int, now: float) -> bool:
         if self.state(number) is MemberState.GONE:
             return False
         return real(self, number, state, incarnation, now)
 
-    MemberTable.learn = learn  # type: ignore[method-assign]
+    MemberTable.learn = _learn  # type: ignore[method-assign]
--- a/loadbalancer/drill/defects/proxy.py
+++ b/loadbalancer/drill/defects/proxy.py
@@ -33,7 +33,7 @@
     """Take servers that the list shows in a state for ready, in the decision module and at the sockets."""
     real = Proxy._listed
 
-    def listed(self: Proxy, kind: interface.UpdateKind, news: ServerList) -> bool:
+    def _listed(self: Proxy, kind: interface.UpdateKind, news: ServerList) -> bool:
         kept = tuple(
             replace(e, endpoint=replace(e.endpoint, readiness=Readiness.READY))
             if e.endpoint.readiness is state
@@ -42,14 +42,14 @@
         )
         return real(self, kind, replace(news, endpoints=kept))
 
-    Proxy._listed = listed  # type: ignore[method-assign]
+    Proxy._listed = _listed  # type: ignore[method-assign]
 
 
 def sends_twice() -> None:
     """Send what is unsafe to repeat to two servers."""
     real = Proxy._send
 
-    def send(self: Proxy, action: interface.SendAttempt) -> None:
+    def _send(self: Proxy, action: interface.SendAttempt) -> None:
         real(self, action)
         request = self._requests.get(action.request_id)
         others = [name for name in self._list if name != action.server]
@@ -57,7 +57,7 @@
             call = _Second(self, request, action, 0)
             self.upstreams.start_attempt(others[0], call.timeout_ms / 1_000, call)
 
-    Proxy._send = send  # type: ignore[method-assign]
+    Proxy._send = _send  # type: ignore[method-assign]
 
 
 def forgets_drain() -> None:
@@ -74,11 +74,11 @@
     """Answer some requests with 200 though no server ever saw them."""
     real, seen = Proxy.on_request_arrived, [0]
 
-    def on_request_arrived(self: Proxy, taken: DownstreamRequest) -> None:
+    def _on_request_arrived(self: Proxy, taken: DownstreamRequest) -> None:
         seen[0] += 1
         if seen[0] % NOWHERE_EVERY == 0 and taken.body.is_complete:
             taken.send_response(200, [], b'{"served": true}')
         else:
             real(self, taken)
 
-    Proxy.on_request_arrived = on_request_arrived  # type: ignore[method-assign]
+    Proxy.on_request_arrived = _on_request_arrived  # type: ignore[method-assign]
--- a/loadbalancer/drill/defects/registry.py
+++ b/loadbalancer/drill/defects/registry.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from loadbalancer.drill.defects.patching import replace_global
+from loadbalancer.drill.patching import replace_global
 from loadbalancer.registry import Catalog, catalog, service
 from loadbalancer.registry.merge import SharedEntry
 from loadbalancer.registry.self_preservation import SelfPreservation
@@ -18,15 +18,15 @@
     """Begin at revision 1 without a database, and give who has seen more no full snapshot."""
     real = Catalog.goes_on
 
-    def first_revision(stored: int, now_ms: float, number: int, stride: int) -> int:
+    def _first_revision(stored: int, now_ms: float, number: int, stride: int) -> int:
         return (stored // stride + 1) * stride + number
 
-    replace_global(service, "first_revision", first_revision)
+    replace_global(service, "first_revision", _first_revision)
 
-    def goes_on(self: Catalog, services: tuple[str, ...], after: int, now: float) -> bool:
+    def _goes_on(self: Catalog, services: tuple[str, ...], after: int, now: float) -> bool:
         return real(self, services, min(after, self.index), now)
 
-    Catalog.goes_on = goes_on  # type: ignore[method-assign]
+    Catalog.goes_on = _goes_on  # type: ignore[method-assign]
 
 
 def lapses_unheard() -> None:
@@ -38,17 +38,17 @@
 def takes_drains_back() -> None:
     """Merge two entries of a server by taking the one with more changes, whatever the other says."""
 
-    def join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
+    def _join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
         return max(one, other, key=lambda account: (account.start, account.rev, account.beats))
 
-    replace_global(catalog, "join", join)
+    replace_global(catalog, "join", _join)
 
 
 def keeps_old_starts() -> None:
     """Merge two entries of a server by taking the earlier start."""
 
-    def join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
+    def _join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
         joined: SharedEntry = real(one, other)
         return joined if one.start == other.start else min(one, other, key=lambda a: a.start)
 
-    real = replace_global(catalog, "join", join)
+    real = replace_global(catalog, "join", _join)
--- a/loadbalancer/drill/defects/scale.py
+++ b/loadbalancer/drill/defects/scale.py
@@ -17,11 +17,11 @@
     """Poll again and again, in place of watches that wait for a change."""
     real = Watch.ask
 
-    def ask(self: Watch, now: float = 0.0) -> ListRequest:
+    def _ask(self: Watch, now: float = 0.0) -> ListRequest:
         request = real(self, now)
         return replace(request, wait_ms=min(request.wait_ms, POLL_WAIT_MS))
 
-    Watch.ask = ask  # type: ignore[method-assign]
+    Watch.ask = _ask  # type: ignore[method-assign]
 
 
 def quadratic_fan_out() -> None:
@@ -31,17 +31,19 @@
 
 def never_backs_off() -> None:
     """Repeat a call that has failed at once, whoever else does the same."""
-    real_failed, real_watch = EndpointSet.handle_list_failure, Watch.failed
+    real_failed = EndpointSet.handle_list_failure
+    real_watch = Watch.failed
 
-    def failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
+    def _failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
         actions = real_failed(self, now, again_ms)
         retry_at_ms = now + RETRY_INTERVAL_S * 1_000
         return [replace(a, at_ms=retry_at_ms) if isinstance(a, interface.SetTimer) else a for a in actions]
 
-    def watch_failed(
+    def _watch_failed(
         self: Watch, took_s: float, fell_silent: bool, turned_away: bool = False
     ) -> float | None:
         pause_s = real_watch(self, took_s, fell_silent, turned_away)
         return None if pause_s is None else RETRY_INTERVAL_S
 
-    EndpointSet.handle_list_failure, Watch.failed = failed, watch_failed  # type: ignore[method-assign]
+    EndpointSet.handle_list_failure = _failed  # type: ignore[method-assign]
+    Watch.failed = _watch_failed  # type: ignore[method-assign]
--- a/loadbalancer/drill/defects/stored_state.py
+++ b/loadbalancer/drill/defects/stored_state.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from loadbalancer.drill.defects.patching import replace_global
+from loadbalancer.drill.patching import replace_global
 from loadbalancer.net.hot_restart import CordonFile
 from loadbalancer.snapshots import LoadResult, SnapshotStore
 
@@ -12,10 +12,10 @@
 def forgets_snapshot() -> None:
     """Read no snapshot after a restart."""
 
-    def load(self: SnapshotStore) -> LoadResult:
+    def _load(self: SnapshotStore) -> LoadResult:
         return LoadResult(None, ())
 
-    SnapshotStore.load = load  # type: ignore[method-assign]
+    SnapshotStore.load = _load  # type: ignore[method-assign]
 
 
 def forgets_zones() -> None:
--- /dev/null
+++ b/loadbalancer/drill/execution/membership_steps.py
@@ -0,0 +1,71 @@
+"""The steps that concern the membership of balancers: waiting for their views, and datagrams from outside."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import socket
+from collections.abc import Iterator
+from fnmatch import fnmatchcase
+
+from loadbalancer.drill.clock import RealClock
+from loadbalancer.drill.history import HistoryWriter
+from loadbalancer.drill.processes.placement import FIRST_TIER, Placement
+from loadbalancer.drill.processes.supervisor import ProcessSupervisor
+from loadbalancer.drill.processes.topology import Topology
+from loadbalancer.drill.scenario import steps
+
+VIEW_POLL_INTERVAL_S = 0.02
+MAX_DATAGRAM_BYTES = 300  # of random bytes: about what a gossip message has
+FORGED_FRACTION = 10  # of the foreign datagrams, one in so many comes by way of each link
+
+
+class MembershipSteps:
+    """Polls what balancers hold one another for, and sends them what no balancer has sent."""
+
+    def __init__(
+        self, topology: Topology, supervisor: ProcessSupervisor, history: HistoryWriter, clock: RealClock,
+        seed: int,
+    ) -> None:  # fmt: skip
+        self._topology = topology
+        self._supervisor = supervisor
+        self._history = history
+        self._clock = clock
+        self._seed = seed
+
+    async def expect(self, step: steps.ExpectMemberState) -> None:
+        """Poll all consoles until they agree on a balancer; the check `views` judges how long that took."""
+        number = [b.name for b in self._topology.balancers(FIRST_TIER)].index(step.target)
+        began_ms = self._clock.now
+        states: dict[str, str] = {}
+        while self._clock.now - began_ms < step.within_s * 1_000:
+            states = {b.name: await self._supervisor.member_state(b, number) for b in self._observers(step)}
+            if set(states.values()) == {step.state}:
+                break
+            await asyncio.sleep(VIEW_POLL_INTERVAL_S)
+        took_s = (self._clock.now - began_ms) / 1_000
+        self._history.write(
+            "view", of=step.target, wanted=step.state, said=states, took_s=round(took_s, 3),
+            held=set(states.values()) == {step.state},
+        )  # fmt: skip
+
+    def _observers(self, step: steps.ExpectMemberState) -> Iterator[Placement]:
+        """Yield the balancers that run and are to agree."""
+        for balancer in self._topology.balancers(FIRST_TIER):
+            is_observer = balancer.name != step.target and fnmatchcase(balancer.name, step.observers)
+            if is_observer and self._supervisor[balancer.name].exit_status is None:
+                yield balancer
+
+    def send_foreign_datagrams(self, count: int) -> None:
+        """Send random bytes, from an address of no balancer and, by way of the links, from balancers'."""
+        balancers = self._topology.balancers(FIRST_TIER)
+        self._history.write("fault", kind="stranger", on=True, targets=[b.name for b in balancers])
+        rng = random.Random(f"{self._seed}/stranger")
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+            for balancer in balancers:
+                for _ in range(count):
+                    sock.sendto(rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES)), balancer.gossip_address)
+        for link in self._topology.datagram_links.values():
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+                for _ in range(count // FORGED_FRACTION):
+                    sock.sendto(rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES)), link.address)
--- a/loadbalancer/drill/execution/step_execution.py
+++ b/loadbalancer/drill/execution/step_execution.py
@@ -3,19 +3,17 @@
 from __future__ import annotations
 
 import asyncio
-import random
 import signal
-import socket
-from collections.abc import Callable, Iterator
-from fnmatch import fnmatchcase
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
 from loadbalancer.drill.clock import RealClock
 from loadbalancer.drill.execution.link_faults import LinkFaults
+from loadbalancer.drill.execution.membership_steps import MembershipSteps
 from loadbalancer.drill.history import HistoryWriter
 from loadbalancer.drill.links.faults import LinkFault
-from loadbalancer.drill.processes.placement import FIRST_TIER, Placement, ProcessKind, format_address
+from loadbalancer.drill.processes.placement import FIRST_TIER, ProcessKind, format_address
 from loadbalancer.drill.processes.process_files import ProcessFiles
 from loadbalancer.drill.processes.process_group import READY_TIMEOUT_S
 from loadbalancer.drill.processes.supervisor import REPLACEMENT_SUFFIX, ProcessSupervisor
@@ -24,9 +22,6 @@
 
 LIST_DOWN_FAULT = "list down"
 FAULTY_LIST_FAULT = "odd list"
-VIEW_POLL_INTERVAL_S = 0.02
-MAX_DATAGRAM_BYTES = 300  # of random bytes: about what a gossip message has
-FORGED_FRACTION = 10  # of the foreign datagrams, one in so many comes by way of each link
 
 
 class StepExecutor:
@@ -42,9 +37,9 @@
         self._supervisor = supervisor
         self._history = history
         self._clock = clock
-        self._seed = seed
         self._track = track
         self._link_faults = LinkFaults(topology, history)
+        self._membership = MembershipSteps(topology, supervisor, history, clock, seed)
 
     def _record_fault(self, kind: str, targets: list[str], *, on: bool, **more: Any) -> None:
         self._history.write("fault", kind=kind, on=on, targets=targets, **more)
@@ -63,9 +58,9 @@
             case steps.ReplaceBalancer():
                 await self._replace(step)
             case steps.ExpectMemberState():
-                await self._expect_member_state(step)
+                await self._membership.expect(step)
             case steps.SendForeignDatagrams():
-                self._send_foreign_datagrams(step.count)
+                self._membership.send_foreign_datagrams(step.count)
             case steps.ChangeLoad():
                 self._change_load(step)
             case _:
@@ -176,45 +171,6 @@
         load = {"rate": step.rate, "retries": step.retries, "backoff_ms": step.backoff_ms}
         self._supervisor["clients"].send_command(load)
 
-    # ---- membership -----------------------------------------------------------------------------
-
-    async def _expect_member_state(self, step: steps.ExpectMemberState) -> None:
-        """Poll all consoles until they agree on a balancer; the check `views` judges how long that took."""
-        number = [b.name for b in self._topology.balancers(FIRST_TIER)].index(step.target)
-        began_ms = self._clock.now
-        states: dict[str, str] = {}
-        while self._clock.now - began_ms < step.within_s * 1_000:
-            states = {b.name: await self._supervisor.member_state(b, number) for b in self._observers(step)}
-            if set(states.values()) == {step.state}:
-                break
-            await asyncio.sleep(VIEW_POLL_INTERVAL_S)
-        took_s = (self._clock.now - began_ms) / 1_000
-        self._history.write(
-            "view", of=step.target, wanted=step.state, said=states, took_s=round(took_s, 3),
-            held=set(states.values()) == {step.state},
-        )  # fmt: skip
-
-    def _observers(self, step: steps.ExpectMemberState) -> Iterator[Placement]:
-        """Yield the balancers that run and are to agree."""
-        for balancer in self._topology.balancers(FIRST_TIER):
-            is_observer = balancer.name != step.target and fnmatchcase(balancer.name, step.observers)
-            if is_observer and self._supervisor[balancer.name].exit_status is None:
-                yield balancer
-
-    def _send_foreign_datagrams(self, count: int) -> None:
-        """Send random bytes, from an address of no balancer and, by way of the links, from balancers'."""
-        balancers = self._topology.balancers(FIRST_TIER)
-        self._record_fault("stranger", [b.name for b in balancers], on=True)
-        rng = random.Random(f"{self._seed}/stranger")
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-            for balancer in balancers:
-                for _ in range(count):
-                    sock.sendto(rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES)), balancer.gossip_address)
-        for link in self._topology.datagram_links.values():
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-                for _ in range(count // FORGED_FRACTION):
-                    sock.sendto(rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES)), link.address)
-
     # ---- operators ------------------------------------------------------------------------------
 
     async def _call_operators(self, step: steps.CordonServer | steps.EvacuateZone | steps.PinServer) -> None:
--- a/loadbalancer/drill/links/tcp.py
+++ b/loadbalancer/drill/links/tcp.py
@@ -112,18 +112,18 @@
         back.partner = there
         ends: list[asyncio.Transport] = []
 
-        def on_closed() -> None:
+        def _on_closed() -> None:
             if all(end.is_closing() for end in ends):
                 there.close()
                 back.close()
             self._transports.difference_update([end for end in ends if end.is_closing()])
 
-        near, _ = await loop.connect_accepted_socket(lambda: RelayEndpoint(there, back, on_closed), sock)
+        near, _ = await loop.connect_accepted_socket(lambda: RelayEndpoint(there, back, _on_closed), sock)
         ends.append(near)
         self._transports.add(near)
         try:
             far, _ = await loop.create_connection(
-                lambda: RelayEndpoint(back, there, on_closed), *self.target, local_addr=(self._source, 0)
+                lambda: RelayEndpoint(back, there, _on_closed), *self.target, local_addr=(self._source, 0)
             )
         except OSError:
             reset_connection(near)
--- a/loadbalancer/drill/open_load.py
+++ b/loadbalancer/drill/open_load.py
@@ -19,8 +19,9 @@
 from loadbalancer.drill.servers.specification import request_arguments
 from loadbalancer.net.request_counters import REJECTIONS
 
-MAX_RATE_PER_S, MAX_DURATION_S = 5_000.0, 600.0
-MAX_RECORDED_MS = 600_000
+MAX_RATE_PER_S = 5_000.0  # more than one client process can send
+MAX_DURATION_S = 600.0
+MAX_RECORDED_MS = 600_000  # of a request, which has a deadline
 
 
 class LoadError(ValueError):
@@ -29,48 +30,48 @@
 
 @dataclass(frozen=True)
 class RequestKind:
-    """A class of requests."""
+    """A class of requests; `weight` is its share among all classes."""
 
     name: str
-    share: float = 1.0
+    weight: float = 1.0
     deadline_ms: float = 2_000.0
-    unsafe: bool = False
+    is_unsafe: bool = False
 
 
 @dataclass
 class KindResults:
-    """What came of a class's requests; times in ms."""
+    """How a class's requests ended; times in ms."""
 
     endings: Counter[str] = field(default_factory=Counter)
     times: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_RECORDED_MS * 1_000, 3))
 
     def record(self, ending: str, took_ms: float) -> None:
-        """Count one."""
+        """Count one request."""
         self.endings[ending] += 1
         self.times.record_value(max(int(took_ms * 1_000), 1))
 
-    def percentile_ms(self, part: float) -> float:
-        """The time within which so many in a hundred ended."""
-        return float(self.times.get_value_at_percentile(part)) / 1_000
+    def percentile_ms(self, percentile: float) -> float:
+        """Return the time within which so many in a hundred ended."""
+        return float(self.times.get_value_at_percentile(percentile)) / 1_000
 
 
 def parse_request_kind(text: str) -> RequestKind:
-    """A class from `NAME[:SHARE[:DEADLINE_MS[:unsafe]]]`; LoadError if it is none."""
+    """Read a class from `NAME[:SHARE[:DEADLINE_MS[:unsafe]]]`; LoadError if it is none."""
     name, *rest = text.split(":")
     try:
-        share, deadline_ms = [*map(float, rest[:2]), *(1.0, 2_000.0)[len(rest[:2]) :]]
-        kind = RequestKind(name, share, deadline_ms, rest[2:] == ["unsafe"])
+        weight, deadline_ms = [*map(float, rest[:2]), *(1.0, 2_000.0)[len(rest[:2]) :]]
+        kind = RequestKind(name, weight, deadline_ms, rest[2:] == ["unsafe"])
     except ValueError:
         kind = RequestKind("")
-    if not kind.name or kind.share <= 0 or kind.deadline_ms <= 0 or len(rest) > 3:
+    if not kind.name or kind.weight <= 0 or kind.deadline_ms <= 0 or len(rest) > 3:
         raise LoadError(f"--class {text!r}: give NAME[:SHARE[:DEADLINE_MS[:unsafe]]], such as map:3:500")
-    if len(rest) == 3 and not kind.unsafe:
+    if len(rest) == 3 and not kind.is_unsafe:
         raise LoadError(f"--class {text!r}: the fourth part may only be 'unsafe'")
     return kind
 
 
 def check_load(url: str, rate: float, seconds: float, anywhere: bool) -> None:
-    """LoadError if a load may not, or can't, be made."""
+    """Raise LoadError if a load may not, or can't, be made; `anywhere` allows other machines."""
     parts = urlsplit(url)
     if parts.scheme != "http" or not parts.hostname:
         raise LoadError(f"{url!r}: give an address such as http://127.0.0.1:8080")
@@ -92,32 +93,35 @@
 async def run_load(
     url: str, kinds: list[RequestKind], rate: float, seconds: float, seed: int
 ) -> dict[str, KindResults]:
-    """Make the load, and tell what came of each class."""
-    chance, loop = random.Random(seed), asyncio.get_running_loop()
-    tallies = {kind.name: KindResults() for kind in kinds}
-    shares = [kind.share for kind in kinds]
+    """Make the load, and return how each class's requests ended."""
+    rng, loop = random.Random(seed), asyncio.get_running_loop()
+    results = {kind.name: KindResults() for kind in kinds}
+    weights = [kind.weight for kind in kinds]
     async with (
         aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session,
         asyncio.TaskGroup() as group,
     ):
-        due = loop.time()
-        until = due + seconds
-        while (due := due + chance.expovariate(rate)) < until:
-            await asyncio.sleep(max(due - loop.time(), 0.0))
-            kind = chance.choices(kinds, shares)[0]
-            number = f"{chance.getrandbits(64):016x}"
-            group.create_task(_send(session, url, kind, number, due, tallies[kind.name]))
-    return tallies
+        due_s = loop.time()
+        until_s = due_s + seconds
+        while (due_s := due_s + rng.expovariate(rate)) < until_s:
+            await asyncio.sleep(max(due_s - loop.time(), 0.0))
+            kind = rng.choices(kinds, weights)[0]
+            request_id = f"{rng.getrandbits(64):016x}"
+            group.create_task(_send(session, url, kind, request_id, due_s, results[kind.name]))
+    return results
 
 
 async def _send(
-    session: aiohttp.ClientSession, url: str, kind: RequestKind, number: str, due: float, tally: KindResults
-) -> None:
+    session: aiohttp.ClientSession, url: str, kind: RequestKind, request_id: str, due_s: float,
+    results: KindResults,
+) -> None:  # fmt: skip
+    """Send a request and record how it ended."""
     loop = asyncio.get_running_loop()
-    asked = request_arguments(number, kind.name, kind.deadline_ms, is_unsafe=kind.unsafe)
+    arguments = request_arguments(request_id, kind.name, kind.deadline_ms, is_unsafe=kind.is_unsafe)
     timeout = aiohttp.ClientTimeout(total=kind.deadline_ms / 1_000)
+    target = f"{url.rstrip('/')}/{kind.name}"
     try:
-        async with session.request(url=f"{url.rstrip('/')}/{kind.name}", timeout=timeout, **asked) as answer:
+        async with session.request(url=target, timeout=timeout, **arguments) as answer:
             await answer.read()
             status = answer.status
         ending = "served" if status == 200 else "refused" if status in REJECTIONS else "failed"
@@ -125,4 +129,4 @@
         ending = "timed out"
     except (aiohttp.ClientError, OSError):
         ending = "lost"
-    tally.record(ending, (loop.time() - due) * 1_000)
+    results.record(ending, (loop.time() - due_s) * 1_000)
--- a/loadbalancer/drill/processes/supervisor.py
+++ b/loadbalancer/drill/processes/supervisor.py
@@ -94,7 +94,7 @@
         path = self.write_specification(self._files.specification(placement))
         ready = asyncio.Event()
 
-        def on_message(message: Message) -> None:
+        def _on_message(message: Message) -> None:
             if "ready" in message:
                 host, port = message["ready"]
                 self._topology.on_listening(placement.name, (host, port))
@@ -103,7 +103,7 @@
                 self._on_progress(message)
 
         argv = self.module_command(MODULES[placement.kind], str(path))
-        process = self.launch(placement.name, argv, on_message=on_message)
+        process = self.launch(placement.name, argv, on_message=_on_message)
         self._record_start(process)
         self.processes[placement.name] = process
         await self._wait_ready(ready, process)
--- a/loadbalancer/drill/processes/topology.py
+++ b/loadbalancer/drill/processes/topology.py
@@ -32,7 +32,7 @@
         self.links: dict[str, TcpLink] = {}
         self.datagram_links: dict[str, DatagramLink] = {}  # of gossip between balancers
         self._random = random.Random(f"{seed}/links")
-        self._place_all()
+        self._add_placements()
         for source_name, target_name in self._call_paths():
             source, target = self.placements[source_name], self.placements[target_name]
             link = TcpLink(
@@ -42,31 +42,31 @@
             link.start()
             self.links[link.name] = link
 
-    def _place_all(self) -> None:
+    def _add_placements(self) -> None:
         fleet = self.scenario.fleet
         zones = fleet.zones
         for index in range(fleet.balancers):
-            self._place_balancer(f"b{index}", zones[index % len(zones)], FIRST_TIER)
+            self._add_balancer(f"b{index}", zones[index % len(zones)], FIRST_TIER)
         for index in range(fleet.servers):
             zone = zones[index % len(zones)]
-            self._place(f"s{index}", ProcessKind.SERVER, zone, FIRST_TIER)
+            self._add_placement(f"s{index}", ProcessKind.SERVER, zone, FIRST_TIER)
             if fleet.second_tier_servers:
-                self._place_balancer(f"s{index}.b", zone, SECOND_TIER)
+                self._add_balancer(f"s{index}.b", zone, SECOND_TIER)
         for index in range(fleet.second_tier_servers):
-            self._place(f"t{index}", ProcessKind.SERVER, zones[index % len(zones)], SECOND_TIER)
+            self._add_placement(f"t{index}", ProcessKind.SERVER, zones[index % len(zones)], SECOND_TIER)
         for name in discovery_names(fleet):
-            placement = self._place(name, ProcessKind(name.rstrip("0123456789")))
+            placement = self._add_placement(name, ProcessKind(name.rstrip("0123456789")))
             if placement.kind is ProcessKind.REGISTRY:
                 placement.port = self.reserve_port(placement.host)
-        self._place("clients", ProcessKind.CLIENTS)
+        self._add_placement("clients", ProcessKind.CLIENTS)
 
-    def _place(self, name: str, kind: ProcessKind, zone: str = "", tier: str = "") -> Placement:
+    def _add_placement(self, name: str, kind: ProcessKind, zone: str = "", tier: str = "") -> Placement:
         placement = Placement(name, kind, self._addresses.next_host(), zone, tier)
         self.placements[name] = placement
         return placement
 
-    def _place_balancer(self, name: str, zone: str, tier: str) -> None:
-        placement = self._place(name, ProcessKind.BALANCER, zone, tier)
+    def _add_balancer(self, name: str, zone: str, tier: str) -> None:
+        placement = self._add_placement(name, ProcessKind.BALANCER, zone, tier)
         host = placement.host
         placement.port = self.reserve_port(host)
         placement.console = format_address((host, self.reserve_port(host)))
--- a/loadbalancer/drill/report.py
+++ b/loadbalancer/drill/report.py
@@ -12,8 +12,8 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from loadbalancer.drill import history
 from loadbalancer.drill.checks.timeline import SECOND_MS, Timeline
+from loadbalancer.drill.history import read_history
 
 ENDINGS = {
     "served": "#2a7f62",
@@ -38,44 +38,44 @@
     """A folder that holds no drill: one line."""
 
 
-def draw_timeline(story: Timeline) -> Figure:
-    """What each second was like: endings, attempts by server and by zone, and the faults."""
+def draw_timeline(timeline: Timeline) -> Figure:
+    """Draw what each second was like: endings, attempts by server and by zone, and the faults."""
     figure = Figure(figsize=(WIDTH, HEIGHT), layout="constrained")
-    ends, servers, zones = figure.subplots(3, 1, sharex=True)
-    _draw_endings(ends, story)
+    endings, servers, zones = figure.subplots(3, 1, sharex=True)
+    _draw_endings(endings, timeline)
     by_server: dict[str, Counter[int]] = defaultdict(Counter)
     by_zone: dict[str, Counter[int]] = defaultdict(Counter)
-    for event, balancer in story.arrivals():
-        second = _second(story, event["t"])
+    for event, balancer in timeline.arrivals():
+        second = _second(timeline, event["t"])
         by_server[event["who"]][second] += 1
-        one, other = story.location_by_name[balancer].zone, story.location_by_name[event["who"]].zone
-        by_zone[one if one == other else f"{one} to {other}"][second] += 1
+        source, target = timeline.zone_of(balancer), timeline.zone_of(event["who"])
+        by_zone[source if source == target else f"{source} to {target}"][second] += 1
     _draw_counts(servers, by_server, "calls by server")
     _draw_counts(zones, by_zone, "calls by zone")
     zones.set_xlabel("s since the first request")
-    for axes in (ends, servers, zones):
-        _mark_faults(axes, story, with_names=axes is ends)
+    for axes in (endings, servers, zones):
+        _mark_faults(axes, timeline, with_names=axes is endings)
         axes.spines[["top", "right"]].set_visible(False)
         axes.set_ylim(bottom=0)
         axes.legend(loc="center left", bbox_to_anchor=(1.0, 0.5), frameon=False, fontsize=8)
     return figure
 
 
-def _second(story: Timeline, when: float) -> int:
-    return int((when - story.start_ms) // SECOND_MS)
+def _second(timeline: Timeline, at_ms: float) -> int:
+    return int((at_ms - timeline.start_ms) // SECOND_MS)
 
 
-def _draw_endings(axes: Axes, story: Timeline) -> None:
+def _draw_endings(axes: Axes, timeline: Timeline) -> None:
     counts: dict[str, Counter[int]] = defaultdict(Counter)
-    for event in story.events_by_kind["done"]:
-        counts[event["ending"]][_second(story, event["first"])] += 1
+    for event in timeline.events_by_kind["done"]:
+        counts[event["ending"]][_second(timeline, event["first"])] += 1
     length = max((max(c) for c in counts.values()), default=0) + 1
-    floor = [0] * length
+    bottoms = [0] * length
     for ending, colour in ENDINGS.items():
         if ending in counts:
             heights = [counts[ending][second] for second in range(length)]
-            axes.bar(range(length), heights, 0.9, floor, align="edge", color=colour, label=ending)
-            floor = [a + b for a, b in zip(floor, heights, strict=True)]
+            axes.bar(range(length), heights, 0.9, bottoms, align="edge", color=colour, label=ending)
+            bottoms = [a + b for a, b in zip(bottoms, heights, strict=True)]
     axes.set_ylabel("requests by ending")
 
 
@@ -86,18 +86,18 @@
     axes.set_ylabel(label)
 
 
-def _mark_faults(axes: Axes, story: Timeline, with_names: bool) -> None:
+def _mark_faults(axes: Axes, timeline: Timeline, *, with_names: bool) -> None:
     marks: dict[tuple[float, str, bool], list[str]] = defaultdict(list)
-    for event in story.events_by_kind["fault"]:
-        at = round((event["t"] - story.start_ms) / SECOND_MS, 1)  # what is done at once is one mark
-        marks[at, event["kind"], event["on"]] += event["targets"]
-    for (at, kind, on), targets in marks.items():
-        axes.axvline(at, color="#444444", linewidth=0.8, linestyle="-" if on else ":")
+    for event in timeline.events_by_kind["fault"]:
+        at_s = round(timeline.seconds(event["t"]), 1)  # what is done at once is one mark
+        marks[at_s, event["kind"], event["on"]] += event["targets"]
+    for (at_s, kind, on), targets in marks.items():
+        axes.axvline(at_s, color="#444444", linewidth=0.8, linestyle="-" if on else ":")
         if with_names:
             named = ", ".join(targets[:2]) + (" ..." if len(targets) > 2 else "")
             text = f"{kind} {named}".strip() if on else f"{kind} over"
             axes.annotate(
-                text, (at, 1.0), xycoords=("data", "axes fraction"), rotation=35, fontsize=7, va="bottom"
+                text, (at_s, 1.0), xycoords=("data", "axes fraction"), rotation=35, fontsize=7, va="bottom"
             )
 
 
@@ -109,7 +109,7 @@
     verdicts = [json.loads((drill / "verdict.json").read_text(encoding="utf-8")) for drill in drills]
     parts = [_overview(verdicts)]
     for drill, verdict in zip(drills, verdicts, strict=True):
-        parts.append(_section(verdict, Timeline(history.read_history(drill))))
+        parts.append(_section(verdict, Timeline(read_history(drill))))
     page = folder / "report.html"
     page.write_text(
         "<!doctype html><html lang=en><meta charset=utf-8><title>Drills</title>"
@@ -119,14 +119,14 @@
     return page
 
 
-def _word(held: bool) -> str:
-    return "held" if held else "<span class=no>not held</span>"
+def _format_verdict(*, passed: bool) -> str:
+    return "held" if passed else "<span class=no>not held</span>"
 
 
 def _overview(verdicts: list[VerdictRecord]) -> str:
     rows = "".join(
         f"<tr><td><a href='#{_anchor(v)}'>{html.escape(v['drill'])}</a><td class=n>{v['seed']}"
-        f"<td>{html.escape(v['plant'])}<td>{_word(v['held'])}"
+        f"<td>{html.escape(v['plant'])}<td>{_format_verdict(passed=v['held'])}"
         for v in verdicts
     )
     return f"<table><tr><th>drill<th>seed<th>planted<th>verdict{rows}</table>"
@@ -136,14 +136,15 @@
     return html.escape(f"{verdict['drill']}-{verdict['seed']}-{verdict['plant']}", quote=True)
 
 
-def _section(verdict: VerdictRecord, story: Timeline) -> str:
+def _section(verdict: VerdictRecord, timeline: Timeline) -> str:
     rows = "".join(
-        f"<tr><td>{c['name']}<td>{_word(c['held'])}<td class=n>{c['measured']:g}<td class=n>{c['bound']:g}"
+        f"<tr><td>{c['name']}<td>{_format_verdict(passed=c['held'])}"
+        f"<td class=n>{c['measured']:g}<td class=n>{c['bound']:g}"
         f"<td>{'' if c['held'] else html.escape(c['first'])}"
         for c in verdict["checks"]
     )
     picture = io.StringIO()
-    draw_timeline(story).savefig(picture, format="svg")
+    draw_timeline(timeline).savefig(picture, format="svg")
     svg = picture.getvalue()
     return (
         f"<h2 id='{_anchor(verdict)}'>{html.escape(verdict['drill'])}, seed {verdict['seed']}</h2>"
--- a/loadbalancer/drill/scenario/loading.py
+++ b/loadbalancer/drill/scenario/loading.py
@@ -117,9 +117,9 @@
     for item in load.classes:
         if item.effect not in REQUEST_EFFECTS:
             yield f"load.classes: {item.name}: effect {item.effect!r}; allowed: {', '.join(REQUEST_EFFECTS)}"
-        if item.deadline_ms <= 0 or item.work_ms <= 0 or item.share < 0:
+        if item.deadline_ms <= 0 or item.work_ms <= 0 or item.weight < 0:
             yield f"load.classes: {item.name}: times must be above 0, the share 0 or more"
-    if sum(item.share for item in load.classes) <= 0:
+    if sum(item.weight for item in load.classes) <= 0:
         yield "load.classes: no class has a share"
 
 
--- a/loadbalancer/drill/scenario/tables.py
+++ b/loadbalancer/drill/scenario/tables.py
@@ -84,11 +84,15 @@
     """Whether its health check ever passes."""
 
 
-class RequestClass(Table, frozen=True, rename={"latency_objective_ms": "aim_ms", "priority_weight": "worth"}):
-    """A class of requests; `share` is its weight among all classes."""
+class RequestClass(
+    Table,
+    frozen=True,
+    rename={"weight": "share", "latency_objective_ms": "aim_ms", "priority_weight": "worth"},
+):
+    """A class of requests; `weight` is its share among all classes."""
 
     name: str
-    share: float
+    weight: float
     work_ms: float
     latency_objective_ms: float
     deadline_ms: float
--- a/loadbalancer/drill/servers/clients.py
+++ b/loadbalancer/drill/servers/clients.py
@@ -107,7 +107,7 @@
     async def run(self) -> None:
         """Make all first attempts, and wait for the last one's end."""
         classes = self._load.classes
-        weights = [request_class.share for request_class in classes]
+        weights = [request_class.weight for request_class in classes]
         loop = asyncio.get_running_loop()
         due_s = loop.time()
         async with asyncio.TaskGroup() as group:
@@ -219,7 +219,7 @@
         rotation = BalancerRotation(health_checks, spec.balancers)
         generator = LoadGenerator(spec, rotation, session)
 
-        def handle_command(command: dict[str, Any]) -> None:
+        def _handle_command(command: dict[str, Any]) -> None:
             if "begin" in command:
                 begin.set()
             else:
@@ -227,7 +227,7 @@
 
         tasks = [asyncio.create_task(rotation.check_health(name)) for name in spec.balancers]
         tasks.append(asyncio.create_task(report_progress(generator)))
-        tasks.append(asyncio.create_task(receive_commands(handle_command)))
+        tasks.append(asyncio.create_task(receive_commands(_handle_command)))
         send_message(ready=["", 0])
         await begin.wait()
         await generator.run()
--- a/loadbalancer/scale/allowances.py
+++ b/loadbalancer/scale/allowances.py
@@ -1,11 +1,14 @@
-"""What a step may cost, by the operators' letter, and by what the watches promise; what goes over it."""
+"""What a step may cost, by the operators' letter and by what the watches promise, and what is over it."""
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from typing import Any
 
 import msgspec
 
+CONTROL_ROLES = ("hollow", "real_idle")  # the others' bytes and time are not for control alone
+
 
 class Allowances(msgspec.Struct, frozen=True, kw_only=True):
     """For control. The first four are the letter's (2026-12-02)."""
@@ -21,37 +24,44 @@
     bytes_a_call: float = 4_000.0
     """A hollow balancer, on average while single upstreams change: the entries of a few of them."""
     dials_s: float = 2.0
-    """A balancer, over the worst ten seconds: pauses begin at half a second and double."""
+    """Connections of a balancer, over the worst ten seconds: backoff begins at half a second and doubles."""
+
+
+Excess = dict[str, Any]
 
 
-def find_excesses(told: dict[str, Any], allowed: Allowances = Allowances()) -> list[dict[str, Any]]:  # noqa: B008
-    """What is over its allowance in the `steps` of a run's figures: step, role, figure, value, allowance.
+def find_excesses(run: dict[str, Any], allowances: Allowances = Allowances()) -> list[Excess]:  # noqa: B008
+    """Return what is over its allowance in a run's figures: step, role, figure, value, allowed.
 
     Memory is judged of real processes only: a hollow balancer shares its process with others.
     """
-    found: list[dict[str, Any]] = []
-
-    def judge(step: str, role: str, figure: str, value: float | None, most: float) -> None:
-        if value is not None and value > most:
-            found.append({"step": step, "role": role, "figure": figure, "value": value, "allowed": most})
-
-    for step, one in told["steps"].items():
-        for role, cost in one["roles"].items():
-            if role not in ("hollow", "real_idle"):
-                continue  # the others' bytes and time are not for control alone
-            judge(step, role, "cpu_worst10", cost.get("cpu_worst10"), allowed.cpu)
-            judge(step, role, "bytes_s_worst10", cost.get("bytes_s_worst10"), allowed.bytes_s)
-            judge(step, role, "dials_s_worst10", cost.get("dials_s_worst10"), allowed.dials_s)
-            if role == "real_idle":
-                judge(step, role, "pss_mb", cost["pss_mb"], allowed.pss_mb)
-            if step == "quiet":
-                judge(step, role, "calls_s_mean", cost.get("calls_s_mean"), allowed.quiet_calls_s)
-        hollow = one["roles"].get("hollow", {})
-        if step == "changes" and hollow.get("calls_s_mean"):
-            a_call = hollow["bytes_s_mean"] / hollow["calls_s_mean"]
-            judge(step, "hollow", "bytes_a_call", a_call, allowed.bytes_a_call)
-        force = one["in_force_ms"]
-        judge(step, "all", "in_force_ms", force["max"], allowed.in_force_ms)
-        judge(step, "all", "never_told", force["never_told"], 0)
-        judge(step, "all", "stale_after", force["stale_after"], 0)
-    return found
+    return [
+        {"step": step, "role": role, "figure": figure, "value": value, "allowed": allowed}
+        for step, figures in run["steps"].items()
+        for role, figure, value, allowed in _judged_figures(step, figures, allowances)
+        if value is not None and value > allowed
+    ]
+
+
+def _judged_figures(
+    step: str, figures: dict[str, Any], allowances: Allowances
+) -> Iterator[tuple[str, str, float | None, float]]:
+    """Yield role, name, value and allowance of each figure that is judged in a step."""
+    for role, cost in figures["roles"].items():
+        if role not in CONTROL_ROLES:
+            continue
+        yield role, "cpu_worst10", cost.get("cpu_worst10"), allowances.cpu
+        yield role, "bytes_s_worst10", cost.get("bytes_s_worst10"), allowances.bytes_s
+        yield role, "dials_s_worst10", cost.get("dials_s_worst10"), allowances.dials_s
+        if role == "real_idle":
+            yield role, "pss_mb", cost["pss_mb"], allowances.pss_mb
+        if step == "quiet":
+            yield role, "calls_s_mean", cost.get("calls_s_mean"), allowances.quiet_calls_s
+    hollow = figures["roles"].get("hollow", {})
+    if step == "changes" and hollow.get("calls_s_mean"):
+        bytes_a_call = hollow["bytes_s_mean"] / hollow["calls_s_mean"]
+        yield "hollow", "bytes_a_call", bytes_a_call, allowances.bytes_a_call
+    times = figures["in_force_ms"]
+    yield "all", "in_force_ms", times["max"], allowances.in_force_ms
+    yield "all", "never_told", times["never_told"], 0
+    yield "all", "stale_after", times["stale_after"], 0
--- a/loadbalancer/scale/hollow.py
+++ b/loadbalancer/scale/hollow.py
@@ -12,14 +12,13 @@
 import os
 import sys
 from collections import Counter
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from pathlib import Path
 from typing import Any
 
-import msgspec
-
 from loadbalancer import interface
 from loadbalancer.drill.clock import RealClock
+from loadbalancer.drill.patching import replace_global
 from loadbalancer.drill.servers.specification import (
     ProcessSpecification,
     read_specification,
@@ -40,23 +39,24 @@
 )
 
 REMOVED_STATE = "gone"
-Key = tuple[str, str]
+ChangeKey = tuple[str, str]  # a server, and the state that it went into
 ExpectedLists = dict[str, dict[str, list[Any]]]  # by tier and name: state and start
-MAX_CACHED_LISTS = 16
+MAX_CACHED_LISTS = 16  # that are read once for a whole host
 UNUSED_LISTEN_ADDRESS = "127.0.0.1:1"  # nobody listens there: a hollow balancer takes no calls
 
 
 class HollowSpecification(
     ProcessSpecification, kw_only=True, frozen=True, rename={"instance_addresses": "ways"}
 ):
-    """What a host of hollow balancers is told."""
+    """What a host of hollow balancers is started with."""
 
     plan: Plan
     numbers: list[int]
     instance_addresses: list[str]
 
 
-class ChangeSightings(msgspec.Struct):
+@dataclass(slots=True)
+class ChangeSightings:
     """Of one change: how many balancers of this host have it, and when the last one had, Unix ms."""
 
     count: int = 0
@@ -71,21 +71,22 @@
         self._balancer = Balancer(config.settings, config.seed)
         self._discovery = discovery.Discovery(config, self._on_list, self._on_list_failure)
         self.list: dict[str, AddressedEndpoint] = {}
-        self.name, self._stopped = config.name, False
+        self.name = config.name
+        self._is_stopped = False
         self.subscribed_tiers = host.plan.subscribed_tiers(config.settings.balancer_index)
         self.began_ms = host.clock.now
         self.ready_ms: float | None = None  # when it had its first list
-        self.is_new = True  # begun in this step: what it is told is no change
-        self.bytes = 0  # in this second
+        self.is_new = True  # started in this step: what it learns is no change
+        self.bytes = 0  # of this second
 
     def start(self) -> None:
-        """Begin as the driver does: from nothing known, on to the first call for the list."""
+        """Start as the proxy does: from nothing known, on to the first call for the list."""
         OWNER.set(self)
         self._apply_list(UpdateKind.CACHED, ServerList(0, True, ()))
 
     def stop(self) -> None:
-        """End as a process does that is killed."""
-        self._stopped = True
+        """Stop as a process does that is killed."""
+        self._is_stopped = True
         for task in (self._discovery._task, self._discovery._comparing):
             if task is not None:
                 task.cancel()
@@ -97,58 +98,60 @@
         """The version of its list."""
         return self._discovery._watch.index
 
-    def differs(self, truth: ExpectedLists) -> str:
-        """What it holds otherwise than the service lists it, of what it wants; empty for nothing.
+    def find_difference(self, expected: ExpectedLists) -> str:
+        """Return what it has otherwise than the registry lists it, of what it asks for; empty for nothing.
 
-        Of a part only what it holds is compared: which part it is, the service alone knows.
+        Of a subset only what it has is compared: which subset it is, the registry alone knows.
         """
         listed = {
-            name: state for tier in self.subscribed_tiers for name, state in truth.get(tier, {}).items()
+            name: state for tier in self.subscribed_tiers for name, state in expected.get(tier, {}).items()
         }
-        held = {n: [e.endpoint.readiness.name, e.endpoint.started_at_ms] for n, e in self.list.items()}
-        names = held if self._host.plan.subset_size else listed | held
-        found = next((name for name in names if held.get(name) != listed.get(name)), "")
-        if found:
-            return f"{self.name}: {found} held as {held.get(found)}, listed as {listed.get(found)}"
-        return "" if held else f"{self.name}: nothing held"
-
-    def _on_list(self, news: ServerList) -> bool:
+        known = {n: [e.endpoint.readiness.name, e.endpoint.started_at_ms] for n, e in self.list.items()}
+        names = known if self._host.plan.subset_size else listed | known
+        different = next((name for name in names if known.get(name) != listed.get(name)), "")
+        if different:
+            return (
+                f"{self.name}: {different} held as {known.get(different)}, listed as {listed.get(different)}"
+            )
+        return "" if known else f"{self.name}: nothing held"
+
+    def _on_list(self, answer: ServerList) -> bool:
         if self.ready_ms is None:
             self.ready_ms = self._host.clock.now
-        return self._apply_list(UpdateKind.FULL_SNAPSHOT if news.whole else UpdateKind.DELTA, news)
-
-    def _apply_list(self, kind: UpdateKind, news: ServerList) -> bool:
-        members = tuple([e.endpoint for e in news.endpoints])
-        update = self._balancer.validate(interface.EndpointListUpdate(kind, members, news.rewound))
-        if update.suspected_stale or news.rewound:
-            at = {e.endpoint.server: e.address for e in (*self.list.values(), *news.endpoints)}
-            news = replace(
-                news, endpoints=tuple([AddressedEndpoint(m, at[m.server]) for m in update.endpoints])
-            )
+        return self._apply_list(UpdateKind.FULL_SNAPSHOT if answer.whole else UpdateKind.DELTA, answer)
+
+    def _apply_list(self, kind: UpdateKind, answer: ServerList) -> bool:
+        """Validate a list and apply it; return whether it is believed."""
+        endpoints = tuple([e.endpoint for e in answer.endpoints])
+        update = self._balancer.validate(interface.EndpointListUpdate(kind, endpoints, answer.rewound))
+        if update.suspected_stale or answer.rewound:
+            addresses = {e.endpoint.server: e.address for e in (*self.list.values(), *answer.endpoints)}
+            validated = [AddressedEndpoint(e, addresses[e.server]) for e in update.endpoints]
+            answer = replace(answer, endpoints=tuple(validated))
         before = self.list
-        if news.whole:
+        if answer.whole:
             self.list = {}
-        for endpoint in news.endpoints:
-            self.list[endpoint.endpoint.server] = endpoint
-            if endpoint.endpoint.readiness is Readiness.DEAD:
-                del self.list[endpoint.endpoint.server]
+        for addressed in answer.endpoints:
+            self.list[addressed.endpoint.server] = addressed
+            if addressed.endpoint.readiness is Readiness.DEAD:
+                del self.list[addressed.endpoint.server]
         self._handle(update)
         if not self.is_new:
-            self._host.record_changes(before, news)
+            self._host.record_changes(before, answer)
         return not update.suspected_stale
 
     def _on_list_failure(self) -> None:
         self._handle(self._discovery.failure())
 
     def _handle(self, event: interface.Event) -> None:
-        now = self._host.clock.now
-        for action in self._balancer.handle(event, now):
+        now_ms = self._host.clock.now
+        for action in self._balancer.handle(event, now_ms):
             if isinstance(action, interface.SetTimer):
-                delay_s = max(action.at_ms - now, 0.0) / 1_000
+                delay_s = max(action.at_ms - now_ms, 0.0) / 1_000
                 asyncio.get_running_loop().call_later(
                     delay_s, self._handle, interface.TimerExpired(action.token)
                 )
-            elif isinstance(action, interface.WatchEndpointList) and not self._stopped:
+            elif isinstance(action, interface.WatchEndpointList) and not self._is_stopped:
                 self._discovery.subscribe()
 
 
@@ -156,49 +159,52 @@
 
 
 class CountedConnection(discovery._Link):
-    """A connection to the list service whose calls and bytes are counted for its balancer."""
+    """A connection to the registry whose calls and bytes are counted for its balancer."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._balancer, self._instance = OWNER.get(), ""
-        self._balancer._host.tally.connects += 1
+        self._balancer = OWNER.get()
+        self._instance = ""
+        self._balancer._host.counts.connects += 1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep whom we are connected to."""
+        """Keep the instance's address."""
         host, port = transport.get_extra_info("peername")[:2]
         self._instance = f"{host}:{port}"
         super().connection_made(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Count, and read on."""
+        """Count, and read."""
         self._count(len(data))
         super().data_received(data)
 
     async def call(self, request: bytes) -> UpstreamResponse:
         """Count, and call."""
-        self._balancer._host.tally.calls[self._instance] += 1
+        self._balancer._host.counts.calls[self._instance] += 1
         self._count(len(request))
         return await super().call(request)
 
     def _count(self, size: int) -> None:
-        self._balancer._host.tally.bytes[self._instance] += size
+        self._balancer._host.counts.bytes[self._instance] += size
         self._balancer.bytes += size
 
 
 class HollowHost:
-    """The hollow balancers of this process, and what they were told."""
+    """The hollow balancers of this process, and the changes that they have seen."""
 
     def __init__(self, spec: HollowSpecification) -> None:
-        self._spec, self.clock, self.tally = spec, RealClock(spec.offset_ms), TrafficCounts()
+        self._spec = spec
+        self.clock = RealClock(spec.offset_ms)
+        self.counts = TrafficCounts()
         self.plan = spec.plan
         self._hollows: dict[int, HollowBalancer] = {}
-        self._sightings: dict[Key, ChangeSightings] = {}
-        self._numbers, self.shared_reading = frozenset(spec.numbers), spec.plan.shared_reading
+        self._sightings: dict[ChangeKey, ChangeSightings] = {}
+        self._numbers = frozenset(spec.numbers)
 
-    def handle_command(self, line: dict[str, Any]) -> None:
-        """What the driver wants: `start`, `stop`, `begin` a step, `report` on it."""
-        numbers = line.get("numbers")
-        match line["do"]:
+    def handle_command(self, command: dict[str, Any]) -> None:
+        """Follow the driver: `start`, `stop`, `begin` a step, `report` on it."""
+        numbers = command.get("numbers")
+        match command["do"]:
             case "start":
                 for number in self._numbers.intersection(numbers or ()):
                     self._start(number)
@@ -211,43 +217,45 @@
                 for hollow in self._hollows.values():
                     hollow.is_new = False
             case "report":
-                self._report(line)
+                self._report(command)
 
     def _start(self, number: int) -> None:
-        told = balancer_config(self._spec.plan, number, self._spec.instance_addresses, UNUSED_LISTEN_ADDRESS)
-        hollow = HollowBalancer(read_config(json.dumps(told), lambda note: None), self)
+        config = balancer_config(
+            self._spec.plan, number, self._spec.instance_addresses, UNUSED_LISTEN_ADDRESS
+        )
+        hollow = HollowBalancer(read_config(json.dumps(config), lambda note: None), self)
         self._hollows[number] = hollow
         contextvars.copy_context().run(hollow.start)
 
-    def record_changes(self, before: dict[str, AddressedEndpoint], news: ServerList) -> None:
-        """A balancer has news, applied: what in it is a change to what it had."""
-        now = self.clock.now
-        for endpoint in news.endpoints:
-            member = endpoint.endpoint
-            old = before.get(member.server) if news.whole else None
-            if old is None or old.endpoint != member:
-                self._record_change(member, now)
-        if news.whole:
-            named = {e.endpoint.server for e in news.endpoints}
+    def record_changes(self, before: dict[str, AddressedEndpoint], update: ServerList) -> None:
+        """Record what in a list that a balancer has applied is a change to what it had."""
+        now_ms = self.clock.now
+        for addressed in update.endpoints:
+            endpoint = addressed.endpoint
+            old = before.get(endpoint.server) if update.whole else None
+            if old is None or old.endpoint != endpoint:
+                self._record_change(endpoint, now_ms)
+        if update.whole:
+            listed = {e.endpoint.server for e in update.endpoints}
             for name, old in before.items():
-                if name not in named:
-                    self._record_change(replace(old.endpoint, readiness=Readiness.DEAD), now)
-
-    def _record_change(self, member: interface.Endpoint, now: float) -> None:
-        is_gone = member.readiness is Readiness.DEAD
-        key = (
-            member.server,
-            REMOVED_STATE if is_gone else f"{member.readiness.name}/{member.started_at_ms:.0f}",
-        )
-        told = self._sightings.get(key)
-        if told is None:
-            told = self._sightings[key] = ChangeSightings()
-        told.count, told.last_ms = told.count + 1, now
-
-    def _report(self, line: dict[str, Any]) -> None:
-        """Write what was told in this step, and who is stale, into a file; then say so."""
-        truth = json.loads(Path(line["truth"]).read_text())
-        stale = [what for hollow in self._hollows.values() if (what := hollow.differs(truth))]
+                if name not in listed:
+                    self._record_change(replace(old.endpoint, readiness=Readiness.DEAD), now_ms)
+
+    def _record_change(self, endpoint: interface.Endpoint, now_ms: float) -> None:
+        is_removed = endpoint.readiness is Readiness.DEAD
+        state = f"{endpoint.readiness.name}/{endpoint.started_at_ms:.0f}"
+        key = endpoint.server, REMOVED_STATE if is_removed else state
+        sightings = self._sightings.get(key)
+        if sightings is None:
+            sightings = self._sightings[key] = ChangeSightings()
+        sightings.count += 1
+        sightings.last_ms = now_ms
+
+    def _report(self, command: dict[str, Any]) -> None:
+        """Write the changes seen in this step, and who is stale, into a file; then reply."""
+        expected = json.loads(Path(command["truth"]).read_text())
+        differences = [hollow.find_difference(expected) for hollow in self._hollows.values()]
+        stale = [difference for difference in differences if difference]
         stayed = Counter(tier for h in self._hollows.values() if not h.is_new for tier in h.subscribed_tiers)
         report = {
             "here": len(self._hollows),
@@ -259,29 +267,29 @@
                 for h in self._hollows.values()
                 if h.is_new
             ],
-            "seen": [[*key, told.count, told.last_ms] for key, told in self._sightings.items()],
+            "seen": [[*key, seen.count, seen.last_ms] for key, seen in self._sightings.items()],
         }
         path = Path(self._spec.folder) / f"{self._spec.name}.report.json"
         path.write_text(json.dumps(report))
-        send_message(done=line["id"], report=str(path))
+        send_message(done=command["id"], report=str(path))
 
     def take_counts(self) -> dict[str, object]:
-        """The counts of a second."""
+        """Return the counts of a second, and begin anew."""
         for hollow in self._hollows.values():
-            self.tally.max_balancer_bytes = max(self.tally.max_balancer_bytes, hollow.bytes)
+            self.counts.max_balancer_bytes = max(self.counts.max_balancer_bytes, hollow.bytes)
             hollow.bytes = 0
         ready = sum(h.ready_ms is not None for h in self._hollows.values())
-        return self.tally.take() | {"here": len(self._hollows), "ready": ready}
+        return self.counts.take() | {"here": len(self._hollows), "ready": ready}
 
 
 class SharedListReader:
-    """In place of `json` in `net/discovery.py`: an answer that many get is read once. See `Plan`."""
+    """Stands in for `json` in `net/discovery.py`: an answer that many get is read once. See `Plan`."""
 
     def __init__(self) -> None:
         self._lists: dict[bytes, ServerList] = {}
 
     def loads(self, body: bytes) -> ServerList:
-        """The list in an answer; ValueError if it is none."""
+        """Return the list in an answer; ValueError if it is none."""
         if body not in self._lists:
             while len(self._lists) >= MAX_CACHED_LISTS:
                 del self._lists[next(iter(self._lists))]
@@ -289,24 +297,25 @@
         return self._lists[body]
 
 
-def _share_list_reading() -> None:
-    """Share what is read among the balancers of this process."""
-    vars(discovery).update(json=SharedListReader(), read_list=lambda news: news)
+def _read_lists_once() -> None:
+    """Have the balancers of this process share what is read."""
+    replace_global(discovery, "json", SharedListReader())
+    replace_global(discovery, "read_list", lambda update: update)
 
 
 def _exit_on_error(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """A balancer that fails unseen would falsify the figures of all."""
+    """End the process: a balancer that fails unseen would falsify the figures of all."""
     loop.default_exception_handler(context)
     sys.stderr.flush()
     os._exit(1)
 
 
 async def serve() -> None:
-    """Be hollow balancers until the driver closes our input."""
+    """Run hollow balancers until the driver closes our input."""
     host, loop = HollowHost(read_specification(HollowSpecification)), asyncio.get_running_loop()
     loop.set_exception_handler(_exit_on_error)
-    if host.shared_reading:
-        _share_list_reading()
+    if host.plan.shared_reading:
+        _read_lists_once()
     discovery._Link = CountedConnection  # type: ignore[misc]
     gc.freeze()
     task = start_critical_task(loop, report_each_second(host.take_counts))
--- a/loadbalancer/scale/plan.py
+++ b/loadbalancer/scale/plan.py
@@ -1,4 +1,4 @@
-"""What a scale run is made of: sizes, steps, and what each balancer and each upstream is told."""
+"""What a scale run is made of: sizes, steps, and the configuration of each balancer and each upstream."""
 
 from __future__ import annotations
 
@@ -19,7 +19,9 @@
 CALLED_SERVICES = 8  # services that a balancer calls
 MECHANISMS = ("whole", "interest")
 RACK_SIZE = 40  # upstreams that go with a rack
-MAX_PROCESSES, MAX_MEMORY_FRACTION = 300, 0.5
+MAX_PROCESSES = 300  # so that a slip does not fill the machine
+MAX_MEMORY_FRACTION = 0.5  # of this machine's: other work runs beside it
+MAX_INSTANCES = 8
 CLASSES = [{"name": "plain", "target": 100.0, "deadline": 1_000.0, "effect": "retryable", "worth": 1.0}]
 
 
@@ -49,7 +51,7 @@
     """By interest: servers of each service that are held in each zone at the least; 0 for all."""
     shared_reading: bool = False
     """Hollow balancers of a host read an answer that they all get only once: for sizes that one machine
-    can't read for all. Their processor time is then too small, and real ones tell it alone."""
+    can't read for all. Their processor time is then too small: it is to be taken from the real ones."""
     start_s: float = 0.0
     """All start at once, or spread over so long, where the machine can't take that."""
     steps: tuple[str, ...] = DEFAULT_STEPS
@@ -63,12 +65,12 @@
     settle_s: float = 8.0
     """After each step, part of it; who is stale then is counted."""
     convergence_timeout_s: float = 0.0
-    """So long past that, who is stale or untold is waited for: for checks on a machine of any speed."""
+    """For so long past that, who is stale or has missed a change is waited for: for machines of any speed."""
     calls_per_s: float = 20.0
     """At each real balancer that is called."""
 
     def check(self) -> None:
-        """PlanError if it can't be carried out."""
+        """Raise PlanError if it can't be carried out."""
         if unknown := [step for step in self.steps if step not in STEPS]:
             raise PlanError(f"no step {unknown[0]!r}; there are {', '.join(STEPS)}")
         if self.defect and self.defect not in SCALE_DEFECTS:
@@ -81,95 +83,97 @@
             raise PlanError("steps: the first is start")
         if not 0 <= self.hollow <= self.balancers - self.real:
             raise PlanError(f"hollow: {self.hollow}; allowed: 0 to {self.balancers - self.real}")
-        if not 1 <= self.instances <= 8:
-            raise PlanError(f"instances: {self.instances}; allowed: 1 to 8")
+        if not 1 <= self.instances <= MAX_INSTANCES:
+            raise PlanError(f"instances: {self.instances}; allowed: 1 to {MAX_INSTANCES}")
         if self.hosts + self.instances + self.real + 2 > MAX_PROCESSES:
             raise PlanError(f"more than {MAX_PROCESSES} processes")
         if self.changes * 2 > self.balancers:
             raise PlanError(f"changes: {self.changes}; allowed: half of the upstreams at the most")
 
     def hollow_numbers(self) -> list[int]:
-        """The numbers of the hollow balancers, spread over the tier."""
-        room = self.balancers - self.real
-        return [place * room // max(self.hollow, 1) for place in range(self.hollow)]
+        """Return the numbers of the hollow balancers, spread over the tier."""
+        available = self.balancers - self.real
+        return [index * available // max(self.hollow, 1) for index in range(self.hollow)]
 
     def real_numbers(self) -> list[int]:
-        """The numbers of the real ones."""
+        """Return the numbers of the real ones."""
         return list(range(self.balancers - self.real, self.balancers))
 
     def is_called(self, number: int) -> bool:
-        """Whether a real balancer gets calls: half of them, of either kind some at each of two instances."""
+        """Return whether a real balancer gets calls: half do, some at each of two instances."""
         return (self.balancers - 1 - number) % 4 in (1, 2)
 
     def zone(self, number: int) -> str:
-        """The zone of an upstream and its balancer."""
+        """Return the zone of an upstream and its balancer."""
         return f"z{number % self.zones}"
 
     def rack(self, zone: int) -> list[int]:
-        """The upstreams of the first rack of a zone."""
+        """Return the upstreams of the first rack of a zone."""
         return list(range(zone, self.balancers, self.zones))[:RACK_SIZE]
 
     def service(self, number: int) -> int:
-        """The service of an upstream, by its number: the first one is a large one."""
+        """Return the service of an upstream, by its number: the first one is a large one."""
         first = round(self.balancers * FIRST_SERVICE_FRACTION) if self.services > 1 else self.balancers
         return 0 if number < first else 1 + number % (self.services - 1)
 
     def tier(self, number: int) -> str:
-        """Where an upstream stands on the list: in its service, or with all."""
+        """Return where an upstream is on the list: in its service, or with all."""
         return f"v{self.service(number)}" if self.lists == "interest" else "first"
 
     def subscribed_tiers(self, number: int) -> list[str]:
-        """The tiers that a balancer asks for."""
-        return [f"v{one}" for one in self.called_services(number)] if self.lists == "interest" else ["first"]
+        """Return the tiers that a balancer asks for."""
+        if self.lists != "interest":
+            return ["first"]
+        return [f"v{service}" for service in self.called_services(number)]
 
     def mean_list_size(self) -> float:
-        """Upstreams on a hollow balancer's list, on average; a part is not taken off."""
+        """Return the upstreams on a hollow balancer's list, on average; subsets are not considered."""
         sizes = Counter(self.tier(number) for number in range(self.balancers))
-        held = [
+        list_sizes = [
             sum(sizes[tier] for tier in self.subscribed_tiers(number)) for number in self.hollow_numbers()
         ]
-        return sum(held) / len(held) if held else 0.0
+        return sum(list_sizes) / len(list_sizes) if list_sizes else 0.0
 
     def called_services(self, number: int) -> list[int]:
-        """The services that a balancer calls: one in ten balancers calls the first."""
+        """Return the services that a balancer calls: one in ten balancers calls the first."""
         others = range(1, self.services)
-        chance = random.Random(f"{self.seed}/{number}")
-        drawn = chance.sample(others, min(CALLED_SERVICES, len(others)))
+        rng = random.Random(f"{self.seed}/{number}")
+        drawn = rng.sample(others, min(CALLED_SERVICES, len(others)))
         return sorted([0, *drawn] if number % 10 == 0 or not drawn else drawn)
 
 
 def upstream_name(number: int) -> str:
-    """An upstream's name."""
+    """Return an upstream's name."""
     return f"s{number}"
 
 
 def upstream_number(name: str) -> int:
-    """Its number again."""
+    """Return the number of an upstream's name."""
     return int(name.removeprefix("s"))
 
 
-def registration(plan: Plan, number: int, address: str, since_ms: float) -> dict[str, Any]:
-    """What an upstream tells the list service of itself."""
+def registration(plan: Plan, number: int, address: str, started_at_ms: float) -> dict[str, Any]:
+    """Return the body of an upstream's registration."""
     return {
         "address": address, "zone": plan.zone(number), "type": "m", "weight": 4.0, "tier": plan.tier(number),
-        "since_ms": since_ms, "lease_ms": plan.lease_s * 1_000,
+        "since_ms": started_at_ms, "lease_ms": plan.lease_s * 1_000,
     }  # fmt: skip
 
 
-def list_settings(plan: Plan, number: int, ways: list[str]) -> dict[str, Any]:
-    """How one balancer asks the list service: the one place that knows the mechanism (`Plan.lists`)."""
-    lists: dict[str, Any] = {"others": ways[1:]}
+def list_settings(plan: Plan, number: int, instance_addresses: list[str]) -> dict[str, Any]:
+    """Return how one balancer asks for the list: the one place that knows the mechanism (`Plan.lists`)."""
+    lists: dict[str, Any] = {"others": instance_addresses[1:]}
     if plan.lists == "interest":
-        lists |= {"services": plan.subscribed_tiers(number)} | (
-            {"part": plan.subset_size} if plan.subset_size else {}
-        )
-    return {"discovery": ways[0], "lists": lists}
+        lists["services"] = plan.subscribed_tiers(number)
+        if plan.subset_size:
+            lists["part"] = plan.subset_size
+    return {"discovery": instance_addresses[0], "lists": lists}
 
 
-def balancer_config(plan: Plan, number: int, ways: list[str], listen: str) -> dict[str, Any]:
-    """A balancer's configuration in the platform's form, for real and hollow ones alike.
+def balancer_config(plan: Plan, number: int, instance_addresses: list[str], listen: str) -> dict[str, Any]:
+    """Return a balancer's configuration in the platform's form, for real and hollow ones alike.
 
-    `ways` are the instances' addresses as this balancer reaches them.
+    `instance_addresses` are those at which this balancer reaches the registry's instances.
     """
     seed = hashlib.blake2b(f"{plan.seed}/{number}".encode(), digest_size=7).hexdigest()
     settings = {
@@ -184,8 +188,8 @@
             "overloadFactor": 2.0, "tipAfter": 1_000.0,
         },
     }  # fmt: skip
-    told = {
+    config = {
         "name": f"b{number}", "listen": listen, "seed": seed, "settings": settings,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
     }  # fmt: skip
-    return told | list_settings(plan, number, ways)
+    return config | list_settings(plan, number, instance_addresses)
--- a/loadbalancer/scale/steps.py
+++ b/loadbalancer/scale/steps.py
@@ -15,175 +15,197 @@
 from loadbalancer.scale.supervisor import ScaleSupervisor
 
 START_TIMEOUT_S = 120.0  # until all hollow balancers have their first list
-LEASE_EXPIRY_TIMEOUT_S = 30.0  # until leases that ran out are off the list
 POLL_INTERVAL_S = 0.25
-ROLLING_RESTART_S, BATCHES = 60.0, 30  # for a restart of all
+EXPIRY_MARGIN_S = 2.0  # past a lease, until the registry has seen that it expired
+ROLLING_RESTART_S = 60.0  # for a restart of all
 SERVICE_REPLACEMENT_S = 15.0  # for all of a service
+MAX_BATCHES = 30  # of a restart
+WRITE_HEADROOM = 1.5  # by which a batch's writes are faster than the restart as a whole
 RESTORE_RATE_PER_S = 50.0
 MAX_HISTORY_ROWS = 10_000
+RECENT_ROWS = 4  # of a host, in which its last report is
 Changes = list[dict[str, Any]]
+"""Name, state and tier of the upstream, and `at_ms`, when it could be known."""
 
 
 class ScaleSteps:
-    """Each step returns its changes: name and state of the upstream, and `at_ms`, when it could be told."""
+    """Each step returns its changes."""
 
-    def __init__(self, plan: Plan, crew: ScaleSupervisor, http: aiohttp.ClientSession) -> None:
-        self._plan, self._supervisor, self._http = plan, crew, http
+    def __init__(self, plan: Plan, supervisor: ScaleSupervisor, http: aiohttp.ClientSession) -> None:
+        self._plan = plan
+        self._supervisor = supervisor
+        self._http = http
         self._random = random.Random(plan.seed)
-        self._withdrawn: list[int] = []  # upstreams that are drained or removed, to be put back
+        self._withdrawn: list[int] = []  # upstreams that are drained or removed, to be restored
         self.by_name: dict[str, Callable[[], Awaitable[Changes]]] = {
             "start": self._start, "quiet": self._quiet, "changes": self._changes, "rack": self._rack,
             "zone": self._zone, "rolling": self._rolling, "replaced": self._replaced,
             "instance-killed": self._instance_killed, "away": self._away, "regions": self._regions,
         }  # fmt: skip
 
+    # ---- start and quiet ------------------------------------------------------------------------
+
     async def _start(self) -> Changes:
-        """All balancers at once."""
+        """Start all balancers at once, or spread over the plan's time."""
+        supervisor = self._supervisor
         for number in self._plan.real_numbers():
-            self._supervisor.start_real(number)
-        numbers, parts = self._plan.hollow_numbers(), max(round(self._plan.start_s / POLL_INTERVAL_S), 1)
-        for part in range(parts):
-            self._supervisor.command_hollow_hosts(do="start", numbers=numbers[part::parts])
-            if part < parts - 1:
+            supervisor.start_real(number)
+        numbers = self._plan.hollow_numbers()
+        batches = max(round(self._plan.start_s / POLL_INTERVAL_S), 1)
+        for batch in range(batches):
+            supervisor.command_hollow_hosts(do="start", numbers=numbers[batch::batches])
+            if batch < batches - 1:
                 await asyncio.sleep(POLL_INTERVAL_S)
         until = time.monotonic() + START_TIMEOUT_S
-        while time.monotonic() < until and not (
-            self._ready_count() >= self._plan.hollow and self._have_real_balancers_called()
-        ):
+        while time.monotonic() < until and not self._has_started():
             await asyncio.sleep(POLL_INTERVAL_S)
         for number in self._plan.real_numbers():
             if self._plan.is_called(number):
-                self._supervisor.processes["edge"].process.send_command(
-                    {"call": self._supervisor.listen_addresses[number]}
-                )
+                command = {"call": supervisor.listen_addresses[number]}
+                supervisor.processes["edge"].process.send_command(command)
         return []
 
+    def _has_started(self) -> bool:
+        """Return whether all hollow balancers have a list, and all real ones have called for theirs."""
+        return self._ready_count() >= self._plan.hollow and self._have_real_balancers_called()
+
     def _ready_count(self) -> int:
-        """How many hollow balancers have a list."""
-        rows = [self._supervisor.processes[host].rows for host in self._supervisor.hollow_hosts()]
-        return sum(next((r["ready"] for r in reversed(some[-4:]) if "ready" in r), 0) for some in rows)
+        """Return how many hollow balancers have a list."""
+        hosts = [
+            self._supervisor.processes[host].rows[-RECENT_ROWS:] for host in self._supervisor.hollow_hosts()
+        ]
+        return sum(next((row["ready"] for row in reversed(rows) if "ready" in row), 0) for rows in hosts)
 
     def _have_real_balancers_called(self) -> bool:
-        """Whether each real balancer has called for its list."""
-        rows = [self._supervisor.processes[f"b{number}"].rows for number in self._plan.real_numbers()]
-        return all(any(sum(row.get("calls", {}).values()) for row in some) for some in rows)
+        balancers = [self._supervisor.processes[f"b{number}"].rows for number in self._plan.real_numbers()]
+        return all(any(sum(row.get("calls", {}).values()) for row in rows) for rows in balancers)
 
     async def _quiet(self) -> Changes:
+        """Do nothing."""
         await asyncio.sleep(self._plan.quiet_s)
         return []
 
+    # ---- upstreams ------------------------------------------------------------------------------
+
     async def _changes(self) -> Changes:
-        """Drains, new starts and removals, each of another upstream."""
+        """Make drains, new starts and removals, each of another upstream."""
         numbers = self._random.sample(range(self._plan.balancers), self._plan.changes)
         return await self.write(numbers, ["drain", "start", "remove"], self._plan.changes_per_s)
 
     async def _rack(self) -> Changes:
-        """The upstreams and balancers of a rack fall silent, lapse, and start anew."""
+        """Let the upstreams and balancers of a rack fall silent, their leases expire, and start them anew."""
         return await self._silence_and_restart(self._plan.rack(0))
 
     async def _zone(self) -> Changes:
-        """As a rack: a whole zone. The service takes half of it off the list at the most (`floor_part`)."""
+        """Do the same to a zone, of which the registry removes half at the most (`floor_part`)."""
         return await self._silence_and_restart(list(range(1, self._plan.balancers, self._plan.zones)))
 
     async def _silence_and_restart(self, numbers: list[int]) -> Changes:
         began_ms = time.time() * 1_000
-        self._supervisor.processes["registrar"].process.send_command({"do": "silent", "numbers": numbers})
+        silence = {"do": "silent", "numbers": numbers}
+        self._supervisor.processes["registrar"].process.send_command(silence)
         self._supervisor.command_hollow_hosts(do="stop", numbers=numbers)
-        await asyncio.sleep(self._plan.lease_s + 2.0)
-        lapses = await self._expired_leases(began_ms)
+        await asyncio.sleep(self._plan.lease_s + EXPIRY_MARGIN_S)
+        expiries = await self._expired_leases(began_ms)
         await asyncio.sleep(self._plan.settle_s)
-        lapses = await self._expired_leases(began_ms) or lapses
+        expiries = await self._expired_leases(began_ms) or expiries
         self._supervisor.command_hollow_hosts(do="start", numbers=numbers)
-        return lapses + await self.write(numbers, ["start"], RESTORE_RATE_PER_S)
+        return expiries + await self.write(numbers, ["start"], RESTORE_RATE_PER_S)
 
     async def _expired_leases(self, since_ms: float) -> Changes:
-        """What the service itself has taken off the list, by the first account of any instance."""
-        found: dict[str, float] = {}
-        for at in self._supervisor.instances:
-            async with self._http.get(f"http://{at}/v1/history?most={MAX_HISTORY_ROWS}") as answer:
+        """Return what the registry itself has removed, by the first account of any instance."""
+        removed_at_ms: dict[str, float] = {}
+        for address in self._supervisor.instances:
+            url = f"http://{address}/v1/history?most={MAX_HISTORY_ROWS}"
+            async with self._http.get(url) as answer:
                 for row in await answer.json():
                     if row["what"] == "lapsed" and row["at_ms"] >= since_ms:
-                        found[row["name"]] = min(found.get(row["name"], row["at_ms"]), row["at_ms"])
+                        name, at_ms = row["name"], row["at_ms"]
+                        removed_at_ms[name] = min(removed_at_ms.get(name, at_ms), at_ms)
         return [
             {"name": name, "state": "gone", "at_ms": at_ms, "tier": self._plan.tier(upstream_number(name))}
-            for name, at_ms in found.items()
+            for name, at_ms in removed_at_ms.items()
         ]
 
     async def _rolling(self) -> Changes:
-        """All upstreams and their balancers are started anew, in batches."""
+        """Start all upstreams and their balancers anew, in batches."""
         return await self._restart(list(range(self._plan.balancers)), [], ROLLING_RESTART_S)
 
     async def _replaced(self) -> Changes:
-        """A service of a tenth of all is replaced cold, and all its callers with it."""
+        """Replace the first service, a tenth of all, and all its callers with it."""
         callers = [n for n in self._plan.hollow_numbers() if 0 in self._plan.called_services(n)]
         numbers = [n for n in range(self._plan.balancers) if self._plan.service(n) == 0]
         return await self._restart(numbers, callers, SERVICE_REPLACEMENT_S)
 
-    async def _restart(self, numbers: list[int], callers: list[int], over_s: float) -> Changes:
+    async def _restart(self, numbers: list[int], callers: list[int], duration_s: float) -> Changes:
         """Start upstreams anew in batches, each with its balancer, and with them some callers."""
-        batches, changes = min(BATCHES, len(numbers)), Changes()
-        began = time.monotonic()
-        for place in range(batches):
-            own, also = numbers[place::batches], callers[place::batches]
-            hollow = sorted({*own, *also})
+        batches = min(MAX_BATCHES, len(numbers))
+        changes: Changes = []
+        began_s = time.monotonic()
+        for batch in range(batches):
+            own = numbers[batch::batches]
+            hollow = sorted({*own, *callers[batch::batches]})
             self._supervisor.command_hollow_hosts(do="stop", numbers=hollow)
-            changes += await self.write(own, ["start"], len(own) / over_s * batches * 1.5)
+            changes += await self.write(own, ["start"], len(own) / duration_s * batches * WRITE_HEADROOM)
             self._supervisor.command_hollow_hosts(do="start", numbers=hollow)
-            due = began + (place + 1) * over_s / batches
-            await asyncio.sleep(max(due - time.monotonic(), 0.0))
+            due_s = began_s + (batch + 1) * duration_s / batches
+            await asyncio.sleep(max(due_s - time.monotonic(), 0.0))
         return changes
 
+    # ---- the registry ---------------------------------------------------------------------------
+
     async def _instance_killed(self) -> Changes:
-        """The first instance is killed, changes go on, and it comes back."""
+        """Kill the first instance, make changes meanwhile, and start it again."""
         if self._plan.instances < 2:
             raise DrillError("instance-killed: there is one instance only")
         self._supervisor.kill("list0")
-        changes = await self._write_some(["start", "drain"], over_s=self._plan.settle_s)
+        changes = await self._write_some(["start", "drain"], duration_s=self._plan.settle_s)
         self._supervisor.start_instance(0)
         await self._supervisor.wait_for_instances([0])
         return changes
 
     async def _away(self) -> Changes:
-        """No instance is there for a while; then all are, and changes come at once."""
-        every = range(self._plan.instances)
-        for number in every:
+        """Kill all instances, start them after a while, and make changes at once."""
+        numbers = range(self._plan.instances)
+        for number in numbers:
             self._supervisor.kill(f"list{number}")
         await asyncio.sleep(self._plan.away_s)
-        for number in every:
+        for number in numbers:
             self._supervisor.start_instance(number)
-        await self._supervisor.wait_for_instances(every)
-        return await self._write_some(["start", "drain"], over_s=self._plan.settle_s / 2)
+        await self._supervisor.wait_for_instances(numbers)
+        return await self._write_some(["start", "drain"], duration_s=self._plan.settle_s / 2)
 
     async def _regions(self) -> Changes:
-        """Instances can't reach one another while changes go on; those count from the cut's end."""
+        """Part the instances from one another while changes go on; those count from the partition's end."""
         self._supervisor.relays.set_partitioned(is_partitioned=True)
-        changes = await self._write_some(["start", "drain"], over_s=self._plan.away_s / 2)
+        changes = await self._write_some(["start", "drain"], duration_s=self._plan.away_s / 2)
         self._supervisor.relays.set_partitioned(is_partitioned=False)
         healed_ms = time.time() * 1_000
         return [change | {"at_ms": max(change["at_ms"], healed_ms)} for change in changes]
 
-    async def _write_some(self, kinds: list[str], over_s: float) -> Changes:
-        """A few changes, spread over a time."""
+    # ---- writes ---------------------------------------------------------------------------------
+
+    async def _write_some(self, kinds: list[str], duration_s: float) -> Changes:
+        """Make a few changes, spread over a time."""
         count = max(self._plan.changes // 4, 2)
         numbers = self._random.sample(range(self._plan.balancers), count)
-        return await self.write(numbers, kinds, count / over_s)
-
-    async def write(self, numbers: Iterable[int], kinds: list[str], per_s: float) -> Changes:
-        """Have the registrar make changes; DriveError if one was not taken."""
-        writes = [(number, kinds[place % len(kinds)]) for place, number in enumerate(numbers)]
-        self._withdrawn += [number for number, what in writes if what != "start"]
-        written = await self._supervisor.request(
-            "registrar", {"do": "write", "writes": writes, "per_s": per_s}
-        )
-        if lost := [w for w in written["written"] if w["status"] != 200]:
-            raise DrillError(f"{len(lost)} changes were not taken, the first is {lost[0]}")
+        return await self.write(numbers, kinds, count / duration_s)
+
+    async def write(self, numbers: Iterable[int], kinds: list[str], rate_per_s: float) -> Changes:
+        """Have the registrar make changes; DrillError if one was not accepted."""
+        writes = [(number, kinds[index % len(kinds)]) for index, number in enumerate(numbers)]
+        self._withdrawn += [number for number, kind in writes if kind != "start"]
+        command = {"do": "write", "writes": writes, "per_s": rate_per_s}
+        results = (await self._supervisor.request("registrar", command))["written"]
+        if failures := [result for result in results if result["status"] != 200]:
+            raise DrillError(f"{len(failures)} changes were not taken, the first is {failures[0]}")
         return [
-            told | {"at_ms": told["sent_ms"], "tier": self._plan.tier(upstream_number(told["name"]))}
-            for told in written["written"]
+            result | {"at_ms": result["sent_ms"], "tier": self._plan.tier(upstream_number(result["name"]))}
+            for result in results
         ]
 
     async def restore(self) -> None:
-        """Put back what a step has drained or removed."""
+        """Register again what a step has drained or removed."""
         numbers, self._withdrawn = sorted(set(self._withdrawn)), []
         if numbers:
             await self.write(numbers, ["start"], RESTORE_RATE_PER_S)
--- a/loadbalancer/scale/supervisor.py
+++ b/loadbalancer/scale/supervisor.py
@@ -127,16 +127,10 @@
 
     async def _wait_for_instance(self, number: int) -> float:
         name = f"list{number}"
-        url = f"http://{self.instances[number]}/v1/servers?tier=none"
-        timeout = aiohttp.ClientTimeout(total=INSTANCE_TIMEOUT_S)
         until = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < until:
-            try:
-                async with self._http.get(url, timeout=timeout) as answer:
-                    if answer.status == 200:
-                        return time.time() * 1_000
-            except (aiohttp.ClientError, OSError, TimeoutError):
-                pass
+            if await _is_answering(self._http, self.instances[number]):
+                return time.time() * 1_000
             if self.processes[name].process.exited.is_set():
                 raise DrillError(f"{name} ended; see {self.log_path(name)}")
             await asyncio.sleep(READY_POLL_INTERVAL_S)
@@ -254,3 +248,13 @@
         """End all."""
         await self.finish_all(each.process for each in self.processes.values())
         self.relays.close()
+
+
+async def _is_answering(http: aiohttp.ClientSession, instance: str) -> bool:
+    """Return whether an instance answers for the list."""
+    timeout = aiohttp.ClientTimeout(total=INSTANCE_TIMEOUT_S)
+    try:
+        async with http.get(f"http://{instance}/v1/servers?tier=none", timeout=timeout) as answer:
+            return answer.status == 200
+    except (aiohttp.ClientError, OSError, TimeoutError):
+        return False
--- a/tests/test_drill_checks.py
+++ b/tests/test_drill_checks.py
@@ -273,7 +273,7 @@
 
 def test_history_passes_over_a_line_that_a_kill_cut_off_and_tells_any_other(tmp_path: Path) -> None:
     clock = RealClock(0.0)
-    writer = history.HistoryWriter(tmp_path, "s0", clock, most=200)
+    writer = history.HistoryWriter(tmp_path, "s0", clock, max_bytes=200)
     for number in range(5):
         writer.write("arrived", id=str(number))
     writer.close()
--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -16,7 +16,7 @@
 from loadbalancer.drill.checks import judgement
 from loadbalancer.drill.scenario.loading import load_scenario
 from loadbalancer.scale.figures import without_samples
-from loadbalancer.scale.report import write
+from loadbalancer.scale.report import write_report
 from tests.golden import replay
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -77,7 +77,7 @@
 def test_page_on_a_scale_run_holds_the_recorded_figures(tmp_path: Path) -> None:
     """The page's text is for readers and may change; its figures and their order may not."""
     shutil.copy(GOLDEN / "scale-figures.json", tmp_path / "figures.json")
-    page = write(tmp_path, None).read_text(encoding="utf-8")
+    page = write_report(tmp_path, None).read_text(encoding="utf-8")
     recorded = (GOLDEN / "scale-page.md").read_text(encoding="utf-8")
     assert figures_of(page) == figures_of(recorded)
 
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -128,7 +128,7 @@
         with pytest.raises(LoadError):
             check_load(url, rate, seconds, anywhere=False)
     kind = parse_request_kind("pay:2:500:unsafe")
-    assert (kind.name, kind.share, kind.deadline_ms, kind.unsafe) == ("pay", 2.0, 500.0, True)
+    assert (kind.name, kind.weight, kind.deadline_ms, kind.is_unsafe) == ("pay", 2.0, 500.0, True)
     assert parse_request_kind("map:3").deadline_ms == 2_000.0
     for text in ("", "a:0", "a:1:0", "a:1:1:safe", "a:1:1:unsafe:x"):
         with pytest.raises(LoadError):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,7 +26,7 @@
 from loadbalancer.scale.plan import Plan, PlanError
 from loadbalancer.scale.play import check_resources
 from loadbalancer.scale.relay import Relay
-from loadbalancer.scale.report import write
+from loadbalancer.scale.report import write_report
 
 ROOT = Path(__file__).parent.parent
 SIZE, REAL = 60, 2
@@ -146,7 +146,7 @@
 ) -> None:
     (tmp_path / "figures.json").write_text(json.dumps(figures), encoding="utf-8")
     (tmp_path / "scale-60-whole.json").write_text(json.dumps(without_samples(figures)), encoding="utf-8")
-    page = write(tmp_path, tmp_path).read_text(encoding="utf-8")
+    page = write_report(tmp_path, tmp_path).read_text(encoding="utf-8")
     assert all(f"| {step} | list service instance |" in page for step in figures["steps"])
     assert "| changes | bytes_s_mean |" in page
     assert (tmp_path / "time.png").stat().st_size and (tmp_path / "size.png").stat().st_size
