--- a/loadbalancer/drill/defects/endpoint_list.py
+++ b/loadbalancer/drill/defects/endpoint_list.py
@@ -9,7 +9,7 @@
 from loadbalancer.drill.patching import replace_global
 from loadbalancer.endpoint_watch.instance_selection import InstanceSelector
 from loadbalancer.net import discovery
-from loadbalancer.net.config import ServerList
+from loadbalancer.net.config import EndpointList
 from loadbalancer.net.proxy import Proxy
 from loadbalancer.policy import Balancer
 from loadbalancer.policy.endpoints import EndpointSet
@@ -19,13 +19,13 @@
     """Apply a list that is older than the one at hand."""
     newest = 0
 
-    def _read_list(answer: Any) -> ServerList:
+    def _decode_endpoint_list(answer: Any) -> EndpointList:
         nonlocal newest
-        update: ServerList = real(answer)
+        update: EndpointList = real(answer)
         newest = max(newest, update.index)
         return replace(update, index=newest)
 
-    real = replace_global(discovery, "read_list", _read_list)
+    real = replace_global(discovery, "decode_endpoint_list", _decode_endpoint_list)
 
 
 def obeys_lists() -> None:
@@ -62,7 +62,7 @@
 
     def _failed(self: Proxy) -> None:
         real(self)
-        self._listed(interface.UpdateKind.FULL_SNAPSHOT, ServerList(self._index, True, ()))
+        self._listed(interface.UpdateKind.FULL_SNAPSHOT, EndpointList(self._index, True, ()))
 
     Proxy._list_failed = _failed  # type: ignore[method-assign]
     obeys_lists()
--- a/loadbalancer/drill/defects/membership.py
+++ b/loadbalancer/drill/defects/membership.py
@@ -10,28 +10,30 @@
 def deaf_to_peers() -> None:
     """Drop all gossip, and answer none."""
 
-    def _heard(self: Membership, sender: int, data: bytes, now: float) -> list[Any]:
+    def _handle_message(self: Membership, sender: int, data: bytes, now: float) -> list[Any]:
         return []
 
-    Membership.heard = _heard  # type: ignore[method-assign]
+    Membership.handle_message = _handle_message  # type: ignore[method-assign]
 
 
 def never_gives_up() -> None:
     """Suspect a balancer that is silent for ever."""
 
-    def _give_up(self: MemberTable, number: int, now: float) -> None:
+    def _declare_dead(self: MemberTable, number: int, now: float) -> None:
         return None
 
-    MemberTable.give_up = _give_up  # type: ignore[method-assign]
+    MemberTable.declare_dead = _declare_dead  # type: ignore[method-assign]
 
 
 def forgets_returns() -> None:
     """Hold whoever was dead once for dead, whatever it says of itself."""
-    real = MemberTable.learn
+    real = MemberTable.apply_update
 
-    def _learn(self: MemberTable, number: int, state: MemberState, incarnation: int, now: float) -> bool:
-        if self.state(number) is MemberState.GONE:
+    def _apply_update(
+        self: MemberTable, number: int, state: MemberState, incarnation: int, now: float
+    ) -> bool:
+        if self.state(number) is MemberState.DEAD:
             return False
         return real(self, number, state, incarnation, now)
 
-    MemberTable.learn = _learn  # type: ignore[method-assign]
+    MemberTable.apply_update = _apply_update  # type: ignore[method-assign]
--- a/loadbalancer/drill/defects/proxy.py
+++ b/loadbalancer/drill/defects/proxy.py
@@ -7,7 +7,7 @@
 from loadbalancer import interface
 from loadbalancer.interface import Outcome, Readiness
 from loadbalancer.net import proxy
-from loadbalancer.net.config import ServerList
+from loadbalancer.net.config import EndpointList
 from loadbalancer.net.downstream import DownstreamRequest
 from loadbalancer.net.proxy import Proxy
 from loadbalancer.net.upstream import Attempt, UpstreamResponse
@@ -33,7 +33,7 @@
     """Take servers that the list shows in a state for ready, in the decision module and at the sockets."""
     real = Proxy._listed
 
-    def _listed(self: Proxy, kind: interface.UpdateKind, news: ServerList) -> bool:
+    def _listed(self: Proxy, kind: interface.UpdateKind, news: EndpointList) -> bool:
         kept = tuple(
             replace(e, endpoint=replace(e.endpoint, readiness=Readiness.READY))
             if e.endpoint.readiness is state
--- a/loadbalancer/drill/defects/stored_state.py
+++ b/loadbalancer/drill/defects/stored_state.py
@@ -2,10 +2,8 @@
 
 from __future__ import annotations
 
-import sys
-
 from loadbalancer.drill.patching import replace_global
-from loadbalancer.net.hot_restart import CordonFile
+from loadbalancer.net import cordons
 from loadbalancer.snapshots import LoadResult, SnapshotStore
 
 
@@ -20,4 +18,4 @@
 
 def forgets_zones() -> None:
     """Lose zone evacuations when the process is replaced."""
-    replace_global(sys.modules[CordonFile.__module__], "_read_zones", lambda raw: {})
+    replace_global(cordons, "_decode_evacuations", lambda raw: {})
--- a/loadbalancer/net/downstream.py
+++ b/loadbalancer/net/downstream.py
@@ -700,7 +700,7 @@
         self.class_names = frozenset([c.name for c in config.settings.classes])
         self.is_serving = self.is_shutting_down = self.is_closing_connections = self._retired = False
         self._longest_s = max(c.deadline_ms for c in config.settings.classes) / 1000
-        self.max_connections = max_connections_per_side(config.sockets)
+        self.max_connections = max_connections_per_side(config.max_sockets)
         self._eviction = IdleEviction()
         self._connections: set[DownstreamConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
--- a/loadbalancer/scale/hollow.py
+++ b/loadbalancer/scale/hollow.py
@@ -27,7 +27,7 @@
 )
 from loadbalancer.interface import Readiness, UpdateKind
 from loadbalancer.net import discovery
-from loadbalancer.net.config import AddressedEndpoint, Config, ServerList, read_config, read_list
+from loadbalancer.net.config import AddressedEndpoint, Config, EndpointList, decode_endpoint_list, read_config
 from loadbalancer.net.upstream import UpstreamResponse
 from loadbalancer.policy import Balancer
 from loadbalancer.scale.plan import Plan, balancer_config
@@ -82,7 +82,7 @@
     def start(self) -> None:
         """Start as the proxy does: from nothing known, on to the first call for the list."""
         OWNER.set(self)
-        self._apply_list(UpdateKind.CACHED, ServerList(0, True, ()))
+        self._apply_list(UpdateKind.CACHED, EndpointList(0, True, ()))
 
     def stop(self) -> None:
         """Stop as a process does that is killed."""
@@ -115,21 +115,23 @@
             )
         return "" if known else f"{self.name}: nothing held"
 
-    def _on_list(self, answer: ServerList) -> bool:
+    def _on_list(self, answer: EndpointList) -> bool:
         if self.ready_ms is None:
             self.ready_ms = self._host.clock.now
-        return self._apply_list(UpdateKind.FULL_SNAPSHOT if answer.whole else UpdateKind.DELTA, answer)
+        return self._apply_list(
+            UpdateKind.FULL_SNAPSHOT if answer.is_full_snapshot else UpdateKind.DELTA, answer
+        )
 
-    def _apply_list(self, kind: UpdateKind, answer: ServerList) -> bool:
+    def _apply_list(self, kind: UpdateKind, answer: EndpointList) -> bool:
         """Validate a list and apply it; return whether it is believed."""
         endpoints = tuple([e.endpoint for e in answer.endpoints])
-        update = self._balancer.validate(interface.EndpointListUpdate(kind, endpoints, answer.rewound))
-        if update.suspected_stale or answer.rewound:
+        update = self._balancer.validate(interface.EndpointListUpdate(kind, endpoints, answer.is_rewound))
+        if update.suspected_stale or answer.is_rewound:
             addresses = {e.endpoint.server: e.address for e in (*self.list.values(), *answer.endpoints)}
             validated = [AddressedEndpoint(e, addresses[e.server]) for e in update.endpoints]
             answer = replace(answer, endpoints=tuple(validated))
         before = self.list
-        if answer.whole:
+        if answer.is_full_snapshot:
             self.list = {}
         for addressed in answer.endpoints:
             self.list[addressed.endpoint.server] = addressed
@@ -227,15 +229,15 @@
         self._hollows[number] = hollow
         contextvars.copy_context().run(hollow.start)
 
-    def record_changes(self, before: dict[str, AddressedEndpoint], update: ServerList) -> None:
+    def record_changes(self, before: dict[str, AddressedEndpoint], update: EndpointList) -> None:
         """Record what in a list that a balancer has applied is a change to what it had."""
         now_ms = self.clock.now
         for addressed in update.endpoints:
             endpoint = addressed.endpoint
-            old = before.get(endpoint.server) if update.whole else None
+            old = before.get(endpoint.server) if update.is_full_snapshot else None
             if old is None or old.endpoint != endpoint:
                 self._record_change(endpoint, now_ms)
-        if update.whole:
+        if update.is_full_snapshot:
             listed = {e.endpoint.server for e in update.endpoints}
             for name, old in before.items():
                 if name not in listed:
@@ -286,21 +288,21 @@
     """Stands in for `json` in `net/discovery.py`: an answer that many get is read once. See `Plan`."""
 
     def __init__(self) -> None:
-        self._lists: dict[bytes, ServerList] = {}
+        self._lists: dict[bytes, EndpointList] = {}
 
-    def loads(self, body: bytes) -> ServerList:
+    def loads(self, body: bytes) -> EndpointList:
         """Return the list in an answer; ValueError if it is none."""
         if body not in self._lists:
             while len(self._lists) >= MAX_CACHED_LISTS:
                 del self._lists[next(iter(self._lists))]
-            self._lists[body] = read_list(json.loads(body))
+            self._lists[body] = decode_endpoint_list(json.loads(body))
         return self._lists[body]
 
 
 def _read_lists_once() -> None:
     """Have the balancers of this process share what is read."""
     replace_global(discovery, "json", SharedListReader())
-    replace_global(discovery, "read_list", lambda update: update)
+    replace_global(discovery, "decode_endpoint_list", lambda update: update)
 
 
 def _exit_on_error(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -14,8 +14,8 @@
 from loadbalancer import configuration
 from loadbalancer.interface import EndpointListUpdate, UpdateKind
 from loadbalancer.membership.messages import GossipMessage, decode_message, encode_message
-from loadbalancer.net.config import read_config, read_list, write_list
-from loadbalancer.net.hot_restart import CordonFile
+from loadbalancer.net.config import decode_endpoint_list, encode_endpoint_list, read_config
+from loadbalancer.net.cordon_file import CordonFile
 from loadbalancer.net.learned_state import decode_learned_state, encode_learned_state
 from loadbalancer.net.membership import fleet_tag
 from loadbalancer.policy import Balancer
@@ -47,7 +47,7 @@
     store = SnapshotStore(tmp_path, "front-1")
     snapshot = store.load().snapshot
     assert snapshot is not None
-    assert encode_snapshot(snapshot.state, snapshot.written_ms) == data
+    assert encode_snapshot(snapshot.state, snapshot.written_at_ms) == data
     store.save(data)
     assert sorted(path.name for path in tmp_path.iterdir()) == ["front-1.snapshot", "front-1.snapshot.old"]
     assert (tmp_path / "front-1.snapshot").read_bytes() == data
@@ -57,9 +57,9 @@
 def test_endpoint_list_of_the_last_process_is_read_and_written_again(source: str) -> None:
     snapshot = decode_snapshot((GOLDEN / "front-1.snapshot").read_bytes())
     state = snapshot.state if source == "snapshot" else recorded_state()
-    endpoint_list = read_list(state["list"])
+    endpoint_list = decode_endpoint_list(state["list"])
     assert [endpoint.endpoint.server for endpoint in endpoint_list.endpoints] == ["s0", "s1", "s2"]
-    assert json.dumps(write_list(endpoint_list)) == json.dumps(state["list"])
+    assert json.dumps(encode_endpoint_list(endpoint_list)) == json.dumps(state["list"])
 
 
 @pytest.mark.parametrize("source", ["snapshot", "hot restart"])
@@ -73,7 +73,7 @@
     state = recorded_state()
     now = state["learned"]["pressure"][2] + 1_000.0
     balancer = Balancer(balancer_config(tmp_path).settings, 1)
-    members = tuple(endpoint.endpoint for endpoint in read_list(state["list"]).endpoints)
+    members = tuple(endpoint.endpoint for endpoint in decode_endpoint_list(state["list"]).endpoints)
     balancer.handle(EndpointListUpdate(UpdateKind.CACHED, members), now)
     balancer.restore(decode_learned_state(state["learned"], CLASSES), now, 0.0)
     assert json.dumps(encode_learned_state(balancer.learned_state(now))) == json.dumps(state["learned"])
@@ -84,17 +84,17 @@
     (tmp_path / "cordons.json").write_bytes(data)
     file = CordonFile(tmp_path)
     assert file.refresh()
-    assert json.dumps(file.state()).encode() == data
+    assert json.dumps(file.encode()).encode() == data
     (tmp_path / "cordons.json").write_bytes(b"{}")  # unreadable: what is in memory is written in its place
-    assert file.change("s2", True) == ""  # cordoned already
+    assert file.set_cordon("s2", is_cordoned=True) == ""  # cordoned already
     assert (tmp_path / "cordons.json").read_bytes() == data
 
 
 def test_cordons_of_the_predecessor_are_taken_over_and_passed_on() -> None:
     recorded = recorded_state()["cordons"]
     file = CordonFile(None)
-    file.inherit(recorded)
-    assert json.dumps(file.state()) == json.dumps(recorded)
+    file.adopt(recorded)
+    assert json.dumps(file.encode()) == json.dumps(recorded)
 
 
 def test_successor_of_a_recorded_process_takes_over_all_that_it_sent(tmp_path: Path) -> None:
