--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,4 +1,4 @@
-"""Drills with real processes: they hold, planted defects are found, and nothing is left behind."""
+"""Drills with real processes: sound ones pass, planted defects are found, and no process is left behind."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from loadbalancer.drill.scenario.steps import ClearLinkFault, SetLinkFault
 
 ROOT = Path(__file__).parent.parent
-PATIENCE_S = 300
-PLANTS = {
+TIMEOUT_S = 300
+SEEDED_DEFECTS = {
     "sends-twice": ("calm", "once"),
     "answers-from-nowhere": ("calm", "from_servers"),
     "forgets-drain": ("server-drained", "drains"),
@@ -48,43 +48,47 @@
 
 
 def drill(*args: str) -> tuple[int, list[dict[str, Any]], str]:
-    """The exit status, the verdicts and the complaints of `irondrum drill`."""
+    """Run `irondrum drill`; return its exit status, verdicts and standard error."""
     done = subprocess.run(
-        command(*args), cwd=ROOT, capture_output=True, text=True, timeout=PATIENCE_S, check=False
+        command(*args), cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S, check=False
     )
     verdicts = [json.loads(line) for line in done.stdout.splitlines() if line.startswith("{")]
     return done.returncode, verdicts, done.stderr
 
 
-def broken(verdict: dict[str, Any]) -> list[str]:
+def failed_checks(verdict: dict[str, Any]) -> list[str]:
     return [c["name"] for c in verdict["checks"] if not c["held"]]
 
 
-def test_the_demo_ends_well() -> None:
-    asked = [*command()[:-1], "demo"]
-    done = subprocess.run(asked, cwd=ROOT, capture_output=True, text=True, timeout=PATIENCE_S, check=False)
+def test_demo_ends_with_status_0_when_nothing_broke() -> None:
+    argv = [*command()[:-1], "demo"]
+    done = subprocess.run(argv, cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S, check=False)
     assert (done.returncode, "Nothing broke" in done.stdout) == (0, True), done.stdout + done.stderr
 
 
-def test_drills_hold(tmp_path: Path) -> None:
+def test_drills_of_the_sound_program_pass_every_check(tmp_path: Path) -> None:
     names = ["server-killed", "server-drained", "balancer-killed", "replace", "folder-full", "peers-killed"]
     with ThreadPoolExecutor(3) as pool:
-        for code, verdicts, told in pool.map(
+        for status, verdicts, errors in pool.map(
             lambda name: drill("run", name, "--json", "--out", str(tmp_path / name)), names
         ):
-            assert verdicts, told
-            assert (code, broken(verdicts[0])) == (0, []), verdicts
+            assert verdicts, errors
+            assert (status, failed_checks(verdicts[0])) == (0, []), verdicts
 
 
 def test_each_planted_defect_is_found_by_the_check_meant_for_it() -> None:
     with ThreadPoolExecutor(3) as pool:
-        found = pool.map(lambda item: drill("run", item[1][0], "--json", "--plant", item[0]), PLANTS.items())
-        for (plant, (_, check)), (code, verdicts, told) in zip(PLANTS.items(), found, strict=True):
-            assert verdicts, told
-            assert code == 1 and check in broken(verdicts[0]), (plant, verdicts)
+        found = pool.map(
+            lambda item: drill("run", item[1][0], "--json", "--plant", item[0]), SEEDED_DEFECTS.items()
+        )
+        for (defect, (_, check)), (status, verdicts, errors) in zip(
+            SEEDED_DEFECTS.items(), found, strict=True
+        ):
+            assert verdicts, errors
+            assert status == 1 and check in failed_checks(verdicts[0]), (defect, verdicts)
 
 
-def test_another_version_from_another_folder_takes_over(tmp_path: Path) -> None:
+def test_version_from_another_folder_takes_over_without_failed_requests(tmp_path: Path) -> None:
     other = tmp_path / "other"
     for part in ("loadbalancer", "deploy"):
         shutil.copytree(ROOT / part, other / part, ignore=shutil.ignore_patterns("__pycache__"))
@@ -97,48 +101,48 @@
         encoding="utf-8",
     )
     out = tmp_path / "out"
-    code, verdicts, told = drill("run", str(script), "--json", "--out", str(out))
-    assert verdicts, told
-    assert (code, broken(verdicts[0])) == (0, []), verdicts
+    status, verdicts, errors = drill("run", str(script), "--json", "--out", str(out))
+    assert verdicts, errors
+    assert (status, failed_checks(verdicts[0])) == (0, []), verdicts
     assert "the other version" in (out / "versions" / "b0.log").read_text()
     assert "the other version" not in (out / "versions" / "b1.log").read_text()
 
 
-def children(out: Path) -> list[int]:
-    """The processes whose command line or environment names a drill's folder."""
+def processes_of(out: Path) -> list[int]:
+    """Return the processes whose command line or environment names a drill's folder."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
             try:
-                told = (entry / "cmdline").read_bytes() + (entry / "environ").read_bytes()
+                origin = (entry / "cmdline").read_bytes() + (entry / "environ").read_bytes()
             except OSError:
                 continue
-            if str(out).encode() in told and (entry / "status").read_text().find("State:\tZ") < 0:
+            if str(out).encode() in origin and (entry / "status").read_text().find("State:\tZ") < 0:
                 found.append(int(entry.name))
     return found
 
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGINT])
-def test_no_process_is_left_when_the_driver_is_killed_or_interrupted(tmp_path: Path, number: int) -> None:
+def test_no_process_outlives_a_driver_that_is_killed_or_interrupted(tmp_path: Path, number: int) -> None:
     out = tmp_path / "out"
     with subprocess.Popen(
         command("run", "calm", "--out", str(out)), cwd=ROOT, stderr=subprocess.DEVNULL,
         stdout=subprocess.DEVNULL,
     ) as driver:  # fmt: skip
         history = out / "calm" / "clients.history.jsonl"
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + TIMEOUT_S
         while not history.exists() or not history.stat().st_size:
             assert driver.poll() is None and time.monotonic() < until
             time.sleep(0.05)
-        assert len(children(out)) > 5
+        assert len(processes_of(out)) > 5
         os.kill(driver.pid, number)
-        driver.wait(PATIENCE_S)
-    while children(out):
+        driver.wait(TIMEOUT_S)
+    while processes_of(out):
         assert time.monotonic() < until, "processes are left"
         time.sleep(0.05)
 
 
-def test_a_fault_and_its_end_name_the_same_links() -> None:
+def test_fault_and_its_end_are_recorded_with_the_same_links() -> None:
     class Link:
         name = "clients>b0"
 
@@ -147,17 +151,17 @@
 
         lift = set
 
-    told: list[dict[str, Any]] = []
-    fleet: Any = SimpleNamespace(matching=lambda pattern: [Link()])
-    history: Any = SimpleNamespace(write=lambda what, **fields: told.append(fields))
-    rest: Any = None
-    deeds = StepExecutor(fleet, rest, rest, history, rest, 1, track=rest)
+    recorded: list[dict[str, Any]] = []
+    topology: Any = SimpleNamespace(matching=lambda pattern: [Link()])
+    history: Any = SimpleNamespace(write=lambda what, **fields: recorded.append(fields))
+    unused: Any = None
+    executor = StepExecutor(topology, unused, unused, history, unused, 1, track=unused)
     for step in (SetLinkFault(name="cut", link="*", fault=LinkFault(cut=True)), ClearLinkFault(name="cut")):
-        asyncio.run(deeds.execute(step))
-    assert [(e["on"], e["targets"]) for e in told] == [(True, ["clients>b0"]), (False, ["clients>b0"])]
+        asyncio.run(executor.execute(step))
+    assert [(e["on"], e["targets"]) for e in recorded] == [(True, ["clients>b0"]), (False, ["clients>b0"])]
 
 
-def test_every_drill_in_the_folder_can_be_read() -> None:
+def test_every_scenario_in_the_folder_can_be_read() -> None:
     names = {path.stem for path in (ROOT / "drills").glob("*.toml") if load_scenario(path).title}
     assert names >= set(
         "calm server-killed server-silent server-slow balancer-killed balancer-stopped replace list-down "
@@ -166,7 +170,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         (
             "[fleet]\nservres = 3",
@@ -180,13 +184,13 @@
         ("rate = ", "not TOML"),
     ],
 )
-def test_a_drill_that_cannot_be_used_is_told_in_a_line(text: str, told: str) -> None:
+def test_scenario_that_cannot_be_used_is_rejected_in_one_line(text: str, message: str) -> None:
     with pytest.raises(DrillScenarioError) as caught:
         parse_scenario(text, "x.toml")
-    assert told in str(caught.value) and "\n" not in str(caught.value)
+    assert message in str(caught.value) and "\n" not in str(caught.value)
 
 
 def test_wrong_use_ends_with_status_2_and_one_line() -> None:
     for args in (("run", "no-such"), ("run", "calm", "--plant", "no-such")):
-        code, _, told = drill(*args)
-        assert code == 2 and told.startswith("irondrum: no ") and told.count("\n") == 1
+        status, _, errors = drill(*args)
+        assert status == 2 and errors.startswith("irondrum: no ") and errors.count("\n") == 1
--- a/tests/test_drill_checks.py
+++ b/tests/test_drill_checks.py
@@ -1,4 +1,4 @@
-"""The checks of a drill, each on a history that holds and on one that breaks it."""
+"""The checks of a drill, each on a history that passes and on one that breaks it."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return {"t": START + at_s * 1_000, "who": who, "what": what} | fields
 
 
-def sound() -> list[Event]:
+def sound_history() -> list[Event]:
     """Two balancers and two servers; a request every tenth of a second, all served."""
     events = [
         event(-2, "driver", "place", name=n, host=h, zone=z, tier="first")
@@ -58,7 +58,7 @@
     return [*events, event(3, "driver", "over")]
 
 
-def judged(events: list[Event]) -> dict[str, bool]:
+def verdicts(events: list[Event]) -> dict[str, bool]:
     ordered = sorted(events, key=lambda e: e["t"])
     return {check.name: check.passed for check in judgement.judge(SCRIPT, ordered)}
 
@@ -68,8 +68,8 @@
 
 
 def lost(events: list[Event]) -> list[Event]:
-    gone = without(events, "answered", "r3")
-    return [*gone, event(0.4, "clients", "lost", id="r3", how="reset", sent=True)]
+    unanswered = without(events, "answered", "r3")
+    return [*unanswered, event(0.4, "clients", "lost", id="r3", how="reset", sent=True)]
 
 
 def unended(events: list[Event]) -> list[Event]:
@@ -95,7 +95,7 @@
     return [*events, event(-0.9, "list", "told", to="h1", index=2, snapshot=False, entries=entries)]
 
 
-def left_the_list(events: list[Event]) -> list[Event]:
+def removed_from_the_list(events: list[Event]) -> list[Event]:
     entries = {"s0": "in_service"}
     return [*events, event(-0.9, "list", "told", to="h1", index=2, snapshot=True, entries=entries)]
 
@@ -156,17 +156,17 @@
     return [*events, event(1, "driver", "process", name="b0", state="ended", code=1, wanted=False)]
 
 
-def told(at_s: float, to: str, **entries: str) -> Event:
+def notification(at_s: float, to: str, **entries: str) -> Event:
     return event(at_s, "list", "told", to=to, index=2, snapshot=False, entries=entries)
 
 
 def unheard(events: list[Event]) -> list[Event]:
-    word = event(0.5, "driver", "fault", kind="list", on=True, targets=["s1"], status="terminating")
-    return [*events, word, told(0.6, "h0", s1="terminating")]
+    drain = event(0.5, "driver", "fault", kind="list", on=True, targets=["s1"], status="terminating")
+    return [*events, drain, notification(0.6, "h0", s1="terminating")]
 
 
 def storm(events: list[Event]) -> list[Event]:
-    return [*events, *(told(0.1 + n / 100, "h0") for n in range(10))]
+    return [*events, *(notification(0.1 + n / 100, "h0") for n in range(10))]
 
 
 def storm_of_failures(events: list[Event]) -> list[Event]:
@@ -174,11 +174,11 @@
 
 
 def taken_off(events: list[Event]) -> list[Event]:
-    return [*events, told(1.5, "h0", s1="terminated")]
+    return [*events, notification(1.5, "h0", s1="terminated")]
 
 
 def taken_back(events: list[Event]) -> list[Event]:
-    return [*events, told(1.5, "h0", s1="terminating"), told(1.7, "h0", s1="in_service")]
+    return [*events, notification(1.5, "h0", s1="terminating"), notification(1.7, "h0", s1="in_service")]
 
 
 def strayed(events: list[Event]) -> list[Event]:
@@ -199,18 +199,18 @@
 
 
 def at_once(events: list[Event]) -> list[Event]:
-    move = event(1.0, "driver", "fault", kind="zone", on=True, targets=["b"], zone="b", over_s=4.0)
+    evacuation = event(1.0, "driver", "fault", kind="zone", on=True, targets=["b"], zone="b", over_s=4.0)
     before = more_calls(20, 0.0, "s1") + more_calls(20, 0.5, "s0")
-    return [*two_zones(without_calls(events)), *before, move, *more_calls(30, 1.2, "s0")]
+    return [*two_zones(without_calls(events)), *before, evacuation, *more_calls(30, 1.2, "s0")]
 
 
 def never_back(events: list[Event]) -> list[Event]:
-    moves = [
+    evacuations = [
         event(at, "driver", "fault", kind="zone", on=on, targets=["b"], zone="b", over_s=0.0)
         for at, on in ((0.6, True), (0.8, False))
     ]
     before = more_calls(20, 0.0, "s1") + more_calls(20, 0.3, "s0")
-    return [*two_zones(without_calls(events)), *before, *moves, *more_calls(30, 1.5, "s0")]
+    return [*two_zones(without_calls(events)), *before, *evacuations, *more_calls(30, 1.5, "s0")]
 
 
 def swinging(events: list[Event]) -> list[Event]:
@@ -227,15 +227,15 @@
     return [*events, event(1, "clients", "left_out", lines=3)]
 
 
-def test_a_sound_history_holds_every_check() -> None:
-    assert [name for name, held in judged(sound()).items() if not held] == []
+def test_sound_history_passes_every_check() -> None:
+    assert [name for name, passed in verdicts(sound_history()).items() if not passed] == []
 
 
 @pytest.mark.parametrize(
     ("broken", "name"),
     [
         (lost, "answered"), (unended, "answered"), (forged, "from_servers"), (twice, "once"),
-        (twice_by_a_retry, "once"), (drained, "drains"), (left_the_list, "drains"),
+        (twice_by_a_retry, "once"), (drained, "drains"), (removed_from_the_list, "drains"),
         (drained_then_stale, "drains"), (cordoned, "drains"), (knocked, "drains"), (unnamed, "named"),
         (pushed, "cold"), (slow, "late"), (refused, "served"), (not_back, "back"), (repeated, "attempts"),
         (crashed, "standing"), (rewound, "versions"), (misjudged, "views"), (cut_off, "whole"),
@@ -244,34 +244,34 @@
         (swinging, "swings"),
     ],
 )  # fmt: skip
-def test_a_broken_history_fails_the_check_meant_for_it(
+def test_broken_history_fails_the_check_meant_for_it(
     broken: Callable[[list[Event]], list[Event]], name: str
 ) -> None:
-    assert not judged(broken(sound()))[name]
+    assert not verdicts(broken(sound_history()))[name]
 
 
-def test_what_was_done_to_a_server_excuses_that_it_left_the_list() -> None:
+def test_server_that_was_killed_may_leave_the_list_and_serve_again() -> None:
     kill = event(1.0, "driver", "fault", kind="kill", on=True, targets=["s1"])
-    assert judged([*taken_off(sound()), kill])["kept"]
+    assert verdicts([*taken_off(sound_history()), kill])["kept"]
     started = [kill, event(1.6, "driver", "fault", kind="kill", on=False, targets=["s1"], memory="kept")]
-    assert judged([*taken_back(sound()), *started])["undone"], "a new start serves again"
+    assert verdicts([*taken_back(sound_history()), *started])["undone"], "a new start serves again"
     lie = event(1.4, "driver", "fault", kind="odd list", on=True, targets=["list"], state="stale")
-    assert judged([*taken_back(sound()), lie])["undone"]
+    assert verdicts([*taken_back(sound_history()), lie])["undone"]
 
 
-def test_an_empty_history_holds_nothing_of_what_it_should_show() -> None:
-    verdict = judged([])
+def test_empty_history_fails_the_checks_that_need_requests() -> None:
+    verdict = verdicts([])
     assert not any(verdict[name] for name in ("late", "served", "back", "attempts", "crossed", "whole"))
 
 
-def test_what_a_killed_balancer_held_is_not_held_against_it() -> None:
+def test_requests_in_flight_at_a_killed_balancer_are_excused() -> None:
     kill = event(0.35, "driver", "fault", kind="kill", on=True, targets=["b1"])
-    assert judged([*lost(sound()), kill])["answered"]
+    assert verdicts([*lost(sound_history()), kill])["answered"]
     elsewhere = event(0.35, "driver", "fault", kind="kill", on=True, targets=["b0"])
-    assert not judged([*lost(sound()), elsewhere])["answered"]
+    assert not verdicts([*lost(sound_history()), elsewhere])["answered"]
 
 
-def test_history_passes_over_a_line_that_a_kill_cut_off_and_tells_any_other(tmp_path: Path) -> None:
+def test_history_skips_a_last_line_that_was_cut_off_and_rejects_any_other(tmp_path: Path) -> None:
     clock = RealClock(0.0)
     writer = history.HistoryWriter(tmp_path, "s0", clock, max_bytes=200)
     for number in range(5):
--- a/tests/test_drill_links.py
+++ b/tests/test_drill_links.py
@@ -1,4 +1,4 @@
-"""Relays between processes: what is passed on, and what each fault does to connections and datagrams."""
+"""Relays between processes: what is forwarded, and what each fault does to connections and datagrams."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
         server.close()
 
 
-async def said(link: TcpLink, data: bytes) -> bytes:
-    """What comes back for some bytes on a new connection."""
+async def echoed(link: TcpLink, data: bytes) -> bytes:
+    """Return what comes back for some bytes on a new connection."""
     reader, writer = await asyncio.open_connection(*link.address)
     try:
         writer.write(data)
@@ -46,7 +46,7 @@
         writer.close()
 
 
-def test_bytes_and_ends_are_passed_on_both_ways() -> None:
+def test_bytes_and_ends_are_forwarded_in_both_directions() -> None:
     async def scenario() -> None:
         async with linked() as link:
             reader, writer = await asyncio.open_connection(*link.address)
@@ -59,7 +59,7 @@
     run_scenario(scenario())
 
 
-def test_a_delay_holds_every_piece_in_order_and_ends_when_it_is_lifted() -> None:
+def test_delayed_bytes_stay_in_order_until_the_fault_is_cleared() -> None:
     async def scenario() -> None:
         async with linked() as link:
             link.set("slow", LinkFault(delay_ms=40, jitter_ms=40), "back")
@@ -78,7 +78,7 @@
     run_scenario(scenario())
 
 
-def test_a_cut_is_silent_for_open_and_new_connections_and_heals() -> None:
+def test_cut_link_is_silent_for_open_and_new_connections_and_heals() -> None:
     async def scenario() -> None:
         async with linked() as link:
             reader, writer = await asyncio.open_connection(*link.address)
@@ -92,13 +92,13 @@
                 await asyncio.wait_for(asyncio.open_connection(*link.address), 0.2)
             link.lift("cut")
             assert await reader.readexactly(1) == b"b"
-            assert await said(link, b"again") == b"again"
+            assert await echoed(link, b"again") == b"again"
             writer.close()
 
     run_scenario(scenario())
 
 
-def test_refused_reset_and_short_are_three_things_to_a_caller() -> None:
+def test_caller_sees_a_refusal_a_reset_and_an_early_end_as_such() -> None:
     async def scenario() -> None:
         async with linked() as link:
             link.set("no", LinkFault(refuse=True))
@@ -121,27 +121,27 @@
     run_scenario(scenario())
 
 
-def test_a_process_that_is_down_is_refused_and_a_removed_one_trips_the_wire() -> None:
+def test_connection_to_a_stopped_process_is_refused_and_to_a_removed_one_is_reported() -> None:
     async def scenario() -> None:
         async with linked() as link:
-            knocks: list[str] = []
-            link._on_unexpected_call = knocks.append
+            calls: list[str] = []
+            link._on_unexpected_call = calls.append
             link.update_target(is_up=False)
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*link.address)
-            assert knocks == []
+            assert calls == []
             link.update_target(is_withdrawn=True)
             with pytest.raises(ConnectionResetError):
                 reader, _ = await asyncio.open_connection(*link.address)
                 await reader.read(-1)
-            assert knocks == ["a>b"]
+            assert calls == ["a>b"]
             link.update_target(is_up=True, is_withdrawn=False)
-            assert await said(link, b"back") == b"back"
+            assert await echoed(link, b"back") == b"back"
 
     run_scenario(scenario())
 
 
-def test_a_reset_at_one_end_is_one_at_the_other_but_not_through_a_cut() -> None:
+def test_reset_reaches_the_other_end_but_not_through_a_cut() -> None:
     async def scenario() -> None:
         async with linked() as link:
             reader, _ = await asyncio.open_connection(*link.address)
@@ -160,7 +160,7 @@
     run_scenario(scenario())
 
 
-def test_datagrams_are_lost_doubled_and_disordered_as_told() -> None:
+def test_datagrams_are_lost_doubled_and_disordered_by_faults() -> None:
     async def scenario() -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind((HOST, 0))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""A small scale run: all are told of all, within counts and bytes, and nothing is left behind."""
+"""A small scale run: all changes reach all, within counts and bytes, and no process is left behind."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 
 ROOT = Path(__file__).parent.parent
 SIZE, REAL = 60, 2
-PATIENCE_S = 120
-ENTRY = 250  # bytes of an upstream on the list, at the most
+TIMEOUT_S = 120
+ENTRY_BYTES = 250  # of an upstream on the list, at the most
 # Time is not judged here: the machine may be busy. Bytes and counts are.
 COUNTED = Allowances(cpu=1.0, in_force_ms=60_000.0)
 
@@ -48,13 +48,13 @@
 
 
 def play(out: Path, *args: str) -> dict[str, Any]:
-    subprocess.run(small(out, *args), cwd=ROOT, check=True, timeout=PATIENCE_S, stdout=subprocess.DEVNULL)
+    subprocess.run(small(out, *args), cwd=ROOT, check=True, timeout=TIMEOUT_S, stdout=subprocess.DEVNULL)
     figures: dict[str, Any] = json.loads((out / "figures.json").read_text(encoding="utf-8"))
     return figures
 
 
-def left_in(folder: Path) -> list[str]:
-    """Processes whose command names a folder."""
+def processes_of(folder: Path) -> list[str]:
+    """Return the processes whose command names a folder."""
     found = []
     for path in Path("/proc").glob("[0-9]*/cmdline"):
         try:
@@ -66,7 +66,7 @@
 
 
 LEAN = ("--real", "0", "--hosts", "1", "--instances", "1")
-PLANTS = {
+SEEDED_DEFECTS = {
     "polls": ("start,quiet", ("quiet", "calls_s_mean")),
     "quadratic-fan-out": ("start,changes", ("changes", "bytes_a_call")),
     "never-backs-off": ("start,away", ("away", "dials_s_worst10")),
@@ -74,26 +74,26 @@
 
 
 @pytest.fixture(scope="module")
-def planted(tmp_path_factory: pytest.TempPathFactory) -> Iterator[dict[str, Future[dict[str, Any]]]]:
-    """A run with each defect, and one without: all at once, for they mostly wait."""
+def runs(tmp_path_factory: pytest.TempPathFactory) -> Iterator[dict[str, Future[dict[str, Any]]]]:
+    """Play a run with each defect, and one without: all at once, for they mostly wait."""
     folder = tmp_path_factory.mktemp("scale")
     with ThreadPoolExecutor() as pool:
         yield {"": pool.submit(play, folder / "run")} | {
             defect: pool.submit(play, folder / defect, "--plant", defect, "--steps", steps, *LEAN)
-            for defect, (steps, _) in PLANTS.items()
+            for defect, (steps, _) in SEEDED_DEFECTS.items()
         }
 
 
 @pytest.fixture(scope="module")
-def figures(planted: dict[str, Future[dict[str, Any]]]) -> dict[str, Any]:
-    return planted[""].result()
+def figures(runs: dict[str, Future[dict[str, Any]]]) -> dict[str, Any]:
+    return runs[""].result()
 
 
 def test_every_change_reaches_every_balancer(figures: dict[str, Any]) -> None:
     assert list(figures["steps"]) == ["start", "quiet", "changes", "instance-killed", "away"]
-    for step, told in figures["steps"].items():
-        force = told["in_force_ms"]
-        assert (force["never_told"], force["stale_after"]) == (0, 0), step
+    for step, costs in figures["steps"].items():
+        times = costs["in_force_ms"]
+        assert (times["never_told"], times["stale_after"]) == (0, 0), step
     assert figures["steps"]["start"]["in_force_ms"]["count"] == SIZE - REAL
     assert figures["steps"]["changes"]["in_force_ms"]["count"] == 12
 
@@ -102,48 +102,44 @@
     assert find_excesses(figures, COUNTED) == []
 
 
-def test_a_quiet_step_costs_a_call_each_few_seconds(figures: dict[str, Any]) -> None:
+def test_quiet_step_costs_at_most_a_call_a_second(figures: dict[str, Any]) -> None:
     quiet = figures["steps"]["quiet"]
     hollow = quiet["roles"]["hollow"]
     assert 0 < hollow["calls_s_mean"] <= 1.0
     # Each may look once at another instance's list meanwhile.
-    assert hollow["bytes_s_mean"] * (quiet["end"] - quiet["begin"]) <= 1.5 * SIZE * ENTRY
+    assert hollow["bytes_s_mean"] * (quiet["end"] - quiet["begin"]) <= 1.5 * SIZE * ENTRY_BYTES
 
 
-def test_a_start_costs_each_balancer_the_list_a_few_times_at_most(figures: dict[str, Any]) -> None:
+def test_start_costs_each_balancer_the_list_a_few_times_at_most(figures: dict[str, Any]) -> None:
     start = figures["steps"]["start"]
     seconds = start["end"] - start["begin"]
     hollow = start["roles"]["hollow"]
-    assert hollow["bytes_s_mean"] * seconds <= 4 * SIZE * ENTRY
+    assert hollow["bytes_s_mean"] * seconds <= 4 * SIZE * ENTRY_BYTES
     assert hollow["calls_s_mean"] * seconds <= 4 * seconds
 
 
 def test_real_balancers_are_measured_beside_hollow_ones(figures: dict[str, Any]) -> None:
-    for told in figures["steps"].values():
-        real = told["roles"]["real_idle"]
+    for costs in figures["steps"].values():
+        real = costs["roles"]["real_idle"]
         assert real["units"] == 1 and real["bytes_s_mean"] > 0 and real["pss_mb"] > 1
 
 
-@pytest.mark.parametrize("defect", PLANTS)
-def test_a_planted_defect_goes_over_an_allowance(
-    planted: dict[str, Future[dict[str, Any]]], defect: str
-) -> None:
-    found = {(one["step"], one["figure"]) for one in find_excesses(planted[defect].result(), COUNTED)}
-    assert PLANTS[defect][1] in found
+@pytest.mark.parametrize("defect", SEEDED_DEFECTS)
+def test_planted_defect_goes_over_an_allowance(runs: dict[str, Future[dict[str, Any]]], defect: str) -> None:
+    found = {(one["step"], one["figure"]) for one in find_excesses(runs[defect].result(), COUNTED)}
+    assert SEEDED_DEFECTS[defect][1] in found
 
 
-def test_every_defect_is_played(planted: dict[str, Future[dict[str, Any]]]) -> None:
+def test_every_seeded_defect_is_played(runs: dict[str, Future[dict[str, Any]]]) -> None:
     functions = {
         name
         for name, value in vars(scale).items()
         if inspect.isfunction(value) and value.__module__ == scale.__name__
     }
-    assert set(PLANTS) == set(SCALE_DEFECTS) == {name.replace("_", "-") for name in functions}
+    assert set(SEEDED_DEFECTS) == set(SCALE_DEFECTS) == {name.replace("_", "-") for name in functions}
 
 
-def test_the_page_tells_of_each_step_and_compares_hollow_with_real(
-    figures: dict[str, Any], tmp_path: Path
-) -> None:
+def test_page_shows_each_step_and_compares_hollow_with_real(figures: dict[str, Any], tmp_path: Path) -> None:
     (tmp_path / "figures.json").write_text(json.dumps(figures), encoding="utf-8")
     (tmp_path / "scale-60-whole.json").write_text(json.dumps(without_samples(figures)), encoding="utf-8")
     page = write_report(tmp_path, tmp_path).read_text(encoding="utf-8")
@@ -155,15 +151,15 @@
 def test_no_process_outlives_a_driver_that_is_killed(tmp_path: Path) -> None:
     out = tmp_path / "run"
     driver = subprocess.Popen(small(out), cwd=ROOT, stdout=subprocess.DEVNULL)
-    until = time.monotonic() + PATIENCE_S
+    until = time.monotonic() + TIMEOUT_S
     while not (out / "hollow0.log").exists() and time.monotonic() < until:
         assert driver.poll() is None
         time.sleep(0.05)
     driver.send_signal(signal.SIGKILL)
     driver.wait()
-    while left_in(out) and time.monotonic() < until:
+    while processes_of(out) and time.monotonic() < until:
         time.sleep(0.05)
-    assert left_in(out) == []
+    assert processes_of(out) == []
 
 
 class Echo(asyncio.Protocol):
@@ -174,7 +170,7 @@
         self.transport.write(data)
 
 
-async def pass_through_and_cut() -> tuple[bytes, Counter[str], list[bytes]]:
+async def call_through_and_cut() -> tuple[bytes, Counter[str], list[bytes]]:
     loop = asyncio.get_running_loop()
     server = await loop.create_server(Echo, "127.0.0.1", 0)
     relay = Relay("{}:{}".format(*server.sockets[0].getsockname()))
@@ -182,7 +178,7 @@
     host, port = read_address(relay.address)
     reader, writer = await asyncio.open_connection(host, port)
     writer.write(b"GET /one")
-    heard = await reader.readexactly(8)
+    answer = await reader.readexactly(8)
     passed = relay.take_counts()
     relay.set_cut(is_cut=True)
     after = [await reader.read()]
@@ -197,17 +193,17 @@
     after.append(await reader.readexactly(9))
     relay.close()
     server.close()
-    return heard, passed, after
+    return answer, passed, after
 
 
-def test_a_way_counts_what_passes_and_nothing_passes_while_it_is_cut() -> None:
-    heard, passed, after = asyncio.run(pass_through_and_cut())
-    assert (heard, passed) == (b"GET /one", Counter(bytes=16, calls=1))
+def test_relay_counts_what_passes_and_nothing_passes_while_it_is_cut() -> None:
+    answer, passed, after = asyncio.run(call_through_and_cut())
+    assert (answer, passed) == (b"GET /one", Counter(bytes=16, calls=1))
     assert after == [b"", b"", b"POST /two"]
 
 
 @pytest.mark.parametrize(
-    ("changes", "why"),
+    ("changes", "message"),
     [
         ({"steps": ("quiet",)}, "the first is start"),
         ({"steps": ("start", "party")}, "no step 'party'"),
@@ -217,7 +213,7 @@
         ({"balancers": 1_000_000, "hollow": 500_000}, "memory"),
     ],
 )
-def test_a_plan_that_does_not_fit_is_told_in_a_line(changes: dict[str, Any], why: str) -> None:
+def test_plan_that_does_not_fit_is_rejected_in_one_line(changes: dict[str, Any], message: str) -> None:
     plan = {"balancers": 60, "hollow": 10} | changes
-    with pytest.raises(PlanError, match=why):
+    with pytest.raises(PlanError, match=message):
         check_resources(Plan(**plan))
