--- a/loadbalancer/drill/defects/endpoint_list.py
+++ b/loadbalancer/drill/defects/endpoint_list.py
@@ -10,7 +10,7 @@
 from loadbalancer.endpoint_watch.instance_selection import InstanceSelector
 from loadbalancer.net import discovery
 from loadbalancer.net.config import EndpointList
-from loadbalancer.net.proxy import Proxy
+from loadbalancer.net.endpoint_list import EndpointListFollower
 from loadbalancer.policy import Balancer
 from loadbalancer.policy.endpoints import EndpointSet
 
@@ -58,11 +58,11 @@
 
 def forgets_list() -> None:
     """Forget all servers when the list does not answer."""
-    real = Proxy._list_failed
+    real = EndpointListFollower.on_watch_failed
 
-    def _failed(self: Proxy) -> None:
+    def _on_watch_failed(self: EndpointListFollower) -> None:
         real(self)
-        self._listed(interface.UpdateKind.FULL_SNAPSHOT, EndpointList(self._index, True, ()))
+        self.apply(interface.UpdateKind.FULL_SNAPSHOT, EndpointList(self.revision, True, ()))
 
-    Proxy._list_failed = _failed  # type: ignore[method-assign]
+    EndpointListFollower.on_watch_failed = _on_watch_failed  # type: ignore[method-assign]
     obeys_lists()
--- a/loadbalancer/drill/defects/launch.py
+++ b/loadbalancer/drill/defects/launch.py
@@ -26,7 +26,7 @@
     """Run an instance of the registry until SIGTERM."""
     from loadbalancer.registry import server
 
-    config = server.read_file(path)
+    config = server.read_configuration(path)
     server.serve(config, server.open_service(config))
 
 
--- a/loadbalancer/drill/defects/proxy.py
+++ b/loadbalancer/drill/defects/proxy.py
@@ -6,16 +6,18 @@
 
 from loadbalancer import interface
 from loadbalancer.interface import Outcome, Readiness
-from loadbalancer.net import proxy
+from loadbalancer.net.action_executor import ActionExecutor
 from loadbalancer.net.config import EndpointList
 from loadbalancer.net.downstream import DownstreamRequest
-from loadbalancer.net.proxy import Proxy
+from loadbalancer.net.endpoint_list import EndpointListFollower
+from loadbalancer.net.request_attempts import RequestAttempt
+from loadbalancer.net.request_intake import RequestIntake
 from loadbalancer.net.upstream import Attempt, UpstreamResponse
 
-NOWHERE_EVERY = 25  # requests, one of which is answered from nowhere
+MADE_UP_INTERVAL = 25  # requests, one of which is answered though no server saw it
 
 
-class _Second(proxy._Call):
+class _DuplicateAttempt(RequestAttempt):
     """A second attempt that no client asked for, and whose answer is dropped."""
 
     def on_request_written(self) -> None:
@@ -29,56 +31,60 @@
         """Report no outcome."""
 
 
-def _takes_for_ready(state: Readiness) -> None:
+def sends_twice() -> None:
+    """Send what is unsafe to repeat to two servers."""
+    real = ActionExecutor.execute
+
+    def _execute(self: ActionExecutor, action: interface.Action) -> None:
+        real(self, action)
+        if not isinstance(action, interface.SendAttempt):
+            return
+        request = self._requests.by_id.get(action.request_id)
+        others = [name for name in self._endpoint_list.endpoints if name != action.server]
+        if request is not None and request.downstream.method == b"POST" and others:
+            duplicate = _DuplicateAttempt(self._attempts, request, action, 0)
+            self._upstreams.start_attempt(others[0], duplicate.timeout_ms / 1_000, duplicate)
+
+    ActionExecutor.execute = _execute  # type: ignore[method-assign]
+
+
+def _take_for_ready(state: Readiness) -> None:
     """Take servers that the list shows in a state for ready, in the decision module and at the sockets."""
-    real = Proxy._listed
+    real = EndpointListFollower.apply
 
-    def _listed(self: Proxy, kind: interface.UpdateKind, news: EndpointList) -> bool:
-        kept = tuple(
+    def _apply(self: EndpointListFollower, kind: interface.UpdateKind, update: EndpointList) -> bool:
+        endpoints = tuple(
             replace(e, endpoint=replace(e.endpoint, readiness=Readiness.READY))
             if e.endpoint.readiness is state
             else e
-            for e in news.endpoints
+            for e in update.endpoints
         )
-        return real(self, kind, replace(news, endpoints=kept))
+        return real(self, kind, replace(update, endpoints=endpoints))
 
-    Proxy._listed = _listed  # type: ignore[method-assign]
-
-
-def sends_twice() -> None:
-    """Send what is unsafe to repeat to two servers."""
-    real = Proxy._send
-
-    def _send(self: Proxy, action: interface.SendAttempt) -> None:
-        real(self, action)
-        request = self._requests.get(action.request_id)
-        others = [name for name in self._list if name != action.server]
-        if request is not None and request.taken.method == b"POST" and others:
-            call = _Second(self, request, action, 0)
-            self.upstreams.start_attempt(others[0], call.timeout_ms / 1_000, call)
-
-    Proxy._send = _send  # type: ignore[method-assign]
+    EndpointListFollower.apply = _apply  # type: ignore[method-assign]
 
 
 def forgets_drain() -> None:
     """Go on using a server that drains."""
-    _takes_for_ready(Readiness.DRAINING)
+    _take_for_ready(Readiness.DRAINING)
 
 
 def keeps_dead_server() -> None:
     """Go on using a server that the list has removed."""
-    _takes_for_ready(Readiness.DEAD)
+    _take_for_ready(Readiness.DEAD)
 
 
 def answers_from_nowhere() -> None:
     """Answer some requests with 200 though no server ever saw them."""
-    real, seen = Proxy.on_request_arrived, [0]
-
-    def _on_request_arrived(self: Proxy, taken: DownstreamRequest) -> None:
-        seen[0] += 1
-        if seen[0] % NOWHERE_EVERY == 0 and taken.body.is_complete:
-            taken.send_response(200, [], b'{"served": true}')
+    real = RequestIntake.on_request_arrived
+    count = 0
+
+    def _on_request_arrived(self: RequestIntake, downstream: DownstreamRequest) -> None:
+        nonlocal count
+        count += 1
+        if count % MADE_UP_INTERVAL == 0 and downstream.body.is_complete:
+            downstream.send_response(200, [], b'{"served": true}')
         else:
-            real(self, taken)
+            real(self, downstream)
 
-    Proxy.on_request_arrived = _on_request_arrived  # type: ignore[method-assign]
+    RequestIntake.on_request_arrived = _on_request_arrived  # type: ignore[method-assign]
--- a/loadbalancer/drill/defects/scale.py
+++ b/loadbalancer/drill/defects/scale.py
@@ -26,7 +26,7 @@
 
 def quadratic_fan_out() -> None:
     """Send each watch a full snapshot for each change."""
-    QueryEvaluator._goes_on = lambda self, asked: False  # type: ignore[method-assign]
+    QueryEvaluator._can_resume = lambda self, asked: False  # type: ignore[method-assign]
 
 
 def never_backs_off() -> None:
--- a/loadbalancer/drill/open_load.py
+++ b/loadbalancer/drill/open_load.py
@@ -17,7 +17,7 @@
 from hdrh.histogram import HdrHistogram
 
 from loadbalancer.drill.servers.specification import request_arguments
-from loadbalancer.net.request_counters import REJECTIONS
+from loadbalancer.net.request_counters import REJECTION_STATUSES
 
 MAX_RATE_PER_S = 5_000.0  # more than one client process can send
 MAX_DURATION_S = 600.0
@@ -124,7 +124,7 @@
         async with session.request(url=target, timeout=timeout, **arguments) as answer:
             await answer.read()
             status = answer.status
-        ending = "served" if status == 200 else "refused" if status in REJECTIONS else "failed"
+        ending = "served" if status == 200 else "refused" if status in REJECTION_STATUSES else "failed"
     except TimeoutError:
         ending = "timed out"
     except (aiohttp.ClientError, OSError):
--- a/loadbalancer/drill/processes/registry_control.py
+++ b/loadbalancer/drill/processes/registry_control.py
@@ -72,7 +72,7 @@
         client = RegistryClient(",".join(format_address(i.address) for i in instances), who=CALLER)
         method, what = ("POST", "/drain") if status == "terminating" else ("DELETE", "")
         try:
-            await asyncio.to_thread(client.on, method, server, what, why=REASON)
+            await asyncio.to_thread(client.call_server, method, server, what, why=REASON)
         except RegistryCallError as error:
             if error.status != 404:
                 raise
@@ -80,7 +80,7 @@
     async def pin(self, instance: Placement, server: str) -> None:
         """Pin a server at one instance."""
         client = RegistryClient(format_address(instance.address), who=CALLER)
-        await asyncio.to_thread(client.on, "POST", server, "/pin", why=REASON)
+        await asyncio.to_thread(client.call_server, "POST", server, "/pin", why=REASON)
 
 
 def _copy_database(source_path: Path, target_path: Path) -> None:
--- a/loadbalancer/drill/servers/clients.py
+++ b/loadbalancer/drill/servers/clients.py
@@ -26,7 +26,7 @@
     request_arguments,
     send_message,
 )
-from loadbalancer.net.request_counters import REJECTIONS
+from loadbalancer.net.request_counters import REJECTION_STATUSES
 
 HEALTH_CHECK_INTERVAL_S = 0.3
 HEALTH_CHECK_TIMEOUT_S = 1.0
@@ -183,7 +183,7 @@
         self.history.write("answered", id=request_id, status=status, took=took_ms, run=execution_id)
         if status == 200:
             return AttemptResult("served")
-        return AttemptResult("refused" if status in REJECTIONS else "failed", float(retry_after))
+        return AttemptResult("refused" if status in REJECTION_STATUSES else "failed", float(retry_after))
 
 
 def _execution_id(body: bytes, request_id: str) -> str:
--- a/loadbalancer/drill/servers/upstream.py
+++ b/loadbalancer/drill/servers/upstream.py
@@ -221,7 +221,7 @@
         address=address, zone=spec.zone, type="m", weight=float(spec.model.cores), tier=spec.tier,
         since_ms=spec.started_at_ms, lease_ms=spec.lease_ms,
     )  # fmt: skip
-    client = RegistryClient(spec.registry, who=spec.name, patience_s=REGISTRY_TIMEOUT_S)
+    client = RegistryClient(spec.registry, who=spec.name, timeout_s=REGISTRY_TIMEOUT_S)
     return Lease(client, spec.name, registration)
 
 
@@ -229,8 +229,8 @@
     """Register and renew for ever; what fails is repeated soon."""
     while True:
         try:
-            await asyncio.to_thread(lease.keep)
-            wait_s = lease.step_s
+            await asyncio.to_thread(lease.register_or_renew)
+            wait_s = lease.renewal_interval_s
         except RegistryCallError:
             wait_s = REGISTRY_RETRY_INTERVAL_S
         await asyncio.sleep(wait_s)
@@ -261,7 +261,7 @@
             task.cancel()
         if lease is not None:
             with contextlib.suppress(RegistryCallError):
-                await asyncio.to_thread(lease.leave, "it ends")
+                await asyncio.to_thread(lease.deregister, "it ends")
         await runner.cleanup()
     server.history.close()
 
--- a/loadbalancer/scale/registrar.py
+++ b/loadbalancer/scale/registrar.py
@@ -21,7 +21,7 @@
 )
 from loadbalancer.net import discovery
 from loadbalancer.net.config import read_address
-from loadbalancer.registry.lease import RENEW_PART
+from loadbalancer.registry.lease import RENEWAL_RATIO
 from loadbalancer.scale.plan import Plan, registration, upstream_name
 from loadbalancer.scale.second_counts import (
     TrafficCounts,
@@ -158,7 +158,7 @@
             if upstream.is_silent:
                 upstream.is_registered = False  # whoever speaks for it again has to queue it anew
                 continue
-            wait_ms = self._spec.plan.lease_s * 1_000 * RENEW_PART
+            wait_ms = self._spec.plan.lease_s * 1_000 * RENEWAL_RATIO
             is_first = not upstream.is_registered
             if not await self._register_or_renew(connections, upstream):
                 wait_ms = RETRY_INTERVAL_S * 1_000 * (0.5 + self._random.random())
--- a/tests/test_golden_console.py
+++ b/tests/test_golden_console.py
@@ -7,8 +7,9 @@
 
 import sys
 from pathlib import Path
+from typing import cast
 
-from loadbalancer.net import console
+from loadbalancer.net.console_service import ConsoleBackend, ConsoleService
 from tests.golden import replay
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -29,4 +30,5 @@
 
 def test_recorded_session_makes_every_call_of_the_console() -> None:
     made = {line for line, _ in replay.CONSOLE_CALLS}
-    assert {f"{method} {path}" for path, method in console._METHODS.items()} <= made
+    service = ConsoleService(cast(ConsoleBackend, None))  # it answers no call here
+    assert {f"{method} {path}" for path, method in service.methods().items()} <= made
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -190,7 +190,7 @@
             await dials.started.wait()
             for caller in callers:
                 caller.writer.close()
-            await wait_until(lambda: not rig.proxy._requests)
+            await wait_until(lambda: not rig.proxy.requests.by_id)
             begun = dials.count
             answers = await asyncio.gather(
                 *[rig.request("/pay/x", b"debit", deadline="1500m") for _ in range(4)]
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -228,7 +228,7 @@
     async def scenario() -> None:
         upstream = Upstream()
         async with ProxyHarness(upstream) as rig:
-            driver, events = rig.proxy, list[interface.Event]()
+            proxy, events = rig.proxy, list[interface.Event]()
 
             def answer_then_send(event: interface.Event, now: float) -> list[interface.Action]:
                 events.append(event)
@@ -239,11 +239,11 @@
                     ]
                 return []
 
-            driver.balancer.handle = answer_then_send  # type: ignore[method-assign]
+            proxy.balancer.handle = answer_then_send  # type: ignore[method-assign]
             answer = await rig.request()
             assert (status_of(answer), answer.headers["retry-after"]) == (503, "0.250")
             assert events[1:] == [interface.AttemptEnded(1, 0, "s0", Outcome.NOT_SENT, True)]
-            assert not upstream.requests and not driver._requests
+            assert not upstream.requests and not proxy.requests.by_id
 
     run_scenario(scenario())
 
