--- a/loadbalancer/drill/defects/endpoint_list.py
+++ b/loadbalancer/drill/defects/endpoint_list.py
@@ -50,7 +50,7 @@
 def asks_without_pause() -> None:
     """Poll a list that is out of reach at once, all balancers together."""
 
-    def _failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
+    def _failed(self: EndpointSet, now: float, retry_within_ms: float) -> list[interface.Action]:
         return [interface.SetTimer(now + 1.0, "list")]
 
     EndpointSet.handle_list_failure = _failed  # type: ignore[method-assign]
--- a/loadbalancer/drill/defects/scale.py
+++ b/loadbalancer/drill/defects/scale.py
@@ -34,8 +34,8 @@
     real_failed = EndpointSet.handle_list_failure
     real_watch = Watch.failed
 
-    def _failed(self: EndpointSet, now: float, again_ms: float) -> list[interface.Action]:
-        actions = real_failed(self, now, again_ms)
+    def _failed(self: EndpointSet, now: float, retry_within_ms: float) -> list[interface.Action]:
+        actions = real_failed(self, now, retry_within_ms)
         retry_at_ms = now + RETRY_INTERVAL_S * 1_000
         return [replace(a, at_ms=retry_at_ms) if isinstance(a, interface.SetTimer) else a for a in actions]
 
--- a/loadbalancer/net/console_codec.py
+++ b/loadbalancer/net/console_codec.py
@@ -5,7 +5,8 @@
 import json
 from collections.abc import Mapping
 
-from loadbalancer.net.reports import BalancerStats, EndpointListReport
+from loadbalancer.net.reports import BalancerStats, EndpointListReport, MembershipReport
+from loadbalancer.policy.zones import ZoneStatus
 
 
 def encode_stats(stats: BalancerStats) -> str:
@@ -40,11 +41,46 @@
     )
 
 
-def encode_zones(zones: Mapping[str, Mapping[str, float]]) -> str:
+def encode_zones(zones: Mapping[str, ZoneStatus]) -> str:
     """Return the answer to `/admin/zones`."""
-    return json.dumps(zones)
+    return json.dumps(
+        {
+            zone: {
+                "share": status.traffic_fraction,
+                "ready": status.ready_servers,
+                "out": status.calls_in_flight,
+                "room": status.call_capacity,
+            }
+            for zone, status in zones.items()
+        }
+    )
 
 
-def encode_membership(report: Mapping[str, object]) -> str:
+def encode_membership(report: MembershipReport) -> str:
     """Return the answer to `/admin/peers`."""
-    return json.dumps(report)
+    members = [
+        {
+            "number": member.index,
+            "state": member.state,
+            "since_s": member.state_age_s,
+            "incarnation": member.incarnation,
+            "heard_s": member.last_message_age_s,
+        }
+        for member in report.members
+    ]
+    messages = report.messages
+    return json.dumps(
+        {
+            "me": report.own_index,
+            "present": report.active_members,
+            "takes_part": report.is_participating,
+            "health": report.awareness_score,
+            "members": members,
+            "notes": {
+                "sent": messages.sent,
+                "sent_bytes": messages.sent_bytes,
+                "taken": messages.received,
+                "dropped": messages.dropped,
+            },
+        }
+    )
--- a/loadbalancer/net/cordon_controller.py
+++ b/loadbalancer/net/cordon_controller.py
@@ -12,6 +12,7 @@
 from loadbalancer.net.log import Log
 from loadbalancer.net.upstream import UpstreamPools
 from loadbalancer.policy import Balancer
+from loadbalancer.policy.zones import ZoneStatus
 
 CORDON_FILE_POLL_INTERVAL_S = 0.1  # operators may call the other process while two run
 
@@ -83,7 +84,7 @@
         self._apply()
         return True
 
-    def zones(self) -> dict[str, dict[str, float]]:
+    def zones(self) -> dict[str, ZoneStatus]:
         """Return the status of each zone."""
         return self._balancer.zone_statuses(self._clock.now())
 
@@ -135,14 +136,16 @@
         self._dispatch(interface.CordonChanged(server, is_cordoned=False, returned_at_ms=returned_at_ms))
 
 
-def _check_remaining_capacity(zone: str, zones: dict[str, dict[str, float]]) -> None:
+def _check_remaining_capacity(zone: str, zones: dict[str, ZoneStatus]) -> None:
     """Raise InsufficientCapacityError if the requests in flight do not fit into the other zones."""
-    if not any(name != zone and status["share"] > 0 for name, status in zones.items()):
+    if not any(name != zone and status.traffic_fraction > 0 for name, status in zones.items()):
         raise InsufficientCapacityError(
             f"there is no other zone to go to: {', '.join(zones)}; `force` goes on"
         )
-    in_flight = sum(status["out"] for status in zones.values())
-    capacity = sum(status["room"] * status["share"] for name, status in zones.items() if name != zone)
+    in_flight = sum(status.calls_in_flight for status in zones.values())
+    capacity = sum(
+        status.call_capacity * status.traffic_fraction for name, status in zones.items() if name != zone
+    )
     if in_flight > capacity:
         raise InsufficientCapacityError(
             f"{in_flight:.1f} calls are out on average, and there is room for {capacity:.1f} elsewhere; "
