--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -134,8 +134,7 @@
     how: str, has_initial_list: bool, has_own_registry: bool
 ) -> None:
     async def scenario() -> None:
-        listen = f"{HOST}:{find_free_port(HOST)}"
-        text = json.dumps(configuration(listen, how, has_initial_list, has_own_registry))
+        text = json.dumps(
             configuration(f"{HOST}:{find_free_port(HOST)}", how, has_initial_list, has_own_registry)
         )
         proxy = Proxy(read_config(text, lambda note: None), asyncio.get_running_loop())
