--- a/loadbalancer/drill/checks/requests.py
+++ b/loadbalancer/drill/checks/requests.py
@@ -58,11 +58,11 @@
     for event in timeline.events_by_kind["began"]:
         if event["cls"] in unsafe:
             client_id, _, call = event["id"].partition(".")
-            wish_id = timeline.requests.get(client_id, {}).get("wish", client_id)
-            executions[str(wish_id), call.partition(".")[0]].append(event)
+            logical_id = timeline.requests.get(client_id, {}).get("wish", client_id)
+            executions[str(logical_id), call.partition(".")[0]].append(event)
     violations = [
-        f"wish {wish_id} ran at {', '.join(e['who'] for e in events)}, then {timeline.time_of(events[-1])}"
-        for (wish_id, _), events in executions.items()
+        f"wish {logical_id} ran at {', '.join(e['who'] for e in events)}, then {timeline.time_of(events[-1])}"
+        for (logical_id, _), events in executions.items()
         if len(events) > 1
     ]
     return count_violations("once", violations)
--- a/loadbalancer/drill/defects/launch.py
+++ b/loadbalancer/drill/defects/launch.py
@@ -1,8 +1,7 @@
-"""Runs the real program with a seeded defect.
+"""Runs a balancer, or an instance of the registry, with a seeded defect.
 
-    python -m loadbalancer.drill.defects.launch sends-twice balancer
+    LB_CONFIG=config.json python -m loadbalancer.drill.defects.launch sends-twice balancer
     python -m loadbalancer.drill.defects.launch reuses-versions registry directory.toml
-    python -m loadbalancer.drill.defects.launch polls hollow SPEC.json
 
 Only the module that holds the defect is imported, so that a process has no more in it than the real one.
 """
@@ -30,14 +29,6 @@
     server.serve(config, server.open_service(config))
 
 
-def run_scale_helper(role: str) -> None:
-    """Run a helper process of a scale run; its specification is the last argument."""
-    from loadbalancer.scale import hollow, registrar, upstream_stub
-    from loadbalancer.scale.second_counts import run_helper
-
-    run_helper({"hollow": hollow, "registrar": registrar, "edge": upstream_stub}[role].serve())
-
-
 def main() -> int:
     """Seed the defect that the first argument names, and be what the second one says."""
     defect, role = sys.argv[1:3]
@@ -46,10 +37,7 @@
         from loadbalancer.__main__ import main as run_balancer
 
         return run_balancer()
-    if role == "registry":
-        serve_registry(Path(sys.argv[-1]))
-    else:
-        run_scale_helper(role)
+    serve_registry(Path(sys.argv[-1]))
     return 0
 
 
--- a/loadbalancer/drill/processes/commands.py
+++ b/loadbalancer/drill/processes/commands.py
@@ -14,18 +14,13 @@
 LAUNCHER = "loadbalancer.drill.defects.launch"
 
 
-def defective_command(defect: str, role: str, *arguments: str) -> list[str]:
-    """Return the command of a process with a seeded defect; roles are those of the launcher."""
-    return [sys.executable, "-m", LAUNCHER, defect, role, *arguments]
-
-
 def balancer_command(folder: Path | None, defect: str = "") -> list[str]:
     """Return how a balancer is started: as the deploy file of a folder says, where that folder was built.
 
     Where it was not, the same module is run by this interpreter, as in a checkout without `.venv`.
     """
     if defect and defect not in REGISTRY_DEFECTS:
-        return defective_command(defect, "balancer")
+        return [sys.executable, "-m", LAUNCHER, defect, "balancer"]
     root = folder or ROOT
     deploy = root / "deploy" / "balancer.toml"
     if deploy.exists():
@@ -38,7 +33,7 @@
 def registry_command(config: Path, defect: str = "") -> list[str]:
     """Return how an instance of the real registry is started."""
     if defect:
-        return defective_command(defect, "registry", str(config))
+        return [sys.executable, "-m", LAUNCHER, defect, "registry", str(config)]
     cli = "from loadbalancer.cli import main; main()"
     return [sys.executable, "-c", cli, "directory", "serve", str(config)]
 
--- a/loadbalancer/scale/supervisor.py
+++ b/loadbalancer/scale/supervisor.py
@@ -18,7 +18,6 @@
 from loadbalancer.drill.processes.addresses import find_free_port
 from loadbalancer.drill.processes.commands import (
     balancer_command,
-    defective_command,
     process_environment,
     registry_command,
 )
@@ -31,6 +30,7 @@
 
 HOST = "127.0.0.1"
 COMMAND_TIMEOUT_S = 180.0  # for what the driver has asked of a helper process
+DEFECTIVE_HELPER = "loadbalancer.scale.defective_helper"
 INSTANCE_TIMEOUT_S = 2.0  # for one poll of an instance that starts
 MODULES = {
     "hollow": (hollow.__name__, hollow.HollowSpecification),
@@ -94,7 +94,8 @@
         )
         path = str(self.write_specification(specification))
         defect = self._plan.defect
-        argv = defective_command(defect, kind, path) if defect else self.module_command(module, path)
+        arguments = (DEFECTIVE_HELPER, defect, kind) if defect else (module,)
+        argv = self.module_command(*arguments, path)
         self._start(name, kind, argv, has_messages=True)
 
     async def start_instances(self) -> None:
