--- a/loadbalancer/scale/registrar.py
+++ b/loadbalancer/scale/registrar.py
@@ -20,7 +20,7 @@
     send_message,
 )
 from loadbalancer.net import discovery
-from loadbalancer.net.config import read_address
+from loadbalancer.net.address import parse_address
 from loadbalancer.registry.lease import RENEWAL_RATIO
 from loadbalancer.scale.plan import Plan, registration, upstream_name
 from loadbalancer.scale.second_counts import (
@@ -83,7 +83,7 @@
         async with asyncio.timeout(CALL_TIMEOUT_S):
             connection = self._connections.get(address)
             if connection is None or connection.closed:
-                connection = await discovery._connect(read_address(address))
+                connection = await discovery._connect(parse_address(address))
                 self._connections[address] = connection
             self._counts.calls[address] += 1
             try:
--- a/loadbalancer/scale/relay.py
+++ b/loadbalancer/scale/relay.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import cast
 
-from loadbalancer.net.config import read_address
+from loadbalancer.net.address import parse_address
 
 MAX_BUFFERED_BYTES = 1 << 20  # that wait for a slow end before the other is read no more
 LISTEN_BACKLOG = 1_024
@@ -114,7 +114,7 @@
     async def _connect(self, caller: _RelayEndpoint) -> None:
         try:
             loop = asyncio.get_running_loop()
-            await loop.create_connection(lambda: _RelayEndpoint(self, caller), *read_address(self.target))
+            await loop.create_connection(lambda: _RelayEndpoint(self, caller), *parse_address(self.target))
         except OSError:
             caller.abort()
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -20,7 +20,7 @@
 
 from loadbalancer.drill.defects import scale
 from loadbalancer.drill.defects.names import SCALE_DEFECTS
-from loadbalancer.net.config import read_address
+from loadbalancer.net.address import parse_address
 from loadbalancer.scale.allowances import Allowances, find_excesses
 from loadbalancer.scale.figures import without_samples
 from loadbalancer.scale.plan import Plan, PlanError
@@ -175,7 +175,7 @@
     server = await loop.create_server(Echo, "127.0.0.1", 0)
     relay = Relay("{}:{}".format(*server.sockets[0].getsockname()))
     await relay.start()
-    host, port = read_address(relay.address)
+    host, port = parse_address(relay.address)
     reader, writer = await asyncio.open_connection(host, port)
     writer.write(b"GET /one")
     answer = await reader.readexactly(8)
