--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import importlib
 import json
 import os
 import shutil
@@ -12,13 +13,15 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
-from types import SimpleNamespace
+from types import ModuleType, SimpleNamespace
 from typing import Any
 
 import pytest
 
+from loadbalancer.drill.defects.names import DRILL_DEFECTS, SCALE_DEFECTS
 from loadbalancer.drill.execution.step_execution import StepExecutor
 from loadbalancer.drill.links.faults import LinkFault
+from loadbalancer.drill.patching import replace_global
 from loadbalancer.drill.scenario.loading import DrillScenarioError, load_scenario, parse_scenario
 from loadbalancer.drill.scenario.steps import ClearLinkFault, SetLinkFault
 
@@ -142,6 +145,19 @@
         time.sleep(0.05)
 
 
+@pytest.mark.parametrize(("name", "module"), (DRILL_DEFECTS | SCALE_DEFECTS).items())
+def test_every_named_defect_stands_in_the_module_that_is_named_with_it(name: str, module: str) -> None:
+    holder = importlib.import_module(f"loadbalancer.drill.defects.{module}")
+    assert callable(vars(holder)[name.replace("-", "_")])
+
+
+def test_replacing_a_global_that_is_not_there_fails() -> None:
+    module = ModuleType("patched")
+    with pytest.raises(AttributeError, match="gone"):
+        replace_global(module, "gone", None)
+    assert not hasattr(module, "gone")
+
+
 def test_fault_and_its_end_are_recorded_with_the_same_links() -> None:
     class Link:
         name = "clients>b0"
