--- a/loadbalancer/cli/demo.py
+++ b/loadbalancer/cli/demo.py
@@ -169,7 +169,7 @@
 
     Example: irondrum load http://127.0.0.1:8080 --class map:3:500 --class unlock:1:4000:unsafe --rate 100
     """
-    open_load.check_load(url, rate, seconds, anywhere)
+    open_load.check_load(url, rate, seconds, anywhere=anywhere)
     kinds = [open_load.parse_request_kind(text) for text in kind]
     tallies = asyncio.run(open_load.run_load(url, kinds, rate, seconds, seed))
     if as_json:
--- a/loadbalancer/drill/defects/membership.py
+++ b/loadbalancer/drill/defects/membership.py
@@ -17,7 +17,7 @@
 
 
 def never_gives_up() -> None:
-    """Suspect a balancer that is silent for ever."""
+    """Suspect a silent balancer for ever, and never declare it dead."""
 
     def _declare_dead(self: MemberTable, number: int, now: float) -> None:
         return None
@@ -26,7 +26,7 @@
 
 
 def forgets_returns() -> None:
-    """Hold whoever was dead once for dead, whatever it says of itself."""
+    """Keep a member that was dead once dead, whatever incarnation it announces."""
     real = MemberTable.apply_update
 
     def _apply_update(
--- a/loadbalancer/drill/defects/scale.py
+++ b/loadbalancer/drill/defects/scale.py
@@ -30,7 +30,7 @@
 
 
 def never_backs_off() -> None:
-    """Repeat a call that has failed at once, whoever else does the same."""
+    """Repeat a call that has failed at once, without backoff."""
     real_failed = EndpointSet.handle_list_failure
     real_watch = Watch.failed
 
--- a/loadbalancer/drill/execution/player.py
+++ b/loadbalancer/drill/execution/player.py
@@ -150,7 +150,7 @@
             self._progress.notify_all()
 
     def _track(self, task: asyncio.Task[None]) -> None:
-        """Keep what goes on beside the timeline; what fails there fails the play at its end."""
+        """Keep a task that runs beside the timeline; one that fails, fails the play at its end."""
         self._background_tasks.add(task)
         task.add_done_callback(self._on_task_done)
 
--- a/loadbalancer/drill/execution/step_execution.py
+++ b/loadbalancer/drill/execution/step_execution.py
@@ -31,7 +31,7 @@
         self, topology: Topology, files: ProcessFiles, supervisor: ProcessSupervisor, history: HistoryWriter,
         clock: RealClock, seed: int, *, track: Callable[[asyncio.Task[None]], None],
     ) -> None:  # fmt: skip
-        """Prepare an executor; `track` gets what goes on beside the timeline."""
+        """Prepare an executor; `track` gets the tasks that run beside the timeline."""
         self._topology = topology
         self._files = files
         self._supervisor = supervisor
@@ -126,7 +126,7 @@
         self._record_fault("kill", names, on=False, memory=step.memory)
 
     def _remove(self, name: str) -> None:
-        """Take a server off the list; whoever calls it from now on is recorded."""
+        """Take a server off the list, and record each call to it from now on."""
         self._set_list_status(name, "terminated")
         for link in self._topology.links_to(name):
             link.update_target(is_withdrawn=True)
--- a/loadbalancer/drill/open_load.py
+++ b/loadbalancer/drill/open_load.py
@@ -70,7 +70,7 @@
     return kind
 
 
-def check_load(url: str, rate: float, seconds: float, anywhere: bool) -> None:
+def check_load(url: str, rate: float, seconds: float, *, anywhere: bool) -> None:
     """Raise LoadError if a load may not, or can't, be made; `anywhere` allows other machines."""
     parts = urlsplit(url)
     if parts.scheme != "http" or not parts.hostname:
--- a/loadbalancer/drill/processes/topology.py
+++ b/loadbalancer/drill/processes/topology.py
@@ -134,7 +134,7 @@
         return [link for link in self.links.values() if link.name.endswith(f">{name}")]
 
     def matching(self, pattern: str) -> list[TcpLink | DatagramLink]:
-        """Return the links of a pattern such as `b*>s1`; `@east` is whoever is in that zone."""
+        """Return the links of a pattern such as `b*>s1`; `@east` is any process in that zone."""
         every: dict[str, TcpLink | DatagramLink] = {**self.links, **self.datagram_links}
         source, _, target = pattern.partition(">")
         return [
--- a/loadbalancer/drill/scenario/steps.py
+++ b/loadbalancer/drill/scenario/steps.py
@@ -85,7 +85,7 @@
 
     name: str
     link: str
-    """A pattern such as `b0>s1`; `*` stands for any, `@east` for whoever is in that zone."""
+    """A pattern such as `b0>s1`; `*` stands for any, `@east` for any process in that zone."""
     fault: LinkFault
     direction: str = "both"
 
--- a/loadbalancer/drill/servers/endpoint_list.py
+++ b/loadbalancer/drill/servers/endpoint_list.py
@@ -180,7 +180,7 @@
         return self._answer(peer, update, extra=extra)
 
     def _remember(self, peer: str, tier: str, update: ListAnswer) -> None:
-        """Keep the list as the balancer has it now: a frozen server goes on answering with that."""
+        """Keep the list as the balancer has it now: a frozen server keeps answering with that."""
         last = self._last_answers.get((peer, tier))
         known = {} if update.is_snapshot or last is None else {e["name"]: e for e in last.entries}
         known |= {e["name"]: e for e in update.entries}
@@ -200,7 +200,7 @@
     def _answer(
         self, peer: str, answer: ListAnswer, *, is_true: bool = True, extra: dict[str, Any] | None = None
     ) -> web.Response:
-        """Answer a balancer and record it; what an untrue list leaves out, nobody has removed."""
+        """Answer a balancer and record it; what an untrue list leaves out is not recorded as removed."""
         addresses = self._spec.addresses[peer]
         states = {e["name"]: e["status"] for e in answer.entries}
         is_full = answer.is_snapshot and is_true
--- a/loadbalancer/scale/registrar.py
+++ b/loadbalancer/scale/registrar.py
@@ -57,7 +57,7 @@
     number: int
     started_at_ms: float = 0.0
     is_registered: bool = False
-    is_silent: bool = True  # nobody speaks for it
+    is_silent: bool = True  # its agent is down: it neither registers nor renews
     instance: int = 0  # that it calls; counts on past the last one
 
     @property
@@ -156,7 +156,7 @@
         while True:
             upstream = await self._jobs.get()
             if upstream.is_silent:
-                upstream.is_registered = False  # whoever speaks for it again has to queue it anew
+                upstream.is_registered = False  # it is queued anew when it starts again
                 continue
             wait_ms = self._spec.plan.lease_s * 1_000 * RENEWAL_RATIO
             is_first = not upstream.is_registered
--- a/loadbalancer/scale/resource_usage.py
+++ b/loadbalancer/scale/resource_usage.py
@@ -51,7 +51,7 @@
 
 
 def machine_processor_time_s() -> dict[str, float]:
-    """Return this machine's processor time since its start: busy, and stolen by whoever hosts it."""
+    """Return this machine's processor time since its start: busy, and stolen by its host."""
     user, nice, system, _, _, irq, soft, stolen = (
         int(part) * TICK_S for part in Path("/proc/stat").read_text().split("\n")[0].split()[1:9]
     )
--- a/loadbalancer/scale/supervisor.py
+++ b/loadbalancer/scale/supervisor.py
@@ -169,7 +169,7 @@
             self._changed.notify_all()
 
     def on_exit(self, process: Process) -> None:
-        """Note the end of a process that was not told to; whoever waits looks again."""
+        """Note the end of a process that was not told to, and wake all that wait."""
         if not process.is_exit_expected:
             self.faults.append(f"{process.name} ended with status {process.exit_status}")
         self._track(self._notify_waiters())
