--- a/loadbalancer/drill/defects/proxy.py
+++ b/loadbalancer/drill/defects/proxy.py
@@ -8,11 +8,12 @@
 from loadbalancer.interface import Outcome, Readiness
 from loadbalancer.net.action_executor import ActionExecutor
 from loadbalancer.net.config import EndpointList
-from loadbalancer.net.downstream import DownstreamRequest
+from loadbalancer.net.downstream_request import DownstreamRequest
 from loadbalancer.net.endpoint_list import EndpointListFollower
 from loadbalancer.net.request_attempts import RequestAttempt
 from loadbalancer.net.request_intake import RequestIntake
-from loadbalancer.net.upstream import Attempt, UpstreamResponse
+from loadbalancer.net.upstream_attempt import Attempt
+from loadbalancer.net.upstream_response import UpstreamResponse
 
 MADE_UP_INTERVAL = 25  # requests, one of which is answered though no server saw it
 
--- a/loadbalancer/drill/servers/upstream.py
+++ b/loadbalancer/drill/servers/upstream.py
@@ -27,7 +27,7 @@
     request_arguments,
     send_message,
 )
-from loadbalancer.net.downstream import parse_duration_ms
+from loadbalancer.net.downstream_request import parse_duration_ms
 from loadbalancer.registry.client import RegistryCallError, RegistryClient
 from loadbalancer.registry.entries import Registration
 from loadbalancer.registry.lease import Lease
--- a/loadbalancer/net/console.py
+++ b/loadbalancer/net/console.py
@@ -14,7 +14,8 @@
 
 from loadbalancer.net.address import Address
 from loadbalancer.net.console_service import ConsoleBackend, ConsoleResponse, ConsoleService, text_response
-from loadbalancer.net.http_framing import encode_response, set_no_delay
+from loadbalancer.net.http_framing import encode_response
+from loadbalancer.net.sockets import set_no_delay
 
 MAX_CONNECTIONS = 16  # the spare sockets suffice for them; the oldest makes way for a further one
 CALL_TIMEOUT_S = 3.0  # until a call is complete: operators type, but their tools send it in one piece
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -17,11 +17,11 @@
 from loadbalancer.net.cordon_controller import CordonController
 from loadbalancer.net.cordon_file import CordonFile
 from loadbalancer.net.decision_loop import DecisionLoop
-from loadbalancer.net.downstream import DownstreamListener
+from loadbalancer.net.downstream_listener import DownstreamListener
 from loadbalancer.net.endpoint_list import EndpointListFollower
 from loadbalancer.net.hot_restart import Predecessor
-from loadbalancer.net.http_framing import BufferBudget
 from loadbalancer.net.log import Log, Sink, write_text
+from loadbalancer.net.message_body import BufferBudget
 from loadbalancer.net.reports import BalancerStats, EndpointListReport, MembershipReport
 from loadbalancer.net.request_attempts import RequestAttempts
 from loadbalancer.net.request_counters import RequestCounters
@@ -29,7 +29,7 @@
 from loadbalancer.net.request_table import RequestTable
 from loadbalancer.net.state_transfer import StateTransfer
 from loadbalancer.net.takeover import Takeover
-from loadbalancer.net.upstream import UpstreamPools
+from loadbalancer.net.upstream_pool import UpstreamPools
 from loadbalancer.policy import Balancer
 from loadbalancer.policy.zones import ZoneStatus
 
--- a/loadbalancer/net/request_attempts.py
+++ b/loadbalancer/net/request_attempts.py
@@ -8,11 +8,13 @@
 from loadbalancer import interface
 from loadbalancer.interface import OUTCOMES_WITHOUT_EFFECT, Outcome
 from loadbalancer.net.clock import Clock
-from loadbalancer.net.downstream import DownstreamRequest
+from loadbalancer.net.downstream_request import DownstreamRequest
 from loadbalancer.net.http_framing import end_to_end_headers
 from loadbalancer.net.request_counters import RequestCounters
 from loadbalancer.net.request_table import RESPONSE_MARGIN_MS, RequestInFlight, RequestTable
-from loadbalancer.net.upstream import Attempt, AttemptHandler, UpstreamPools, UpstreamResponse
+from loadbalancer.net.upstream_attempt import Attempt, AttemptHandler
+from loadbalancer.net.upstream_pool import UpstreamPools
+from loadbalancer.net.upstream_response import UpstreamResponse
 
 
 class RequestAttempt(AttemptHandler):
--- a/loadbalancer/scale/hollow.py
+++ b/loadbalancer/scale/hollow.py
@@ -30,7 +30,7 @@
 from loadbalancer.net.config import AddressedEndpoint, Config, EndpointList
 from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
-from loadbalancer.net.upstream import UpstreamResponse
+from loadbalancer.net.upstream_response import UpstreamResponse
 from loadbalancer.policy import Balancer
 from loadbalancer.scale.plan import Plan, balancer_config
 from loadbalancer.scale.second_counts import (
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -19,7 +19,8 @@
 from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
 from loadbalancer.net.proxy import Proxy
-from loadbalancer.net.upstream import ConnectionPool, UpstreamConnection
+from loadbalancer.net.upstream_connection import UpstreamConnection
+from loadbalancer.net.upstream_pool import ConnectionPool
 
 T = TypeVar("T")
 SCENARIO_TIMEOUT_S = 10.0  # for what must happen; reached only when a test fails
