--- a/loadbalancer/drill/defects/endpoint_list.py
+++ b/loadbalancer/drill/defects/endpoint_list.py
@@ -8,8 +8,8 @@
 from loadbalancer import interface
 from loadbalancer.drill.patching import replace_global
 from loadbalancer.endpoint_watch.instance_selection import InstanceSelector
-from loadbalancer.net import discovery
 from loadbalancer.net.config import EndpointList
+from loadbalancer.net.discovery import call, cross_check
 from loadbalancer.net.endpoint_list import EndpointListFollower
 from loadbalancer.policy import Balancer
 from loadbalancer.policy.endpoints import EndpointSet
@@ -25,7 +25,7 @@
         newest = max(newest, update.index)
         return replace(update, index=newest)
 
-    real = replace_global(discovery, "decode_endpoint_list", _decode_endpoint_list)
+    real = replace_global(call, "decode_endpoint_list", _decode_endpoint_list)
 
 
 def obeys_lists() -> None:
@@ -35,16 +35,16 @@
 
 def stays_with_one() -> None:
     """Stay with the first instance for ever."""
-    InstanceSelector.failed = lambda self: False  # type: ignore[method-assign]
+    InstanceSelector.record_failure = lambda self: False  # type: ignore[method-assign]
 
 
 def never_compares() -> None:
     """Never cross-check with another instance's list."""
 
-    async def _compare(self: discovery.Discovery) -> None:
+    async def _run(self: cross_check.CrossChecker) -> None:
         return None
 
-    discovery.Discovery._compare = _compare  # type: ignore[method-assign]
+    cross_check.CrossChecker._run = _run  # type: ignore[method-assign]
 
 
 def asks_without_pause() -> None:
--- a/loadbalancer/drill/defects/registry.py
+++ b/loadbalancer/drill/defects/registry.py
@@ -4,13 +4,14 @@
 
 from loadbalancer.drill.patching import replace_global
 from loadbalancer.registry import Catalog, catalog, service
+from loadbalancer.registry.lease_expiry import LeaseExpiry
 from loadbalancer.registry.merge import SharedEntry
 from loadbalancer.registry.self_preservation import SelfPreservation
 
 
 def believes_lapses() -> None:
     """Remove every server whose lease expires: no self-preservation."""
-    Catalog._detect_mass_expiry = lambda self, tier, now: None  # type: ignore[method-assign]
+    LeaseExpiry._detect_mass_expiry = lambda self, tier, now: None  # type: ignore[method-assign]
     SelfPreservation.must_keep = lambda self, entry: False  # type: ignore[method-assign]
 
 
@@ -26,13 +27,13 @@
     def _resume_watch(self: Catalog, services: tuple[str, ...], after: int, now: float) -> bool:
         return real(self, services, min(after, self.revision), now)
 
-    Catalog.resume_watch = _resume_watch  # type: ignore[method-assign]
+    Catalog.resume_watch = _resume_watch  # type: ignore[assignment, method-assign]
 
 
 def lapses_unheard() -> None:
     """Let a lease expire though another instance, out of reach, may have renewed it."""
     real = Catalog.expire_leases
-    Catalog.expire_leases = lambda self, now, heard=0.0: real(self, now)  # type: ignore[method-assign]
+    Catalog.expire_leases = lambda self, now, peers_known_since=0.0: real(self, now)  # type: ignore[method-assign]
 
 
 def takes_drains_back() -> None:
--- a/loadbalancer/drill/defects/scale.py
+++ b/loadbalancer/drill/defects/scale.py
@@ -15,35 +15,35 @@
 
 def polls() -> None:
     """Poll again and again, in place of watches that wait for a change."""
-    real = Watch.ask
+    real = Watch.next_request
 
-    def _ask(self: Watch, now: float = 0.0) -> ListRequest:
+    def _next_request(self: Watch, now: float = 0.0) -> ListRequest:
         request = real(self, now)
         return replace(request, wait_ms=min(request.wait_ms, POLL_WAIT_MS))
 
-    Watch.ask = _ask  # type: ignore[method-assign]
+    Watch.next_request = _next_request  # type: ignore[method-assign]
 
 
 def quadratic_fan_out() -> None:
     """Send each watch a full snapshot for each change."""
-    QueryEvaluator._can_resume = lambda self, asked: False  # type: ignore[method-assign]
+    QueryEvaluator._can_resume = lambda self, query: False  # type: ignore[method-assign]
 
 
 def never_backs_off() -> None:
     """Repeat a call that has failed at once, without backoff."""
     real_failed = EndpointSet.handle_list_failure
-    real_watch = Watch.failed
+    real_watch = Watch.record_failure
 
     def _failed(self: EndpointSet, now: float, retry_within_ms: float) -> list[interface.Action]:
         actions = real_failed(self, now, retry_within_ms)
         retry_at_ms = now + RETRY_INTERVAL_S * 1_000
         return [replace(a, at_ms=retry_at_ms) if isinstance(a, interface.SetTimer) else a for a in actions]
 
-    def _watch_failed(
-        self: Watch, took_s: float, fell_silent: bool, turned_away: bool = False
+    def _record_failure(
+        self: Watch, duration_s: float, response_timed_out: bool, rejected: bool = False
     ) -> float | None:
-        pause_s = real_watch(self, took_s, fell_silent, turned_away)
+        pause_s = real_watch(self, duration_s, response_timed_out, rejected)
         return None if pause_s is None else RETRY_INTERVAL_S
 
     EndpointSet.handle_list_failure = _failed  # type: ignore[method-assign]
-    Watch.failed = _watch_failed  # type: ignore[method-assign]
+    Watch.record_failure = _record_failure  # type: ignore[method-assign]
--- a/loadbalancer/scale/hollow.py
+++ b/loadbalancer/scale/hollow.py
@@ -26,9 +26,9 @@
     send_message,
 )
 from loadbalancer.interface import Readiness, UpdateKind
-from loadbalancer.net import discovery
 from loadbalancer.net.config import AddressedEndpoint, Config, EndpointList
 from loadbalancer.net.config_reader import read_config
+from loadbalancer.net.discovery import DiscoveryClient, call, connection
 from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
 from loadbalancer.net.upstream_response import UpstreamResponse
 from loadbalancer.policy import Balancer
@@ -71,7 +71,7 @@
     def __init__(self, config: Config, host: HollowHost) -> None:
         self._host = host
         self._balancer = Balancer(config.settings, config.seed)
-        self._discovery = discovery.Discovery(config, self._on_list, self._on_list_failure)
+        self._discovery = DiscoveryClient(config, self._on_list, self._on_list_failure)
         self.list: dict[str, AddressedEndpoint] = {}
         self.name = config.name
         self._is_stopped = False
@@ -89,16 +89,12 @@
     def stop(self) -> None:
         """Stop as a process does that is killed."""
         self._is_stopped = True
-        for task in (self._discovery._task, self._discovery._comparing):
-            if task is not None:
-                task.cancel()
-        self._discovery._close_link()
-        self._discovery._late.drop()
+        self._discovery.close()
 
     @property
     def index(self) -> int:
         """The version of its list."""
-        return self._discovery._watch.index
+        return self._discovery.index
 
     def find_difference(self, expected: ExpectedLists) -> str:
         """Return what it has otherwise than the registry lists it, of what it asks for; empty for nothing.
@@ -145,7 +141,7 @@
         return not update.suspected_stale
 
     def _on_list_failure(self) -> None:
-        self._handle(self._discovery.failure())
+        self._handle(self._discovery.failure_update())
 
     def _handle(self, event: interface.Event) -> None:
         now_ms = self._host.clock.now
@@ -162,7 +158,7 @@
 OWNER: contextvars.ContextVar[HollowBalancer] = contextvars.ContextVar("OWNER")
 
 
-class CountedConnection(discovery._Link):
+class CountedConnection(connection.Connection):
     """A connection to the registry whose calls and bytes are counted for its balancer."""
 
     def __init__(self) -> None:
@@ -287,7 +283,7 @@
 
 
 class SharedListReader:
-    """Stands in for `json` in `net/discovery.py`: an answer that many get is read once. See `Plan`."""
+    """Stands in for `json` in `net/discovery/`: an answer that many get is read once. See `Plan`."""
 
     def __init__(self) -> None:
         self._lists: dict[bytes, EndpointList] = {}
@@ -303,8 +299,8 @@
 
 def _read_lists_once() -> None:
     """Have the balancers of this process share what is read."""
-    replace_global(discovery, "json", SharedListReader())
-    replace_global(discovery, "decode_endpoint_list", lambda update: update)
+    replace_global(call, "json", SharedListReader())
+    replace_global(call, "decode_endpoint_list", lambda update: update)
 
 
 def _exit_on_error(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
@@ -320,7 +316,7 @@
     loop.set_exception_handler(_exit_on_error)
     if host.plan.shared_reading:
         _read_lists_once()
-    discovery._Link = CountedConnection  # type: ignore[misc]
+    connection.Connection = CountedConnection  # type: ignore[misc]
     gc.freeze()
     task = start_critical_task(loop, report_each_second(host.take_counts))
     send_message(ready=True)
--- a/loadbalancer/scale/registrar.py
+++ b/loadbalancer/scale/registrar.py
@@ -19,8 +19,8 @@
     receive_commands,
     send_message,
 )
-from loadbalancer.net import discovery
 from loadbalancer.net.address import parse_address
+from loadbalancer.net.discovery import connection as connections
 from loadbalancer.registry.lease import RENEWAL_RATIO
 from loadbalancer.scale.plan import Plan, registration, upstream_name
 from loadbalancer.scale.second_counts import (
@@ -72,7 +72,7 @@
     def __init__(self, instance_addresses: list[str], counts: TrafficCounts) -> None:
         self._instance_addresses = instance_addresses
         self._counts = counts
-        self._connections: dict[str, discovery._Link] = {}
+        self._connections: dict[str, connections.Connection] = {}
 
     async def call(self, instance: int, method: str, path: str, body: object) -> int:
         """Make one call; return its status. OSError, ValueError or TimeoutError if there is no answer."""
@@ -82,8 +82,8 @@
         request = f"{head}Content-Length: {len(data)}\r\n\r\n".encode() + data
         async with asyncio.timeout(CALL_TIMEOUT_S):
             connection = self._connections.get(address)
-            if connection is None or connection.closed:
-                connection = await discovery._connect(parse_address(address))
+            if connection is None or connection.is_closed:
+                connection = await connections.connect(parse_address(address))
                 self._connections[address] = connection
             self._counts.calls[address] += 1
             try:
--- a/tests/test_interest.py
+++ b/tests/test_interest_subscription.py
@@ -25,16 +25,14 @@
 from loadbalancer.registry import Catalog, Change, Registration, Rules, WriteRejectedError, first_revision
 from loadbalancer.registry.admission_queue import (
     BURST_S,
-    MAX_CPU_SHARE,
+    MAX_CPU_FRACTION,
     MAX_DELAY_S,
     TICKET_TOLERANCE_S,
     AdmissionQueue,
 )
 from loadbalancer.registry.anti_entropy import MAX_INSTANCES, AntiEntropy
-from loadbalancer.registry.interests import (
-    BALANCERS_PER_SERVER,
+from loadbalancer.registry.interest import (
     SLICES_PER_SERVER,
-    SubsetCache,
     SubsetSpec,
     SubsetView,
     decode_levels,
@@ -44,8 +42,9 @@
 from loadbalancer.registry.list_query import ListQuery, parse_list_query
 from loadbalancer.registry.query_evaluation import QueryEvaluator
 from loadbalancer.registry.store import CatalogStore
+from loadbalancer.registry.subset_cache import BALANCERS_PER_SERVER, SubsetCache
 from tests.loopback import ProxyHarness, Upstream, config_text, endpoint_entry, run_scenario
-from tests.test_directory import serving
+from tests.test_registry_service import serving
 
 RULES = Rules(settle_ms=0.0, learning_ms=0.0, max_tombstones=3)
 ROOMY = msgspec.structs.replace(RULES, max_tombstones=10_000)
@@ -81,7 +80,7 @@
         self.catalog.restore(store.entries(), now, store.incarnations(), *store.compaction_revisions())
         store.begin_incarnation(
             self.catalog.revision,
-            self.catalog.oldest_revision,
+            self.catalog.revisions.oldest,
             self.catalog.entries,
             self.catalog.change_index.compaction_revisions,
         )
@@ -731,10 +730,14 @@
             line = await rig.discovery.request_lines.get()
             assert "held=%7B%22a%22:%7B%7D%7D&after=8" in line, "it holds the whole of it"
             assert list(rig.proxy.endpoint_list.endpoints) == ["s0"]
-            assert [kind for kind, text in said if "knows no interests" in text] == ["list_service"]
+            assert [kind for kind, text in said if "knows no interests" in text] == [
+                "interest_subscription_failed"
+            ]
             rig.discovery.publish(9)
             await rig.discovery.request_lines.get()
-            assert len([kind for kind, _ in said if kind == "list_service"]) == 1, "it is said once"
+            assert len([kind for kind, _ in said if kind == "interest_subscription_failed"]) == 1, (
+                "it is said once"
+            )
         async with ProxyHarness(console="", lists={"services": ["a", "b"]}) as rig:
             said.clear()
             rig.proxy.log.event = lambda kind, text, **_: said.append((kind, text))  # type: ignore[method-assign]
@@ -768,9 +771,9 @@
     assert back(AdmissionQueue(), 100, 200e-6) == [0.0] * 100
     times = sorted(back(AdmissionQueue(), 10_000, 200e-6))
     at_once = times.count(0.0)
-    assert at_once == int((BURST_S + TICKET_TOLERANCE_S) * MAX_CPU_SHARE / 200e-6)
+    assert at_once == int((BURST_S + TICKET_TOLERANCE_S) * MAX_CPU_FRACTION / 200e-6)
     seconds = Counter(int(at) for at in times if at)
-    assert max(seconds.values()) <= MAX_CPU_SHARE / 200e-6 * 1.05 and times[-1] < MAX_DELAY_S
+    assert max(seconds.values()) <= MAX_CPU_FRACTION / 200e-6 * 1.05 and times[-1] < MAX_DELAY_S
 
 
 def test_a_crowd_beyond_the_pace_is_let_in_within_the_bound_all_the_same() -> None:
@@ -810,7 +813,7 @@
 
 
 def wanted() -> Subscription:
-    return Subscription(("a",), 0, name="b", zone="", balancers=2, holds_all=False)
+    return Subscription(("a",), 0, name="b", zone="", balancer_count=2, has_full_list=False)
 
 
 def test_who_is_told_to_come_again_does_so_with_its_ticket_and_only_for_so_long() -> None:
@@ -818,25 +821,25 @@
     body = b'{"error": "x", "retry_ms": 2000, "ticket": 77}'
     for _ in range(2):
         with pytest.raises(RateLimitedError) as caught:
-            one.look_for_pace(503, body)
-        one.paced(caught.value)
-        assert one.query(0.0)[-1] == "ticket=77"
-    one.look_for_pace(503, body)  # six seconds in all: it has failed
+            one.raise_if_rate_limited(503, body)
+        one.record_rate_limit(caught.value)
+        assert one.query_parameters(0.0)[-1] == "ticket=77"
+    one.raise_if_rate_limited(503, body)  # six seconds in all: it has failed
     for status, other in ((500, body), (503, b"busy"), (503, b'{"retry_ms": -1, "ticket": 1}')):
-        wanted().look_for_pace(status, other)
-    one.failed(("127.0.0.1", 1), began=2.0)
-    one.failed(("127.0.0.1", 2), began=2.5)
-    one.failed(("127.0.0.1", 1), began=3.0)
-    assert one.query(4.5)[-1] == "waited_ms=2000", "the other one may have been there since"
-    one.heard('{"a":{}}', True)
-    assert one.query(9.0) == ["services=a", "tier=a", "held=%7B%22a%22:%7B%7D%7D"]
+        wanted().raise_if_rate_limited(status, other)
+    one.record_failure(("127.0.0.1", 1), began=2.0)
+    one.record_failure(("127.0.0.1", 2), began=2.5)
+    one.record_failure(("127.0.0.1", 1), began=3.0)
+    assert one.query_parameters(4.5)[-1] == "waited_ms=2000", "the other one may have been there since"
+    one.record_answer('{"a":{}}', True)
+    assert one.query_parameters(9.0) == ["services=a", "tier=a", "held=%7B%22a%22:%7B%7D%7D"]
 
 
 def test_a_balancer_that_is_told_to_come_again_has_not_failed() -> None:
     async def scenario() -> None:
         async with ProxyHarness(console="", lists={"services": ["a"]}) as rig:
             failed: list[bool] = []
-            rig.proxy.endpoint_list.discovery._on_failed = lambda: failed.append(True)
+            rig.proxy.endpoint_list.discovery._on_failure = lambda: failed.append(True)
             await rig.discovery.request_lines.get()
             body = b'{"error": "x", "retry_ms": 20, "ticket": 77}'
             rig.discovery.responses.put_nowait(
