--- a/loadbalancer/cli/demo.py
+++ b/loadbalancer/cli/demo.py
@@ -21,9 +21,11 @@
 from loadbalancer.cli.output import output_console
 from loadbalancer.drill import history, open_load
 from loadbalancer.drill.checks import judgement
-from loadbalancer.drill.execution.player import Drive
-from loadbalancer.drill.processes.placement import FIRST, Fleet
-from loadbalancer.drill.scenario import definition
+from loadbalancer.drill.execution.player import DrillPlayer
+from loadbalancer.drill.processes.placement import FIRST_TIER
+from loadbalancer.drill.processes.topology import Topology
+from loadbalancer.drill.scenario.loading import parse_scenario
+from loadbalancer.drill.scenario.tables import DrillScenario
 
 REFRESH_INTERVAL_S = 0.5
 MAX_SHOWN_FAULTS = 5
@@ -76,9 +78,11 @@
         self._last_stats: dict[str, dict[str, Any]] = {}
         self._request_count = 0
 
-    async def play(self, drill: definition.Script, seed: int, out: Path) -> None:
+    async def play(self, drill: DrillScenario, seed: int, out: Path) -> None:
         """Play the drill with a live table; with `stays_up`, go on until Ctrl-C."""
-        drive = Drive(drill, seed, out, on_progress=self._progress, on_over=self._wait_for_interrupt)
+        drive = DrillPlayer(
+            drill, seed, out, on_progress=self._progress, on_load_completed=self._wait_for_interrupt
+        )
         playing = asyncio.create_task(drive.run())
         try:
             with Live(console=self._console, auto_refresh=False) as live:
@@ -96,8 +100,8 @@
     def _progress(self, line: dict[str, Any]) -> None:
         self._request_count = line["asked"]
 
-    async def _render(self, drive: Drive, drill: definition.Script) -> Group:
-        names = {spot.console: spot.name for spot in drive.fleet.balancers(FIRST)}
+    async def _render(self, drive: DrillPlayer, drill: DrillScenario) -> Group:
+        names = {spot.console: spot.name for spot in drive.topology.balancers(FIRST_TIER)}
         reports, _ = await asyncio.to_thread(fetch_reports, list(names), "/admin/stats")
         stats = {names[console]: report for console, report in reports.items()}
         table = stats_table(list(names.values()), stats, self._last_stats, REFRESH_INTERVAL_S)
@@ -108,17 +112,17 @@
             *self._faults(drive),
         )
 
-    def _faults(self, drive: Drive) -> list[Text]:
-        faults = [e for e in history.read(drive.out) if e["what"] == "fault"]
+    def _faults(self, drive: DrillPlayer) -> list[Text]:
+        faults = [e for e in history.read_history(drive.out) if e["what"] == "fault"]
         return [
             Text(f"  {e['kind']} {' '.join(e['targets'])} {'' if e['on'] else '(over)'}", style="yellow")
             for e in faults[-MAX_SHOWN_FAULTS:]
         ]
 
-    async def _wait_for_interrupt(self, fleet: Fleet) -> None:
+    async def _wait_for_interrupt(self, fleet: Topology) -> None:
         if not self._stays_up:
             return
-        front = fleet.balancers(FIRST)[0]
+        front = fleet.balancers(FIRST_TIER)[0]
         host, port = fleet.links[f"clients>{front.name}"].address
         self._console.print(
             "It stays up until Ctrl-C. In another shell:\n"
@@ -142,18 +146,18 @@
     Example: irondrum demo --keep
     """
     console, began = output_console(), time.monotonic()
-    drill = definition.parse(DEMO_DRILL, "demo")
+    drill = parse_scenario(DEMO_DRILL, "demo")
     with tempfile.TemporaryDirectory() as folder:
         out = Path(folder) / "demo"
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(Demo(console, stays_up=keep).play(drill, seed, out))
-        found = judgement.judge(drill, history.read(out))
+        found = judgement.judge(drill, history.read_history(out))
     for check in found:
-        mark = "[green]held[/green]" if check.held else f"[red]broken: {check.first}[/red]"
+        mark = "[green]held[/green]" if check.passed else f"[red]broken: {check.first_violation}[/red]"
         console.print(
             f"  {check.name:<14}{check.measured:>8g}  bound {check.bound:<6g} {mark}", highlight=False
         )
-    is_passed = all(check.held for check in found)
+    is_passed = all(check.passed for check in found)
     console.print(f"{'Nothing broke' if is_passed else 'Something broke'}, {time.monotonic() - began:.0f} s")
     if not is_passed:
         raise typer.Exit(EXIT_CHECK_FAILED)
@@ -172,9 +176,9 @@
 
     Example: irondrum load http://127.0.0.1:8080 --class map:3:500 --class unlock:1:4000:unsafe --rate 100
     """
-    open_load.check(url, rate, seconds, anywhere)
-    kinds = [open_load.read_kind(text) for text in kind]
-    tallies = asyncio.run(open_load.run(url, kinds, rate, seconds, seed))
+    open_load.check_load(url, rate, seconds, anywhere=anywhere)
+    kinds = [open_load.parse_request_kind(text) for text in kind]
+    tallies = asyncio.run(open_load.run_load(url, kinds, rate, seconds, seed))
     if as_json:
         summary = {
             name: {"endings": dict(t.endings), "ms": {f"p{p:g}": t.percentile_ms(p) for p in PERCENTILES}}
--- a/loadbalancer/cli/drill.py
+++ b/loadbalancer/cli/drill.py
@@ -9,17 +9,20 @@
 from pathlib import Path
 from typing import Annotated, Any
 
+import msgspec
 import typer
 import uvloop
 from rich.table import Table
 
 from loadbalancer.cli.output import output_console
 from loadbalancer.cli.usage_error import UsageError, find_file
-from loadbalancer.drill import history, seeded_defects
+from loadbalancer.drill import history
 from loadbalancer.drill.checks import judgement
-from loadbalancer.drill.checks.timeline import Check
-from loadbalancer.drill.execution.player import Drive
-from loadbalancer.drill.scenario import definition
+from loadbalancer.drill.checks.timeline import CheckResult
+from loadbalancer.drill.defects.names import DRILL_DEFECTS
+from loadbalancer.drill.execution.player import DrillPlayer
+from loadbalancer.drill.scenario.loading import load_scenario
+from loadbalancer.drill.scenario.tables import DrillScenario
 
 app = typer.Typer(no_args_is_help=True, help="A fleet of real processes on this machine, with faults.")
 DRILL_FOLDER = Path("drills")
@@ -27,13 +30,15 @@
 PRINTED_CHECK_FIELDS = ("name", "held", "measured", "bound")  # of each check, by `--json`
 
 
-def play(path: Path, drill: definition.Script, seed: int, out: Path, defect: str = "") -> list[Check]:
-    """Play a drill from its file in an empty folder, and judge it; DriveError if it can't be played."""
+def play(path: Path, drill: DrillScenario, seed: int, out: Path, defect: str = "") -> list[CheckResult]:
+    """Play a drill from its file in an empty folder, and judge it; DrillError if it can't be played."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(Drive(drill, seed, out, defect).run())
+        runner.run(DrillPlayer(drill, seed, out, defect).run())
     (out / "drill.toml").write_bytes(path.read_bytes())
-    found = judgement.judge(drill, history.read(out))
-    verdict = {"seed": seed, "plant": defect} | encode_verdict(path.stem, found, Check.__struct_fields__)
+    found = judgement.judge(drill, history.read_history(out))
+    verdict = {"seed": seed, "plant": defect} | encode_verdict(
+        path.stem, found, CheckResult.__struct_encode_fields__
+    )
     (out / "verdict.json").write_text(json.dumps(verdict) + "\n", encoding="utf-8")
     return found
 
@@ -43,9 +48,9 @@
     """List the drills in `drills/`, and the defects that can be seeded."""
     table = Table("drill", "what happens")
     for path in sorted(DRILL_FOLDER.glob("*.toml")):
-        table.add_row(path.stem, definition.load(path).title)
+        table.add_row(path.stem, load_scenario(path).title)
     output_console().print(table)
-    output_console().print(f"--plant: {', '.join(seeded_defects.DEFECTS)}", highlight=False)
+    output_console().print(f"--plant: {', '.join(DRILL_DEFECTS)}", highlight=False)
 
 
 @app.command()
@@ -60,16 +65,16 @@
 
     Example: irondrum drill run calm server-killed --seed 2 --out found/drills
     """
-    if defect and defect not in seeded_defects.DEFECTS:
-        raise UsageError(f"no defect {defect!r}; there are {', '.join(seeded_defects.DEFECTS)}")
+    if defect and defect not in DRILL_DEFECTS:
+        raise UsageError(f"no defect {defect!r}; there are {', '.join(DRILL_DEFECTS)}")
     paths = [find_file(DRILL_FOLDER, "drill", name) for name in names]
-    drills = [(path, definition.load(path)) for path in paths]  # all are sound before the first is played
+    drills = [(path, load_scenario(path)) for path in paths]  # all are sound before the first is played
     is_passed = True
     with tempfile.TemporaryDirectory() as spare:
         for path, drill in drills:
             into = (out or Path(spare)) / path.stem
             found = play(path, drill, seed, into, defect)
-            is_passed = is_passed and all(check.held for check in found)
+            is_passed = is_passed and all(check.passed for check in found)
             if as_json:
                 typer.echo(json.dumps(encode_verdict(path.stem, found, PRINTED_CHECK_FIELDS)))
             else:
@@ -89,22 +94,26 @@
     from loadbalancer.drill import report as pages  # matplotlib takes a second to load
 
     try:
-        typer.echo(pages.write(folder))
+        typer.echo(pages.write_report(folder))
     except pages.ReportError as error:
         raise UsageError(str(error)) from error
 
 
-def encode_verdict(name: str, found: list[Check], fields: Iterable[str]) -> dict[str, Any]:
+def encode_verdict(name: str, found: list[CheckResult], fields: Iterable[str]) -> dict[str, Any]:
     """Return the verdict of a drill, with these fields of each check."""
-    checks = [{field: getattr(check, field) for field in fields} for check in found]
-    return {"drill": name, "held": all(check.held for check in found), "checks": checks}
+    checks = [{field: record[field] for field in fields} for record in map(msgspec.to_builtins, found)]
+    return {"drill": name, "held": all(check.passed for check in found), "checks": checks}
 
 
-def _show(name: str, found: list[Check]) -> None:
+def _show(name: str, found: list[CheckResult]) -> None:
     table = Table("check", "held", "measured", "bound", "first that broke it", title=name)
     for check in found:
-        word = "yes" if check.held else "[red]no[/red]"
+        word = "yes" if check.passed else "[red]no[/red]"
         table.add_row(
-            check.name, word, f"{check.measured:g}", f"{check.bound:g}", "" if check.held else check.first
+            check.name,
+            word,
+            f"{check.measured:g}",
+            f"{check.bound:g}",
+            "" if check.passed else check.first_violation,
         )
     output_console().print(table)
--- a/loadbalancer/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -11,9 +11,9 @@
 from loadbalancer.cli import demo, drill, lab, operations, registry, scale, serve, zone
 from loadbalancer.cli.usage_error import UsageError
 from loadbalancer.configuration import ConfigurationError
+from loadbalancer.drill.errors import DrillError
 from loadbalancer.drill.open_load import LoadError
-from loadbalancer.drill.processes.supervisor import DriveError
-from loadbalancer.drill.scenario.definition import ScriptError
+from loadbalancer.drill.scenario.loading import DrillScenarioError
 from loadbalancer.lab.policies import PolicyError
 from loadbalancer.registry.client import RegistryCallError
 from loadbalancer.registry.server import RegistryServerError
@@ -47,8 +47,8 @@
     UsageError,
     ScenarioError,
     PolicyError,
-    ScriptError,
-    DriveError,
+    DrillScenarioError,
+    DrillError,
     LoadError,
     RegistryServerError,
     RegistryCallError,
--- /dev/null
+++ b/loadbalancer/drill/defects/proxy.py
@@ -0,0 +1,91 @@
+"""Defects of the proxy: it sends twice, makes up answers, or keeps servers that the list has taken away."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from loadbalancer import interface
+from loadbalancer.interface import Outcome, Readiness
+from loadbalancer.net.action_executor import ActionExecutor
+from loadbalancer.net.config import EndpointList
+from loadbalancer.net.downstream_request import DownstreamRequest
+from loadbalancer.net.endpoint_list import EndpointListFollower
+from loadbalancer.net.request_attempts import RequestAttempt
+from loadbalancer.net.request_intake import RequestIntake
+from loadbalancer.net.upstream_attempt import Attempt
+from loadbalancer.net.upstream_response import UpstreamResponse
+
+MADE_UP_INTERVAL = 25  # requests, one of which is answered though no server saw it
+
+
+class _DuplicateAttempt(RequestAttempt):
+    """A second attempt that no client asked for, and whose answer is dropped."""
+
+    def on_request_written(self) -> None:
+        """Count no attempt."""
+
+    def on_response_started(self, attempt: Attempt, answer: UpstreamResponse) -> DownstreamRequest | None:
+        """Forward nothing."""
+        return None
+
+    def on_attempt_ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
+        """Report no outcome."""
+
+
+def sends_twice() -> None:
+    """Send what is unsafe to repeat to two servers."""
+    real = ActionExecutor.execute
+
+    def _execute(self: ActionExecutor, action: interface.Action) -> None:
+        real(self, action)
+        if not isinstance(action, interface.SendAttempt):
+            return
+        request = self._requests.by_id.get(action.request_id)
+        others = [name for name in self._endpoint_list.endpoints if name != action.server]
+        if request is not None and request.downstream.method == b"POST" and others:
+            duplicate = _DuplicateAttempt(self._attempts, request, action, 0)
+            self._upstreams.start_attempt(others[0], duplicate.timeout_ms / 1_000, duplicate)
+
+    ActionExecutor.execute = _execute  # type: ignore[method-assign]
+
+
+def _take_for_ready(state: Readiness) -> None:
+    """Take servers that the list shows in a state for ready, in the decision module and at the sockets."""
+    real = EndpointListFollower.apply
+
+    def _apply(self: EndpointListFollower, kind: interface.UpdateKind, update: EndpointList) -> bool:
+        endpoints = tuple(
+            replace(e, endpoint=replace(e.endpoint, readiness=Readiness.READY))
+            if e.endpoint.readiness is state
+            else e
+            for e in update.endpoints
+        )
+        return real(self, kind, replace(update, endpoints=endpoints))
+
+    EndpointListFollower.apply = _apply  # type: ignore[method-assign]
+
+
+def forgets_drain() -> None:
+    """Go on using a server that drains."""
+    _take_for_ready(Readiness.DRAINING)
+
+
+def keeps_dead_server() -> None:
+    """Go on using a server that the list has removed."""
+    _take_for_ready(Readiness.DEAD)
+
+
+def answers_from_nowhere() -> None:
+    """Answer some requests with 200 though no server ever saw them."""
+    real = RequestIntake.on_request_arrived
+    count = 0
+
+    def _on_request_arrived(self: RequestIntake, downstream: DownstreamRequest) -> None:
+        nonlocal count
+        count += 1
+        if count % MADE_UP_INTERVAL == 0 and downstream.body.is_complete:
+            downstream.send_response(200, [], b'{"served": true}')
+        else:
+            real(self, downstream)
+
+    RequestIntake.on_request_arrived = _on_request_arrived  # type: ignore[method-assign]
--- a/loadbalancer/scale/registrar.py
+++ b/loadbalancer/scale/registrar.py
@@ -1,4 +1,4 @@
-"""Speaks for all upstreams, as their agents would, over a few connections: registers, renews, changes.
+"""The registrar of a scale run: speaks for all upstreams, as their agents would, over a few connections.
 
 python -m loadbalancer.scale.registrar SPEC.json
 """
@@ -13,209 +13,254 @@
 from typing import Any
 
 from loadbalancer.drill.clock import RealClock
-from loadbalancer.drill.servers.specification import Place, follow, read_spec, say
+from loadbalancer.drill.servers.specification import (
+    ProcessSpecification,
+    read_specification,
+    receive_commands,
+    send_message,
+)
 from loadbalancer.net.address import parse_address
-from loadbalancer.net.discovery import connection
+from loadbalancer.net.discovery import connection as connections
 from loadbalancer.registry.lease import RENEWAL_RATIO
-from loadbalancer.scale.counting import Tally, in_background, run, tell_each_second
-from loadbalancer.scale.plan import Plan, name_of, registration
-
-WORKERS = 12  # connections to each instance at the most, for leases; one more for changes
-PATIENCE_S, AGAIN_S = 5.0, 1.0  # for an answer; and until a call that failed is made anew, as an agent's step
-LOOK_S = 0.02
-HELD_MOST_MS = 60_000.0
-
-
-class Spec(Place, kw_only=True, frozen=True):
-    """What the registrar is told."""
+from loadbalancer.scale.plan import Plan, registration, upstream_name
+from loadbalancer.scale.second_counts import (
+    TrafficCounts,
+    report_each_second,
+    run_helper,
+    start_critical_task,
+)
+
+MAX_CONNECTIONS = 12  # to each instance at the most, for leases; one more for changes
+CALL_TIMEOUT_S = 5.0
+RETRY_INTERVAL_S = 1.0  # until a call that failed is repeated, as an agent does
+SCHEDULER_INTERVAL_S = 0.02
+MAX_WRITE_MS = 60_000.0  # for which a change is repeated
+WRITE_RETRY_INTERVAL_S = 0.05
+ANSWER_HEAD_BYTES = 160  # what the head of an answer takes, about
+
+
+class RegistrarSpecification(
+    ProcessSpecification, kw_only=True, frozen=True, rename={"instance_addresses": "ways"}
+):
+    """What the registrar is started with."""
 
     plan: Plan
-    ways: list[str]
-    address: str  # where all upstreams answer
+    instance_addresses: list[str]
+    address: str
+    """Where all upstreams answer."""
 
 
 @dataclass(slots=True)
-class Upstream:
-    """One lease."""
+class UpstreamLease:
+    """The lease of one upstream."""
 
     number: int
-    since_ms: float = 0.0
-    held: bool = False
-    silent: bool = True  # nobody speaks for it
-    place: int = 0  # of the instance that is told
+    started_at_ms: float = 0.0
+    is_registered: bool = False
+    is_silent: bool = True  # its agent is down: it neither registers nor renews
+    instance: int = 0  # that it calls; counts on past the last one
 
+    @property
+    def path(self) -> str:
+        """Its path at the registry."""
+        return f"/v1/servers/{upstream_name(self.number)}"
 
-class Links:
+
+class InstanceConnections:
     """One worker's connections, one to each instance that it calls."""
 
-    def __init__(self, ways: list[str], tally: Tally) -> None:
-        self._ways, self._tally = ways, tally
-        self._links: dict[str, connection.Connection] = {}
+    def __init__(self, instance_addresses: list[str], counts: TrafficCounts) -> None:
+        self._instance_addresses = instance_addresses
+        self._counts = counts
+        self._connections: dict[str, connections.Connection] = {}
 
-    async def call(self, place: int, method: str, path: str, body: object) -> int:
-        """One call: its status; OSError, ValueError or TimeoutError if there is no answer."""
-        at = self._ways[place % len(self._ways)]
+    async def call(self, instance: int, method: str, path: str, body: object) -> int:
+        """Make one call; return its status. OSError, ValueError or TimeoutError if there is no answer."""
+        address = self._instance_addresses[instance % len(self._instance_addresses)]
         data = json.dumps(body).encode() if body is not None else b""
-        head = (
-            f"{method} {path} HTTP/1.1\r\nHost: {at}\r\nX-Who: scale\r\nContent-Length: {len(data)}\r\n\r\n"
-        )
-        request = head.encode() + data
-        async with asyncio.timeout(PATIENCE_S):
-            link = self._links.get(at)
-            if link is None or link.is_closed:
-                link = self._links[at] = await connection.connect(parse_address(at))
-            self._tally.calls[at] += 1
+        head = f"{method} {path} HTTP/1.1\r\nHost: {address}\r\nX-Who: scale\r\n"
+        request = f"{head}Content-Length: {len(data)}\r\n\r\n".encode() + data
+        async with asyncio.timeout(CALL_TIMEOUT_S):
+            connection = self._connections.get(address)
+            if connection is None or connection.is_closed:
+                connection = await connections.connect(parse_address(address))
+                self._connections[address] = connection
+            self._counts.calls[address] += 1
             try:
-                answer = await link.call(request)
+                answer = await connection.call(request)
             except BaseException:
-                link.close()
+                connection.close()
                 raise
-        self._tally.bytes[at] += len(request) + len(answer.body) + 160  # what heads take, about
+        self._counts.bytes[address] += len(request) + len(answer.body) + ANSWER_HEAD_BYTES
         return answer.status
 
 
 class Registrar:
     """All leases, and the writes that the driver asks for."""
 
-    def __init__(self, spec: Spec) -> None:
-        self._spec, self.clock, self.tally = spec, RealClock(spec.offset_ms), Tally()
+    def __init__(self, spec: RegistrarSpecification) -> None:
+        self._spec = spec
+        self._clock = RealClock(spec.offset_ms)
+        self._counts = TrafficCounts()
         self._random = random.Random(spec.seed)
-        self._upstreams = [Upstream(n, place=n) for n in range(spec.plan.balancers)]
-        self._due: list[tuple[float, int]] = []
-        self._jobs: asyncio.Queue[Upstream] = asyncio.Queue()
+        self._upstreams = [UpstreamLease(n, instance=n) for n in range(spec.plan.balancers)]
+        self._due: list[tuple[float, int]] = []  # when, and the upstream's number
+        self._jobs: asyncio.Queue[UpstreamLease] = asyncio.Queue()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._late_ms = 0.0
-        self._held = 0
+        self._max_delay_ms = 0.0
 
     def start(self) -> None:
-        """Begin to work."""
+        """Start to work."""
         loop = asyncio.get_running_loop()
-        for work in (*(self._work() for _ in range(WORKERS)), self._look(), tell_each_second(self.second)):
-            self._tasks.add(in_background(loop, work))
-
-    def command(self, line: dict[str, Any]) -> None:
-        """What the driver wants: `register` all, `write` some changes, be `silent` for some, or `speak`."""
-        loop, now = asyncio.get_running_loop(), self.clock.now
-        match line["do"]:
+        workers = (self._run_worker() for _ in range(MAX_CONNECTIONS))
+        for work in (*workers, self._schedule_due(), report_each_second(self.take_counts)):
+            self._tasks.add(start_critical_task(loop, work))
+
+    def handle_command(self, command: dict[str, Any]) -> None:
+        """Follow the driver: `register` all, `write` some changes, be `silent` for some, or `speak`."""
+        loop, now_ms = asyncio.get_running_loop(), self._clock.now
+        match command["do"]:
             case "register":
                 for upstream in self._upstreams:
-                    self._speak(upstream, 0.0)
+                    self._activate(upstream, 0.0)
             case "speak":
-                for number in line["numbers"]:
-                    self._speak(self._upstreams[number], now)
+                for number in command["numbers"]:
+                    self._activate(self._upstreams[number], now_ms)
             case "silent":
-                for number in line["numbers"]:
-                    self._upstreams[number].silent = True
+                for number in command["numbers"]:
+                    self._upstreams[number].is_silent = True
             case "write":
-                self._tasks.add(in_background(loop, self._write_all(line)))
+                self._tasks.add(start_critical_task(loop, self._write_all(command)))
 
-    def _speak(self, upstream: Upstream, since_ms: float) -> None:
-        upstream.silent, upstream.held = False, False
-        upstream.since_ms = since_ms
+    def _activate(self, upstream: UpstreamLease, started_at_ms: float) -> None:
+        upstream.is_silent = False
+        upstream.is_registered = False
+        upstream.started_at_ms = started_at_ms
         self._jobs.put_nowait(upstream)
 
-    async def _look(self) -> None:
-        """Put up what is due."""
+    # ---- leases ---------------------------------------------------------------------------------
+
+    async def _schedule_due(self) -> None:
+        """Queue what is due."""
         while True:
-            now = self.clock.now
-            while self._due and self._due[0][0] <= now:
-                at, number = heapq.heappop(self._due)
-                self._late_ms = max(self._late_ms, now - at)
+            now_ms = self._clock.now
+            while self._due and self._due[0][0] <= now_ms:
+                due_ms, number = heapq.heappop(self._due)
+                self._max_delay_ms = max(self._max_delay_ms, now_ms - due_ms)
                 self._jobs.put_nowait(self._upstreams[number])
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(SCHEDULER_INTERVAL_S)
 
-    async def _work(self) -> None:
-        links = Links(self._spec.ways, self.tally)
+    async def _run_worker(self) -> None:
+        """Register and renew what is queued, for ever."""
+        connections = InstanceConnections(self._spec.instance_addresses, self._counts)
         while True:
             upstream = await self._jobs.get()
-            if upstream.silent:
-                upstream.held = False  # who speaks for it again has to put it up anew
+            if upstream.is_silent:
+                upstream.is_registered = False  # it is queued anew when it starts again
                 continue
-            lease_ms, part = self._spec.plan.lease_s * 1_000, RENEWAL_RATIO
-            first = not upstream.held
-            wait_ms = lease_ms * part
-            if not await self._keep(links, upstream):
-                wait_ms = AGAIN_S * 1_000 * (0.5 + self._random.random())
-            elif first:
+            wait_ms = self._spec.plan.lease_s * 1_000 * RENEWAL_RATIO
+            is_first = not upstream.is_registered
+            if not await self._register_or_renew(connections, upstream):
+                wait_ms = RETRY_INTERVAL_S * 1_000 * (0.5 + self._random.random())
+            elif is_first:
                 wait_ms *= self._random.random()  # agents of a fleet are not in step
-            heapq.heappush(self._due, (self.clock.now + wait_ms, upstream.number))
+            heapq.heappush(self._due, (self._clock.now + wait_ms, upstream.number))
 
-    async def _keep(self, links: Links, upstream: Upstream) -> bool:
-        """Register or renew once; whether that was done."""
-        path = f"/v1/servers/{name_of(upstream.number)}"
+    async def _register_or_renew(self, connections: InstanceConnections, upstream: UpstreamLease) -> bool:
+        """Register or renew once; return whether that was done."""
         try:
-            if upstream.held:
-                body = {"since_ms": upstream.since_ms}
-                status = await links.call(upstream.place, "POST", f"{path}/renew", body)
+            if upstream.is_registered:
+                body = {"since_ms": upstream.started_at_ms}
+                status = await connections.call(upstream.instance, "POST", f"{upstream.path}/renew", body)
             else:
-                status = await links.call(upstream.place, "PUT", path, self._told(upstream))
+                body = self._registration(upstream)
+                status = await connections.call(upstream.instance, "PUT", upstream.path, body)
         except (OSError, ValueError, TimeoutError):
-            upstream.place += 1
+            upstream.instance += 1
             return False
         if status == 503:
-            upstream.place += 1
+            upstream.instance += 1
         if status == 404:
-            upstream.held = False
-        elif status == 200 and not upstream.held:
-            upstream.held = True
+            upstream.is_registered = False
+        elif status == 200 and not upstream.is_registered:
+            upstream.is_registered = True
         return status == 200
 
-    def _told(self, upstream: Upstream) -> dict[str, Any]:
-        return registration(self._spec.plan, upstream.number, self._spec.address, upstream.since_ms)
+    def _registration(self, upstream: UpstreamLease) -> dict[str, Any]:
+        return registration(self._spec.plan, upstream.number, self._spec.address, upstream.started_at_ms)
 
-    async def _write_all(self, line: dict[str, Any]) -> None:
-        """Make changes, so many a second: each as [number, what]; tell when each was answered, and how."""
-        links, written = Links(self._spec.ways, self.tally), []
-        began = self.clock.now
-        for place, (number, what) in enumerate(line["writes"]):
-            wait_ms = began + place * 1_000 / line["per_s"] - self.clock.now
-            await asyncio.sleep(max(wait_ms, 0.0) / 1_000)
-            written.append(await self._write(links, self._upstreams[number], what))
-        say(done=line["id"], written=written)
+    # ---- changes --------------------------------------------------------------------------------
 
-    async def _write(self, links: Links, upstream: Upstream, what: str) -> dict[str, Any]:
-        path, until = f"/v1/servers/{name_of(upstream.number)}", self.clock.now + HELD_MOST_MS
+    async def _write_all(self, command: dict[str, Any]) -> None:
+        """Make changes, so many a second: each as [number, what]; reply when each was answered, and how."""
+        connections = InstanceConnections(self._spec.instance_addresses, self._counts)
+        written = []
+        began_ms = self._clock.now
+        for index, (number, what) in enumerate(command["writes"]):
+            wait_ms = began_ms + index * 1_000 / command["per_s"] - self._clock.now
+            await asyncio.sleep(max(wait_ms, 0.0) / 1_000)
+            written.append(await self._write(connections, self._upstreams[number], what))
+        send_message(done=command["id"], written=written)
+
+    async def _write(
+        self, connections: InstanceConnections, upstream: UpstreamLease, what: str
+    ) -> dict[str, Any]:
+        """Make one change: `start`, `drain` or `remove`; return what came of it."""
+        until_ms = self._clock.now + MAX_WRITE_MS
         if what == "start":
-            upstream.since_ms = round(self.clock.now)
-        calls = {"start": ("PUT", path, self._told(upstream)), "drain": ("POST", f"{path}/drain", None)}
-        method, where, body = calls.get(what, ("DELETE", path, None))
-        upstream.silent = what == "remove"
-        first = self.clock.now
+            upstream.started_at_ms = round(self._clock.now)
+        upstream.is_silent = what == "remove"
+        status, sent_ms = await self._write_until(connections, upstream, what, until_ms)
+        if what == "start" and not upstream.is_registered:
+            upstream.is_registered = True
+            heapq.heappush(self._due, (self._clock.now, upstream.number))
+        started_at = f"{upstream.started_at_ms:.0f}"
+        states = {"start": f"READY/{started_at}", "drain": f"DRAINING/{started_at}"}
+        if what == "remove":
+            upstream.is_registered = False
+        return {
+            "name": upstream_name(upstream.number), "state": states.get(what, "gone"), "status": status,
+            "sent_ms": sent_ms, "done_ms": self._clock.now,
+        }  # fmt: skip
+
+    async def _write_until(
+        self, connections: InstanceConnections, upstream: UpstreamLease, what: str, until_ms: float
+    ) -> tuple[int, float]:
+        """Repeat a change at one instance after another until one accepts it; return status and time sent."""
+        drain_path = f"{upstream.path}/drain"
+        calls = {
+            "start": ("PUT", upstream.path, self._registration(upstream)),
+            "drain": ("POST", drain_path, None),
+        }
+        method, path, body = calls.get(what, ("DELETE", upstream.path, None))
+        first_sent_ms = self._clock.now
         while True:
-            sent = self.clock.now
+            sent_ms = self._clock.now
             try:
-                status = await links.call(upstream.place, method, where, body)
+                status = await connections.call(upstream.instance, method, path, body)
             except (OSError, ValueError, TimeoutError):
                 status = 0
-            if status == 404 and what == "remove" and sent > first:
-                status, sent = 200, first  # the call before went through, and its answer was lost
-            if status == 200 or sent > until:
-                break
-            upstream.place += 1
-            await asyncio.sleep(0.05)
-        if what == "start" and not upstream.held:
-            upstream.held = True
-            heapq.heappush(self._due, (self.clock.now, upstream.number))
-        state = {"start": f"READY/{upstream.since_ms:.0f}", "drain": f"DRAINING/{upstream.since_ms:.0f}"}
-        told = {"name": name_of(upstream.number), "state": state.get(what, "gone"), "status": status}
-        if what == "remove":
-            upstream.held = False
-        return told | {"sent_ms": sent, "done_ms": self.clock.now}
+            if status == 404 and what == "remove" and sent_ms > first_sent_ms:
+                return 200, first_sent_ms  # the call before went through, and its answer was lost
+            if status == 200 or sent_ms > until_ms:
+                return status, sent_ms
+            upstream.instance += 1
+            await asyncio.sleep(WRITE_RETRY_INTERVAL_S)
 
-    def second(self) -> dict[str, object]:
-        """The counts of a second."""
-        late, self._late_ms = self._late_ms, 0.0
-        held = sum(u.held for u in self._upstreams)
-        return self.tally.told() | {"held": held, "late_ms": round(late)}
+    def take_counts(self) -> dict[str, object]:
+        """Return the counts of a second, and begin anew."""
+        delay_ms, self._max_delay_ms = self._max_delay_ms, 0.0
+        registered_count = sum(upstream.is_registered for upstream in self._upstreams)
+        return self._counts.take() | {"held": registered_count, "late_ms": round(delay_ms)}
 
 
 async def serve() -> None:
     """Register and renew until the driver closes our input."""
-    registrar = Registrar(read_spec(Spec))
+    registrar = Registrar(read_specification(RegistrarSpecification))
     registrar.start()
-    say(ready=True)
-    await follow(registrar.command)
+    send_message(ready=True)
+    await receive_commands(registrar.handle_command)
 
 
 if __name__ == "__main__":
-    run(serve())
+    run_helper(serve())
--- a/tests/test_drill_links.py
+++ b/tests/test_drill_links.py
@@ -1,4 +1,4 @@
-"""Relays between processes: what is passed on, and what each fault does to connections and datagrams."""
+"""Relays between processes: what is forwarded, and what each fault does to connections and datagrams."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 
 import pytest
 
-from loadbalancer.drill.links.tcp import DatagramLink, Fault, Link
+from loadbalancer.drill.links.faults import LinkFault
+from loadbalancer.drill.links.tcp import TcpLink
+from loadbalancer.drill.links.udp import DatagramLink
 from tests.loopback import run_scenario
 
 HOST = "127.0.0.1"
@@ -23,9 +25,9 @@
 
 
 @asynccontextmanager
-async def linked() -> AsyncIterator[Link]:
+async def linked() -> AsyncIterator[TcpLink]:
     server = await asyncio.start_server(echo, HOST, 0)
-    link = Link("a>b", HOST, HOST, server.sockets[0].getsockname()[:2], random.Random(1))
+    link = TcpLink("a>b", HOST, HOST, server.sockets[0].getsockname()[:2], random.Random(1))
     link.start()
     try:
         yield link
@@ -34,8 +36,8 @@
         server.close()
 
 
-async def said(link: Link, data: bytes) -> bytes:
-    """What comes back for some bytes on a new connection."""
+async def echoed(link: TcpLink, data: bytes) -> bytes:
+    """Return what comes back for some bytes on a new connection."""
     reader, writer = await asyncio.open_connection(*link.address)
     try:
         writer.write(data)
@@ -44,7 +46,7 @@
         writer.close()
 
 
-def test_bytes_and_ends_are_passed_on_both_ways() -> None:
+def test_bytes_and_ends_are_forwarded_in_both_directions() -> None:
     async def scenario() -> None:
         async with linked() as link:
             reader, writer = await asyncio.open_connection(*link.address)
@@ -57,10 +59,10 @@
     run_scenario(scenario())
 
 
-def test_a_delay_holds_every_piece_in_order_and_ends_when_it_is_lifted() -> None:
+def test_delayed_bytes_stay_in_order_until_the_fault_is_cleared() -> None:
     async def scenario() -> None:
         async with linked() as link:
-            link.set("slow", Fault(delay_ms=40, jitter_ms=40), "back")
+            link.set("slow", LinkFault(delay_ms=40, jitter_ms=40), "back")
             loop = asyncio.get_running_loop()
             began = loop.time()
             reader, writer = await asyncio.open_connection(*link.address)
@@ -76,13 +78,13 @@
     run_scenario(scenario())
 
 
-def test_a_cut_is_silent_for_open_and_new_connections_and_heals() -> None:
+def test_cut_link_is_silent_for_open_and_new_connections_and_heals() -> None:
     async def scenario() -> None:
         async with linked() as link:
             reader, writer = await asyncio.open_connection(*link.address)
             writer.write(b"a")
             assert await reader.readexactly(1) == b"a"
-            link.set("cut", Fault(cut=True), "there")
+            link.set("cut", LinkFault(cut=True), "there")
             writer.write(b"b")
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(reader.readexactly(1), 0.2)
@@ -90,27 +92,27 @@
                 await asyncio.wait_for(asyncio.open_connection(*link.address), 0.2)
             link.lift("cut")
             assert await reader.readexactly(1) == b"b"
-            assert await said(link, b"again") == b"again"
+            assert await echoed(link, b"again") == b"again"
             writer.close()
 
     run_scenario(scenario())
 
 
-def test_refused_reset_and_short_are_three_things_to_a_caller() -> None:
+def test_caller_sees_a_refusal_a_reset_and_an_early_end_as_such() -> None:
     async def scenario() -> None:
         async with linked() as link:
-            link.set("no", Fault(refuse=True))
+            link.set("no", LinkFault(refuse=True))
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*link.address)
             link.lift("no")
-            link.set("reset", Fault(reset_after=3), "back")
+            link.set("reset", LinkFault(reset_after=3), "back")
             with pytest.raises(ConnectionResetError):
                 reader, writer = await asyncio.open_connection(*link.address)
                 writer.write(b"abcdef")
                 await reader.read(-1)
                 raise AssertionError("an end in place of a reset")
             link.lift("reset")
-            link.set("short", Fault(short_after=3), "back")
+            link.set("short", LinkFault(short_after=3), "back")
             reader, writer = await asyncio.open_connection(*link.address)
             writer.write(b"abcdef")
             assert await reader.read(-1) == b"abc"
@@ -119,34 +121,34 @@
     run_scenario(scenario())
 
 
-def test_a_process_that_is_down_is_refused_and_a_removed_one_trips_the_wire() -> None:
+def test_connection_to_a_stopped_process_is_refused_and_to_a_removed_one_is_reported() -> None:
     async def scenario() -> None:
         async with linked() as link:
-            knocks: list[str] = []
-            link._on_knock = knocks.append
-            link.put(up=False)
+            calls: list[str] = []
+            link._on_unexpected_call = calls.append
+            link.update_target(is_up=False)
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*link.address)
-            assert knocks == []
-            link.put(barred=True)
+            assert calls == []
+            link.update_target(is_withdrawn=True)
             with pytest.raises(ConnectionResetError):
                 reader, _ = await asyncio.open_connection(*link.address)
                 await reader.read(-1)
-            assert knocks == ["a>b"]
-            link.put(up=True, barred=False)
-            assert await said(link, b"back") == b"back"
+            assert calls == ["a>b"]
+            link.update_target(is_up=True, is_withdrawn=False)
+            assert await echoed(link, b"back") == b"back"
 
     run_scenario(scenario())
 
 
-def test_a_reset_at_one_end_is_one_at_the_other_but_not_through_a_cut() -> None:
+def test_reset_reaches_the_other_end_but_not_through_a_cut() -> None:
     async def scenario() -> None:
         async with linked() as link:
             reader, _ = await asyncio.open_connection(*link.address)
-            while not link._open or len(link._open) < 2:
+            while not link._transports or len(link._transports) < 2:
                 await asyncio.sleep(0.001)
-            link.set("cut", Fault(cut=True))
-            for transport in list(link._open):
+            link.set("cut", LinkFault(cut=True))
+            for transport in list(link._transports):
                 if transport.get_extra_info("peername")[1] == link.target[1]:
                     transport.abort()
             with pytest.raises(TimeoutError):
@@ -158,7 +160,7 @@
     run_scenario(scenario())
 
 
-def test_datagrams_are_lost_doubled_and_disordered_as_told() -> None:
+def test_datagrams_are_lost_doubled_and_disordered_by_faults() -> None:
     async def scenario() -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind((HOST, 0))
@@ -168,26 +170,28 @@
         await link.start(HOST)
         sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
 
-        async def exchange(fault: Fault, count: int) -> list[int]:
+        async def exchange(fault: LinkFault, count: int) -> list[int]:
             link.direction.set("f", fault)
-            passed, lost = link.passed, link.lost
+            passed, lost = link.forwarded_count, link.lost_count
             for number in range(count):
                 sender.sendto(b"%d" % number, link.address)
-                while link.passed + link.lost == passed + lost and fault == Fault():
+                while link.forwarded_count + link.lost_count == passed + lost and fault == LinkFault():
                     await asyncio.sleep(0)
-            while link.passed - passed < (count - (link.lost - lost)) * (2 if fault.doubled else 1):
+            while link.forwarded_count - passed < (count - (link.lost_count - lost)) * (
+                2 if fault.doubled else 1
+            ):
                 await asyncio.sleep(0.001)
-            got = link.passed - passed
+            got = link.forwarded_count - passed
             return [int(await loop.sock_recv(sock, 256)) for _ in range(got)]
 
-        assert await exchange(Fault(), 3) == [0, 1, 2]
-        assert sorted(await exchange(Fault(doubled=1.0), 2)) == [0, 0, 1, 1]
-        mixed = await exchange(Fault(disorder=1.0), 20)
+        assert await exchange(LinkFault(), 3) == [0, 1, 2]
+        assert sorted(await exchange(LinkFault(doubled=1.0), 2)) == [0, 0, 1, 1]
+        mixed = await exchange(LinkFault(disorder=1.0), 20)
         assert sorted(mixed) == list(range(20)) and mixed != sorted(mixed)
-        link.direction.set("f", Fault(loss=1.0))
-        before = link.lost
+        link.direction.set("f", LinkFault(loss=1.0))
+        before = link.lost_count
         sender.sendto(b"x", link.address)
-        while link.lost == before:
+        while link.lost_count == before:
             await asyncio.sleep(0.001)
         link.close()
         sender.close()
--- a/tests/test_registry_service.py
+++ b/tests/test_registry_service.py
@@ -21,7 +21,7 @@
 import pytest
 from aiohttp import web
 
-from loadbalancer.drill.processes.placement import free_port
+from loadbalancer.drill.processes.addresses import find_free_port
 from loadbalancer.net.endpoint_list_codec import decode_endpoint_list
 from loadbalancer.registry import (
     Catalog,
@@ -489,7 +489,7 @@
     async def scenario() -> None:
         first, second = Upstream(), Upstream()
         addresses = [await first.start(), await second.start()]
-        port = free_port(HOST)
+        port = find_free_port(HOST)
 
         async def service(name: str) -> web.AppRunner:
             runner = web.AppRunner(
@@ -548,7 +548,7 @@
 
 
 def test_answered_writes_outlast_kills_and_revisions_only_grow(tmp_path: Path) -> None:
-    path, port = tmp_path / "list.toml", free_port(HOST)
+    path, port = tmp_path / "list.toml", find_free_port(HOST)
     caller, versions = RegistryClient(f"{HOST}:{port}", who="test"), [0]
     answered: list[str] = []
     for life in range(3):
@@ -572,7 +572,7 @@
 
 
 def test_commands_show_and_change_the_list(tmp_path: Path) -> None:
-    path, port = tmp_path / "list.toml", free_port(HOST)
+    path, port = tmp_path / "list.toml", find_free_port(HOST)
     process, at = served(path, port), f"{HOST}:{port}"
 
     def say(*args: str, status: int = 0) -> str:
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -14,7 +14,7 @@
 import pytest
 import uvloop
 
-from loadbalancer.drill.processes.placement import free_port
+from loadbalancer.drill.processes.addresses import find_free_port
 from loadbalancer.net.config_reader import read_config
 from loadbalancer.net.proxy import Proxy
 from tests.loopback import config_text, endpoint_entry, http_response, run_scenario, running_program
@@ -34,7 +34,7 @@
         self._failure, self.calls = failure, 0
 
     async def start(self) -> str:
-        port = free_port(HOST)
+        port = find_free_port(HOST)
         if self._failure != "refused":
             self._server = await asyncio.start_server(self._serve, HOST, port)
         return f"{HOST}:{port}"
@@ -74,7 +74,7 @@
 @asynccontextmanager
 async def running_balancer(config: dict[str, Any], path: Path) -> AsyncIterator[int]:
     """One balancer as the platform starts it; gives the port that it listens on, and ends it."""
-    port = free_port(HOST)
+    port = find_free_port(HOST)
     path.write_text(json.dumps(config | {"listen": f"{HOST}:{port}"}))
     async with running_program(path):
         yield port
@@ -83,7 +83,7 @@
 def configuration(
     address: str, how: str, has_initial_list: bool, has_own_registry: bool = False
 ) -> dict[str, Any]:
-    lists = {"others": [f"{HOST}:{free_port(HOST)}"]} if has_own_registry else None
+    lists = {"others": [f"{HOST}:{find_free_port(HOST)}"]} if has_own_registry else None
     contract = {"drainGrace": 300.0, "askWithin": 30_000.0}
     text = config_text(
         address,
@@ -134,7 +134,9 @@
     how: str, has_initial_list: bool, has_own_registry: bool
 ) -> None:
     async def scenario() -> None:
-        text = json.dumps(configuration(f"{HOST}:{free_port(HOST)}", how, has_initial_list, has_own_registry))
+        text = json.dumps(
+            configuration(f"{HOST}:{find_free_port(HOST)}", how, has_initial_list, has_own_registry)
+        )
         proxy = Proxy(read_config(text, lambda note: None), asyncio.get_running_loop())
         proxy.start()
         assert proxy.is_serving()
