--- a/loadbalancer/cli/lab.py
+++ b/loadbalancer/cli/lab.py
@@ -62,7 +62,7 @@
     """List the scenarios and policies there are: `irondrum lab list`."""
     for path in sorted(SCENARIO_FOLDER.glob("*.toml")):
         typer.echo(f"{path.stem:16} {scenarios.load(path).title}")
-    typer.echo(f"policies: {', '.join(policies.NAMES)}")
+    typer.echo(f"policies: {', '.join(policies.POLICY_NAMES)}")
 
 
 @app.command()
@@ -70,7 +70,7 @@
     names: Annotated[list[str], typer.Argument(metavar="SCENARIO...", help="Names, or files in TOML.")],
     out: Annotated[Path, typer.Option(help="The folder for results; a run goes on behind what it holds.")],
     seeds: Annotated[str, typer.Option(help="Such as 1-16 or 1,4,7-9.")] = "1-4",
-    policy: Annotated[str, typer.Option(help="Names, with commas between.")] = policies.OURS,
+    policy: Annotated[str, typer.Option(help="Names, with commas between.")] = policies.OWN_POLICY,
     jobs: Annotated[int, typer.Option(min=1, help="Days played at once.")] = DEFAULT_JOBS,
     rev: Annotated[str, typer.Option(help="Play `ours` as it was at this commit.")] = "",
     changes: Annotated[list[str] | None, typer.Option("--set", help="Such as choke.at=5.")] = None,
@@ -82,7 +82,7 @@
     with tempfile.TemporaryDirectory() as folder:
         decisions = Path(folder) if rev else None
         if decisions:
-            policies.unpack(rev, Path.cwd(), decisions)
+            policies.extract_policy(rev, Path.cwd(), decisions)
         with errors.status(f"{len(jobs_to_run)} days") if errors.is_terminal else nullcontext():
             on_record = _ignore_record if as_json else _print_record
             records = plays.run(jobs_to_run, out, jobs, decisions, on_record)
@@ -93,11 +93,11 @@
     """Return a job for each scenario, seed and policy; UsageError or PolicyError if there is no such one."""
     wanted = [name.strip() for name in policy.split(",")]
     for name in wanted:
-        if name not in policies.NAMES:
-            raise policies.PolicyError(f"no policy {name!r}; there are {', '.join(policies.NAMES)}")
+        if name not in policies.POLICY_NAMES:
+            raise policies.PolicyError(f"no policy {name!r}; there are {', '.join(policies.POLICY_NAMES)}")
     at_rev = f"@{rev}" if rev else ""
     return [
-        plays.Job(Path(name).stem, seed, which, which + at_rev * (which == policies.OURS), scenario)
+        plays.Job(Path(name).stem, seed, which, which + at_rev * (which == policies.OWN_POLICY), scenario)
         for name in names
         for scenario in [load_scenario(name, changes)]
         for seed in parse_seeds(seeds)
