--- a/tests/test_interest_subscription.py
+++ b/tests/test_interest_subscription.py
@@ -15,7 +15,7 @@
 import aiohttp
 import msgspec
 import pytest
-from hypothesis import HealthCheck, given, settings
+from hypothesis import HealthCheck, example, given, settings
 from hypothesis import strategies as st
 
 from loadbalancer import configuration
@@ -248,6 +248,15 @@
 
 
 @given(watchers=st.lists(clients, min_size=1, max_size=4), steps_taken=st.lists(steps, max_size=60))
+@example(
+    watchers=[Client("a,b,c", 0, "b-1", "", 1), Client("a,b", 0, "b-1", "", 0)],
+    steps_taken=[
+        ("look", 1),
+        ("roam", 1),
+        ("register", 0, "s0", "a", "east"),
+        ("want", 1, Client("a,c", 0, "b-1", "", 0)),
+    ],
+)
 @settings(max_examples=300, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 def test_watcher_always_holds_what_its_interest_includes_and_gets_nothing_else(
     watchers: list[Client], steps_taken: list[tuple[Any, ...]]
