--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -33,9 +33,9 @@
 LEASE_MS = 86_400_000.0  # none expires while it is measured
 EACH = """
 from loadbalancer.registry.query_evaluation import QueryEvaluator
-def cached_changes(self, query, views):
+def cached_changes(self, query, previous, view):
     self._answers.clear()
-    return real(self, query, views)
+    return real(self, query, previous, view)
 real, QueryEvaluator._cached_changes = QueryEvaluator._cached_changes, cached_changes
 """
 SERVE = """
--- a/loadbalancer/registry/query_evaluation.py
+++ b/loadbalancer/registry/query_evaluation.py
@@ -10,7 +10,7 @@
 import asyncio
 import time
 from collections.abc import Hashable
-from typing import Any, NamedTuple
+from typing import Any
 
 import msgspec
 
@@ -33,20 +33,6 @@
 MAX_CACHED_ANSWERS = 64  # that watchers share
 
 
-class Evaluation(NamedTuple):
-    """The answer to a query, None for one that waits; and what the watcher holds with it."""
-
-    body: bytes | None
-    view: SubsetView
-
-
-class _Views(NamedTuple):
-    """What a watcher holds at its revision, and what it is to hold from now on."""
-
-    previous: SubsetView
-    next: SubsetView
-
-
 class QueryEvaluator:
     """Answers the list queries of one instance."""
 
@@ -78,7 +64,7 @@
             return None
         size = 0
         if query.after_revision < 0:
-            size = self._subsets.estimate_size(self._views(query, is_snapshot=True).next)
+            size = self._subsets.estimate_size(self._views(query, is_snapshot=True)[1])
         cost_s = CALL_COST_S + ENTRY_COST_S * size
         now = asyncio.get_running_loop().time()
         return self.admission_queue.schedule_retry(now, cost_s, query.waited_ms / 1_000, query.ticket)
@@ -104,22 +90,26 @@
             with self.watcher_index.subscribe(view, query.interest.subset) as woken:
                 await asyncio.wait((woken,), timeout=remaining_s)
 
-    def evaluate(self, query: ListQuery, *, may_wait: bool) -> Evaluation:
+    def evaluate(self, query: ListQuery, *, may_wait: bool) -> tuple[bytes | None, SubsetView]:
         """Return the answer as it is now, and what is held with it; no body if it may wait for a change."""
-        views = self._views(query, is_snapshot=False)
-        waits = may_wait and views.previous.key == views.next.key and self._is_up_to_date(query)
-        body = None if waits else self._cached_changes(query, views)
+        previous, view = self._views(query, is_snapshot=False)
+        waits = may_wait and previous.key == view.key and self._is_up_to_date(query)
+        body = None if waits else self._cached_changes(query, previous, view)
         if body is None and not may_wait:
-            body = self._encode(query, query.after_revision, views.next, [])
-        return Evaluation(body, views.next)
+            body = self._encode(query, query.after_revision, view, [])
+        return body, view
 
-    def _views(self, query: ListQuery, *, is_snapshot: bool) -> _Views:
+    def _views(self, query: ListQuery, *, is_snapshot: bool) -> tuple[SubsetView, SubsetView]:
+        """Return what a watcher holds at its revision, and what it is to hold from now on.
+
+        A plain tuple, as of `evaluate`: both are made for each call and each wake.
+        """
         interest = query.interest
         known_levels = complete_levels(interest.services) if query.is_single_tier else query.known_levels
         levels = self._subsets.choose_levels(interest, known_levels, is_snapshot=is_snapshot)
         view = SubsetView(levels, interest.position)
         previous = view if known_levels is None else SubsetView(known_levels, interest.position)
-        return _Views(previous, view)
+        return previous, view
 
     def _is_up_to_date(self, query: ListQuery) -> bool:
         """Return whether a watcher knows all that was announced at the last wake.
@@ -130,31 +120,31 @@
         knows_levels = query.is_single_tier or query.known_levels is not None
         return is_current and knows_levels and self.has_history_for(query)
 
-    def _cached_changes(self, query: ListQuery, views: _Views) -> bytes | None:
+    def _cached_changes(self, query: ListQuery, previous: SubsetView, view: SubsetView) -> bytes | None:
         """Return what all get that have seen a revision of the same; None if nothing has changed."""
         key = (
             query.is_single_tier,
-            views.previous.key,
-            views.next.key,
+            previous.key,
+            view.key,
             query.after_revision,
             self._catalog.revision,
         )
         if query.after_revision >= 0 and key in self._answers:
             return self._answers[key]
-        body = self._encode_changes(query, views)
+        body = self._encode_changes(query, previous, view)
         while len(self._answers) >= MAX_CACHED_ANSWERS:
             del self._answers[next(iter(self._answers))]
         self._answers[key] = body
         return body
 
-    def _encode_changes(self, query: ListQuery, views: _Views) -> bytes | None:
+    def _encode_changes(self, query: ListQuery, previous: SubsetView, view: SubsetView) -> bytes | None:
         knows_levels = query.is_single_tier or query.known_levels is not None
         if query.after_revision < 0 or not knows_levels or not self._can_resume(query):
             return self._encode_snapshot(query)
-        changes = changes_for(self._catalog, views.previous, views.next, query.after_revision)
-        if not changes and views.previous.key == views.next.key:
+        changes = changes_for(self._catalog, previous, view, query.after_revision)
+        if not changes and previous.key == view.key:
             return None
-        return self._encode(query, query.after_revision, views.next, changes)
+        return self._encode(query, query.after_revision, view, changes)
 
     def _can_resume(self, query: ListQuery) -> bool:
         start = self._catalog.revisions.start
@@ -167,7 +157,7 @@
 
     def _encode_snapshot(self, query: ListQuery) -> bytes:
         """Return the full snapshot, encoded once for all that hold the same."""
-        view = self._views(query, is_snapshot=True).next
+        _, view = self._views(query, is_snapshot=True)
         key = query.is_single_tier, view.key, NO_REVISION, self._catalog.revision
         body = self._answers.get(key)
         if body is None:
