--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration for people: every fault at once, units, a schema, and the annotated example."""
+"""The configuration for people: all errors at once, units, the schema, and the annotated example."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
         "known": {"endpoints": [{"name": "s", "address": "127.0.0.1:1", "weight": 0}]},
     }
     found = configuration.validation_errors(tables)
-    for told in (
+    for start in (
         'listen: "localhost"; allowed: an address such as',
         "nme: no such key; allowed: listen, discovery, settings",
         "discovery: is missing",
@@ -64,7 +64,7 @@
         "settings.limits.attemptsCap: 0; allowed: a whole number at least 1",
         "known.endpoints[0].weight: 0; allowed: a number above 0",
     ):
-        assert [f for f in found if f.startswith(told)], (told, found)
+        assert [f for f in found if f.startswith(start)], (start, found)
     assert len(found) == 8 and not [f for f in found if "\n" in f]
 
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""One process of the balancer takes over from another: real processes, on loopback sockets."""
+"""Hot restart: one process of the balancer takes over from another, as real processes on loopback sockets."""
 
 from __future__ import annotations
 
@@ -43,7 +43,9 @@
     def __init__(
         self, folder: Path, *upstreams: Upstream, sockets: int = 1024, deadline_ms: float = 5_000.0
     ) -> None:
-        self.folder, self.upstreams, self._sockets = folder, upstreams, sockets
+        self.folder = folder
+        self.upstreams = upstreams
+        self._sockets = sockets
         self._deadline_ms = deadline_ms
         (folder / "shared").mkdir()
         self.discovery = ListServer()
@@ -60,8 +62,8 @@
         console = free_port("127.0.0.1")
         raw = json.loads(config_text(self._discovery, self.entries, f"127.0.0.1:{console}"))
         raw["listen"], raw["limits"]["sockets"] = f"127.0.0.1:{self.port}", self._sockets
-        for cls in raw["settings"]["classes"]:
-            cls |= {"target": 0.4 * self._deadline_ms, "deadline": self._deadline_ms}
+        for request_class in raw["settings"]["classes"]:
+            request_class |= {"target": 0.4 * self._deadline_ms, "deadline": self._deadline_ms}
         path = self.folder / f"{console}.json"
         path.write_text(json.dumps(raw))
         environment = os.environ | {"LB_CONFIG": str(path), "TMPDIR": str(self.folder / "shared")}
@@ -76,15 +78,18 @@
                 child.kill()
             await child.wait()
 
-    async def caller(self) -> HttpClient:
-        caller = HttpClient()
-        caller.reader, caller.writer = await asyncio.open_connection("127.0.0.1", self.port)
-        return caller
+    async def connect(self) -> HttpClient:
+        client = HttpClient()
+        client.reader, client.writer = await asyncio.open_connection("127.0.0.1", self.port)
+        return client
 
 
 class Process:
+    """A balancer's process, and its console."""
+
     def __init__(self, child: asyncio.subprocess.Process, console: int) -> None:
-        self.child, self._console = child, console
+        self.child = child
+        self._console = console
 
     async def call(self, line: str, body: bytes = b"") -> HttpMessage:
         reader, writer = await asyncio.open_connection("127.0.0.1", self._console)
@@ -93,9 +98,9 @@
         writer.close()
         return answer
 
-    async def figures(self) -> dict[str, Any]:
-        read: dict[str, Any] = json.loads((await self.call("GET /admin/stats")).body)
-        return read
+    async def stats(self) -> dict[str, Any]:
+        stats: dict[str, Any] = json.loads((await self.call("GET /admin/stats")).body)
+        return stats
 
     async def is_serving(self) -> bool:
         try:
@@ -103,28 +108,28 @@
         except ConnectionRefusedError:
             return False
 
-    async def serves(self) -> None:
+    async def wait_until_serving(self) -> None:
         while not await self.is_serving():
             assert self.child.returncode is None
             await asyncio.sleep(0.01)
 
-    async def ends(self) -> None:
+    async def stop(self) -> None:
         self.child.send_signal(signal.SIGTERM)
         assert await self.child.wait() == 0
 
 
-async def keep_asking(site: Site, stop: asyncio.Event, reuse: bool) -> int:
+async def send_requests(site: Site, stop: asyncio.Event, reuse: bool) -> int:
     """Requests one after another, on one connection for as long as it is kept open; how many were served."""
-    served, caller = 0, None
+    served, client = 0, None
     while not stop.is_set():
-        caller = caller or await site.caller()
-        caller.send_request()
-        answer = await caller.read_response()
+        client = client or await site.connect()
+        client.send_request()
+        answer = await client.read_response()
         assert status_of(answer) == 200
         served += 1
         if not reuse or answer.headers.get("connection") == "close":
-            caller.writer.close()
-            caller = None
+            client.writer.close()
+            client = None
     return served
 
 
@@ -137,18 +142,18 @@
         if link == "refused":
             (tmp_path / "shared" / "handover").mkdir()  # no socket can be laid there
         async with site.process() as old:
-            await old.serves()
+            await old.wait_until_serving()
             stop = asyncio.Event()
-            load = [asyncio.ensure_future(keep_asking(site, stop, reuse=i % 2 == 0)) for i in range(6)]
+            load = [asyncio.ensure_future(send_requests(site, stop, reuse=i % 2 == 0)) for i in range(6)]
             async with site.process() as new:
                 if link == "handed over":
                     await site.discovery.request_lines.get()
                     site.discovery.publish(8, *site.entries, snapshot=True)
-                await new.serves()
+                await new.wait_until_serving()
                 if link == "handed over":
-                    await old.ends()
-                    before = (await new.figures())["succeeded"]["read"]
-                    while (await new.figures())["succeeded"]["read"] <= before:
+                    await old.stop()
+                    before = (await new.stats())["succeeded"]["read"]
+                    while (await new.stats())["succeeded"]["read"] <= before:
                         await asyncio.sleep(0.01)
                 stop.set()
                 assert min(await asyncio.gather(*load)) > 0
@@ -164,25 +169,25 @@
             await gate.wait()
             writer.write(http_response())
 
-        # Room for four callers; they wait for a process to start, however long that takes on a busy machine.
+        # Room for four clients; they wait for a process to start, however long that takes on a busy machine.
         site = Site(tmp_path, Upstream(gated), sockets=100, deadline_ms=60_000.0)
         await site.start()
         async with site.process() as old:
-            await old.serves()
-            callers = [await site.caller() for _ in range(30)]
-            for caller in callers:
-                caller.send_request(deadline="60000m")
-            while (await old.figures())["outstanding"] < 4:
+            await old.wait_until_serving()
+            clients = [await site.connect() for _ in range(30)]
+            for client in clients:
+                client.send_request(deadline="60000m")
+            while (await old.stats())["outstanding"] < 4:
                 await asyncio.sleep(0.01)
             async with site.process() as new:
                 site.discovery.publish(8, *site.entries, snapshot=True)
                 site.discovery.publish(8, *site.entries, snapshot=True)
-                await new.serves()
+                await new.wait_until_serving()
                 gate.set()
-                await old.ends()
-                for caller in callers:
-                    assert status_of(await caller.read_response()) == 200
-                    caller.writer.close()
+                await old.stop()
+                for client in clients:
+                    assert status_of(await client.read_response()) == 200
+                    client.writer.close()
 
     run_scenario(scenario())
 
@@ -192,14 +197,14 @@
         site = Site(tmp_path, Upstream())
         await site.start()
         async with site.process() as old:
-            await old.serves()
+            await old.wait_until_serving()
             async with site.process() as new:
                 site.discovery.publish(8, *site.entries, snapshot=True)
                 site.discovery.publish(8, *site.entries, snapshot=True)
-                await new.serves()
-            caller = await site.caller()
-            caller.send_request()
-            assert status_of(await caller.read_response()) == 200
+                await new.wait_until_serving()
+            client = await site.connect()
+            client.send_request()
+            assert status_of(await client.read_response()) == 200
             assert await old.is_serving()
 
     run_scenario(scenario())
@@ -212,18 +217,18 @@
         await site.start()
         site.discovery.publish(8, *site.entries, snapshot=True)
         async with site.process() as old:
-            await old.serves()
+            await old.wait_until_serving()
             assert status_of(await old.call("POST /admin/cordon", b"s0")) == 200
             site.discovery.publish(8, *site.entries, snapshot=True)
             async with site.process() as new:
-                await new.serves()
-                await old.ends()
+                await new.wait_until_serving()
+                await old.stop()
                 for _ in range(10):
-                    caller = await site.caller()
-                    caller.send_request()
-                    assert status_of(await caller.read_response()) == 200
+                    client = await site.connect()
+                    client.send_request()
+                    assert status_of(await client.read_response()) == 200
                 assert (len(first.requests), len(second.requests)) == (0, 10)
-                assert (await new.figures())["ejected"] == 1
+                assert (await new.stats())["ejected"] == 1
 
     run_scenario(scenario())
 
@@ -234,19 +239,19 @@
         await site.start()
         (site.folder / "shared" / "cordons.lock").mkdir()  # opening it fails, as on a full disk
         async with site.process() as old:
-            await old.serves()
+            await old.wait_until_serving()
             assert status_of(await old.call("POST /admin/cordon", b"s0")) == 200
             async with site.process() as new:
-                await new.serves()
-                await old.ends()
-                assert (await new.figures())["ejected"] == 1
-                caller = await site.caller()
+                await new.wait_until_serving()
+                await old.stop()
+                assert (await new.stats())["ejected"] == 1
+                client = await site.connect()
                 for _ in range(8):
-                    caller.send_request()
-                    assert status_of(await caller.read_response()) == 200
+                    client.send_request()
+                    assert status_of(await client.read_response()) == 200
                 assert len(site.upstreams[0].requests) == 0
                 assert status_of(await new.call("POST /admin/uncordon", b"s0")) == 200
-                assert (await new.figures())["ejected"] == 0
+                assert (await new.stats())["ejected"] == 0
 
     run_scenario(scenario())
 
@@ -254,8 +259,13 @@
 def test_unreadable_cordons_of_the_predecessor_leave_those_of_the_file(tmp_path: Path) -> None:
     file = CordonFile(tmp_path)
     assert file.set_cordon("s0", is_cordoned=True) == ""
-    unusable: tuple[object, ...] = (None, [], {"out": "s1", "back": {}}, {"out": ["s1"], "back": {"s": "x"}})
-    for raw in unusable:
+    unreadable: tuple[object, ...] = (
+        None,
+        [],
+        {"out": "s1", "back": {}},
+        {"out": ["s1"], "back": {"s": "x"}},
+    )
+    for raw in unreadable:
         with pytest.raises(ValueError, match="not "):
             file.adopt(raw)
     assert file.cordons.servers == {"s0"}
@@ -263,12 +273,12 @@
     assert file.cordons == Cordons(frozenset({"s1"}), {"s0": 1.0})
 
 
-@pytest.mark.parametrize("left", ["nothing", "a file", "a dead socket"])
-def test_leftovers_of_a_killed_process_prevent_no_start(tmp_path: Path, left: str) -> None:
+@pytest.mark.parametrize("leftover", ["nothing", "a file", "a dead socket"])
+def test_leftovers_of_a_killed_process_prevent_no_start(tmp_path: Path, leftover: str) -> None:
     path = tmp_path / "handover"
-    if left == "a file":
+    if leftover == "a file":
         path.write_bytes(b"half")
-    elif left == "a dead socket":
+    elif leftover == "a dead socket":
         with socket.socket(socket.AF_UNIX) as dead, socket_path(tmp_path) as short:
             dead.bind(short)
     assert connect_to_predecessor(tmp_path) is None
@@ -314,10 +324,10 @@
     old, new = Desk(4), Desk(4)
     for _ in range(50):
         old.serve()
-    legacy = encode_learned_state(old.balancer.learned_state(old.now)) | change
+    malformed = encode_learned_state(old.balancer.learned_state(old.now)) | change
     before = encode_learned_state(new.balancer.learned_state(new.now))
     with pytest.raises(ValueError):
-        new.balancer.restore(decode_learned_state(legacy, {c.name for c in settings().classes}), new.now)
+        new.balancer.restore(decode_learned_state(malformed, {c.name for c in settings().classes}), new.now)
     assert encode_learned_state(new.balancer.learned_state(new.now)) == before
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: notes that are no use, deaths, returns, cuts, pauses, and views that become one again."""
+"""Membership: unusable messages, deaths, returns, partitions, pauses, and views that converge again."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from loadbalancer.membership.messages import GossipMessage, MessageKind, encode_message
 from loadbalancer.simulation.gossip import FLEET_TAG, SimulatedTier
 
-HEAL_MS = 20_000.0  # within which all views are one when nothing fails any more
+CONVERGENCE_MS = 20_000.0  # within which all views agree when nothing fails any more
 
 
 def member(count: int = 4, **more: Any) -> Membership:
     return Membership(0, count, FLEET_TAG, seed=1, **more)
 
 
-def note(sender: int = 1, **more: Any) -> bytes:
+def message(sender: int = 1, **more: Any) -> bytes:
     base: dict[str, Any] = {
         "fleet_tag": FLEET_TAG,
         "kind": MessageKind.PING,
@@ -33,26 +33,26 @@
 
 
 def test_ping_is_acknowledged_and_nothing_else_is_sent() -> None:
-    told = [a for a in member().handle_message(1, note(), now=10.0) if isinstance(a, SendMessage)]
-    assert [a.recipient for a in told] == [1] and len(told[0].payload) <= MAX_MESSAGE_BYTES
+    sent = [a for a in member().handle_message(1, message(), now=10.0) if isinstance(a, SendMessage)]
+    assert [a.recipient for a in sent] == [1] and len(sent[0].payload) <= MAX_MESSAGE_BYTES
 
 
 @pytest.mark.parametrize(
     ("sender", "data", "reason"),
     [
-        (1, b"", "garbled"), (1, b"\xc1" * 20, "garbled"), (1, b"x" * 300, "long"), (2, note(1), "forged"),
-        (1, note(1, fleet_tag=b"else"), "foreign"), (1, note(1, kind=9), "garbled"),
-        (1, note(1, updates=((9, 0, 0),)), "garbled"), (1, note(1, updates=((2, 7, 0),)), "garbled"),
-        (1, note(1, target=99), "garbled"), (1, note(1, incarnation=1 << 40), "garbled"),
-        (0, note(0), "forged"),
+        (1, b"", "garbled"), (1, b"\xc1" * 20, "garbled"), (1, b"x" * 300, "long"), (2, message(1), "forged"),
+        (1, message(1, fleet_tag=b"else"), "foreign"), (1, message(1, kind=9), "garbled"),
+        (1, message(1, updates=((9, 0, 0),)), "garbled"), (1, message(1, updates=((2, 7, 0),)), "garbled"),
+        (1, message(1, target=99), "garbled"), (1, message(1, incarnation=1 << 40), "garbled"),
+        (0, message(0), "forged"),
     ],
 )  # fmt: skip
 def test_unusable_messages_are_counted_and_change_nothing(sender: int, data: bytes, reason: str) -> None:
-    one = member()
-    before = [(b.state, b.incarnation) for b in one.table.records]
-    assert one.handle_message(sender, data, now=1.0) == []
-    assert one.counts.dropped == {reason: 1}
-    assert [(b.state, b.incarnation) for b in one.table.records] == before
+    subject = member()
+    before = [(b.state, b.incarnation) for b in subject.table.records]
+    assert subject.handle_message(sender, data, now=1.0) == []
+    assert subject.counts.dropped == {reason: 1}
+    assert [(b.state, b.incarnation) for b in subject.table.records] == before
 
 
 @given(st.binary(max_size=300), st.integers(0, 3))
@@ -61,25 +61,25 @@
 
 
 def test_old_and_duplicated_updates_change_nothing() -> None:
-    one = member()
-    one.handle_message(1, note(updates=((2, MemberState.DEAD, 3),)), now=1.0)
-    assert one.table.state(2) is MemberState.DEAD
+    subject = member()
+    subject.handle_message(1, message(updates=((2, MemberState.DEAD, 3),)), now=1.0)
+    assert subject.table.state(2) is MemberState.DEAD
     for old in (
         (2, MemberState.DEAD, 3),
         (2, MemberState.ALIVE, 3),
         (2, MemberState.ALIVE, 2),
         (2, MemberState.SUSPECTED, 3),
     ):
-        one.handle_message(1, note(updates=(old,)), now=2.0)
-        assert one.table.state(2) is MemberState.DEAD
-    one.handle_message(1, note(updates=((2, MemberState.ALIVE, 4),)), now=3.0)
-    assert one.table.state(2) is MemberState.ALIVE
+        subject.handle_message(1, message(updates=(old,)), now=2.0)
+        assert subject.table.state(2) is MemberState.DEAD
+    subject.handle_message(1, message(updates=((2, MemberState.ALIVE, 4),)), now=3.0)
+    assert subject.table.state(2) is MemberState.ALIVE
 
 
 def test_claim_about_ourselves_is_refuted_by_a_higher_incarnation() -> None:
-    one = member()
-    one.handle_message(1, note(updates=((0, MemberState.DEAD, 6),)), now=1.0)
-    assert (one.table.state(0), one.table.incarnation) == (MemberState.ALIVE, 7)
+    subject = member()
+    subject.handle_message(1, message(updates=((0, MemberState.DEAD, 6),)), now=1.0)
+    assert (subject.table.state(0), subject.table.incarnation) == (MemberState.ALIVE, 7)
 
 
 @pytest.mark.parametrize("count", [2, 3, 10, 200])
@@ -92,7 +92,7 @@
     assert tier.fraction_aware_of_death(1) == 1.0
     tier.start(1)
     tier.loss_rate = 0.0  # with loss there is always somebody who is suspected for a moment
-    tier.run(HEAL_MS)
+    tier.run(CONVERGENCE_MS)
     assert tier.has_converged()
 
 
@@ -115,7 +115,7 @@
     assert tier.has_converged()
     for number in dead:
         tier.start(number)
-    tier.run(HEAL_MS)
+    tier.run(CONVERGENCE_MS)
     assert tier.has_converged()
 
 
@@ -125,25 +125,25 @@
     tier.pause(5, 3_000)
     tier.run(2_900)
     assert tier.fraction_aware_of_death(5) > 0.5
-    tier.run(HEAL_MS)
+    tier.run(CONVERGENCE_MS)
     assert tier.has_converged()
     assert {report.member for report in tier.death_reports} == {5}
 
 
 def test_one_way_partition_is_no_death_while_others_reach_the_member() -> None:
     tier = SimulatedTier(12, seed=5)
-    tier.is_link_cut = lambda one, other: (one, other) == (0, 1)
+    tier.is_link_cut = lambda sender, recipient: (sender, recipient) == (0, 1)
     tier.run(60_000)
     assert tier.death_reports == []
 
 
 def test_partitioned_zone_rejoins_the_fleet_when_healed() -> None:
     tier = SimulatedTier(12, seed=6, loss_rate=0.02)
-    tier.is_link_cut = lambda one, other: (one < 4) != (other < 4)
+    tier.is_link_cut = lambda sender, recipient: (sender < 4) != (recipient < 4)
     tier.run(15_000)
     assert tier.view(0)[4:] == (MemberState.DEAD,) * 8 and tier.view(11)[:4] == (MemberState.DEAD,) * 4
-    tier.is_link_cut = lambda one, other: False
-    tier.run(HEAL_MS)
+    tier.is_link_cut = lambda sender, recipient: False
+    tier.run(CONVERGENCE_MS)
     assert tier.has_converged()
 
 
@@ -162,8 +162,8 @@
     assert rates[1] <= 1.1 * rates[0]
 
 
-class Views(RuleBasedStateMachine):
-    """Whatever has happened: without further faults, all views become one."""
+class MembershipViews(RuleBasedStateMachine):
+    """Whatever has happened: without further faults, all views converge."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -189,28 +189,28 @@
             self.tier.leave(number)
 
     @rule(seed=st.integers(0, 1 << 20))
-    def cut_some_ways(self, seed: int) -> None:
+    def cut_some_links(self, seed: int) -> None:
         chance = random.Random(seed)
-        ways = {(a, b) for a in range(5) for b in range(5) if chance.random() < 0.4}
-        self.tier.is_link_cut = lambda one, other: (one, other) in ways
+        cut_links = {(a, b) for a in range(5) for b in range(5) if chance.random() < 0.4}
+        self.tier.is_link_cut = lambda sender, recipient: (sender, recipient) in cut_links
 
     @rule(span=st.integers(1, 8_000))
     def wait(self, span: int) -> None:
         self.tier.run(span)
 
     @invariant()
-    def nobody_holds_itself_for_dead(self) -> None:
+    def nobody_considers_itself_dead(self) -> None:
         for number in self.tier.running_members():
             assert self.tier.view(number)[number] is MemberState.ALIVE
 
     def teardown(self) -> None:
-        self.tier.is_link_cut, self.tier.loss_rate = lambda one, other: False, 0.0
-        self.tier.run(4_000 + 3 * HEAL_MS)
+        self.tier.is_link_cut, self.tier.loss_rate = lambda sender, recipient: False, 0.0
+        self.tier.run(4_000 + 3 * CONVERGENCE_MS)
         assert self.tier.has_converged(), [(n, self.tier.view(n)) for n in self.tier.running_members()]
 
 
-Views.TestCase.settings = settings(
+MembershipViews.TestCase.settings = settings(
     max_examples=40, stateful_step_count=12, deadline=None, derandomize=True,
     suppress_health_check=list(HealthCheck),
 )  # fmt: skip
-test_views_converge_after_any_faults = Views.TestCase
+test_views_converge_after_any_faults = MembershipViews.TestCase
--- a/tests/test_membership_udp.py
+++ b/tests/test_membership_udp.py
@@ -1,4 +1,4 @@
-"""Membership on real UDP sockets, and that nothing of it is there where it is off."""
+"""Membership on real UDP sockets, its configuration, and its reports to operators."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
     return raw
 
 
-def some(count: int) -> list[Config]:
-    """The configurations of so many members on free ports."""
+def tier_configs(count: int) -> list[Config]:
+    """Return the configurations of so many members on free ports."""
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for sock in sockets:
         sock.bind((HOST, 0))
@@ -52,22 +52,22 @@
     return found
 
 
-async def until_all_say(tier: list[MembershipHost], number: int, state: MemberState) -> None:
+async def wait_until_all_see(tier: list[MembershipHost], number: int, state: MemberState) -> None:
     while any(p.member.table.state(number) is not state for p in tier):
         await asyncio.sleep(0.01)
 
 
 def test_members_detect_a_death_a_return_and_a_leave() -> None:
     async def scenario() -> None:
-        tier = hosts(some(4))
+        tier = hosts(tier_configs(4))
         assert [p.start() for p in tier] == [""] * 4
         tier[1].stop()
         others = [tier[0], *tier[2:]]
-        await until_all_say(others, 1, MemberState.DEAD)
+        await wait_until_all_see(others, 1, MemberState.DEAD)
         assert tier[1].start() == ""
-        await until_all_say(others, 1, MemberState.ALIVE)
+        await wait_until_all_see(others, 1, MemberState.ALIVE)
         tier[3].leave()
-        await until_all_say(tier[:3], 3, MemberState.LEFT)
+        await wait_until_all_see(tier[:3], 3, MemberState.LEFT)
         for peers in tier:
             peers.stop()
 
@@ -76,7 +76,7 @@
 
 def test_unknown_senders_and_garbage_are_counted_and_change_nothing() -> None:
     async def scenario() -> None:
-        one, other = hosts(some(2))
+        one, other = hosts(tier_configs(2))
         assert one.start() == ""
         before = one.count_by_state()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
@@ -95,7 +95,7 @@
 
 def test_address_in_use_is_an_error_line_and_no_exception() -> None:
     async def scenario() -> None:
-        (config,) = some(1)
+        (config,) = tier_configs(1)
         first, second = hosts([config, config])
         assert first.start() == "" and first.start() == ""
         assert "we take no part" in second.start()
@@ -129,7 +129,7 @@
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as rig:
             assert status_of(await call_console(rig, "GET", "/admin/peers")) == 404
-            (config,) = some(1)
+            (config,) = tier_configs(1)
             assert config.peer_listen is not None
             loop = asyncio.get_running_loop()
             rig.proxy.membership = MembershipHost(config, config.peer_listen, loop, rig.proxy.clock.now)
@@ -153,6 +153,6 @@
 def test_fleet_tag_differs_by_tier() -> None:
     from loadbalancer.net.membership import fleet_tag
 
-    (config,) = some(1)
+    (config,) = tier_configs(1)
     other = replace(config, settings=replace(config.settings, tier=1))
     assert fleet_tag(config) != fleet_tag(other)
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -136,8 +136,8 @@
 
 
 def test_lists_command_shows_the_source_of_the_endpoint_list(served: Served) -> None:
-    told = irondrum("lists", "--console", served.console)
-    assert told.returncode == 0
-    assert "configuration" in told.stdout
-    assert "never" in told.stdout
+    done = irondrum("lists", "--console", served.console)
+    assert done.returncode == 0
+    assert "configuration" in done.stdout
+    assert "never" in done.stdout
     assert irondrum("lists", "--console", f"{HOST}:{free_port(HOST)}").returncode == 1
--- a/tests/test_site_variants.py
+++ b/tests/test_site_variants.py
@@ -38,7 +38,7 @@
 """
 
 
-def lay_out(tmp_path: Path, text: str) -> subprocess.CompletedProcess[str]:
+def run_lay_out(tmp_path: Path, text: str) -> subprocess.CompletedProcess[str]:
     """Run a copy of the script, so that what it writes stays out of the checkout."""
     for path in SITES.glob("*.*"):
         (tmp_path / path.name).write_bytes(path.read_bytes())
@@ -52,7 +52,7 @@
 
 
 def variants(tmp_path: Path) -> dict[str, dict[str, Any]]:
-    done = lay_out(tmp_path, GIVEN)
+    done = run_lay_out(tmp_path, GIVEN)
     assert done.returncode == 0, done.stderr
     paths = [Path(line) for line in done.stdout.splitlines()]
     assert all((p.parent / "wire.json").read_text() == "wire.json" for p in paths)
@@ -86,6 +86,6 @@
 
 
 def test_unreadable_site_file_is_one_error_line_and_status_2(tmp_path: Path) -> None:
-    done = lay_out(tmp_path, "no = toml = at all")
+    done = run_lay_out(tmp_path, "no = toml = at all")
     assert done.returncode == 2
     assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("lay_out.py: ")
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -23,7 +23,7 @@
 
 STATE = {"list": {"index": 3}, "learned": {"median": 1.5}}
 # In a child: save twice, and die at the nth call that touches the disk in the second save.
-DIES = """
+DYING_SAVE = """
 import os, sys
 from pathlib import Path
 from loadbalancer.snapshots import SnapshotStore, encode_snapshot
@@ -62,7 +62,7 @@
 def test_process_that_dies_at_any_step_of_a_save_leaves_a_complete_snapshot(
     tmp_path: Path, step: int
 ) -> None:
-    done = subprocess.run([sys.executable, "-c", DIES, str(tmp_path), str(step)], check=False)
+    done = subprocess.run([sys.executable, "-c", DYING_SAVE, str(tmp_path), str(step)], check=False)
     assert done.returncode in (0, 9)
     found = SnapshotStore(tmp_path, "b").load()
     assert found.snapshot is not None and found.errors == ()
@@ -75,12 +75,12 @@
 
 
 @given(st.integers(0, 400), st.integers(0, 255))
-def test_changed_byte_or_truncation_is_detected(place: int, byte: int) -> None:
+def test_changed_byte_or_truncation_is_detected(position: int, byte: int) -> None:
     data = encode_snapshot(STATE, 7.0)
-    place %= len(data)
+    position %= len(data)
     with pytest.raises(SnapshotDecodeError):
-        decode_snapshot(data[:place])
-    changed = data[:place] + bytes([byte]) + data[place + 1 :]
+        decode_snapshot(data[:position])
+    changed = data[:position] + bytes([byte]) + data[position + 1 :]
     try:
         assert decode_snapshot(changed).state == STATE
     except SnapshotDecodeError:
@@ -101,8 +101,8 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario() -> None:
-        keeper = SnapshotWriter(tmp_path / "missing", "b", 1.0, Log("b"))
-        assert keeper.load() is None
+        writer = SnapshotWriter(tmp_path / "missing", "b", 1.0, Log("b"))
+        assert writer.load() is None
         saves = 0
 
         def state() -> dict[str, object]:
@@ -110,10 +110,10 @@
             saves += 1
             return {}
 
-        keeper.start(state)
+        writer.start(state)
         while saves < 5:
             await asyncio.sleep(0.001)
-        keeper.close()
+        writer.close()
 
     run_scenario(scenario())
     assert capsys.readouterr().err.count("no snapshot is kept") == 1
