--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -11,18 +11,17 @@
 from typing import Any
 
 from benchmarks.capacity_slopes import QUANTITIES, Assumed
-from loadbalancer.endpoint_watch.instance_selection import SILENCE_THRESHOLD_S
-from loadbalancer.endpoint_watch.watch import (
+from loadbalancer.endpoint_watch.contradictions import SILENCE_THRESHOLD_S
+from loadbalancer.endpoint_watch.cross_check import (
     CONTRADICTION_BACKOFF_S,
     CROSS_CHECK_INTERVAL_PER_BALANCER_MS,
     CROSS_CHECK_INTERVAL_S,
-    MAX_WAIT_MS,
-    WAIT_JITTER,
 )
+from loadbalancer.endpoint_watch.request_schedule import MAX_WAIT_MS, WAIT_JITTER
 from loadbalancer.policy.ready_servers import BALANCERS_PER_SERVER
 from loadbalancer.registry.entries import Rules
 from loadbalancer.registry.lease import RENEWAL_RATIO
-from loadbalancer.registry.rate_limiter import ANSWER_COST_S, MAX_WAKE_CPU_SHARE, MIN_WAKE_INTERVAL_S
+from loadbalancer.registry.rate_limiter import ANSWER_COST_S, MAX_WAKE_CPU_FRACTION, MIN_WAKE_INTERVAL_S
 
 DAY_S = 86_400.0
 ENTRY_ROOM = 2  # changes that a failed machine makes: it lapses, and another one starts
@@ -206,7 +205,7 @@
     def wake_s(self) -> float:
         """Between two wakes of an instance's watches: as it paces them, or as answering them takes."""
         watches = self.size / self.instances
-        paced = max(ANSWER_COST_S * watches / MAX_WAKE_CPU_SHARE, MIN_WAKE_INTERVAL_S)
+        paced = max(ANSWER_COST_S * watches / MAX_WAKE_CPU_FRACTION, MIN_WAKE_INTERVAL_S)
         return max(paced, self.at("watch_change", watches) / 1e3)
 
     def return_s(self, instances: float) -> float:
--- a/loadbalancer/drill/seeded_defects.py
+++ b/loadbalancer/drill/seeded_defects.py
@@ -14,14 +14,15 @@
 from loadbalancer import interface
 from loadbalancer.drill.processes.process_files import SERVICE_DEFECTS
 from loadbalancer.interface import Outcome, Readiness
-from loadbalancer.net import discovery
 from loadbalancer.net.action_executor import ActionExecutor
 from loadbalancer.net.config import EndpointList
-from loadbalancer.net.downstream import DownstreamRequest
+from loadbalancer.net.discovery import call, cross_check
+from loadbalancer.net.downstream_request import DownstreamRequest
 from loadbalancer.net.endpoint_list import EndpointListFollower
 from loadbalancer.net.request_attempts import RequestAttempt
 from loadbalancer.net.request_intake import RequestIntake
-from loadbalancer.net.upstream import Attempt, UpstreamResponse
+from loadbalancer.net.upstream_attempt import Attempt
+from loadbalancer.net.upstream_response import UpstreamResponse
 
 NOWHERE_EVERY = 25  # requests, one of which is answered from nowhere
 
@@ -99,7 +100,7 @@
 
 def trusts_any_list() -> None:
     """A list that is older than the one at hand is taken for news."""
-    names, newest = vars(discovery), [0]
+    names, newest = vars(call), [0]
     real = names["decode_endpoint_list"]
 
     def decode_endpoint_list(answer: Any) -> EndpointList:
@@ -158,10 +159,10 @@
 
 def believes_lapses() -> None:
     """The list service takes every lease that runs out for a server that is gone."""
-    from loadbalancer.registry import Catalog
+    from loadbalancer.registry.lease_expiry import LeaseExpiry
     from loadbalancer.registry.self_preservation import SelfPreservation
 
-    Catalog._detect_mass_expiry = lambda self, tier, now: None  # type: ignore[method-assign]
+    LeaseExpiry._detect_mass_expiry = lambda self, tier, now: None  # type: ignore[method-assign]
     SelfPreservation.must_keep = lambda self, entry: False  # type: ignore[method-assign]
 
 
@@ -177,7 +178,7 @@
     def goes_on(self: Catalog, services: tuple[str, ...], after: int, now: float) -> bool:
         return real(self, services, min(after, self.revision), now)
 
-    Catalog.resume_watch = goes_on  # type: ignore[method-assign]
+    Catalog.resume_watch = goes_on  # type: ignore[assignment, method-assign]
 
 
 def lapses_unheard() -> None:
@@ -185,7 +186,7 @@
     from loadbalancer.registry import Catalog
 
     real = Catalog.expire_leases
-    Catalog.expire_leases = lambda self, now, heard=0.0: real(self, now)  # type: ignore[method-assign]
+    Catalog.expire_leases = lambda self, now, peers_known_since=0.0: real(self, now)  # type: ignore[method-assign]
 
 
 def takes_drains_back() -> None:
@@ -226,16 +227,16 @@
     """The instance that is asked first is asked for ever."""
     from loadbalancer.endpoint_watch.instance_selection import InstanceSelector
 
-    InstanceSelector.failed = lambda self: False  # type: ignore[method-assign]
+    InstanceSelector.record_failure = lambda self: False  # type: ignore[method-assign]
 
 
 def never_compares() -> None:
     """No other instance's list is ever looked at."""
 
-    async def compare(self: discovery.Discovery) -> None:
+    async def run(self: cross_check.CrossChecker) -> None:
         return None
 
-    discovery.Discovery._compare = compare  # type: ignore[method-assign]
+    cross_check.CrossChecker._run = run  # type: ignore[method-assign]
 
 
 def asks_without_pause() -> None:
