--- a/loadbalancer/policy/endpoint_membership.py
+++ b/loadbalancer/policy/endpoint_membership.py
@@ -1,4 +1,4 @@
-"""Follow changes of the endpoint list and of cordons in everything that depends on the ready servers."""
+"""Propagate endpoint list and cordon changes to everything that depends on the ready servers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class EndpointMembership:
-    """Changes the endpoint set, and brings slow start, limits and sampling up to date with it."""
+    """Changes the endpoint set, and updates slow start, limits and the sampler to match."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         self._selector = selector
 
     def apply_update(self, update: interface.EndpointListUpdate, now: float) -> list[interface.Action]:
-        """Follow a full snapshot or a delta."""
+        """Apply a full snapshot or a delta."""
         actions = self._endpoints.apply_update(update, now)
         self._handle_change(now)
         return actions
@@ -37,7 +37,7 @@
         self._handle_change(now)
 
     def record_outcome(self, server: Server, outcome: interface.Outcome, now: float) -> bool:
-        """Return whether an outcome has proved a suspected server dead, which then is removed."""
+        """Remove a suspected server if the outcome shows that it is dead; return whether it was removed."""
         is_removed = self._endpoints.record_outcome(server, outcome)
         if is_removed:
             self._handle_change(now)
--- a/loadbalancer/policy/endpoints.py
+++ b/loadbalancer/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""Keep the known servers up to date with the endpoint list and with operators' cordons."""
+"""Maintain the set of known servers from the endpoint list and operators' cordons."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 from loadbalancer.policy.timers import LIST_TOKEN
 
 CONNECT_FAILURES_TO_REMOVE = 2
-"""Failed connections in a row that remove a suspected server: one may be lost on the way, or to a crowd."""
+"""Consecutive failed connections that remove a suspected server; one may be due to loss or congestion."""
 
 
 class EndpointSet:
-    """The known servers; which of them may get new work is in `ready`."""
+    """The known servers; `ready` holds those that may get new requests."""
 
-    def __init__(self, settings: Settings, chance: random.Random) -> None:
+    def __init__(self, settings: Settings, rng: random.Random) -> None:
         self._settings = settings
-        self._random = chance
+        self._rng = rng
         self.servers: dict[str, Server] = {}
-        """By server ID: those in the list, and those that still have attempts of ours in flight."""
+        """By server ID: listed servers, and those that still have attempts in flight."""
         self.ready = ReadyServers(settings)
         self.awaiting_first_call: dict[str, Server] = {}
-        """Servers that operators have uncordoned and that have not been called since."""
+        """Uncordoned servers that have had no call since."""
         self.last_started_at_ms = 0.0
         self._cordoned: set[str] = set()
         self._uncordoned_at_ms: dict[str, float] = {}
-        self._backoff = ListBackoff(settings, chance)
+        self._backoff = ListBackoff(settings, rng)
 
     def handle_list_failure(self, now: float, retry_within_ms: float) -> list[interface.Action]:
-        """Keep the previous list, and request it again after a backoff of at most `retry_within_ms`."""
+        """Keep the previous list, and schedule the next request after at most `retry_within_ms`."""
         actions: list[interface.Action] = []
         if not self._backoff.has_failed:
             actions.append(interface.LogMessage("endpoint list unreachable: keeping the last one"))
@@ -43,11 +43,11 @@
         return actions
 
     def validate(self, update: interface.EndpointListUpdate) -> interface.EndpointListUpdate:
-        """Return the update that is followed in place of one that was received."""
+        """Return the update to apply in place of a received one."""
         return validate_update(update, self._settings, self.servers, self.ready.by_name)
 
     def apply_update(self, update: interface.EndpointListUpdate, now: float) -> list[interface.Action]:
-        """Follow a full snapshot or a delta."""
+        """Apply a full snapshot or a delta."""
         actions: list[interface.Action] = []
         if update.suspected_stale:
             part = f"{len(update.suspected_stale)} of {len(self.ready)}"
@@ -68,7 +68,7 @@
         return actions
 
     def apply_cordon(self, event: interface.CordonChanged, now: float) -> None:
-        """Cordon or uncordon a server, whatever the list says; an uncordoned one warms up again."""
+        """Cordon or uncordon a server, overriding the list; an uncordoned one warms up again."""
         server = self.servers.get(event.server)
         if event.is_cordoned:
             self._cordoned.add(event.server)
@@ -84,7 +84,7 @@
             self._update(server, server.endpoint)
 
     def record_outcome(self, server: Server, outcome: Outcome) -> bool:
-        """Remove a suspected server whose connections keep failing; return whether it was removed."""
+        """Remove a suspected server if its connections keep failing, and return whether it was removed."""
         if not server.remaining_strikes:
             return False
         if outcome is Outcome.CONNECT_FAILED:
@@ -97,11 +97,11 @@
         return False
 
     def suspected_stale_servers(self) -> list[str]:
-        """Return the ready servers that a list has omitted and that have not proved dead."""
+        """Return the ready servers that a list has omitted and that were not found dead."""
         return sorted(name for name, server in self.ready.by_name.items() if server.remaining_strikes)
 
     def excluded_servers(self) -> list[str]:
-        """Return the listed servers that get no new work: cordoned, or ready and outside the subset."""
+        """Return the listed servers that get no new requests: cordoned, or ready but outside the subset."""
         unused = self.ready.names_outside_subset()
         if self._settings.tier:
             unused -= {server.endpoint.server for server in self.ready.nearby()}
@@ -112,7 +112,7 @@
         ]
 
     def forget_if_unused(self, server: Server) -> None:
-        """Forget a server that is no longer listed and has no attempt of ours in flight."""
+        """Forget a server that is no longer listed and has no attempt in flight."""
         if not server.is_listed and not server.in_flight:
             self.servers.pop(server.endpoint.server, None)
 
@@ -125,7 +125,7 @@
     def _apply_endpoint(self, endpoint: interface.Endpoint, now: float, *, is_suspected: bool) -> None:
         server = self.servers.get(endpoint.server)
         if server is None:
-            server = Server(endpoint, now, self._random.random())
+            server = Server(endpoint, now, self._rng.random())
             self.servers[endpoint.server] = server
         if endpoint.started_at_ms > server.endpoint.started_at_ms:
             server.reset_evidence(now)  # a new incarnation of the same name
@@ -139,7 +139,7 @@
             self._remove(server)
 
     def _remove(self, server: Server) -> None:
-        """Give a server no new work any more, since it is dead or left out of the list."""
+        """Exclude a server from new requests, since it is dead or omitted from the list."""
         server.is_listed = False
         server.remaining_strikes = 0
         self._update(server, server.endpoint)
@@ -147,7 +147,7 @@
         self.forget_if_unused(server)
 
     def _update(self, server: Server, endpoint: interface.Endpoint) -> None:
-        """Set a server's endpoint and figures, and move it into or out of the ready servers."""
+        """Set a server's endpoint, and add it to or remove it from the ready servers."""
         name = endpoint.server
         self.ready.mark_changed(name)
         is_ready = server.is_listed and endpoint.readiness is Readiness.READY and name not in self._cordoned
@@ -168,6 +168,6 @@
 
 
 def _valid_capacity(endpoint: interface.Endpoint) -> float:
-    """Return the registered capacity; 1 where a list gives a figure that cannot be one."""
+    """Return the registered capacity; 1 if the list gives an invalid value."""
     capacity = endpoint.registered_capacity
     return capacity if 0 < capacity < math.inf else 1.0
--- a/loadbalancer/policy/estimates.py
+++ b/loadbalancer/policy/estimates.py
@@ -1,4 +1,4 @@
-"""Hold everything that this balancer learns from its traffic."""
+"""Bundle the estimates that this balancer learns from its traffic."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class Estimates:
-    """What the requests and attempts so far say about servers, latencies, load and connections."""
+    """Estimates of server capacities, latencies, load and connections, from past requests and attempts."""
 
-    def __init__(self, settings: Settings, chance: random.Random) -> None:
+    def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.capacities = CapacityEstimates()
         self.latencies = LatencyEstimates(settings)
         self.overload = OverloadLevel(self.latencies)
-        self.slow_start = SlowStart(settings, chance)
+        self.slow_start = SlowStart(settings, rng)
         self.expected_work = ExpectedWorkAverage()
         self.idle_timeouts = IdleTimeoutEstimate()
--- a/loadbalancer/policy/idle_connections.py
+++ b/loadbalancer/policy/idle_connections.py
@@ -1,4 +1,4 @@
-"""Estimate from failed attempts after which idle time pooled connections are dead."""
+"""Estimate from failed attempts the idle time after which pooled connections are dead."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from loadbalancer.policy.requests import Attempt
 
 MAX_OBSERVATIONS = 40
-"""Last attempts on idle connections that the estimate is taken from."""
+"""Number of most recent attempts on idle connections that the estimate uses."""
 MIN_SILENT_ATTEMPTS = 2
-"""Attempts without a response that it takes: one may have been lost for another cause."""
+"""Minimum number of attempts without a response; a single one may have another cause."""
 MIN_SILENT_FRACTION = 0.6
-"""Fraction of the attempts on connections idle as long or longer that must have had no response."""
+"""Minimum fraction without a response among attempts on connections idle at least as long."""
 
 
 class _Observation(NamedTuple):
@@ -22,10 +22,10 @@
 
 
 class IdleTimeoutEstimate:
-    """The idle time from which on connections are found dead.
+    """The idle time at which connections are considered dead.
 
-    It guards against connections that anyone on the way drops without notice. It costs handshakes where the
-    servers are silent for another reason.
+    It guards against idle connections that a hop on the path has dropped silently. If servers do not respond
+    for another reason, it costs additional handshakes.
     """
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         self.limit_ms = math.inf
 
     def record_attempt(self, attempt: Attempt, *, is_silent: bool) -> None:
-        """Learn from an attempt on a connection that had been idle, and whether it got no response."""
+        """Update the estimate from an attempt on an idle connection; `is_silent` if it got no response."""
         if not attempt.idle_ms:
             return
         self._observations.append(_Observation(attempt.idle_ms, is_silent))
--- a/loadbalancer/policy/latency_estimates.py
+++ b/loadbalancer/policy/latency_estimates.py
@@ -1,4 +1,4 @@
-"""Estimate how long calls of each class and new connections usually take."""
+"""Estimate the usual latency of each class and the usual time to connect."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from loadbalancer.policy.requests import Request
 
 SMOOTHING_REQUESTS = 50.0
-"""Figures of the offered load and usual latencies are smoothed over this many requests, to hold steady."""
+"""Requests over which the offered load and latencies are smoothed, for stability."""
 INITIAL_LATENCIES_PER_OBJECTIVE = 5
-"""How many usual latencies an objective is assumed to hold until responses are seen."""
+"""Assumed ratio of a class's objective to its usual latency until responses are seen."""
 UNCONGESTED_QUANTILE = 0.3
-"""Quantile of the latencies that is taken for the latency without congestion."""
+"""Quantile of the latencies that is taken as the latency without congestion."""
 UNCONGESTED_STEP = 0.1
-"""Fraction by which the estimate of that quantile moves at each response."""
+"""Relative step of the quantile estimate at each response."""
 MAX_UNCONGESTED_FRACTION = 0.2
 """Upper bound of the uncongested latency, as a fraction of the class's objective."""
 OVERLOAD_DECAY_MS = 2_000.0
-"""Evidence of congestion decays by 1/e over this, one or two objectives, so that shedding ends soon."""
+"""Time constant (1/e) of congestion evidence: one or two objectives, so that shedding ends soon."""
 
 
 class _ConnectTime(NamedTuple):
@@ -28,7 +28,7 @@
 
 
 class LatencyEstimates:
-    """Usual latencies of each class, with and without congestion, and connect times of each zone."""
+    """Smoothed and uncongested latencies of each class, and connect times of each zone."""
 
     def __init__(self, settings: interface.Settings) -> None:
         self.smoothed_ms = {
@@ -38,15 +38,15 @@
         self.uncongested_ms = {
             c.name: MAX_UNCONGESTED_FRACTION * c.latency_objective_ms for c in settings.classes
         }
-        """By class: latency where no server is congested."""
+        """By class: latency while no server is congested."""
         self._connect_times: dict[str, _ConnectTime] = {}
 
     def record_latency(self, elapsed_ms: float, request: Request) -> None:
-        """Count a served call."""
+        """Update the estimates with the latency of a served call."""
         request_class = request.request_class
         name = request_class.name
-        is_sooner = elapsed_ms / request.work_factor < self.uncongested_ms[name]
-        step = UNCONGESTED_STEP * (UNCONGESTED_QUANTILE - is_sooner)
+        is_below = elapsed_ms / request.work_factor < self.uncongested_ms[name]
+        step = UNCONGESTED_STEP * (UNCONGESTED_QUANTILE - is_below)
         self.uncongested_ms[name] = min(
             self.uncongested_ms[name] * (1 + step),
             MAX_UNCONGESTED_FRACTION * request_class.latency_objective_ms,
@@ -54,9 +54,9 @@
         self.smoothed_ms[name] += (elapsed_ms - self.smoothed_ms[name]) / SMOOTHING_REQUESTS
 
     def lateness(self, elapsed_ms: float, request: Request) -> float:
-        """Return how late a call is, 0 to 1: from its uncongested latency to its objective, squared.
+        """Return how late a call is, from 0 at its uncongested latency to 1 at its objective, squared.
 
-        A long latency is no lateness where calls of the class take as long without congestion.
+        A long latency is not late if calls of the class take as long without congestion.
         """
         uncongested_ms = self.uncongested_ms[request.request_class.name]
         objective_ms = request.request_class.latency_objective_ms
@@ -64,15 +64,15 @@
         return min(over_ms / (objective_ms - uncongested_ms), 1.0) ** 2
 
     def silence_weight(self, elapsed_ms: float, request: Request) -> float:
-        """Return how much a call without a response counts, which decays from its objective on.
+        """Return the weight of a call without a response so far, which decays after its objective.
 
-        In all it weighs as much as one late response.
+        In total it weighs as much as one late response.
         """
         over_ms = max(elapsed_ms / request.work_factor - request.request_class.latency_objective_ms, 0.0)
         return self.lateness(elapsed_ms, request) * math.exp(-over_ms / OVERLOAD_DECAY_MS)
 
     def record_connect(self, elapsed_ms: float, zone: str) -> None:
-        """Count a new connection, smoothed as RFC 6298 smooths round-trip times."""
+        """Update the connect time of a zone, smoothed like round-trip times in RFC 6298."""
         mean_ms, deviation_ms = self._connect_times.get(zone, (elapsed_ms, elapsed_ms / 2))
         self._connect_times[zone] = _ConnectTime(
             mean_ms + (elapsed_ms - mean_ms) / 8,
@@ -80,7 +80,7 @@
         )
 
     def connect_limit_ms(self, request: Request, zone: str) -> float:
-        """Return how long a new connection may take: as RFC 6298 has it, and as any request may wait.
+        """Return the connect timeout: that of RFC 6298, but at least the longest wait of the request.
 
         Infinite while no connect time of the zone is known.
         """
@@ -89,13 +89,13 @@
 
 
 class ExpectedWorkAverage:
-    """The average of the expected work that clients give, which makes these figures relative."""
+    """Running average of the expected work that clients specify, to which requests are compared."""
 
     def __init__(self) -> None:
         self._average_ms = 0.0
 
     def relative_work(self, expected_work_ms: float) -> float:
-        """Count a request's expected work, and return it relative to the average."""
+        """Update the average with a request's expected work, and return the work relative to it."""
         if self._average_ms:
             self._average_ms += (expected_work_ms - self._average_ms) / SMOOTHING_REQUESTS
         else:
--- a/loadbalancer/policy/list_validation.py
+++ b/loadbalancer/policy/list_validation.py
@@ -1,4 +1,4 @@
-"""Decide what of an endpoint list update is followed: lists can be stale, halved or rolled back."""
+"""Validate endpoint list updates, which can be stale, incomplete or rolled back."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     servers: Mapping[str, Server],
     ready: Mapping[str, Server],
 ) -> EndpointListUpdate:
-    """Return the update that is followed in place of one that was received.
+    """Return the update to apply in place of a received one.
 
-    Ready servers that a full snapshot omits are suspected stale, and stay, if they are too many or all there
-    are. A service that was rolled back to an older revision does not end the draining of a server.
+    Ready servers that a full snapshot omits are kept as suspected stale if they are too many or all of them.
+    A rollback to an older revision does not end the draining of a server.
     """
     endpoints = update.endpoints
     suspected = _suspected_stale(update, settings, ready)
@@ -35,14 +35,14 @@
         return frozenset()
     listed = {endpoint.server for endpoint in update.endpoints}
     omitted = ready.keys() - listed
-    # A single one may go at once, unless the list is empty.
+    # A single server is removed at once, unless the list is empty.
     if len(omitted) <= max(settings.suspect_stale_fraction * len(ready), bool(listed)):
         return frozenset()
     return frozenset(omitted)
 
 
 def _keep_draining(endpoint: Endpoint, servers: Mapping[str, Server]) -> Endpoint:
-    """Return an endpoint as draining if the same incarnation was draining before."""
+    """Return the endpoint, as draining if the same incarnation was draining before."""
     server = servers.get(endpoint.server)
     if server is None or server.endpoint.readiness is not Readiness.DRAINING:
         return endpoint
--- a/loadbalancer/policy/ready_servers.py
+++ b/loadbalancer/policy/ready_servers.py
@@ -1,4 +1,4 @@
-"""Index the servers that may get new work, and the subset of them that this balancer uses."""
+"""Index the servers that may get new requests, and the subset of them that this balancer uses."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from loadbalancer.policy.servers import Server
 
 MIN_SUBSET_SERVERS = 12
-"""Servers that a balancer uses at least: a choice must be left after the loss of a few."""
+"""Minimum subset size, which leaves a choice after the loss of a few servers."""
 BALANCERS_PER_SERVER = 30
-"""Balancers that use each server: their random subsets then even out to about a fifth."""
+"""Balancers that use each server; their random subsets then even out to within about a fifth."""
 NEARBY_SERVERS = 6
-"""Servers near our place on the ring of which an inner balancer first takes those without our calls."""
+"""Ring neighbours that a balancer of an inner tier tries first if it has no calls there."""
 RANK_AFTER_ALL = (math.inf, "")
-"""Place behind all ranks."""
+"""Sentinel that sorts after all ranks."""
 
 
 class ReadyServers:
     """The servers that are listed as ready and not cordoned, in three orders.
 
-    A change costs what it changes, not the number of servers. The subset is the first `subset_size` servers
-    in the order of ranks, which are random numbers; a ring for each zone holds names in alphabetical order.
+    The cost of an update depends on what it changes, not on the number of servers. The subset is the first
+    `subset_size` servers by rank, a random number; a ring for each zone holds names in alphabetical order.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -34,8 +34,8 @@
         self.total_capacity = 0.0
         self._ranked: list[tuple[float, str]] = []
         self._names: list[str] = []
-        self._changed: dict[str, None] = {}  # names, in the order of their changes
-        self._subset_end = RANK_AFTER_ALL  # first place outside the subset, when changes were last taken
+        self._changed: dict[str, None] = {}  # names, in order of change
+        self._subset_end = RANK_AFTER_ALL  # first rank outside the subset as of the last `take_changed_names`
         self._cached_subset: list[Server] | None = None
 
     def __iter__(self) -> Iterator[str]:
@@ -45,7 +45,7 @@
         return len(self.by_name)
 
     def subset(self, first: int, count: int) -> list[Server]:
-        """Return up to `count` servers of the subset, from place `first` on, and on from the beginning."""
+        """Return up to `count` servers of the subset, starting at index `first` and wrapping around."""
         if count >= self.subset_size:
             if self._cached_subset is None:
                 self._cached_subset = [self.by_name[name] for _, name in self._ranked[: self.subset_size]]
@@ -77,7 +77,7 @@
         return changed | dict.fromkeys(name for _, name in between)
 
     def nearby(self) -> list[Server]:
-        """Return the servers of our zone nearest to our place, with servers and balancers on one ring.
+        """Return the servers of the own zone nearest to this balancer's position on the ring.
 
         Each server is near few balancers, so that their own calls there are most of its load.
         """
@@ -88,7 +88,7 @@
         return [self.by_name[ring[index % len(ring)]] for index in range(first, first + count)]
 
     def mark_changed(self, name: str) -> None:
-        """Note that a server may enter or leave the subset, or change its capacity."""
+        """Record that a server may have entered or left the subset, or changed its capacity."""
         self._changed[name] = None
 
     def add(self, server: Server) -> None:
@@ -103,7 +103,7 @@
         self._update_subset_size()
 
     def remove(self, server: Server) -> None:
-        """Remove a server and its capacity, before its endpoint changes."""
+        """Remove a server and its capacity; call this before its endpoint changes."""
         name = server.endpoint.server
         zone = server.endpoint.zone
         self._cached_subset = None
@@ -118,15 +118,15 @@
         self._update_subset_size()
 
     def replace_capacity(self, previous: float, current: float) -> None:
-        """Count a changed capacity of a server that stays."""
+        """Update the total for a server that stays and whose capacity has changed."""
         self.total_capacity -= previous
         self.total_capacity += current
 
     def _update_subset_size(self) -> None:
         """Set the size of the subset by the number of servers.
 
-        A balancer that used hundreds of servers would call each too seldom to learn its capacity, or to use
-        a connection twice.
+        A balancer that used hundreds of servers would call each too seldom to learn its capacity or to reuse
+        connections.
         """
         size = math.ceil(len(self._ranked) * BALANCERS_PER_SERVER / self._settings.balancer_count)
         self.subset_size = min(max(MIN_SUBSET_SERVERS, size), len(self._ranked))
--- a/loadbalancer/policy/server_selection.py
+++ b/loadbalancer/policy/server_selection.py
@@ -1,4 +1,4 @@
-"""Select the server of an attempt: from those that may get it and have free capacity."""
+"""Select the server for an attempt, among those that are eligible and have free capacity."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from loadbalancer.policy.zones import ZoneEvacuations
 
 MAX_SCANNED_SERVERS = 64
-"""Servers that one selection examines one by one at the most; a larger subset is sampled."""
+"""Maximum number of servers that a selection scans; a larger subset is sampled instead."""
 MAX_SAMPLING_DRAWS = 24
-"""Draws from a larger subset until one finds a server that may get the attempt."""
+"""Maximum number of draws from a sampled subset in search of eligible servers."""
 MAX_FREED_SERVERS = 16
-"""Servers where a call has just ended that are examined where sampling finds none."""
+"""Servers whose calls ended last, which are scanned if sampling finds no eligible server."""
 MEDIAN_SAMPLE_SERVERS = 100
-"""Servers of a larger subset that the median capacity is taken from."""
+"""Sample size for the median capacity of a subset that is too large to scan."""
 
 
 class ServerSelector:
-    """Selects servers by estimated capacity and calls in flight, within all rules on who may get what.
+    """Selects servers by estimated capacity and calls in flight, among those that the other rules allow.
 
     Only ready servers are candidates: those that the endpoint list names as ready and that operators have not
     cordoned, so that a draining server gets no new requests (see `ReadyServers`).
@@ -40,7 +40,7 @@
         zones: ZoneEvacuations,
         limits: ConcurrencyLimits,
         estimates: Estimates,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._settings = settings
         self._endpoints = endpoints
@@ -50,12 +50,12 @@
         self._capacities = estimates.capacities
         self._latencies = estimates.latencies
         self._slow_start = estimates.slow_start
-        self._random = chance
-        self._sampler = Sampler()  # in use for a subset of more than MAX_SCANNED_SERVERS
-        self._scan_from = 0
-        self._freed: deque[Server] = deque(maxlen=MAX_FREED_SERVERS)
+        self._rng = rng
+        self._sampler = Sampler()  # empty unless the subset exceeds MAX_SCANNED_SERVERS
+        self._scan_start = 0
+        self._recently_freed: deque[Server] = deque(maxlen=MAX_FREED_SERVERS)
         self.is_taken_over = False
-        """Whether another process has taken over, and this one only drains."""
+        """Whether another process has taken over and this one is draining."""
 
     def select(self, request: Request, now: float) -> Server | None:
         """Return the server for a request's next attempt; None if no server can accept it."""
@@ -66,13 +66,13 @@
             servers = deduplicating_servers(request, ready.by_name.values(), self._settings, now)
             return self._choose(request, servers, now)
         for server in self._endpoints.awaiting_first_call.values():
-            # Operators watch for its first call, and while it is warming up it would seldom be drawn.
+            # Operators wait for its first call, but a server that is warming up is seldom drawn.
             is_zone_in_use = self._zones.traffic_fraction(server.endpoint.zone, now) >= 1
-            if is_zone_in_use and ready.is_in_subset(server) and self._may_get(request, server, now):
+            if is_zone_in_use and ready.is_in_subset(server) and self._can_accept(request, server, now):
                 return server
         if self._settings.tier and not self._zones.reduced_fractions(now):
-            # Many balancers call each server, and each sees its own calls alone: few others call ours.
-            nearby = [s for s in ready.nearby() if not s.in_flight and self._may_get(request, s, now)]
+            # Each server has many callers, and each sees only its own calls; few others call its nearby ones.
+            nearby = [s for s in ready.nearby() if not s.in_flight and self._can_accept(request, s, now)]
             if nearby:
                 return self._choose(request, nearby, now)
         if ready.subset_size <= MAX_SCANNED_SERVERS:
@@ -80,13 +80,13 @@
         return self._sample(request, now)
 
     def record_call_ended(self, server: Server, now: float) -> None:
-        """Take note that a call of ours has ended at a server, whose weight has changed."""
+        """Update the weight of a server at which a call from this balancer has ended."""
         if self._sampler:
             self._update_weight(server, now)
-            self._freed.append(server)
+            self._recently_freed.append(server)
 
     def handle_endpoints_changed(self, now: float) -> None:
-        """Bring the sampler up to date with the subset, also by names that are no longer known."""
+        """Update the sampler to match the subset, also for servers that have been forgotten."""
         changed = self._ready.take_changed_names()
         if self._ready.subset_size <= MAX_SCANNED_SERVERS:
             self._sampler.clear()
@@ -102,8 +102,8 @@
             else:
                 self._sampler.remove(name)
 
-    def _may_get(self, request: Request, server: Server, now: float) -> bool:
-        """Return whether a server can accept the next attempt, and has had none of this request."""
+    def _can_accept(self, request: Request, server: Server, now: float) -> bool:
+        """Return whether a server can accept the next attempt and has had no attempt of this request."""
         if request.attempts and any(a.server is server for a in request.attempts):
             return False
         if not self._limits.can_accept(request, server):
@@ -117,7 +117,7 @@
         return self._slow_start.can_accept(server, peak_rate, slowest_ms, now)
 
     def _choose(self, request: Request, servers: list[Server], now: float) -> Server | None:
-        """Return the best server of a short list."""
+        """Return the server for the next attempt out of a short list; None if none is eligible."""
         slow_start = self._slow_start
         if slow_start.is_any_warming_up(now):
             servers = self._within_slow_start(servers, now)
@@ -132,32 +132,32 @@
             return None
         capacities = [self._capacities.estimate(s, slow_start.warm_up_fraction(s, now), now) for s in servers]
         reduced_zones = self._zones.reduced_fractions(now)
-        drawn = draw_by_capacity(servers, capacities, self._settings.zone, reduced_zones, self._random)
-        return least_loaded(drawn, self._random)
+        drawn = draw_by_capacity(servers, capacities, self._settings.zone, reduced_zones, self._rng)
+        return least_loaded(drawn, self._rng)
 
     def _within_slow_start(self, servers: list[Server], now: float) -> list[Server]:
         """Return the servers that slow start lets accept one more call."""
         if self.is_taken_over:
-            # The two processes share one budget for warming servers: the one that drains uses it last.
+            # Both processes share one slow-start budget; the draining one uses it only as a last resort.
             warm = [s for s in servers if self._slow_start.warm_up_fraction(s, now) >= 1]
             if warm:
                 return warm
         return [s for s in servers if self._is_within_slow_start(s, now)]
 
     def _sample(self, request: Request, now: float) -> Server | None:
-        """Return a server of a large subset; where sampling finds none, examine some one by one."""
+        """Return a server from a large subset by sampling; if that finds none, scan a part of it."""
         reduced_zones = self._zones.reduced_fractions(now)
-        drawn = self._sampler.draw(self._settings.zone, reduced_zones, self._random, MAX_SAMPLING_DRAWS)
-        candidates = ((s, self._update_weight(s, now)) for s in drawn if self._may_get(request, s, now))
-        server = least_loaded(candidates, self._random)
+        drawn = self._sampler.draw(self._settings.zone, reduced_zones, self._rng, MAX_SAMPLING_DRAWS)
+        candidates = ((s, self._update_weight(s, now)) for s in drawn if self._can_accept(request, s, now))
+        server = least_loaded(candidates, self._rng)
         if server is not None:
             return server
-        self._scan_from = (self._scan_from + MAX_SCANNED_SERVERS) % self._ready.subset_size
-        freed = [s for s in self._freed if self._ready.is_in_subset(s)]
-        return self._choose(request, freed + self._ready.subset(self._scan_from, MAX_SCANNED_SERVERS), now)
+        self._scan_start = (self._scan_start + MAX_SCANNED_SERVERS) % self._ready.subset_size
+        freed = [s for s in self._recently_freed if self._ready.is_in_subset(s)]
+        return self._choose(request, freed + self._ready.subset(self._scan_start, MAX_SCANNED_SERVERS), now)
 
     def _update_weight(self, server: Server, now: float) -> float:
-        """Return the estimated capacity of a server, which becomes its weight in the sampler."""
+        """Return the estimated capacity of a server, and set it as its weight in the sampler."""
         warm_up_fraction = self._slow_start.warm_up_fraction(server, now)
         capacity = self._capacities.estimate(server, warm_up_fraction, now)
         if self._ready.is_in_subset(server):
@@ -165,7 +165,7 @@
         return capacity
 
     def _refresh_estimates(self, now: float) -> None:
-        """Compute the median capacity and the peak rates anew, from a sample of a large subset."""
+        """Recompute the median capacity and the peak rates, for a large subset from a sample."""
         ready = self._ready
         if ready.subset_size <= MAX_SCANNED_SERVERS:
             subset = ready.subset(0, MAX_SCANNED_SERVERS)
@@ -173,10 +173,9 @@
             self._capacities.refresh(ready.by_name.values(), subset, now, recent_requests)
             return
         sample = [
-            ready.subset(self._random.randrange(ready.subset_size), 1)[0]
-            for _ in range(MEDIAN_SAMPLE_SERVERS)
+            ready.subset(self._rng.randrange(ready.subset_size), 1)[0] for _ in range(MEDIAN_SAMPLE_SERVERS)
         ]
         for server in sample:
             server.advance_to(now)
-            self._update_weight(server, now)  # its evidence may have decayed since, or it may have warmed up
+            self._update_weight(server, now)  # its evidence may have decayed, or it may have warmed up
         self._capacities.refresh(sample, sample, now, self._slow_start.recent_requests(now))
--- a/loadbalancer/policy/weighted_sampling.py
+++ b/loadbalancer/policy/weighted_sampling.py
@@ -1,4 +1,4 @@
-"""Sample servers by weight at a cost that hardly grows with their number."""
+"""Sample servers by weight in logarithmic time."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from loadbalancer.policy.zones import zone_fractions
 
 MAX_CHANGES_PER_SLOT = 8
-"""Sums are computed anew after this many changes per slot, so that rounding errors stay small."""
+"""Changes per slot after which the sums are recomputed, to bound accumulated rounding errors."""
 
 
 class WeightedSamplingTree:
-    """Servers and their weights in a Fenwick tree: a sample or a change takes log2(size) steps.
+    """Fenwick tree of server weights, in which a sample or a change takes log2(size) steps.
 
     P. M. Fenwick, "A new data structure for cumulative frequency tables", 1994.
     """
 
     def __init__(self) -> None:
         self._size = 1
-        self._sums = [0.0, 0.0]  # from index 1 on; each sums as many weights as its lowest set bit says
+        self._sums = [0.0, 0.0]  # 1-based; the lowest set bit of an index is the number of weights summed
         self._weights: list[float] = [0.0]
         self._servers: list[Server | None] = [None]
         self._slots: dict[str, int] = {}
@@ -54,7 +54,7 @@
     def server_at(self, fraction: float) -> Server | None:
         """Return the server at a fraction (0 to 1) of the total weight.
 
-        None if rounding leads past the last one.
+        None if a rounding error leads past the last server.
         """
         remaining = fraction * self.total
         slot = 0
@@ -97,7 +97,7 @@
 
 
 class Sampler:
-    """The servers that can be sampled: a tree for each zone."""
+    """Weighted sampling over all zones, with one tree per zone."""
 
     def __init__(self) -> None:
         self._trees: dict[str, WeightedSamplingTree] = {}
@@ -119,7 +119,7 @@
         self._trees.setdefault(zone, WeightedSamplingTree()).set_weight(server, weight)
 
     def remove(self, name: str) -> None:
-        """Remove a server, if it is there."""
+        """Remove a server if it is present."""
         zone = self._zones.pop(name, None)
         if zone is not None:
             self._trees[zone].remove(name)
@@ -132,15 +132,15 @@
         self._zones.clear()
 
     def draw(
-        self, own_zone: str, reduced_zones: dict[str, float], chance: random.Random, count: int
+        self, own_zone: str, reduced_zones: dict[str, float], rng: random.Random, count: int
     ) -> Iterator[Server]:
-        """Yield up to `count` servers sampled by weight, the own zone first; a server may come twice."""
+        """Yield up to `count` servers sampled by weight with replacement, the own zone first."""
         capacities = {zone: tree.total for zone, tree in self._trees.items()}
         fractions = zone_fractions(capacities, own_zone, reduced_zones)
         weights = {zone: capacities[zone] * fraction for zone, fraction in fractions.items()}
         total = sum(weights.values())
         for _ in range(count):
-            point = chance.random() * total
+            point = rng.random() * total
             for zone, weight in weights.items():
                 if point < weight:
                     server = self._trees[zone].server_at(point / weight)
--- a/loadbalancer/policy/zones.py
+++ b/loadbalancer/policy/zones.py
@@ -1,4 +1,4 @@
-"""Decide which fraction of each zone's capacity is used: the own zone first, less of an evacuated one."""
+"""Compute the usable fraction of each zone's capacity, by locality and by evacuations in progress."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 @dataclass(slots=True)
 class ZoneStatus:
-    """What operators need to know about a zone before they evacuate it."""
+    """Load and capacity of a zone, as operators need them before they evacuate it."""
 
     traffic_fraction: float
     """Fraction of its capacity that is in use, 0 to 1."""
     ready_servers: int = 0
     calls_in_flight: float = 0.0
-    """Our calls in flight there on average."""
+    """This balancer's calls in flight there on average."""
     call_capacity: float = 0.0
-    """How many ordinary calls we may have in flight there."""
+    """How many ordinary calls this balancer may have in flight there."""
 
 
 class ZoneEvacuations:
-    """The zones that operators evacuate or restore, gradually over the time they gave."""
+    """Zones that operators evacuate or restore, each gradually over a given duration."""
 
     def __init__(self) -> None:
         self._evacuations: dict[str, interface.ZoneEvacuation] = {}
         self._all_restored_at_ms = 0.0  # infinite while a zone is evacuated
 
     def apply(self, event: interface.ZoneEvacuation) -> None:
-        """Begin to evacuate or to restore a zone."""
+        """Start evacuating or restoring a zone."""
         self._evacuations[event.zone] = event
         self._all_restored_at_ms = max(
             math.inf if e.is_evacuating else e.started_at_ms + e.duration_ms
@@ -58,7 +58,7 @@
         return {zone: fraction for zone, fraction in fractions.items() if fraction < 1}
 
     def fully_evacuated(self, known_zones: Iterable[str], now: float) -> set[str]:
-        """Return the zones that get nothing, however full the others are; none if there is no other zone."""
+        """Return the zones that get no traffic, even if the others are full; empty if there are no others."""
         evacuated = {zone for zone, fraction in self.reduced_fractions(now).items() if not fraction}
         return evacuated if set(known_zones) - evacuated else set()
 
@@ -68,9 +68,9 @@
 ) -> dict[str, float]:
     """Return the fraction of each zone's capacity that this balancer draws from.
 
-    It draws from its own zone, and for what that lacks of an equal part, from the zones with more than
-    theirs. Of a zone that is being evacuated only the reduced fraction counts; if no other capacity is left,
-    all of it.
+    It uses its own zone, and if that has less than an equal part of the capacity, makes up the rest from
+    zones that have more. A zone that is being evacuated counts with its reduced fraction, or in full if no
+    other capacity is left.
     """
     usable = capacities
     if reduced:
@@ -82,7 +82,7 @@
         return {zone: reduced.get(zone, 1.0) for zone in usable}
     equal_part = sum(usable.values()) / len(usable)
     surplus = {zone: max(capacity - equal_part, 0.0) for zone, capacity in usable.items()}
-    # All zones may be alike: then there is no surplus.
+    # The surplus is zero if all zones have equal capacity.
     spill = max(equal_part - usable[own_zone], 0.0) / (sum(surplus.values()) or 1.0)
     return {
         zone: (min(capacity, equal_part) if zone == own_zone else spill * surplus[zone]) / capacities[zone]
@@ -91,7 +91,7 @@
 
 
 def zone_capacities(servers: Iterable[Server], capacities: Iterable[float]) -> dict[str, float]:
-    """Return the capacity of each zone, given that of each server."""
+    """Return the total capacity of each zone, given that of each server."""
     by_zone: dict[str, float] = {}
     for server, capacity in zip(servers, capacities, strict=True):
         zone = server.endpoint.zone
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -65,7 +65,7 @@
     can_accept = SlowStart.can_accept
 
     def rounded_up(self: SlowStart, server: Any, rate: float, work: float, now: float) -> bool:
-        server.rounding_chance, server.rounding_chance_until_ms = 1.0, now + 1.0
+        server.rounding_offset, server.rounding_offset_until_ms = 1.0, now + 1.0
         return can_accept(self, server, rate, work, now)
 
     monkeypatch.setattr(SlowStart, "can_accept", rounded_up)
