--- a/loadbalancer/net/metrics.py
+++ b/loadbalancer/net/metrics.py
@@ -1,6 +1,6 @@
 """The stats in Prometheus' text form (https://prometheus.io/docs/instrumenting/exposition_formats/).
 
-Written by hand: prometheus_client costs every process 5 MB. A test reads what is written here with it.
+Written by hand: prometheus_client costs every process 5 MB. A test parses the result with that package.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
     return value.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
 
 
-def write(stats: BalancerStats, dropped_log_lines: int, members_by_state: Mapping[str, int]) -> str:
+def render(stats: BalancerStats, dropped_log_lines: int, members_by_state: Mapping[str, int]) -> str:
     """Return all metrics, one sample a line; those of membership are omitted where it is off."""
     outcomes = {"succeeded": stats.succeeded, "declined": stats.rejected, "aborted": stats.failed}
     requests = [
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -204,7 +204,7 @@
     def prometheus_metrics(self) -> str:
         """Return the same counts in Prometheus' text form."""
         members_by_state = self.membership.count_by_state() if self.membership else {}
-        return metrics.write(self.stats(), self.log.dropped_lines, members_by_state)
+        return metrics.render(self.stats(), self.log.dropped_lines, members_by_state)
 
     def membership_report(self) -> MembershipReport | None:
         """Return what is believed of the other balancers; None where membership is off."""
