--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -122,7 +122,7 @@
         balancer_index=0,
         balancer_count=size,
         drain_grace_ms=5_000.0,
-        is_own_service=False,
+        is_self_hosted=False,
         seed=number,
     )
     roster, now, most = EndpointSet(settings, random.Random(number)), 0.0, 0.0
--- a/benchmarks/capacity_reckoned.py
+++ b/benchmarks/capacity_reckoned.py
@@ -146,7 +146,7 @@
     for count in sorted({1.0, 2.0, fleet.instances / 2, fleet.instances}):
         took, bytes_s = fleet.return_s(count), fleet.tell_bytes_s(count)
         out, renewals = f"{number(bytes_s * 8 / 1e9)} Gbit", number(fleet.renewals_ms_s(count) / 1e3)
-        call = call_timeout_s(int(count), is_own_service=True)
+        call = call_timeout_s(int(count), is_self_hosted=True)
         told = f"{min(call / took, 1.0):.0%} in {call:.2g} s"
         rows.append([f"{count:g}", number(took), _over(took, allowed), told, out, renewals])
     head = [
--- a/loadbalancer/endpoint_watch/__init__.py
+++ b/loadbalancer/endpoint_watch/__init__.py
@@ -1,7 +1,7 @@
 """How the endpoint list is watched: which instance is sent which request and when, and what an answer means.
 
     watch = Watch(
-        (first, second), balancer_index=0, balancer_count=2, drain_grace_ms=3_000, is_own_service=True, seed=1
+        (first, second), balancer_index=0, balancer_count=2, drain_grace_ms=3_000, is_self_hosted=True, seed=1
     )
     request = watch.next_request(now)            # to which instance, after which version, with what timeout
     rewound = watch.record_answer(index, now)    # StaleListError: older than the list at hand, a failed call
--- a/loadbalancer/endpoint_watch/retry_backoff.py
+++ b/loadbalancer/endpoint_watch/retry_backoff.py
@@ -19,11 +19,11 @@
 class RetryBackoff:
     """Holds how soon the next call follows a failed one, by the number of instances and the congestion."""
 
-    def __init__(self, balancer_count: int, instance_count: int, *, is_own_service: bool) -> None:
-        """`is_own_service` tells a list service of one's own from the platform's."""
-        self._is_own_service = is_own_service
+    def __init__(self, balancer_count: int, instance_count: int, *, is_self_hosted: bool) -> None:
+        """`is_self_hosted` tells a list service of one's own from the platform's."""
+        self._is_self_hosted = is_self_hosted
         self._congested_limit_s = (
-            0.0 if is_own_service else CONGESTED_RETRY_PER_BALANCER_MS * balancer_count / 1_000
+            0.0 if is_self_hosted else CONGESTED_RETRY_PER_BALANCER_MS * balancer_count / 1_000
         )
         self._failover_spread_s = FAILOVER_SPREAD_PER_BALANCER_MS * balancer_count / 1_000
         self._start_spread_s = LIST_RETRY_MEAN_BACKOFF_MS * balancer_count / 1_000
@@ -32,9 +32,9 @@
 
     def set_instance_count(self, instance_count: int) -> None:
         """Divide the time budget among so many instances from now on."""
-        self.call_timeout_s = call_timeout_s(instance_count, self._is_own_service)
+        self.call_timeout_s = call_timeout_s(instance_count, self._is_self_hosted)
         """For a call that does not wait."""
-        self._base_interval_s = retry_interval_s(instance_count, self._is_own_service)
+        self._base_interval_s = retry_interval_s(instance_count, self._is_self_hosted)
         self.retry_within_s = self._base_interval_s
         """After the last failed call, the next one has to begin within so long."""
 
@@ -49,7 +49,7 @@
         until then, so that its duration does not count. A rejected call (`rejected`) that had to wait met
         congestion; a service of one's own shows how soon an uncongested one answers.
         """
-        self._congested_calls += rejected and duration_s > answer_time_s(is_own_service=True)
+        self._congested_calls += rejected and duration_s > answer_time_s(is_self_hosted=True)
         self.retry_within_s = max(self._interval_s() - (0.0 if was_waiting else duration_s), 0.0)
 
     def start_window_s(self) -> float:
@@ -57,7 +57,7 @@
 
         It is bounded like the pause after a failed call, so that a change is known as soon as after one.
         """
-        if self._is_own_service:
+        if self._is_self_hosted:
             return 0.0
         return min(self._start_spread_s, self._base_interval_s)
 
--- a/loadbalancer/endpoint_watch/time_budget.py
+++ b/loadbalancer/endpoint_watch/time_budget.py
@@ -33,27 +33,27 @@
 CHANGE_DEADLINE_S = 6.0  # from the change to the balancer's knowing it, as the platform counts it
 SCHEDULING_SLACK_S = 1.0  # of the deadline: the process shares its core, and calls and answers wait for it
 MAX_CALL_FRACTION = 0.9  # of a retry interval: the rest is for the pause after a call that took all its time
-OWN_CALL_TIMEOUT_S = 2.0  # a service of one's own that takes longer is down
+SELF_HOSTED_CALL_TIMEOUT_S = 2.0  # a service of one's own that takes longer is down
 PLATFORM_CALL_TIMEOUT_S = 2.25  # the platform works through calls in turn and ends those of over 2 s
-OWN_ANSWER_TIME_S = 0.5  # a service of one's own answers at once
+SELF_HOSTED_ANSWER_TIME_S = 0.5  # a service of one's own answers at once
 PLATFORM_ANSWER_TIME_S = PLATFORM_CALL_TIMEOUT_S  # any call may have to wait its turn
 
 
-def retry_interval_s(instance_count: int, is_own_service: bool) -> float:
+def retry_interval_s(instance_count: int, is_self_hosted: bool) -> float:
     """Return the seconds from a failed call's beginning to the next one's, at the most."""
-    return (CHANGE_DEADLINE_S - SCHEDULING_SLACK_S - answer_time_s(is_own_service)) / instance_count
+    return (CHANGE_DEADLINE_S - SCHEDULING_SLACK_S - answer_time_s(is_self_hosted)) / instance_count
 
 
-def call_timeout_s(instance_count: int, is_own_service: bool) -> float:
+def call_timeout_s(instance_count: int, is_self_hosted: bool) -> float:
     """Return the seconds for a call that need not wait, with connecting, by the number of instances."""
-    longest_s = OWN_CALL_TIMEOUT_S if is_own_service else PLATFORM_CALL_TIMEOUT_S
-    return min(longest_s, MAX_CALL_FRACTION * retry_interval_s(instance_count, is_own_service))
+    longest_s = SELF_HOSTED_CALL_TIMEOUT_S if is_self_hosted else PLATFORM_CALL_TIMEOUT_S
+    return min(longest_s, MAX_CALL_FRACTION * retry_interval_s(instance_count, is_self_hosted))
 
 
-def answer_time_s(is_own_service: bool) -> float:
+def answer_time_s(is_self_hosted: bool) -> float:
     """Return the seconds in which a service that can be reached answers a call that need not wait."""
-    return OWN_ANSWER_TIME_S if is_own_service else PLATFORM_ANSWER_TIME_S
+    return SELF_HOSTED_ANSWER_TIME_S if is_self_hosted else PLATFORM_ANSWER_TIME_S
 
 
-CONGESTED_RETRY_INTERVAL_S = retry_interval_s(1, is_own_service=True)
+CONGESTED_RETRY_INTERVAL_S = retry_interval_s(1, is_self_hosted=True)
 """The first retry interval of a large tier while the platform's service is congested."""
--- a/loadbalancer/endpoint_watch/watch.py
+++ b/loadbalancer/endpoint_watch/watch.py
@@ -17,7 +17,7 @@
 
 
 class Watch:
-    """One balancer's watch, of the platform's list or of a list service of one's own (`is_own_service`).
+    """One balancer's watch, of the platform's list or of a list service of one's own (`is_self_hosted`).
 
     Where the service is one's own, a failed call fails over to its next instance, and only when all have
     failed in turn has the list failed. Versions of instances can't be compared: after a switch the full list
@@ -31,16 +31,16 @@
         balancer_index: int,
         balancer_count: int,
         drain_grace_ms: float,
-        is_own_service: bool,
+        is_self_hosted: bool,
         seed: int,
         index: int = FULL_SNAPSHOT,
     ) -> None:
         """`drain_grace_ms` is how long draining servers are left; `index` the version of the list at hand."""
         self._balancer_index = balancer_index
-        self._is_own_service = is_own_service
+        self._is_self_hosted = is_self_hosted
         self._random = random.Random(seed)
         self._requests = RequestSchedule(balancer_count, drain_grace_ms, self._random)
-        self._backoff = RetryBackoff(balancer_count, len(addresses), is_own_service=is_own_service)
+        self._backoff = RetryBackoff(balancer_count, len(addresses), is_self_hosted=is_self_hosted)
         self._cross_checks = CrossCheckSchedule(balancer_count, self._random)
         self.instances = InstanceSelector(addresses, balancer_index, self._random)
         self.index = index
@@ -98,7 +98,7 @@
         if index < self.index:
             self._has_rewound = True
             raise StaleListError(f"list {index} is older than {self.index}, the one we hold")
-        is_rewound = self.instances.record_answer(index, now, self.index >= 0) and self._is_own_service
+        is_rewound = self.instances.record_answer(index, now, self.index >= 0) and self._is_self_hosted
         self.rewind_count += is_rewound
         self.index = index
         self._has_rewound = False
@@ -123,7 +123,7 @@
         was_waiting = self._is_long_poll_out and not response_timed_out and is_late
         self._backoff.record_failure(duration_s, was_waiting=was_waiting, rejected=rejected)
         self._has_failed = True
-        if not self._is_own_service:
+        if not self._is_self_hosted:
             return None
         failed_address = self.instances.address
         can_fail_over = self.instances.record_failure()
@@ -141,7 +141,7 @@
 
     def return_to_preferred_instance(self, now: float) -> bool:
         """Switch back to the preferred instance if that is due; return whether it was."""
-        if not self._is_own_service or not self.instances.return_to_preferred(now):
+        if not self._is_self_hosted or not self.instances.return_to_preferred(now):
             return False
         self.index = FULL_SNAPSHOT
         return True
--- a/loadbalancer/net/discovery/client.py
+++ b/loadbalancer/net/discovery/client.py
@@ -248,7 +248,7 @@
         balancer_index=config.settings.balancer_index,
         balancer_count=config.settings.balancer_count,
         drain_grace_ms=config.drain_grace_ms,
-        is_own_service=config.registry is not None,
+        is_self_hosted=config.registry is not None,
         seed=config.seed,
         index=index,
     )
--- a/loadbalancer/simulation/watches.py
+++ b/loadbalancer/simulation/watches.py
@@ -219,7 +219,7 @@
         balancer_index=number,
         balancer_count=count,
         drain_grace_ms=GRACE_MS,
-        is_own_service=True,
+        is_self_hosted=True,
         seed=random.Random(f"{seed}/{number}").getrandbits(32),
     )
     return WatchingBalancer(watch, EndpointSet(settings, random.Random(f"{seed}/{number}/roster")))
--- a/tests/list_service_faults.py
+++ b/tests/list_service_faults.py
@@ -38,7 +38,7 @@
     balancer_index: int = 0,
     balancer_count: int,
     drain_grace_ms: float = 0.0,
-    is_own_service: bool,
+    is_self_hosted: bool,
     seed: int = 1,
     index: int = FULL_SNAPSHOT,
 ) -> Watch:
@@ -48,7 +48,7 @@
         balancer_index=balancer_index,
         balancer_count=balancer_count,
         drain_grace_ms=drain_grace_ms,
-        is_own_service=is_own_service,
+        is_self_hosted=is_self_hosted,
         seed=seed,
         index=index,
     )
--- a/tests/test_change_notification_deadline.py
+++ b/tests/test_change_notification_deadline.py
@@ -10,8 +10,8 @@
 from loadbalancer.endpoint_watch import ListRequest
 from loadbalancer.endpoint_watch.time_budget import (
     CHANGE_DEADLINE_S,
-    OWN_ANSWER_TIME_S,
     SCHEDULING_SLACK_S,
+    SELF_HOSTED_ANSWER_TIME_S,
     answer_time_s,
     call_timeout_s,
     retry_interval_s,
@@ -37,19 +37,19 @@
 # ---- the budget ---------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("is_own_service", [False, True])
+@pytest.mark.parametrize("is_self_hosted", [False, True])
 @pytest.mark.parametrize("instance_count", range(1, 9))
 def test_calls_and_pauses_of_all_instances_fit_into_the_budget(
-    instance_count: int, is_own_service: bool
+    instance_count: int, is_self_hosted: bool
 ) -> None:
-    call_s = call_timeout_s(instance_count, is_own_service)
-    interval_s = retry_interval_s(instance_count, is_own_service)
-    assert instance_count * interval_s + answer_time_s(is_own_service) <= BUDGET_S + 1e-9
+    call_s = call_timeout_s(instance_count, is_self_hosted)
+    interval_s = retry_interval_s(instance_count, is_self_hosted)
+    assert instance_count * interval_s + answer_time_s(is_self_hosted) <= BUDGET_S + 1e-9
     assert 0 < call_s < interval_s
 
 
 def test_hosts_that_name_no_retry_time_get_the_interval_of_the_platforms_list() -> None:
-    platform_ms = retry_interval_s(1, is_own_service=False) * 1_000
+    platform_ms = retry_interval_s(1, is_self_hosted=False) * 1_000
     assert interface.EndpointListUpdate(UpdateKind.FAILED).retry_within_ms == platform_ms
 
 
@@ -85,7 +85,7 @@
         configured = interface.Settings(CLASSES, balancer_count=18_000, polls_endpoint_list=True)
         actions = Balancer(configured, seed).handle(interface.EndpointListUpdate(UpdateKind.FAILED), 0.0)
         pauses_s += [a.at_ms / 1_000 for a in actions if isinstance(a, interface.SetTimer)]
-    assert sum(pauses_s) / 400 > 0.6 * retry_interval_s(1, is_own_service=False)
+    assert sum(pauses_s) / 400 > 0.6 * retry_interval_s(1, is_self_hosted=False)
     assert max(sum(start <= p < start + 0.1 for p in pauses_s) for start in pauses_s) < 400 / 18.3 * 2
 
 
@@ -100,7 +100,8 @@
         and deployment.balancer_count > MAX_UNCONGESTED_TIER
     )
     return is_large and any(
-        phase.mode in ("reset", "503") and phase.response_delay_s > OWN_ANSWER_TIME_S for phase in phases[0]
+        phase.mode in ("reset", "503") and phase.response_delay_s > SELF_HOSTED_ANSWER_TIME_S
+        for phase in phases[0]
     )
 
 
@@ -133,7 +134,7 @@
 )
 @example(LARGE_TIER, [[FailurePhase("silent", 60.0, 0.0)]], 40.0, 0, 0.5)
 @example(LARGE_TIER, [[FailurePhase("half", 60.0, 0.9)]], 40.0, 0, 0.9)
-@example(LARGE_TIER, [[FailurePhase("503", 60.0, OWN_ANSWER_TIME_S)]], 40.0, 0, 0.9)
+@example(LARGE_TIER, [[FailurePhase("503", 60.0, SELF_HOSTED_ANSWER_TIME_S)]], 40.0, 0, 0.9)
 @example(LARGE_TIER, [[FailurePhase("reset", 60.0, 0.01)]], 41.3, 0, 0.9)
 @example(LARGE_TIER._replace(instance_count=3), [[FailurePhase("no dial", 60.0, 0.0)]], 40.0, 1, 0.5)
 def test_a_change_is_known_in_time_however_calls_ended_and_whenever_its_service_recovers(
@@ -147,9 +148,9 @@
     if is_known_red(deployment, phases):
         smaller = deployment.balancer_count % MAX_UNCONGESTED_TIER + 1
         deployment = deployment._replace(balancer_count=smaller)
-    is_own_service = deployment.instance_count > 0
+    is_self_hosted = deployment.instance_count > 0
     longest_s = min(
-        answer_time_s(is_own_service), call_timeout_s(max(deployment.instance_count, 1), is_own_service)
+        answer_time_s(is_self_hosted), call_timeout_s(max(deployment.instance_count, 1), is_self_hosted)
     )
     delay_s = notification_delay_s(
         deployment, phases, recovery_s, recovered_instance, answer_fraction * longest_s
@@ -167,7 +168,7 @@
 ) -> None:
     deployment = Deployment(list_mode, instance_count, 18_000, 30_000.0, 300.0, 3)
     phases = [[FailurePhase(mode, 1e6, response_delay_s)]]
-    answer_delay_s = 0.9 * answer_time_s(is_own_service=instance_count > 0)
+    answer_delay_s = 0.9 * answer_time_s(is_self_hosted=instance_count > 0)
     delays_s = [
         notification_delay_s(deployment, phases, 60.0 + quarter / 4, instance, answer_delay_s)
         for quarter in QUARTERS
@@ -202,17 +203,17 @@
     pauses_s = []
     for seed in range(50):
         watch = new_watch(
-            addresses, balancer_count=18_000, is_own_service=True, seed=seed, index=INITIAL_INDEX
+            addresses, balancer_count=18_000, is_self_hosted=True, seed=seed, index=INITIAL_INDEX
         )
         watch.next_request(0.0)
         pauses_s.append(watch.record_failure(20.0, response_timed_out=False))
     longest_s = max(pause_s for pause_s in pauses_s if pause_s is not None)
-    assert 0.5 < longest_s <= retry_interval_s(2, is_own_service=True)
+    assert 0.5 < longest_s <= retry_interval_s(2, is_self_hosted=True)
 
 
 def test_while_a_list_is_suspect_its_service_is_watched_all_the_same() -> None:
     """No request was made for up to 22 minutes in a tier of 18,000, so that a drain was missed."""
-    watch = new_watch(balancer_count=18_000, drain_grace_ms=300.0, is_own_service=True, index=INITIAL_INDEX)
+    watch = new_watch(balancer_count=18_000, drain_grace_ms=300.0, is_self_hosted=True, index=INITIAL_INDEX)
     watch.record_answer(8, 0.0)
     watch.schedule_full_snapshot(0.0)
     request = watch.next_request(0.0)
@@ -222,9 +223,9 @@
 
 
 def test_a_long_poll_does_not_delay_the_request_for_the_full_list() -> None:
-    watch = new_watch(balancer_count=1, drain_grace_ms=30_000.0, is_own_service=True)
+    watch = new_watch(balancer_count=1, drain_grace_ms=30_000.0, is_self_hosted=True)
     watch.record_answer(8, 0.0)
     watch.schedule_full_snapshot(0.0)
     assert watch.next_request(0.0).wait_ms <= 1_500
-    full = ListRequest(ONE_INSTANCE[0], -1, 0.0, call_timeout_s(1, is_own_service=True))
+    full = ListRequest(ONE_INSTANCE[0], -1, 0.0, call_timeout_s(1, is_self_hosted=True))
     assert watch.next_request(1.5) == full
--- a/tests/test_change_notification_sockets.py
+++ b/tests/test_change_notification_sockets.py
@@ -110,7 +110,7 @@
             proxy.start()
             await wait_until(lambda: len(connect_times_s) == 2)
             first_s, second_s = connect_times_s
-            assert second_s - first_s < retry_interval_s(1, is_own_service=False) + SCHEDULING_SLACK_S
+            assert second_s - first_s < retry_interval_s(1, is_self_hosted=False) + SCHEDULING_SLACK_S
 
     run_within(scenario(), MAX_PLAY_S)
 
--- a/tests/test_instance_selection.py
+++ b/tests/test_instance_selection.py
@@ -141,7 +141,7 @@
 def test_a_server_that_is_silent_for_long_costs_ever_fewer_cross_checks() -> None:
     """Each of its balancers read another instance's full list every second or two."""
     watch = Watch(
-        (A, B), balancer_index=0, balancer_count=2, drain_grace_ms=3_000, is_own_service=True, seed=1, index=7
+        (A, B), balancer_index=0, balancer_count=2, drain_grace_ms=3_000, is_self_hosted=True, seed=1, index=7
     )
 
     def count_cross_checks(first_s: int, last_s: int, is_contradicted: bool) -> int:
--- a/tests/test_list_congestion.py
+++ b/tests/test_list_congestion.py
@@ -12,7 +12,7 @@
 from loadbalancer.policy.endpoints import EndpointSet
 from tests.list_service_faults import CHANGED_INDEX, INITIAL_INDEX, MAX_UNCONGESTED_TIER, new_watch
 
-PLATFORM_INTERVAL_S = retry_interval_s(1, is_own_service=False)
+PLATFORM_INTERVAL_S = retry_interval_s(1, is_self_hosted=False)
 CALL_TIMEOUT_S = 2.0  # after which discovery ends a call that waited
 MAX_QUEUE_S = 3.0  # of work; past it calls are rejected at once
 
@@ -48,7 +48,7 @@
                 balancer_index=number,
                 balancer_count=balancer_count,
                 drain_grace_ms=500.0,
-                is_own_service=False,
+                is_self_hosted=False,
                 seed=self._chance.getrandbits(32),
                 index=INITIAL_INDEX,
             )
@@ -103,7 +103,7 @@
         (18_000, 675.0),
     ):
         watch = new_watch(
-            balancer_index=3, balancer_count=balancer_count, is_own_service=False, index=INITIAL_INDEX
+            balancer_index=3, balancer_count=balancer_count, is_self_hosted=False, index=INITIAL_INDEX
         )
         watch.record_failure(0.1, response_timed_out=False, rejected=True)
         assert watch.retry_within_s == PLATFORM_INTERVAL_S - 0.1, "rejected at once: no congestion"
@@ -117,7 +117,7 @@
 
 
 def test_a_long_poll_that_was_held_and_broken_off_has_met_no_congestion() -> None:
-    watch = new_watch(balancer_index=3, balancer_count=18_000, is_own_service=False, index=INITIAL_INDEX)
+    watch = new_watch(balancer_index=3, balancer_count=18_000, is_self_hosted=False, index=INITIAL_INDEX)
     assert watch.next_request().is_long_poll
     watch.record_failure(20.0, response_timed_out=False, rejected=True)
     assert watch.retry_within_s == PLATFORM_INTERVAL_S
--- a/tests/test_start_spread.py
+++ b/tests/test_start_spread.py
@@ -29,16 +29,16 @@
 from tests.list_service_faults import HERE, INITIAL_INDEX, FailingInstance, VirtualTimeLoop, new_watch
 from tests.loopback import config_text
 
-RETRY_INTERVAL_S = retry_interval_s(1, is_own_service=False)
+RETRY_INTERVAL_S = retry_interval_s(1, is_self_hosted=False)
 TIER = 150
 
 
 def first_delays_s(
-    balancer_count: int, *, is_own_service: bool = False, index: int = INITIAL_INDEX
+    balancer_count: int, *, is_self_hosted: bool = False, index: int = INITIAL_INDEX
 ) -> list[float]:
     return [
         new_watch(
-            balancer_count=balancer_count, is_own_service=is_own_service, seed=seed, index=index
+            balancer_count=balancer_count, is_self_hosted=is_self_hosted, seed=seed, index=index
         ).first_request_delay_s()
         for seed in range(400)
     ]
@@ -55,7 +55,7 @@
 
 
 def test_a_new_process_knows_a_change_as_soon_as_one_whose_call_has_failed() -> None:
-    longest_s = max(first_delays_s(18_000)) + answer_time_s(is_own_service=False)
+    longest_s = max(first_delays_s(18_000)) + answer_time_s(is_self_hosted=False)
     assert longest_s <= CHANGE_DEADLINE_S - SCHEDULING_SLACK_S
 
 
@@ -64,7 +64,7 @@
 
 
 def test_a_service_of_ones_own_is_asked_at_once() -> None:
-    assert set(first_delays_s(TIER, is_own_service=True)) == {0.0}
+    assert set(first_delays_s(TIER, is_self_hosted=True)) == {0.0}
 
 
 class FirstCall:
