--- a/tests/http_messages.py
+++ b/tests/http_messages.py
@@ -8,7 +8,7 @@
 from loadbalancer.interface import Outcome
 from tests.loopback import ProxyHarness
 
-LONG = bytes(range(256)) * 4_096  # 1 MiB, which is streamed
+LONG_BODY = bytes(range(256)) * 4_096  # 1 MiB, which is streamed
 HEAD = "Host: h\r\nX-Request-Id: 9b\r\nX-Class: {0}\r\nX-Deadline: 4000m\r\n"
 
 
--- a/tests/test_message_forms.py
+++ b/tests/test_message_forms.py
@@ -7,7 +7,7 @@
 import pytest
 
 from loadbalancer.interface import Outcome
-from tests.http_messages import LONG, chunked, head, record_outcomes, write_in_parts
+from tests.http_messages import LONG_BODY, chunked, head, record_outcomes, write_in_parts
 from tests.loopback import (
     HttpMessage,
     ProxyHarness,
@@ -57,16 +57,16 @@
 def test_a_long_response_of_unknown_length_has_an_end_that_its_client_sees(version: str) -> None:
     async def script(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(OK + b"Transfer-Encoding: chunked\r\n\r\n")
-        await write_in_parts(writer, chunked(LONG, 100_000))
+        await write_in_parts(writer, chunked(LONG_BODY, 100_000))
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream(script)) as harness:
             client = await harness.connect()
             client.writer.write(head("GET", "/read/x", version))
             if version == "1.1":
-                assert (await client.read_response()).body == LONG
+                assert (await client.read_response()).body == LONG_BODY
             else:
-                assert (await client.reader.read()).partition(b"\r\n\r\n")[2] == LONG
+                assert (await client.reader.read()).partition(b"\r\n\r\n")[2] == LONG_BODY
 
     run_scenario(scenario())
 
@@ -183,7 +183,9 @@
         upstream = Upstream()
         async with ProxyHarness(upstream) as harness:
             client = await harness.connect()
-            client.writer.write(head(more="Transfer-Encoding: chunked\r\n") + chunked(LONG, 50_000)[:300_000])
+            client.writer.write(
+                head(more="Transfer-Encoding: chunked\r\n") + chunked(LONG_BODY, 50_000)[:300_000]
+            )
             while not upstream.connection_count:
                 await asyncio.sleep(0)
             client.writer.write(b"no chunk" * 10_000)
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -10,7 +10,7 @@
 
 from loadbalancer.interface import Outcome
 from loadbalancer.net import downstream_connection, downstream_timeout, message_body, upstream_attempt
-from tests.http_messages import LONG, chunked, head, record_outcomes, write_in_parts
+from tests.http_messages import LONG_BODY, chunked, head, record_outcomes, write_in_parts
 from tests.loopback import (
     HttpClient,
     HttpMessage,
@@ -44,7 +44,7 @@
 
 
 def test_a_long_response_reaches_a_slow_reader_complete_and_within_the_buffer_budget() -> None:
-    data = LONG * 24
+    data = LONG_BODY * 24
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream(long_response(data)), memory_mb=4) as harness:
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("form", ["length", "chunks"])
 def test_a_long_request_reaches_its_upstream_complete_and_within_the_buffer_budget(form: str) -> None:
-    data = LONG * 16
+    data = LONG_BODY * 16
 
     async def scenario() -> None:
         upstream = Upstream()
@@ -88,7 +88,7 @@
 
 
 def test_more_bodies_at_once_than_may_be_buffered_all_get_through() -> None:
-    data = LONG[:60_000]
+    data = LONG_BODY[:60_000]
 
     async def scenario() -> None:
         upstream = Upstream()
@@ -117,7 +117,7 @@
 
 def test_a_response_that_breaks_after_its_first_byte_was_forwarded_is_not_retried() -> None:
     async def cut(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
-        writer.write(http_response(200, LONG)[:500_000])
+        writer.write(http_response(200, LONG_BODY)[:500_000])
         await writer.drain()
         writer.transport.abort()
 
@@ -138,7 +138,7 @@
 
 def test_a_response_that_breaks_while_it_is_buffered_is_retried() -> None:
     async def cut(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
-        writer.write(http_response(200, LONG[:50_000])[:40_000])
+        writer.write(http_response(200, LONG_BODY[:50_000])[:40_000])
         writer.close()
 
     async def scenario() -> None:
@@ -175,13 +175,13 @@
             await harness.discovery.request_lines.get()
             await harness.discovery.request_lines.get()
             client = await harness.connect()
-            client.writer.write(head(more=f"Content-Length: {len(LONG)}\r\n"))
+            client.writer.write(head(more=f"Content-Length: {len(LONG_BODY)}\r\n"))
             # The last bytes stay here until the answer has come: they can't have left before the reset.
             withheld_bytes = 1_000 if kind == "reset before its end" else 0
-            await write_in_parts(client.writer, LONG[: len(LONG) - withheld_bytes])
+            await write_in_parts(client.writer, LONG_BODY[: len(LONG_BODY) - withheld_bytes])
             assert status_of(await client.read_response()) == 503  # it never ran
             assert connections == 1
-            client.writer.write(LONG[len(LONG) - withheld_bytes :])
+            client.writer.write(LONG_BODY[len(LONG_BODY) - withheld_bytes :])
             if kind == "reset before its end":  # what still came of the body was no request
                 assert await client.reader.read() == b""
 
@@ -192,9 +192,9 @@
     async def scenario() -> None:
         async with ProxyHarness() as harness:
             client = await harness.connect()
-            client.writer.write(head(more=f"Content-Length: {len(LONG)}\r\n"))
+            client.writer.write(head(more=f"Content-Length: {len(LONG_BODY)}\r\n"))
             assert status_of(await client.read_response()) == 503
-            await write_in_parts(client.writer, LONG)
+            await write_in_parts(client.writer, LONG_BODY)
             assert await client.reader.read() == b""
 
     run_scenario(scenario())
@@ -202,7 +202,7 @@
 
 def test_a_client_that_disconnects_frees_the_upstream_at_once() -> None:
     async def scenario() -> None:
-        upstream = Upstream(long_response(LONG * 32))
+        upstream = Upstream(long_response(LONG_BODY * 32))
         async with ProxyHarness(upstream) as harness:
             client = await harness.connect()
             client.send_request()
@@ -220,7 +220,7 @@
 ) -> None:
     """What waited in our buffer for half a second after the last byte had come was cut off."""
     monkeypatch.setattr(downstream_connection, "LINGERING_CLOSE_S", 0.01)
-    data = LONG * 2
+    data = LONG_BODY * 2
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream(long_response(data))) as harness:
@@ -255,9 +255,9 @@
     gate = asyncio.Event()
 
     async def slow(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
-        writer.write(http_response(200, LONG)[:200_000])
+        writer.write(http_response(200, LONG_BODY)[:200_000])
         await gate.wait()
-        writer.write(http_response(200, LONG)[200_000:])
+        writer.write(http_response(200, LONG_BODY)[200_000:])
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream(slow)) as harness:
@@ -267,7 +267,7 @@
             first = await client.reader.readexactly(100_000)
             await asyncio.sleep(0.5)  # past its deadline
             gate.set()
-            assert first + await client.reader.readexactly(len(LONG) - 100_000) == LONG
+            assert first + await client.reader.readexactly(len(LONG_BODY) - 100_000) == LONG_BODY
             monkeypatch.setattr(upstream_attempt, "STALL_TIMEOUT_S", 0.05)
             gate.clear()
             stalled = await harness.connect()
