--- a/tests/test_decision_rules.py
+++ b/tests/test_decision_rules.py
@@ -148,7 +148,7 @@
             assert not late, f"request {number} was lost"
 
 
-class RandomDay(RuleChecker):
+class RandomEventRun(RuleChecker):
     """Passes random events to one balancer, carries out its actions and checks each of them."""
 
     def __init__(self, seed: int, **changes: object) -> None:
@@ -339,7 +339,7 @@
 @pytest.mark.parametrize("variant", range(len(VARIANTS)))
 @pytest.mark.parametrize("seed", range(6))
 def test_rules_hold_under_random_events(variant: int, seed: int) -> None:
-    day = RandomDay(seed, **VARIANTS[variant])
+    day = RandomEventRun(seed, **VARIANTS[variant])
     day.run(1_500)
     assert day.final_responses["served"] > 60, "a day on which nothing is served checks nothing"
     assert day.final_responses["failed"] + day.final_responses["refused"] > 20
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -19,7 +19,7 @@
 from loadbalancer.net.config import ConfigError
 from loadbalancer.net.config_reader import read_config
 from tests.loopback import config_text
-from tests.test_decision_rules import RandomDay
+from tests.test_decision_rules import RandomEventRun
 
 ROOT = Path(__file__).parents[1]
 ABSENT = object()
@@ -92,7 +92,7 @@
 @given(site=site_settings, seed=st.integers(0, 3))
 def test_rules_apply_under_settings_of_any_deployment(site: dict[str, Any], seed: int) -> None:
     own = read_site(site).settings
-    day = RandomDay(seed, **{item.name: getattr(own, item.name) for item in fields(own)})
+    day = RandomEventRun(seed, **{item.name: getattr(own, item.name) for item in fields(own)})
     day.run(150)
     assert day.finished_count > 0
 
