--- a/tests/test_change_notification_deadline.py
+++ b/tests/test_change_notification_deadline.py
@@ -1,4 +1,4 @@
-"""A change is known 6 s after discovery had it and could be reached, however calls before had ended."""
+"""A change is known within 6 s of discovery having it and being reachable, however earlier calls ended."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 BUDGET_S = CHANGE_DEADLINE_S - SCHEDULING_SLACK_S
 CLASSES = (interface.RequestClass("read", 100.0, 1_000.0, interface.Idempotency.IDEMPOTENT),)
-QUARTERS = range(24)  # of a second: all instants of the longest cycle
+QUARTERS = range(24)  # of a second; they cover the longest cycle
 
 
 # ---- the budget ---------------------------------------------------------------------------------
@@ -79,7 +79,7 @@
 
 
 def test_balancers_whose_calls_are_refused_spread_over_most_of_the_retry_interval() -> None:
-    """All that a large fleet can do within the budget: 18,000 call some 9,800 times a second in all."""
+    """The most that a large fleet can do within the budget: 18,000 make some 9,800 calls/s in total."""
     pauses_s = []
     for seed in range(400):
         configured = interface.Settings(CLASSES, balancer_count=18_000, polls_endpoint_list=True)
@@ -93,7 +93,7 @@
 
 
 def is_known_red(deployment: Deployment, phases: list[list[FailurePhase]]) -> bool:
-    """Whether a tier's limit goes before the deadline, as the test of lasting congestion holds it."""
+    """Return whether the tier's limit takes precedence over the deadline, as in lasting congestion."""
     is_large = (
         deployment.list_mode == "ask"
         and not deployment.instance_count
@@ -144,7 +144,7 @@
     recovered_instance: int,
     answer_fraction: float,
 ) -> None:
-    """Up to 15 s of pause came after a call of 5 s; a watch of a service that hung waited 31 s more."""
+    """A call of 5 s was followed by a pause of up to 15 s; a watch of a hung service took another 31 s."""
     if is_known_red(deployment, phases):
         smaller = deployment.balancer_count % MAX_UNCONGESTED_TIER + 1
         deployment = deployment._replace(balancer_count=smaller)
@@ -178,7 +178,7 @@
 
 
 def test_a_large_tier_knows_a_change_of_the_platforms_polled_list_in_time() -> None:
-    """A pause of 25 ms for each balancer of the tier went before the deadline: 675 s for 18,000."""
+    """A pause of 25 ms per balancer of the tier took precedence over the deadline: 675 s for 18,000."""
     delays_s = [
         notification_delay_s(LARGE_TIER, [[FailurePhase(mode, 1e6, 0.0)]], 60.0 + quarter / 4, 0, 0.5)
         for mode in FAILURE_MODES
@@ -188,7 +188,7 @@
 
 
 def test_a_large_tier_knows_a_change_in_time_after_lasting_congestion() -> None:
-    """Intervals of 4.5 s in congestion met it, and broke drains on a herd day (docs/incidents/crowd.md)."""
+    """Intervals of 4.5 s met the deadline, but broke drains on a herd day (docs/incidents/crowd.md)."""
     phases = [[FailurePhase("503", 1e6, 2.0)]]
     delays_s = [notification_delay_s(LARGE_TIER, phases, 60.0 + quarter / 4, 0, 0.4) for quarter in QUARTERS]
     assert max(delays_s) <= BUDGET_S + 0.01
@@ -198,7 +198,7 @@
 
 
 def test_a_large_tier_that_lost_one_instance_of_its_own_fails_over_within_an_interval() -> None:
-    """The pause to the next one grew to 5 s, and the call after it had 2 s more."""
+    """The pause before the next instance grew to 5 s, and the call after it could take another 2 s."""
     addresses = (("127.0.0.1", 1), ("127.0.0.1", 2))
     pauses_s = []
     for seed in range(50):
@@ -212,7 +212,7 @@
 
 
 def test_while_a_list_is_suspect_its_service_is_watched_all_the_same() -> None:
-    """No request was made for up to 22 minutes in a tier of 18,000, so that a drain was missed."""
+    """A tier of 18,000 made no request for up to 22 minutes, so that a drain was missed."""
     watch = new_watch(balancer_count=18_000, drain_grace_ms=300.0, is_self_hosted=True, index=INITIAL_INDEX)
     watch.record_answer(8, 0.0)
     watch.schedule_full_snapshot(0.0)
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Endpoint list updates, their failures, and operators' cordons."""
+"""Endpoint list updates and their failures, and operators' cordons."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def test_list_is_watched_at_once_and_after_a_failure_with_jitter() -> None:
-    pauses = set()
+    retry_times = set()
     for seed in range(4):
         host = BalancerHost(2, seed=seed, polls_endpoint_list=True)
         assert actions_of(host.actions, WatchEndpointList) == [WatchEndpointList()]
@@ -50,10 +50,10 @@
         assert any(isinstance(a, LogMessage) for a in actions)
         timer = actions_of(actions, SetTimer)[0]
         assert isinstance(timer, SetTimer) and timer.at_ms < host.now + 5_000
-        pauses.add(timer.at_ms)
+        retry_times.add(timer.at_ms)
         assert WatchEndpointList() in host.handle(TimerExpired(timer.token))
-        assert {host.serve_request() for _ in range(30)} == {"s0", "s1"}, "the old list stands"
-    assert len(pauses) == 4
+        assert {host.serve_request() for _ in range(30)} == {"s0", "s1"}, "the previous list is kept"
+    assert len(retry_times) == 4
     for _ in range(2_000):  # an outage of hours
         actions = host.handle(EndpointListUpdate(UpdateKind.FAILED))
         assert not any(isinstance(a, LogMessage) for a in actions)
@@ -61,16 +61,16 @@
 
 @pytest.mark.parametrize("balancers", [4, 40, 100])
 def test_fleet_requests_the_list_after_an_outage_no_faster_than_discovery_can_bear(balancers: int) -> None:
-    """Every balancer requested the list again within 750 ms, however many there were."""
-    again: list[float] = []
+    """All balancers requested the list again within 750 ms, regardless of their number."""
+    retry_times_ms: list[float] = []
     for seed in range(balancers):
         host = BalancerHost(balancer_count=balancers, polls_endpoint_list=True, seed=seed)
-        again += [
+        retry_times_ms += [
             t.at_ms for t in host.handle(EndpointListUpdate(UpdateKind.FAILED)) if isinstance(t, SetTimer)
         ]
-    assert len(again) == balancers
-    busiest = max(sum(start <= t < start + 100 for t in again) for start in again)
-    assert busiest <= max(100 / 25 * 3, 4), "calls in step"
+    assert len(retry_times_ms) == balancers
+    busiest = max(sum(start <= t < start + 100 for t in retry_times_ms) for start in retry_times_ms)
+    assert busiest <= max(100 / 25 * 3, 4), "balancers retry in step"
 
 
 def test_uncordoned_server_is_used_soon_and_warms_up() -> None:
@@ -80,13 +80,13 @@
     host.handle(CordonChanged("s0", is_cordoned=True))
     assert "s0" not in {host.serve_request() for _ in range(100)}
     assert host.balancer.excluded_servers(host.now) == ["s0"]
-    host.update_list(*make_endpoints(4))  # no list lifts it
+    host.update_list(*make_endpoints(4))  # no list update lifts the cordon
     host.update_list(*make_endpoints(3)[1:], kind=UpdateKind.FULL_SNAPSHOT)
     host.update_list(*make_endpoints(4))
     assert "s0" not in {host.serve_request() for _ in range(100)}
     host.handle(CordonChanged("s0", is_cordoned=False, returned_at_ms=host.now))
     assert host.balancer.excluded_servers(host.now) == []
-    served = [host.serve_request() for _ in range(100)]  # 5 s, as a server that has just started
+    served = [host.serve_request() for _ in range(100)]  # over 5 s, as if it had just started
     assert 0 < served.count("s0") < 15
     host.now += 10_000
     assert [host.serve_request() for _ in range(200)].count("s0") > 30
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_uncordoned_server_is_used_soon_where_calls_are_few(seed: int) -> None:
-    """By its weight alone a warming server got its first call after 5 s and more, on quiet balancers."""
+    """Drawn by weight alone, a warming server got its first call after 5 s or more on quiet balancers."""
     host = BalancerHost(12, seed=seed, balancer_count=5, tier=1)
     for _ in range(100):
         host.serve_request()
@@ -102,10 +102,10 @@
     host.handle(CordonChanged("s0", is_cordoned=True))
     host.now += 3_000
     host.handle(CordonChanged("s0", is_cordoned=False, returned_at_ms=host.now))
-    back = host.now
+    uncordoned_at_ms = host.now
     while host.serve_request() != "s0":
         host.now += 400
-        assert host.now < back + 5_000
+        assert host.now < uncordoned_at_ms + 5_000
 
 
 def test_cordon_of_an_unlisted_server_applies_once_it_is_listed() -> None:
--- a/tests/test_removed_servers.py
+++ b/tests/test_removed_servers.py
@@ -1,9 +1,9 @@
-"""No attempt goes to a server that the endpoint list calls dead, draining, or no longer names.
+"""No attempt goes to a server that the endpoint list gives as dead or draining, or no longer contains.
 
-Where more than 64 servers are in use, attempts are sampled from a tree that is told of changes by name. A
-dead server without a call of ours in flight was forgotten first, and then left out of the changes, since its
-name was not known any more: the tree kept it, and its weight. Of 300 servers of which a list called 50 dead,
-45 went on getting requests; in 30 of 90 cases like those below at least one did (536926c, d282128).
+With more than 64 servers in use, attempts are sampled from a tree that is updated by the names of changed
+servers. A dead server without calls in flight was forgotten first and its name then skipped as unknown, so
+that the tree kept its weight. Of 50 servers out of 300 that a list gave as dead, 45 still got requests; in 30
+of 90 cases like those below at least one did (536926c, d282128).
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from loadbalancer.policy.server_selection import MAX_SCANNED_SERVERS
 from tests.helpers import READ, BalancerHost, make_endpoints, sent_attempts
 
-WAYS_OF_LEAVING = ("dead", "omitted", "draining")
+REMOVAL_KINDS = ("dead", "omitted", "draining")
 
 
 class Fleet:
-    """A balancer, and what its endpoint lists have said so far."""
+    """A balancer, and the state of the servers according to its endpoint lists so far."""
 
     def __init__(self, count: int, balancer_count: int = 1, seed: int = 1) -> None:
         self.host = BalancerHost(0, seed, balancer_count=balancer_count)
@@ -37,24 +37,24 @@
 
     @property
     def ready(self) -> set[str]:
-        """The servers that may get a request, by the lists and the cordons alone."""
+        """The servers that may get a request, according to lists and cordons."""
         listed = {name for name, entry in self.listed.items() if entry.readiness is Readiness.READY}
         return listed - self.cordoned
 
     def send_delta(self, entries: tuple[Endpoint, ...]) -> None:
-        self._note(entries)
+        self._record(entries)
         self._check_attempts(self.host.update_list(*entries, kind=UpdateKind.DELTA))
 
     def send_snapshot(self, entries: tuple[Endpoint, ...]) -> None:
         self.listed.clear()
-        self._note(entries)
+        self._record(entries)
         self._check_attempts(self.host.update_list(*entries))
 
-    def remove(self, names: list[str], way: str) -> None:
-        if way == "omitted":
+    def remove(self, names: list[str], removal: str) -> None:
+        if removal == "omitted":
             self.send_snapshot(tuple(e for name, e in self.listed.items() if name not in names))
             return
-        readiness = Readiness.DEAD if way == "dead" else Readiness.DRAINING
+        readiness = Readiness.DEAD if removal == "dead" else Readiness.DRAINING
         self.send_delta(tuple(replace(self.listed[name], readiness=readiness) for name in names))
 
     def cordon(self, name: str, *, is_cordoned: bool) -> None:
@@ -73,16 +73,16 @@
             self._check_attempts(self.host.end_attempt(request, attempt, server, outcome))
 
     def check_sampler(self) -> None:
-        """The sampler holds exactly the subset, or nothing where the subset is examined one by one."""
+        """Check that the sampler holds exactly the subset, or nothing if the subset is scanned."""
         endpoints = self.host.balancer._endpoints
         ready = endpoints.ready
         subset = set(ready.by_name) - ready.names_outside_subset()
         expected = subset if len(subset) > MAX_SCANNED_SERVERS else set()
         sampled = list(self.host.balancer._selector._sampler)
         assert {server.endpoint.server for server in sampled} == expected
-        assert all(endpoints.servers[s.endpoint.server] is s for s in sampled), "a forgotten incarnation"
+        assert all(endpoints.servers[s.endpoint.server] is s for s in sampled), "a forgotten server object"
 
-    def _note(self, entries: tuple[Endpoint, ...]) -> None:
+    def _record(self, entries: tuple[Endpoint, ...]) -> None:
         for entry in entries:
             self.listed[entry.server] = entry
             if entry.readiness is Readiness.DEAD:
@@ -90,37 +90,37 @@
 
     def _check_attempts(self, actions: list[Action]) -> None:
         for sent in sent_attempts(actions):
-            assert sent.server in self.ready, f"{sent.server} got an attempt and is not ready"
+            assert sent.server in self.ready, f"{sent.server} got an attempt but is not ready"
             self.in_flight.append((sent.request_id, self.attempt_counts[sent.request_id], sent.server))
             self.attempt_counts[sent.request_id] += 1
         self.check_sampler()
 
 
 @pytest.mark.parametrize("seed", range(5))
-@pytest.mark.parametrize("way", WAYS_OF_LEAVING)
+@pytest.mark.parametrize("removal", REMOVAL_KINDS)
 @pytest.mark.parametrize("has_calls_in_flight", [False, True])
 @pytest.mark.parametrize("count", [40, 64, 65, 100, 300, 3_000])
 def test_server_that_has_left_the_list_gets_no_request(
-    *, count: int, has_calls_in_flight: bool, way: str, seed: int
+    *, count: int, has_calls_in_flight: bool, removal: str, seed: int
 ) -> None:
-    fleet, chance = Fleet(count, seed=seed), random.Random(seed)
+    fleet, rng = Fleet(count, seed=seed), random.Random(seed)
     for _ in range(200):
         fleet.request()
         if not has_calls_in_flight:
             fleet.end_oldest_attempt(Outcome.SERVED)
-    fleet.remove(chance.sample(sorted(fleet.listed), count // 6), way)
+    fleet.remove(rng.sample(sorted(fleet.listed), count // 6), removal)
     for _ in range(1_000):
         fleet.request()
-        if chance.random() < 0.9:
+        if rng.random() < 0.9:
             fleet.end_oldest_attempt(Outcome.SERVED)
 
 
-@pytest.mark.parametrize("way", WAYS_OF_LEAVING)
+@pytest.mark.parametrize("removal", REMOVAL_KINDS)
 @pytest.mark.parametrize("count", [64, 65, 300])
-def test_several_lists_between_two_requests_leave_no_removed_server_behind(count: int, way: str) -> None:
-    fleet, chance = Fleet(count), random.Random(count)
+def test_several_lists_between_two_requests_leave_no_removed_server_behind(count: int, removal: str) -> None:
+    fleet, rng = Fleet(count), random.Random(count)
     for _ in range(8):
-        fleet.remove(chance.sample(sorted(fleet.listed), count // 12), way)
+        fleet.remove(rng.sample(sorted(fleet.listed), count // 12), removal)
     for _ in range(300):
         fleet.request()
         fleet.end_oldest_attempt(Outcome.SERVED)
@@ -138,8 +138,8 @@
             fleet.end_oldest_attempt(Outcome.SERVED)
     left = sorted(fleet.listed)[::3]
     entries = tuple(fleet.listed[name] for name in left)
-    for way in (*WAYS_OF_LEAVING, *WAYS_OF_LEAVING):
-        fleet.remove([name for name in left if name in fleet.listed], way)
+    for removal in (*REMOVAL_KINDS, *REMOVAL_KINDS):
+        fleet.remove([name for name in left if name in fleet.listed], removal)
         if is_used_between:
             fleet.request()
         fleet.send_delta(tuple(replace(entry, zone="moved") for entry in entries))
@@ -149,21 +149,21 @@
 
 
 def test_a_moving_edge_of_the_subset_keeps_the_sampler_at_the_subset() -> None:
-    """60 balancers use half of the servers each; removals move servers over the edge both ways."""
-    fleet, chance = Fleet(400, balancer_count=60), random.Random(1)
-    everything = tuple(fleet.listed.values())
+    """60 balancers use half of the servers each; removals move servers into and out of the subset."""
+    fleet, rng = Fleet(400, balancer_count=60), random.Random(1)
+    all_entries = tuple(fleet.listed.values())
     for _ in range(20):
-        fleet.remove(chance.sample(sorted(fleet.listed), 30), chance.choice(("dead", "omitted")))
+        fleet.remove(rng.sample(sorted(fleet.listed), 30), rng.choice(("dead", "omitted")))
         fleet.request()
-        fleet.send_delta(tuple(chance.sample(everything, 40)))
+        fleet.send_delta(tuple(rng.sample(all_entries, 40)))
         fleet.request()
 
 
-# ---- any sequence -------------------------------------------------------------------------------
+# ---- random sequences ---------------------------------------------------------------------------
 
 NAMES = st.lists(st.integers(0, 139), min_size=1, max_size=70, unique=True)
 STEPS = st.one_of(
-    st.tuples(st.just("remove"), NAMES, st.sampled_from(WAYS_OF_LEAVING)),
+    st.tuples(st.just("remove"), NAMES, st.sampled_from(REMOVAL_KINDS)),
     st.tuples(st.just("return"), NAMES, st.sampled_from(("z0", "z1", "moved"))),
     st.tuples(st.just("snapshot"), NAMES, st.just("z0")),
     st.tuples(st.just("cordon"), NAMES, st.booleans()),
@@ -172,7 +172,7 @@
 )
 
 
-def take_step(fleet: Fleet, kind: str, what: Any, how: Any) -> None:
+def apply_step(fleet: Fleet, kind: str, what: Any, how: Any) -> None:
     match kind:
         case "remove":
             fleet.remove([f"s{n}" for n in what if f"s{n}" in fleet.listed], how)
@@ -202,14 +202,14 @@
 ) -> None:
     fleet = Fleet(count, balancer_count)
     for step in steps:
-        take_step(fleet, *step)
+        apply_step(fleet, *step)
 
 
-# ---- what else is told of changes by name --------------------------------------------------------
+# ---- other state kept by server name -------------------------------------------------------------
 
 
 def test_uncordoned_server_that_has_left_the_list_is_forgotten_once_its_calls_have_ended() -> None:
-    """Uncordoned while calls were in flight at it, it stayed among those awaiting their first call."""
+    """Uncordoned with calls in flight, it remained among the servers awaiting their first call."""
     fleet = Fleet(4)
     while not any(server == "s1" for _, _, server in fleet.in_flight):
         fleet.request()
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -1,4 +1,4 @@
-"""Which server gets an attempt: by capacity, load, zone and subset."""
+"""Server selection by capacity, load, zone and subset."""
 
 from __future__ import annotations
 
@@ -23,60 +23,60 @@
 
 
 def count_requests_by_server(host: BalancerHost, rounds: int) -> Counter[str]:
-    """Where requests go that are served one at a time, all in the same time."""
+    """Count requests by server, when all are served one at a time with the same latency."""
     return Counter(host.serve_request(takes=20.0) for _ in range(rounds))
 
 
 def count_while_s0_fails(host: BalancerHost, rounds: int) -> Counter[str]:
-    """Where requests go that s0 fails at once and the others serve."""
-    got: Counter[str] = Counter()
+    """Count requests by server, when s0 fails them at once and the others serve them."""
+    counts: Counter[str] = Counter()
     for _ in range(rounds):
         request, actions = host.receive_request(PAY)
         server = sent_attempts(actions)[0].server
-        got[server] += 1
+        counts[server] += 1
         host.now += 5
         host.end_attempt(request, 0, server, Outcome.ERROR if server == "s0" else Outcome.SERVED)
-    return got
+    return counts
 
 
 def test_equal_servers_get_equal_numbers_of_requests() -> None:
-    got = count_requests_by_server(BalancerHost(4), 2_000)
-    assert len(got) == 4 and min(got.values()) > 100
+    counts = count_requests_by_server(BalancerHost(4), 2_000)
+    assert len(counts) == 4 and min(counts.values()) > 100
 
 
 def test_requests_follow_learned_capacity() -> None:
     host = BalancerHost(2)
     serve_with_latencies(host, {"s0": 10.0, "s1": 30.0})
-    got = Counter(host.serve_request(takes=10.0) for _ in range(200))
-    assert got["s0"] > 1.7 * got["s1"], "three to one by what is known at first, even in the end"
+    counts = Counter(host.serve_request(takes=10.0) for _ in range(200))
+    assert counts["s0"] > 1.7 * counts["s1"], "3 to 1 at first, converging to equal"
 
 
 def test_least_loaded_server_is_selected() -> None:
     host = BalancerHost(2)
-    got = Counter(sent_attempts(host.receive_request()[1])[0].server for _ in range(8))
-    assert abs(got["s0"] - got["s1"]) <= 4
+    counts = Counter(sent_attempts(host.receive_request()[1])[0].server for _ in range(8))
+    assert abs(counts["s0"] - counts["s1"]) <= 4
 
 
 def test_new_server_starts_at_median_capacity() -> None:
     host = BalancerHost(3)
     serve_with_latencies(host, {"s0": 10.0, "s1": 20.0, "s2": 60.0})
     host.update_list(*make_endpoints(3), Endpoint("new"))
-    got = Counter(sent_attempts(host.receive_request()[1])[0].server for _ in range(9))
-    assert got["s0"] >= got["new"] > got["s2"]
+    counts = Counter(sent_attempts(host.receive_request()[1])[0].server for _ in range(9))
+    assert counts["s0"] >= counts["new"] > counts["s2"]
 
 
 def test_unknown_servers_are_drawn_by_registered_capacity() -> None:
-    """At full size no server holds a call of ours: the lowest 1/c of four draws was the largest server."""
-    got: Counter[str] = Counter()
+    """Among servers without calls, the lowest load of four draws was always that of the largest server."""
+    counts: Counter[str] = Counter()
     for seed in range(1_000):
         host = BalancerHost(0, seed=seed)
         host.update_list(
             Endpoint("s0", registered_capacity=4.0),
             *(Endpoint(f"s{i}", registered_capacity=1.0) for i in range(1, 7)),
         )
-        got[sent_attempts(host.receive_request()[1])[0].server] += 1
-    assert 330 < got["s0"] < 470, "4 of 10 by size"
-    assert min(got.values()) > 60
+        counts[sent_attempts(host.receive_request()[1])[0].server] += 1
+    assert 330 < counts["s0"] < 470, "4 of 10 units of capacity"
+    assert min(counts.values()) > 60
 
 
 @pytest.mark.parametrize("size", [0.0, -1.0, float("inf"), float("nan")])
@@ -94,28 +94,28 @@
 
 
 def count_first_calls_by_zone(sizes: dict[str, float]) -> Counter[str]:
-    """Where the first calls of fresh balancers of zone `a` go, one server a zone."""
-    got: Counter[str] = Counter()
+    """Count the first calls of new balancers in zone `a` by zone, with one server per zone."""
+    counts: Counter[str] = Counter()
     for seed in range(600):
         host = BalancerHost(0, seed=seed, zone="a")
         host.update_list(
             *(Endpoint(zone, zone=zone, registered_capacity=size) for zone, size in sizes.items())
         )
-        got[sent_attempts(host.receive_request()[1])[0].server] += 1
-    return got
+        counts[sent_attempts(host.receive_request()[1])[0].server] += 1
+    return counts
 
 
 def test_calls_stay_in_own_zone_while_it_has_its_part_of_the_capacity() -> None:
     assert count_first_calls_by_zone({"a": 1.0, "b": 1.0, "c": 0.5}) == {"a": 600}
     assert count_first_calls_by_zone({"a": 0.3, "b": 0.3, "c": 0.3}) == {"a": 600}
-    third = 0.1 + 0.2  # its part of three such zones is off by rounding
+    third = 0.1 + 0.2  # an equal part of the total has a rounding error
     assert count_first_calls_by_zone({"a": third, "b": 0.3, "c": third}).keys() <= {"a", "b", "c"}
 
 
 def test_zone_short_of_capacity_spills_over_to_zones_with_a_surplus() -> None:
-    got = count_first_calls_by_zone({"a": 1.0, "b": 3.0, "c": 2.0})
-    assert 240 < got["a"] < 360, "it keeps half of what it gets: its part would be 2"
-    assert got["c"] == 0 and got["b"] == 600 - got["a"]
+    counts = count_first_calls_by_zone({"a": 1.0, "b": 3.0, "c": 2.0})
+    assert 240 < counts["a"] < 360, "it has half of its equal part, which is 2"
+    assert counts["c"] == 0 and counts["b"] == 600 - counts["a"]
 
 
 def test_balancer_without_servers_in_its_zone_uses_all_others() -> None:
@@ -129,8 +129,8 @@
     slow = sent_attempts(actions)[0].server
     host.now += 200
     host.end_attempt(request, 0, slow, Outcome.SERVED)
-    got = Counter(host.serve_request(takes=20.0) for _ in range(400))
-    assert got[slow] > 10
+    counts = Counter(host.serve_request(takes=20.0) for _ in range(400))
+    assert counts[slow] > 10
 
 
 def test_silent_server_loses_capacity_before_its_first_timeout() -> None:
@@ -138,8 +138,8 @@
     serve_with_latencies(host, {"s0": 20.0, "s1": 20.0}, 100)
     first = sent_attempts(host.receive_request()[1])[0].server
     host.now += 500
-    got = Counter(host.serve_request(takes=20.0) for _ in range(20))
-    assert got[first] <= 2
+    counts = Counter(host.serve_request(takes=20.0) for _ in range(20))
+    assert counts[first] <= 2
 
 
 def test_server_that_fails_fast_does_not_attract_requests() -> None:
@@ -147,27 +147,27 @@
 
 
 def test_server_that_recovers_gets_requests_again() -> None:
-    host = BalancerHost(2, tier=1)  # nothing is shed there
+    host = BalancerHost(2, tier=1)  # no load shedding in inner tiers
     count_while_s0_fails(host, 30)
-    got = Counter(host.serve_request(takes=20.0) for _ in range(1_500))
-    assert got["s0"] > 10
+    counts = Counter(host.serve_request(takes=20.0) for _ in range(1_500))
+    assert counts["s0"] > 10
 
 
 def test_inner_balancers_prefer_nearby_servers_without_calls() -> None:
-    """Calls of twelve balancers met at some servers while others stood idle: each saw its own alone."""
-    homes = []
+    """Calls of twelve balancers collided at some servers while others were idle: each saw only its own."""
+    nearby_sets = []
     for number in range(6):
         host = BalancerHost(0, tier=1, balancer_count=6, balancer_index=number, seed=number)
         host.update_list(*(Endpoint(f"s{i:02}") for i in range(36)))
-        asked = [host.receive_request(PAY) for _ in range(7)]
-        servers = [sent_attempts(actions)[0].server for _, actions in asked]
-        assert len(set(servers[:6])) == 6, "each free one once"
-        homes.append(frozenset(servers[:6]))
-        host.end_attempt(asked[0][0], 0, servers[0], Outcome.SERVED)
+        received = [host.receive_request(PAY) for _ in range(7)]
+        servers = [sent_attempts(actions)[0].server for _, actions in received]
+        assert len(set(servers[:6])) == 6, "each idle nearby server once"
+        nearby_sets.append(frozenset(servers[:6]))
+        host.end_attempt(received[0][0], 0, servers[0], Outcome.SERVED)
         assert sent_attempts(host.receive_request(PAY)[1])[0].server == servers[0], (
-            "what is free again comes before others"
+            "a nearby server that is idle again is preferred"
         )
-    assert len(frozenset.union(*homes)) == 36, "they share the servers out"
+    assert len(frozenset.union(*nearby_sets)) == 36, "together they cover all servers"
 
 
 def test_nearby_servers_are_in_the_own_zone_while_it_has_servers() -> None:
@@ -189,15 +189,17 @@
 
 
 def test_one_of_many_balancers_uses_a_stable_subset_of_the_servers() -> None:
-    """Calls spread over all servers are too few at each to learn it or to use a connection twice."""
-    parts = []
+    """Calls spread over all servers are too few at each to learn its capacity or to reuse connections."""
+    subsets = []
     for seed in range(40):
         host = BalancerHost(60, seed=seed, balancer_count=300)
-        parts.append({host.serve_request() for _ in range(300)})
+        subsets.append({host.serve_request() for _ in range(300)})
         host.update_list(Endpoint("s60"), kind=UpdateKind.DELTA)
-        assert len({host.serve_request() for _ in range(100)} - parts[-1]) <= 1, "a new entry moves one place"
-    assert {len(part) for part in parts} == {12}
-    assert len(set[str]().union(*parts)) > 55, "each balancer has a part of its own"
+        assert len({host.serve_request() for _ in range(100)} - subsets[-1]) <= 1, (
+            "at most one server changes"
+        )
+    assert {len(subset) for subset in subsets} == {12}
+    assert len(set[str]().union(*subsets)) > 55, "each balancer has its own subset"
     host = BalancerHost(20, balancer_count=10)
     assert len({host.serve_request() for _ in range(400)}) == 20, "few balancers use all the servers"
 
@@ -213,15 +215,15 @@
     known.attempts.clear()
     # (3 + 1) / 2 ties with (1 + 1) / 1
     host.balancer._endpoints.servers["s0"].in_flight, host.balancer._endpoints.servers["s1"].in_flight = 3, 1
-    got = Counter(
+    counts = Counter(
         s.endpoint.server for _ in range(2_000) if (s := host.balancer._selector.select(known, host.now))
     )
-    assert got["s0"] > 1_900, "s1 wins only if none of the four draws is s0: one in 81"
-    assert got["s1"] > 5
+    assert counts["s0"] > 1_900, "s1 wins only if none of the four draws is s0: 1 in 81"
+    assert counts["s1"] > 5
 
 
 def test_failure_counts_at_its_full_timeout() -> None:
-    """Held to its time-out in the estimate: it must not look quick, and a call in flight it is no more."""
+    """A failed call counts in the estimate until its timeout, but no longer as a call in flight."""
     host = BalancerHost(1)
     _, actions = host.receive_request(PAY)
     host.now += 5
@@ -234,7 +236,7 @@
 
 
 def test_calls_of_high_expected_work_do_not_make_a_server_look_slow() -> None:
-    """Heavy-tailed work booked as one call each made capacity estimates swing by chance."""
+    """Counting heavy-tailed work as one call each made capacity estimates fluctuate randomly."""
     host = BalancerHost(1)
     for hint in (20.0, 20.0, 20.0, 200.0) * 50:
         request, actions = host.receive_request(PAY, expected_work_ms=hint)
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -1,4 +1,4 @@
-"""Warming servers under what all balancers send together, in virtual time (`benchmarks/cold.py`)."""
+"""Load of warming servers from all balancers together, in virtual time (`benchmarks/cold.py`)."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 def test_old_and_new_process_together_overload_no_warming_server(
     callers: int, traffic: str, seed: int
 ) -> None:
-    """Each of the two took the whole budget: 37 of 72 servers would have fallen."""
+    """Each of the two processes used the whole budget: 37 of 72 servers would have failed."""
     figures = play("handover", callers, traffic, seed, load=2.0, zones=2)
     assert figures.falls == 0, f"{figures.worst:.2f} of what a server stands"
-    assert figures.used > 1.2, "the budget is left unused"
+    assert figures.used > 1.2, "the slow-start budget is underused"
 
 
 @pytest.mark.parametrize(
@@ -61,14 +61,14 @@
 
 
 def test_benchmark_finds_balancers_that_all_round_their_budget_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What the tests above rest on: a rule that is broken makes servers fall."""
+    """Check that the simulation used above detects an overload if the budget is exceeded."""
     can_accept = SlowStart.can_accept
 
-    def rounded_up(self: SlowStart, server: Any, rate: float, work: float, now: float) -> bool:
+    def can_accept_rounded_up(self: SlowStart, server: Any, rate: float, work: float, now: float) -> bool:
         server.rounding_offset, server.rounding_offset_until_ms = 1.0, now + 1.0
         return can_accept(self, server, rate, work, now)
 
-    monkeypatch.setattr(SlowStart, "can_accept", rounded_up)
+    monkeypatch.setattr(SlowStart, "can_accept", can_accept_rounded_up)
     assert play("all", 100, "uneven", seed=0, load=2.0, zones=2).falls > 0
 
 
@@ -80,7 +80,7 @@
 
 
 def test_process_and_successor_share_one_budget() -> None:
-    """By what each gets of the requests, in whatever parts, from the first on."""
+    """The budget is split by the requests that each receives, at any ratio, from the first request on."""
     alone, old, new = make_warm_host(), make_warm_host(), BalancerHost(4)
     new.now = old.now
     new.balancer.restore(
@@ -92,25 +92,25 @@
             each.now += 10.0
         alone.receive_request()
         host.receive_request()
-        asked = [each.balancer.learned_state(each.now).recent_requests for each in (alone, old, new)]
-        assert asked[1] + asked[2] == pytest.approx(asked[0])
-        assert 0 <= asked[1] < asked[0]
+        request_counts = [each.balancer.learned_state(each.now).recent_requests for each in (alone, old, new)]
+        assert request_counts[1] + request_counts[2] == pytest.approx(request_counts[0])
+        assert 0 <= request_counts[1] < request_counts[0]
 
 
 def test_peak_rate_of_the_predecessor_outlasts_the_first_request() -> None:
-    """The first look at the rates forgot it, and with all servers cold nothing was known."""
+    """The first refresh dropped the restored rate, and with all servers warming up none was known."""
     old, new = make_warm_host(), BalancerHost(4)
     new.now = old.now
     new.balancer.restore(old.balancer.learned_state(old.now), old.now)
     new.update_list(*(Endpoint(f"s{i}", zone=f"z{i % 2}", started_at_ms=new.now) for i in range(4)))
     new.serve_request()
-    usual = old.balancer.learned_state(old.now).peak_rates
-    assert new.balancer.learned_state(new.now).peak_rates["z0"] == pytest.approx(usual["z0"], rel=0.05)
+    learned = old.balancer.learned_state(old.now).peak_rates
+    assert new.balancer.learned_state(new.now).peak_rates["z0"] == pytest.approx(learned["z0"], rel=0.05)
 
 
 def test_learned_state_of_an_older_version_is_accepted() -> None:
-    plain = encode_learned_state(make_warm_host().balancer.learned_state(50_000.0))
+    encoded = encode_learned_state(make_warm_host().balancer.learned_state(50_000.0))
     for name in ("asked", "asked_then"):
-        del plain[name]
-    known = decode_learned_state(plain, CLASS_NAMES)
-    assert (known.recent_requests, known.recent_requests_at_peak) == (0.0, {})
+        del encoded[name]
+    decoded = decode_learned_state(encoded, CLASS_NAMES)
+    assert (decoded.recent_requests, decoded.recent_requests_at_peak) == (0.0, {})
--- a/tests/test_stale_list_suspicion.py
+++ b/tests/test_stale_list_suspicion.py
@@ -1,4 +1,4 @@
-"""Suspect stale lists: emptied, halved, rolled back; and what ends the suspicion."""
+"""Suspicion of endpoint lists that are empty, incomplete or rolled back, and how it ends."""
 
 from __future__ import annotations
 
@@ -33,20 +33,20 @@
 
 
 def send_until(host: BalancerHost, server: str, outcome: Outcome) -> None:
-    """Let requests arrive until one is sent to a server, and end that attempt; the others are served."""
-    host.now += 20_000.0  # the evidence against it has decayed
+    """Send requests until a server gets one, and end that attempt with an outcome; serve the others."""
+    host.now += 20_000.0  # lets the evidence against the server decay
     for _ in range(500):
-        out = sent_attempts(host.receive_request()[1])
-        for number, send in enumerate(out):  # a retry follows behind
-            is_it = send.server == server
-            ended = outcome if is_it else Outcome.SERVED
+        sends = sent_attempts(host.receive_request()[1])
+        for number, send in enumerate(sends):  # retries are appended while iterating
+            is_target = send.server == server
+            result = outcome if is_target else Outcome.SERVED
             host.now += 10.0
-            out += sent_attempts(
-                host.handle(AttemptEnded(send.request_id, number, send.server, ended, not is_it))
+            sends += sent_attempts(
+                host.handle(AttemptEnded(send.request_id, number, send.server, result, not is_target))
             )
-        if any(send.server == server for send in out):
+        if any(send.server == server for send in sends):
             return
-    raise AssertionError(f"nothing went to {server}")
+    raise AssertionError(f"no attempt was sent to {server}")
 
 
 def test_servers_stay_if_a_list_omits_too_many_and_it_is_logged_once() -> None:
@@ -70,7 +70,7 @@
 
 
 def test_explicit_drains_and_removals_are_followed_however_many() -> None:
-    """The rules on drains hold: only what a list leaves unsaid is doubted."""
+    """Only omissions are suspected: draining and dead entries always apply."""
     host = make_host()
     drained = tuple(Endpoint(name, Readiness.DRAINING) for name in NAMES[:5])
     update_list(host, *drained, *make_endpoints(6)[5:])
@@ -85,14 +85,14 @@
     for outcome in (Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SERVED):
         send_until(host, "s4", outcome)
     send_until(host, "s4", Outcome.CONNECT_FAILED)
-    assert "s4" in ready_servers(host), "it has answered in between"
+    assert "s4" in ready_servers(host), "a response in between resets the count"
     send_until(host, "s4", Outcome.CONNECT_FAILED)
     assert ready_servers(host) == ["s0", "s1", "s2", "s3", "s5"]
     assert host.balancer.suspected_stale_servers() == ["s3", "s5"]
 
 
 def test_overloaded_server_is_not_taken_for_dead() -> None:
-    """One that a halved list had left out was dropped when its queue was full, and nobody named it again."""
+    """A server omitted by a halved list was removed when its queue was full, and never listed again."""
     host = make_host()
     update_list(host, *make_endpoints(3))
     for _ in range(3):
@@ -117,7 +117,7 @@
     update_list(host, *make_endpoints(6))
     assert host.balancer.suspected_stale_servers() == []
     send_until(host, "s4", Outcome.CONNECT_FAILED)
-    assert ready_servers(host) == NAMES  # refusing once is no reason to forget one that is listed
+    assert ready_servers(host) == NAMES  # one failed connection does not remove a listed server
 
 
 def test_replacements_are_used_beside_suspected_servers() -> None:
@@ -141,4 +141,4 @@
     update_list(host, *make_endpoints(1), old, *make_endpoints(6)[2:], is_rolled_back=True)
     assert "s1" not in ready_servers(host)
     update_list(host, Endpoint("s1", started_at_ms=6.0), is_full=False, is_rolled_back=True)
-    assert "s1" in ready_servers(host), "a later start is a new server"
+    assert "s1" in ready_servers(host), "a later start is a new incarnation"
--- a/tests/test_zone_evacuation.py
+++ b/tests/test_zone_evacuation.py
@@ -1,4 +1,4 @@
-"""Evacuate and restore zones gradually, over restarts, and not where the rest lacks capacity."""
+"""Gradual evacuation and restoration of zones, across restarts, and refused if the rest lacks capacity."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from tests.loopback import ProxyHarness, Upstream, read_message, run_scenario
 
 
-def zones_of_requests(host: BalancerHost, count: int = 400) -> Counter[str]:
-    """To which zones requests go, each served after a moment."""
-    found: Counter[str] = Counter()
+def count_requests_by_zone(host: BalancerHost, count: int = 400) -> Counter[str]:
+    """Count requests by zone, when each is served after 5 ms."""
+    counts: Counter[str] = Counter()
     for _ in range(count):
         for send in sent_attempts(host.receive_request()[1]):
-            found[host.balancer._endpoints.servers[send.server].endpoint.zone] += 1
+            counts[host.balancer._endpoints.servers[send.server].endpoint.zone] += 1
             host.now += 5.0
             host.handle(AttemptEnded(send.request_id, 0, send.server, Outcome.SERVED, True))
-    return found
+    return counts
 
 
 def test_zone_is_evacuated_and_restored_gradually() -> None:
@@ -54,8 +54,8 @@
     weights = {zone: even[zone] * part for zone, part in half.items()}
     assert weights["a"] == pytest.approx(2.0)
     assert weights["b"] == weights["c"] == pytest.approx(2 / 3)
-    gone = zone_fractions(even, "a", {"a": 0.0})
-    assert gone["a"] == 0.0 and gone["b"] == gone["c"] > 0
+    evacuated = zone_fractions(even, "a", {"a": 0.0})
+    assert evacuated["a"] == 0.0 and evacuated["b"] == evacuated["c"] > 0
     assert zone_fractions(even, "", {"b": 0.25}) == {"a": 1.0, "b": 0.25, "c": 1.0}
 
 
@@ -67,10 +67,10 @@
 @pytest.mark.parametrize("servers", [6, 300])
 def test_evacuated_zone_gets_no_requests_and_its_servers_count_as_excluded(servers: int) -> None:
     host = BalancerHost(count=servers, zone="z0")
-    assert zones_of_requests(host)["z0"] > 300
+    assert count_requests_by_zone(host)["z0"] > 300
     host.handle(ZoneEvacuation("z0", is_evacuating=True, started_at_ms=host.now, duration_ms=1_000.0))
     host.now += 1_000.0
-    assert zones_of_requests(host).keys() == {"z1"}
+    assert count_requests_by_zone(host).keys() == {"z1"}
     in_zone = {f"s{i}" for i in range(0, servers, 2)}
     assert in_zone <= set(host.balancer.excluded_servers(host.now))
     host.handle(
@@ -79,12 +79,12 @@
         )
     )
     host.now += 10_000.0
-    assert zones_of_requests(host)["z0"] > 300
+    assert count_requests_by_zone(host)["z0"] > 300
 
 
 @pytest.mark.parametrize("servers", [4, 200])
 def test_evacuated_zone_gets_no_requests_though_the_others_are_full(servers: int) -> None:
-    """In a crowd only servers of the zone that was left had room, and the calls went there."""
+    """Under overload only the evacuated zone had free capacity, and the calls went there."""
     host = BalancerHost(count=servers, zone="z0")
     host.handle(ZoneEvacuation("z0", is_evacuating=True, started_at_ms=host.now))
     sends = [send for _ in range(8 * servers) for send in sent_attempts(host.receive_request()[1])]
@@ -95,7 +95,7 @@
 def test_inner_balancer_follows_the_evacuation_of_its_own_zone() -> None:
     host = BalancerHost(count=12, zone="z0", tier=1, balancer_count=4)
     host.handle(ZoneEvacuation("z0", is_evacuating=True, started_at_ms=host.now))
-    assert zones_of_requests(host).keys() == {"z1"}
+    assert count_requests_by_zone(host).keys() == {"z1"}
 
 
 def test_uncordoned_server_of_an_evacuated_zone_gets_no_requests() -> None:
@@ -107,13 +107,13 @@
     )
     host.handle(CordonChanged("new", is_cordoned=True))
     host.handle(CordonChanged("new", is_cordoned=False, returned_at_ms=host.now))
-    assert zones_of_requests(host, 50).keys() == {"z0"}
+    assert count_requests_by_zone(host, 50).keys() == {"z0"}
 
 
-async def console_call(rig: ProxyHarness, method: str, path: str, body: str = "") -> tuple[int, str]:
-    """One operators' call."""
-    assert rig.proxy.console is not None
-    reader, writer = await asyncio.open_connection(*rig.proxy.console.address[:2])
+async def console_call(harness: ProxyHarness, method: str, path: str, body: str = "") -> tuple[int, str]:
+    """Make one request to the console, and return its status and body."""
+    assert harness.proxy.console is not None
+    reader, writer = await asyncio.open_connection(*harness.proxy.console.address[:2])
     data = body.encode()
     writer.write(
         f"{method} {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
@@ -125,59 +125,61 @@
 
 def test_console_evacuates_a_zone_and_explains_errors() -> None:
     async def scenario() -> None:
-        async with ProxyHarness(Upstream(), Upstream()) as rig:
-            entries = [rig.entries[0], rig.entries[1] | {"zone": "b"}]
-            rig.discovery.publish(9, *entries)
-            await rig.discovery.request_lines.get()
-            await rig.discovery.request_lines.get()
+        async with ProxyHarness(Upstream(), Upstream()) as harness:
+            entries = [harness.entries[0], harness.entries[1] | {"zone": "b"}]
+            harness.discovery.publish(9, *entries)
+            await harness.discovery.request_lines.get()
+            await harness.discovery.request_lines.get()
             for body, wanted in (
                 ("", 400), ("a over=x", 400), ("a later", 400), ("a over=-1", 400), ("a over=1e9", 400),
                 ("nowhere", 404),
             ):  # fmt: skip
-                assert (await console_call(rig, "POST", "/admin/zone/leave", body))[0] == wanted, body
-            assert await console_call(rig, "POST", "/admin/zone/leave", "a") == (200, "ok")
-            before = len(rig.upstreams[0].requests)
+                assert (await console_call(harness, "POST", "/admin/zone/leave", body))[0] == wanted, body
+            assert await console_call(harness, "POST", "/admin/zone/leave", "a") == (200, "ok")
+            before = len(harness.upstreams[0].requests)
             for _ in range(5):
-                await rig.request()
-            assert len(rig.upstreams[0].requests) == before
-            code, text = await console_call(rig, "POST", "/admin/zone/leave", "b")
+                await harness.request()
+            assert len(harness.upstreams[0].requests) == before
+            code, text = await console_call(harness, "POST", "/admin/zone/leave", "b")
             assert code == 409 and "no other zone" in text and "force" in text
-            zones = json.loads((await console_call(rig, "GET", "/admin/zones"))[1])
+            zones = json.loads((await console_call(harness, "GET", "/admin/zones"))[1])
             assert (zones["a"]["share"], zones["b"]["share"], zones["a"]["ready"]) == (0.0, 1.0, 1)
-            stats = json.loads((await console_call(rig, "GET", "/admin/stats"))[1])
+            stats = json.loads((await console_call(harness, "GET", "/admin/stats"))[1])
             assert stats["ejected"] == 1
-            assert (await console_call(rig, "POST", "/admin/zone/return", "a over=0"))[0] == 200
-            assert json.loads((await console_call(rig, "GET", "/admin/zones"))[1])["a"]["share"] == 1.0
+            assert (await console_call(harness, "POST", "/admin/zone/return", "a over=0"))[0] == 200
+            assert json.loads((await console_call(harness, "GET", "/admin/zones"))[1])["a"]["share"] == 1.0
 
     run_scenario(scenario())
 
 
 def test_zone_is_not_evacuated_without_capacity_elsewhere_unless_forced() -> None:
     async def scenario() -> None:
-        async with ProxyHarness(Upstream(), Upstream()) as rig:
-            rig.discovery.publish(9, rig.entries[0], rig.entries[1] | {"zone": "b", "weight": 0.1})
-            await rig.discovery.request_lines.get()
-            await rig.discovery.request_lines.get()
-            server = rig.proxy.balancer._endpoints.servers["s0"]
-            server.advance_to(rig.proxy.clock.now())
-            server.in_flight_ms = 60_000.0  # ten calls out at any time
-            code, text = await console_call(rig, "POST", "/admin/zone/leave", "a")
+        async with ProxyHarness(Upstream(), Upstream()) as harness:
+            harness.discovery.publish(
+                9, harness.entries[0], harness.entries[1] | {"zone": "b", "weight": 0.1}
+            )
+            await harness.discovery.request_lines.get()
+            await harness.discovery.request_lines.get()
+            server = harness.proxy.balancer._endpoints.servers["s0"]
+            server.advance_to(harness.proxy.clock.now())
+            server.in_flight_ms = 60_000.0  # ten calls in flight on average
+            code, text = await console_call(harness, "POST", "/admin/zone/leave", "a")
             assert code == 409 and "calls are out on average" in text
-            assert (await console_call(rig, "POST", "/admin/zone/leave", "a force"))[0] == 200
+            assert (await console_call(harness, "POST", "/admin/zone/leave", "a force"))[0] == 200
 
     run_scenario(scenario())
 
 
 def test_zone_evacuations_outlast_the_process(tmp_path: Path) -> None:
-    file, held = CordonFile(tmp_path), ZoneEvacuation("east", True, 1_000.0, 60_000.0, 0.5)
-    assert file.set_evacuation(held) == ""
-    again = CordonFile(tmp_path)
-    assert again.refresh() and again.cordons.evacuations == {"east": held}
-    assert again.set_cordon("s0", is_cordoned=True) == ""
-    assert again.cordons.evacuations == {"east": held}
-    later = held.started_at_ms + RETURN_RETENTION_MS + 1
-    back = ZoneEvacuation("east", False, 2_000.0, 0.0, 0.5)
-    assert again.cordons.with_evacuation(back).with_evacuation(
+    file, evacuation = CordonFile(tmp_path), ZoneEvacuation("east", True, 1_000.0, 60_000.0, 0.5)
+    assert file.set_evacuation(evacuation) == ""
+    reloaded = CordonFile(tmp_path)
+    assert reloaded.refresh() and reloaded.cordons.evacuations == {"east": evacuation}
+    assert reloaded.set_cordon("s0", is_cordoned=True) == ""
+    assert reloaded.cordons.evacuations == {"east": evacuation}
+    later = evacuation.started_at_ms + RETURN_RETENTION_MS + 1
+    restoration = ZoneEvacuation("east", False, 2_000.0, 0.0, 0.5)
+    assert reloaded.cordons.with_evacuation(restoration).with_evacuation(
         ZoneEvacuation("west", True, later + 2_000.0)
     ).evacuations.keys() == {"west"}
 
