--- a/loadbalancer/endpoint_watch/subscription.py
+++ b/loadbalancer/endpoint_watch/subscription.py
@@ -89,7 +89,7 @@
             return _full_view(self.services)
         if services is None:
             raise AnswerMismatchError(
-                "the list service knows no interests, and can't be asked for several services"
+                "the list service does not support interests: cannot request several services"
             )
         is_requested = isinstance(services, list) and sorted(map(str, services)) == sorted(self.services)
         if not is_requested or not isinstance(view := answer.get("held"), str):
--- a/loadbalancer/net/interest_subscription.py
+++ b/loadbalancer/net/interest_subscription.py
@@ -18,7 +18,7 @@
 from loadbalancer.net.address import Address
 from loadbalancer.net.config import Config, RegistryConfig
 
-INTERESTS_UNSUPPORTED = "the list service knows no interests: the whole of the service is taken"
+INTERESTS_UNSUPPORTED = "the list service does not support interests; receiving all servers of the service"
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_interest_subscription.py
+++ b/tests/test_interest_subscription.py
@@ -747,7 +747,7 @@
             line = await rig.discovery.request_lines.get()
             assert "held=%7B%22a%22:%7B%7D%7D&after=8" in line, "it holds the whole of it"
             assert list(rig.proxy.endpoint_list.endpoints) == ["s0"]
-            assert [kind for kind, text in said if "knows no interests" in text] == [
+            assert [kind for kind, text in said if "does not support interests" in text] == [
                 "interest_subscription_failed"
             ]
             rig.discovery.publish(9)
@@ -760,7 +760,7 @@
             rig.proxy.log.event = lambda kind, text, **_: said.append((kind, text))  # type: ignore[method-assign]
             assert "tier=" not in await rig.discovery.request_lines.get()
             rig.discovery.publish(8, one, snapshot=True)
-            while not any("can't be asked for several services" in text for _, text in said):
+            while not any("cannot request several services" in text for _, text in said):
                 await asyncio.sleep(0.01)
             assert not rig.proxy.endpoint_list.endpoints
 
