--- a/loadbalancer/policy/server_selection.py
+++ b/loadbalancer/policy/server_selection.py
@@ -21,7 +21,7 @@
 MAX_SAMPLING_DRAWS = 24
 """Maximum number of draws from a sampled subset in search of eligible servers."""
 MAX_FREED_SERVERS = 16
-"""Servers whose calls ended last, which are scanned if sampling finds no eligible server."""
+"""Number of servers with recently ended calls that are scanned if sampling finds none."""
 MEDIAN_SAMPLE_SERVERS = 100
 """Sample size for the median capacity of a subset that is too large to scan."""
 
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -223,7 +223,7 @@
 
 
 def test_failure_counts_at_its_full_timeout() -> None:
-    """A failed call counts in the estimate until its timeout, but no longer as a call in flight."""
+    """A failed call counts until its timeout, lest the server look fast, but is no longer in flight."""
     host = BalancerHost(1)
     _, actions = host.receive_request(PAY)
     host.now += 5
--- a/tests/test_weighted_sampling.py
+++ b/tests/test_weighted_sampling.py
@@ -109,16 +109,16 @@
 
 
 def test_large_fleet_fills_servers_up_to_their_limit_and_not_past_it() -> None:
-    """Draws hit full servers; a scan of all servers would be most costly when CPU time is scarcest."""
+    """Draws hit full servers under overload, and a scan of all would cost most when CPU time is scarce."""
     host = BalancerHost(100, balancer_count=1)
     in_flight: list[tuple[int, str]] = []
     for _ in range(600):
         request, actions = host.receive_request(PAY)
         in_flight += [(request, send.server) for send in sent_attempts(actions)]
-    calls_by_server = Counter(server for _, server in in_flight)
+    calls_by_server = Counter(target for _, target in in_flight)
     assert max(calls_by_server.values()) <= 5 and len(in_flight) >= 480
-    request, server = in_flight[0]
-    assert sent_attempts(host.end_attempt(request, 0, server, Outcome.SERVED)), (
+    request, target = in_flight[0]
+    assert sent_attempts(host.end_attempt(request, 0, target, Outcome.SERVED)), (
         "a server at which a call has just ended can accept one"
     )
 
