--- a/loadbalancer/__init__.py
+++ b/loadbalancer/__init__.py
@@ -1,4 +1,4 @@
-"""loadbalancer: the decisions of a load balancer for services that call services."""
+"""loadbalancer: the decision module of a load balancer for service-to-service calls."""
 
 from loadbalancer.interface import Settings
 from loadbalancer.policy import Balancer
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,4 +1,4 @@
-"""The balancer as a program: `python -m loadbalancer`, configured by the file that `LB_CONFIG` names."""
+"""The balancer's program: `python -m loadbalancer`, configured by the file that `LB_CONFIG` names."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 from loadbalancer.net.proxy import Proxy
 
 ConfigurationReader = Callable[[Callable[[str], None]], Config]
-"""Reads the configuration again; its argument takes a line for each thing that it passes over."""
+"""Reads the configuration again; calls its argument with a line for each setting that it ignores."""
 
 
-def load(path: str, note: Callable[[str], None]) -> Config:
-    """Return the configuration as the file holds it now; OSError or ValueError if it can't be used."""
+def load(path: str, on_unknown: Callable[[str], None]) -> Config:
+    """Return the current configuration of the file; OSError or ValueError if it is unusable."""
     with open(path, encoding="utf-8") as file:
-        return read_config(file.read(), note, os.environ.get("LB_CONSOLE", ""))
+        return read_config(file.read(), on_unknown, os.environ.get("LB_CONSOLE", ""))
 
 
 def reload(read: ConfigurationReader, proxy: Proxy) -> None:
-    """Follow the file after SIGHUP; one that can't be used changes nothing."""
+    """Apply the configuration file after SIGHUP; an invalid one changes nothing."""
     try:
         config = read(lambda note: proxy.log.event("unknown_setting_ignored", note))
     except (OSError, ValueError) as error:
         reason = " ".join(str(error).split())
-        proxy.log.event("configuration_rejected", f"the configuration stays as it was: {reason}")
+        proxy.log.event("configuration_rejected", f"the configuration remains unchanged: {reason}")
         return
     report = proxy.apply_configuration(config)
     proxy.log.event(
@@ -56,7 +56,7 @@
     predecessor: Predecessor | None,
     sink: Sink = write_text,
 ) -> None:
-    """Balance until SIGTERM, then until all requests are answered; `read` is for SIGHUP."""
+    """Serve until SIGTERM, then until all requests are answered; SIGHUP calls `read`."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -64,11 +64,11 @@
     proxy = Proxy(config, loop, folder, predecessor, sink)
     loop.add_signal_handler(signal.SIGHUP, reload, read, proxy)
     loop.set_exception_handler(
-        lambda _, context: proxy.log.event("event_loop_error", f"in the event loop: {context!r}"[:2000])
+        lambda _, context: proxy.log.event("event_loop_error", f"error in the event loop: {context!r}"[:2000])
     )
     proxy.start()
     gc.collect()
-    gc.freeze()  # the objects of the start stay: collections need not visit them again
+    gc.freeze()  # objects created at the start live on: collections need not scan them
     await stop.wait()
     proxy.announce_shutdown()
     await proxy.downstream.shut_down()
@@ -88,13 +88,13 @@
     for note in notes:
         print(f"loadbalancer: {note}", file=sys.stderr)
     sink = SINKS.get(os.environ.get("LB_LOG", ""), write_text)
-    return run(config, lambda note: load(path, note), sink)
+    return run(config, lambda on_unknown: load(path, on_unknown), sink)
 
 
 def run(config: Config, read: ConfigurationReader, sink: Sink) -> int:
-    """Serve a configuration to the end; return the exit status."""
+    """Serve a configuration until shutdown; return the exit status."""
     folder = Path(os.environ["TMPDIR"]) if os.environ.get("TMPDIR") else None
-    # Processes are replaced by operators: without a console there is no process to take over from.
+    # Only operators replace processes: without a console there is no process to take over from.
     predecessor = connect_to_predecessor(folder) if config.console else None
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/loadbalancer/net/__init__.py
+++ b/loadbalancer/net/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer on real sockets: everything between the network and the decision module."""
+"""The balancer's network side: everything between the sockets and the decision module."""
--- a/loadbalancer/net/console.py
+++ b/loadbalancer/net/console.py
@@ -1,7 +1,7 @@
-"""The console's port: a listener of its own, a few connections at a time, one call to a connection.
+"""The console's listener: on its own port, with few connections at a time and one call per connection.
 
-Every call is answered at once from what is known in memory, so nothing that clients or upstreams do can
-hold it up but the event loop itself.
+Every call is answered at once from memory, so that clients and upstreams can't delay it except by blocking
+the event loop.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from loadbalancer.net.http_framing import encode_response
 from loadbalancer.net.sockets import set_no_delay
 
-MAX_CONNECTIONS = 16  # the spare sockets suffice for them; the oldest makes way for a further one
-CALL_TIMEOUT_S = 3.0  # until a call is complete: operators type, but their tools send it in one piece
-CLOSE_TIMEOUT_S = 0.5  # for the caller to close first, so that no reset overtakes the answer
-ACCEPT_RETRY_INTERVAL_S = 0.05  # after an accept that failed, which is mostly for want of descriptors
+MAX_CONNECTIONS = 16  # the spare descriptors suffice for these; one more replaces the oldest
+CALL_TIMEOUT_S = 3.0  # until a call is complete: however operators type it, their tools send it in one piece
+CLOSE_TIMEOUT_S = 0.5  # for the client to close first, so that no reset discards the answer
+ACCEPT_RETRY_INTERVAL_S = 0.05  # after a failed accept, mostly for lack of descriptors
 MAX_CALL_BYTES = 8_192  # head and body; the longest call is a server's ID
 
 
@@ -28,7 +28,7 @@
     """One operator's connection and its one call."""
 
     def __init__(self, console: Console) -> None:
-        """Create the connection that `console` has accepted."""
+        """Create the protocol of a connection that `console` has accepted."""
         self._console = console
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
@@ -39,7 +39,7 @@
         self._is_answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin the time for the call."""
+        """Start the timeout of the call."""
         self._transport = cast(asyncio.Transport, transport)
         set_no_delay(transport)
         timeout = text_response(408, "the call is not whole")
@@ -50,7 +50,7 @@
         self._target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Let a caller go on that waits for 100 Continue."""
+        """Send 100 Continue to a client that expects it."""
         if name.lower() == b"expect" and value.lower() == b"100-continue" and self._transport:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -59,13 +59,13 @@
         self._body += data
 
     def on_message_complete(self) -> None:
-        """Answer the call, which is complete."""
+        """Answer the complete call."""
         if not self._is_answered:
             method = self._parser.get_method().decode("latin-1")
             self._answer(self._console.service.handle(method, self._target, self._body))
 
     def data_received(self, data: bytes) -> None:
-        """Read on; what comes after the answer is read and dropped."""
+        """Parse received bytes; those after the answer are dropped."""
         if self._is_answered:
             return
         self._received_bytes += len(data)
@@ -87,25 +87,25 @@
         self._console.loop.call_later(CLOSE_TIMEOUT_S, self._transport.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Make room for another connection."""
+        """Stop the timeout, and release the connection's slot."""
         if self._timer is not None:
             self._timer.cancel()
         self._console.on_connection_closed(self)
 
     def drop(self) -> None:
-        """Close at once, for a newer connection."""
+        """Close at once, in favor of a newer connection."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class Console:
-    """Listens for operators and owns their connections."""
+    """Accepts operators' connections and owns them."""
 
     def __init__(self, address: Address, loop: asyncio.AbstractEventLoop, backend: ConsoleBackend) -> None:
-        """Bind to an address; OSError if that can't be done."""
+        """Bind to an address; OSError if that fails."""
         self.loop = loop
         self.service = ConsoleService(backend)
-        self._connections: dict[ConsoleConnection, None] = {}  # the oldest first
+        self._connections: dict[ConsoleConnection, None] = {}  # from the oldest to the newest
         self._tasks: set[asyncio.Task[None]] = set()
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self._socket = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
@@ -114,7 +114,7 @@
         self.address = self._socket.getsockname()
 
     def start(self) -> None:
-        """Listen."""
+        """Start accepting connections."""
         self._socket.listen(MAX_CONNECTIONS)
         self.loop.add_reader(self._socket, self._accept)
 
@@ -124,7 +124,7 @@
         except BlockingIOError:
             return
         except OSError:
-            # Guards against spinning on a caller that can't be accepted: it is tried again in a moment.
+            # Avoids a busy loop while a connection can't be accepted; tries again after a delay.
             self.loop.remove_reader(self._socket)
             self.loop.call_later(ACCEPT_RETRY_INTERVAL_S, self.loop.add_reader, self._socket, self._accept)
             return
--- a/loadbalancer/net/console_codec.py
+++ b/loadbalancer/net/console_codec.py
@@ -1,4 +1,4 @@
-"""The JSON of the console: its names are those that operators' tools read, and stay as they are."""
+"""The JSON encoding of the console's answers; operators' tools rely on its names, which must not change."""
 
 from __future__ import annotations
 
--- a/loadbalancer/net/console_service.py
+++ b/loadbalancer/net/console_service.py
@@ -1,4 +1,4 @@
-"""The calls of the console: which there are, what each asks of the balancer, and its answer."""
+"""The calls of the console: their routes, what each does with the balancer, and their answers."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 from loadbalancer.net.reports import BalancerStats, EndpointListReport, MembershipReport
 from loadbalancer.policy.zones import ZoneStatus
 
-MAX_EVACUATION_MS = 3_600_000.0  # a longer one is a mistyped unit rather than a wish
+MAX_EVACUATION_MS = 3_600_000.0  # a longer one is more likely a mistake in the unit
 TEXT_HEADERS: Headers = [(b"Content-Type", b"text/plain; charset=utf-8")]
 JSON_HEADERS: Headers = [(b"Content-Type", b"application/json")]
 METRICS_HEADERS: Headers = [(b"Content-Type", CONTENT_TYPE)]
 
 
 class ConsoleBackend(Protocol):
-    """What the console asks and orders of the balancer."""
+    """What the console needs of the balancer: queries and commands."""
 
     def is_serving(self) -> bool:
         """Return whether new clients are accepted."""
 
     def stats(self) -> BalancerStats:
-        """Return the counts as they stand."""
+        """Return the current counts."""
 
     def prometheus_metrics(self) -> str:
-        """Return the same counts in Prometheus' text form."""
+        """Return the metrics in Prometheus' text format."""
 
     def membership_report(self) -> MembershipReport | None:
-        """Return what is believed of the other balancers; None where membership is off."""
+        """Return the known state of the other balancers; None if membership is off."""
 
     def endpoint_list_report(self) -> EndpointListReport:
-        """Return where the endpoint list is from, and how old it is."""
+        """Return the source and age of the endpoint list."""
 
     def zones(self) -> Mapping[str, ZoneStatus]:
         """Return the status of each zone."""
@@ -49,7 +49,7 @@
         """Evacuate a zone, or return to it; raises ZoneEvacuationError."""
 
     def set_cordon(self, server: str, *, is_cordoned: bool) -> bool:
-        """Cordon a server or return it to use; return False if nobody has that ID."""
+        """Cordon or uncordon a server; return False if no server has that ID."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,17 +68,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _ZoneOrder:
+class _ZoneCommand:
     zone: str
     duration_ms: float
     is_forced: bool
 
 
 class ConsoleService:
-    """Answers calls from what the balancer knows in memory."""
+    """Answers calls from the balancer's state in memory."""
 
     def __init__(self, backend: ConsoleBackend) -> None:
-        """Create a service in front of `backend`."""
+        """Create a service that calls `backend`."""
         self._backend = backend
         self._routes = {
             "/admin/health": _Route("GET", self._get_health),
@@ -131,15 +131,15 @@
         return ConsoleResponse(200, encode_zones(self._backend.zones()), JSON_HEADERS)
 
     def _evacuate_zone(self, body: bytes, *, is_evacuating: bool) -> ConsoleResponse:
-        order = _read_zone_order(body)
-        if order is None:
+        command = _parse_zone_command(body)
+        if command is None:
             return text_response(400, "the body must be a zone, then over=SECONDS and force at will")
         try:
             self._backend.evacuate_zone(
-                order.zone,
+                command.zone,
                 is_evacuating=is_evacuating,
-                duration_ms=order.duration_ms,
-                is_forced=order.is_forced,
+                duration_ms=command.duration_ms,
+                is_forced=command.is_forced,
             )
         except UnknownZoneError as error:
             return text_response(404, str(error))
@@ -148,7 +148,7 @@
         return text_response(200, "ok")
 
     def _set_cordon(self, body: bytes, *, is_cordoned: bool) -> ConsoleResponse:
-        server = _read_server(body)
+        server = _parse_server(body)
         if not server:
             return text_response(400, "the body must be the ID of one upstream")
         if not self._backend.set_cordon(server, is_cordoned=is_cordoned):
@@ -157,12 +157,12 @@
 
 
 def text_response(status: int, text: str) -> ConsoleResponse:
-    """Return an answer of plain text."""
+    """Return a plain text answer."""
     return ConsoleResponse(status, text, TEXT_HEADERS)
 
 
-def _read_zone_order(body: bytes) -> _ZoneOrder | None:
-    """Return a zone with the options `over=SECONDS` and `force`; None if the body is anything else."""
+def _parse_zone_command(body: bytes) -> _ZoneCommand | None:
+    """Parse a zone with the options `over=SECONDS` and `force`; return None if the body is invalid."""
     duration_ms = 0.0
     is_forced = False
     try:
@@ -177,11 +177,11 @@
                 return None
     except ValueError:
         return None
-    return _ZoneOrder(zone, duration_ms, is_forced) if 0 <= duration_ms <= MAX_EVACUATION_MS else None
+    return _ZoneCommand(zone, duration_ms, is_forced) if 0 <= duration_ms <= MAX_EVACUATION_MS else None
 
 
-def _read_server(body: bytes) -> str:
-    """Return the server's ID that is the whole body, but for white space round it; empty if it is none."""
+def _parse_server(body: bytes) -> str:
+    """Return the body as a server's ID without surrounding white space; empty if it is not an ID."""
     try:
         text = body.decode().strip()
     except UnicodeDecodeError:
--- a/loadbalancer/net/cordon_controller.py
+++ b/loadbalancer/net/cordon_controller.py
@@ -1,4 +1,4 @@
-"""What operators order: cordons of servers and evacuations of zones, applied here and in the module."""
+"""Operators' cordons and zone evacuations, applied to connection pools and the decision module."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from loadbalancer.policy import Balancer
 from loadbalancer.policy.zones import ZoneStatus
 
-CORDON_FILE_POLL_INTERVAL_S = 0.1  # operators may call the other process while two run
+CORDON_FILE_POLL_INTERVAL_S = 0.1  # operators may call the other process during a hot restart
 
 
 class ZoneEvacuationError(Exception):
-    """An evacuation of a zone was not begun; the text says why, in one line."""
+    """A zone evacuation or return was refused; the text gives the reason in one line."""
 
 
 class UnknownZoneError(ZoneEvacuationError):
-    """No server is of that zone."""
+    """No server is in that zone."""
 
 
 class InsufficientCapacityError(ZoneEvacuationError):
@@ -30,7 +30,7 @@
 
 
 class CordonController:
-    """Owns the operators' orders, and follows those that another process was given."""
+    """Applies the operators' cordons and evacuations, including those that another process received."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         log: Log,
         dispatch: Callable[[interface.Event], None],
     ) -> None:
-        """Create a controller without orders; `start` reads those in the file."""
+        """Create a controller without cordons; `start` reads them from the file."""
         self._loop = loop
         self._clock = clock
         self._balancer = balancer
@@ -56,27 +56,24 @@
         self._applied_zones: dict[str, interface.ZoneEvacuation] = {}
 
     def start(self) -> None:
-        """Apply the orders in the file, now and whenever it has changed."""
+        """Apply the cordons in the file, now and whenever it has changed."""
         if self._file.refresh():
             self._apply()
         self._loop.call_later(CORDON_FILE_POLL_INTERVAL_S, self.start)
 
-    def inherit(self, cordons: object) -> None:
-        """Go on from the orders of the process before this one; ValueError if they can't be read.
-
-        The orders in the file apply then.
-        """
+    def restore_cordons(self, cordons: object) -> None:
+        """Apply the predecessor's cordons; if they are malformed, apply the file's and raise ValueError."""
         try:
             self._file.adopt(cordons)
         finally:
             self._apply()
 
     def handover_state(self) -> dict[str, object]:
-        """Return the orders in the form that the next process reads."""
+        """Return the cordons as the next process reads them."""
         return self._file.encode()
 
     def set_cordon(self, server: str, *, is_cordoned: bool) -> bool:
-        """Cordon a server or return it to use; return False if no list has named it."""
+        """Cordon or uncordon a server; return False if it was never listed."""
         if not self._endpoint_list.was_ever_listed(server) and server not in self._file.cordons.servers:
             return False
         if problem := self._file.set_cordon(server, is_cordoned=is_cordoned):
@@ -89,10 +86,10 @@
         return self._balancer.zone_statuses(self._clock.now())
 
     def evacuate_zone(self, zone: str, *, is_evacuating: bool, duration_ms: float, is_forced: bool) -> None:
-        """Evacuate a zone, or return to it, gradually over a time.
+        """Evacuate a zone or return to it, gradually over a duration.
 
-        Raises UnknownZoneError, or InsufficientCapacityError where an evacuation is not forced and the
-        requests in flight do not fit into the other zones.
+        Raises UnknownZoneError, or InsufficientCapacityError if an evacuation is not forced and the
+        requests in flight exceed the capacity of the other zones.
         """
         zones, now = self.zones(), self._clock.now()
         if zone not in zones and zone not in self._applied_zones:
@@ -106,15 +103,15 @@
             self._report_unsaved(problem)
         self._apply()
         if is_evacuating:
-            self._log.event("zone_evacuation_started", "operators evacuate the zone", zone=zone)
+            self._log.event("zone_evacuation_started", "evacuation of the zone was ordered", zone=zone)
         else:
-            self._log.event("zone_return_started", "operators return to the zone", zone=zone)
+            self._log.event("zone_return_started", "return to the zone was ordered", zone=zone)
 
     def _report_unsaved(self, problem: str) -> None:
         self._log.event("cordons_unsaved", problem)
 
     def _apply(self) -> None:
-        """Apply what has changed since the last time."""
+        """Apply the changes since the last call."""
         cordons = self._file.cordons
         applied = self._upstreams.cordoned
         for server in sorted(cordons.servers - applied):
@@ -137,7 +134,7 @@
 
 
 def _check_remaining_capacity(zone: str, zones: dict[str, ZoneStatus]) -> None:
-    """Raise InsufficientCapacityError if the requests in flight do not fit into the other zones."""
+    """Raise InsufficientCapacityError if the requests in flight exceed the other zones' capacity."""
     if not any(name != zone and status.traffic_fraction > 0 for name, status in zones.items()):
         raise InsufficientCapacityError(
             f"there is no other zone to go to: {', '.join(zones)}; `force` goes on"
--- a/loadbalancer/net/cordon_file.py
+++ b/loadbalancer/net/cordon_file.py
@@ -1,7 +1,7 @@
-"""The file in which cordons outlast the process; both processes of a hot restart may write it.
+"""The file that keeps cordons across restarts; both processes of a hot restart may write it.
 
-It is changed under a lock and replaced in one step, so that two processes can serve operators at once, and a
-reader never sees half of it. Content that can't be read is passed over.
+It is changed under a lock and replaced atomically, so that two processes can serve operators at once and a
+reader never sees a partial file. Malformed content is ignored.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from loadbalancer.interface import ZoneEvacuation
 from loadbalancer.net.cordons import Cordons, decode_cordons, encode_cordons
 
-# The lock is held for one small write; a process that is stuck with it is not waited for.
+# The lock is held for one small write; a process that hangs while holding it must not block this one.
 MAX_LOCK_ATTEMPTS = 20
 LOCK_RETRY_INTERVAL_S = 0.005
 MAX_CORDON_FILE_BYTES = 1_000_000
 
 
 class CordonFile:
-    """The cordons as the file has them; without a folder, or with one that fails, in memory alone."""
+    """The cordons, kept in a file; only in memory without a folder or if writing fails."""
 
     def __init__(self, folder: Path | None) -> None:
         self._path = folder / "cordons.json" if folder else None
@@ -32,7 +32,7 @@
         self.cordons = Cordons()
 
     def refresh(self) -> bool:
-        """Read the file if it was replaced; return whether the cordons may have changed."""
+        """Read the file if it has changed; return whether the cordons may have changed."""
         if self._path is None:
             return False
         try:
@@ -47,25 +47,25 @@
         return True
 
     def set_cordon(self, server: str, *, is_cordoned: bool) -> str:
-        """Cordon a server or return it; return a line on what went wrong with the file, or nothing."""
+        """Cordon or uncordon a server; return the error of writing the file, or an empty string."""
         return self._change(
             lambda cordons: cordons.with_cordon(server, is_cordoned=is_cordoned, now_ms=time.time() * 1000)
         )
 
     def set_evacuation(self, evacuation: ZoneEvacuation) -> str:
-        """Evacuate a zone or return to it; return a line on what went wrong with the file, or nothing."""
+        """Evacuate a zone or return to it; return the error of writing the file, or an empty string."""
         return self._change(lambda cordons: cordons.with_evacuation(evacuation))
 
     def adopt(self, raw: object) -> None:
-        """Go on from the predecessor's cordons: the file may be behind them, where a disk is full.
+        """Replace the cordons by the predecessor's: the file may be outdated, for example on a full disk.
 
-        ValueError if they can't be read; those of the file then stand. Later changes of the file
-        are followed.
+        Raises ValueError and keeps the file's cordons if they are malformed. Later changes of the file still
+        apply.
         """
         self.cordons = decode_cordons(raw)
 
     def encode(self) -> dict[str, object]:
-        """Return the cordons as the file has them, and as the next process is sent them."""
+        """Return the cordons as they are stored in the file and sent to the next process."""
         return encode_cordons(self.cordons)
 
     def _change(self, change: Callable[[Cordons], Cordons]) -> str:
@@ -76,7 +76,7 @@
                 self._write()
         except OSError as error:
             self.cordons = change(self.cordons)
-            return f"cordons are kept in memory alone: {error}"
+            return f"cordons could not be saved and are kept only in memory: {error}"
         return ""
 
     @contextmanager
@@ -98,10 +98,10 @@
     def _write(self) -> None:
         if self._path is None:
             return
-        draft = self._path.with_suffix(f".{os.getpid()}")
+        temporary_path = self._path.with_suffix(f".{os.getpid()}")
         try:
-            draft.write_text(json.dumps(self.encode()))
-            os.replace(draft, self._path)
+            temporary_path.write_text(json.dumps(self.encode()))
+            os.replace(temporary_path, self._path)
         except OSError:
-            draft.unlink(missing_ok=True)
+            temporary_path.unlink(missing_ok=True)
             raise
--- a/loadbalancer/net/cordons.py
+++ b/loadbalancer/net/cordons.py
@@ -1,7 +1,7 @@
-"""The cordons and zone evacuations that operators have ordered, and their form as plain JSON values.
+"""The cordons and zone evacuations that operators have ordered, and their encoding as JSON values.
 
-The keys are data that older and newer versions read too, in the file and between processes; they differ from
-the fields' names.
+Older and newer versions read the keys too, in the file and between processes: they are fixed, and differ
+from the fields' names.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from loadbalancer.interface import ZoneEvacuation
 
 RETURN_RETENTION_MS = 600_000.0
-"""How long the return of a server or zone is remembered: longer than any server warms up."""
+"""How long the return of a server or zone is remembered: longer than any server takes to warm up."""
 
 
 @dataclass(frozen=True)
 class Cordons:
-    """The servers that are cordoned, when others were returned, and the zones' evacuations."""
+    """The cordoned servers, the times at which others were uncordoned, and the zones' evacuations."""
 
     servers: frozenset[str] = frozenset()
     returned_at_ms: dict[str, float] = field(default_factory=dict)
-    """When each server that was cordoned before was returned to service (Unix ms)."""
+    """When each formerly cordoned server was uncordoned (Unix ms)."""
     evacuations: dict[str, ZoneEvacuation] = field(default_factory=dict)
-    """The last order for each zone."""
+    """The latest order for each zone."""
 
     def with_cordon(self, server: str, *, is_cordoned: bool, now_ms: float) -> Cordons:
-        """Return these with one server cordoned or returned; an order that changes nothing keeps its time."""
+        """Return a copy with a server cordoned or uncordoned; if it already is, its time stays unchanged."""
         if is_cordoned == (server in self.servers):
             return self
         returned_at_ms = {
@@ -42,7 +42,7 @@
         )
 
     def with_evacuation(self, evacuation: ZoneEvacuation) -> Cordons:
-        """Return these with a zone's new order; zones that have long been back in full are forgotten."""
+        """Return a copy with a zone's new order; drops zones whose return was completed long ago."""
         earliest_ms = evacuation.started_at_ms - RETURN_RETENTION_MS
         remembered = {
             zone: earlier
@@ -53,7 +53,7 @@
 
 
 def encode_cordons(cordons: Cordons) -> dict[str, object]:
-    """Return cordons as values that JSON can hold."""
+    """Return cordons as JSON values."""
     zones = {
         zone: [
             evacuation.is_evacuating,
@@ -67,15 +67,15 @@
 
 
 def decode_cordons(raw: Any) -> Cordons:
-    """Return the cordons that `encode_cordons` wrote; ValueError if the values are anything else."""
+    """Return the cordons that `encode_cordons` encoded; ValueError if the values are malformed."""
     if not isinstance(raw, dict) or not isinstance(raw.get("out"), list):
-        raise ValueError("not a file of cordons")
+        raise ValueError("not valid cordons")
     returned_at_ms = raw.get("back")
     if not isinstance(returned_at_ms, dict) or not all(isinstance(name, str) and name for name in raw["out"]):
-        raise ValueError("not a file of cordons")
+        raise ValueError("not valid cordons")
     if not all(type(at_ms) in (int, float) and math.isfinite(at_ms) for at_ms in returned_at_ms.values()):
-        raise ValueError("not the times of returns")
-    evacuations = _decode_evacuations(raw.get("zones", {}))  # older versions do not write it
+        raise ValueError("not valid times of returns")
+    evacuations = _decode_evacuations(raw.get("zones", {}))  # older versions do not write this key
     return Cordons(
         servers=frozenset(raw["out"]),
         returned_at_ms={name: float(at_ms) for name, at_ms in returned_at_ms.items()},
@@ -86,13 +86,13 @@
 def _decode_evacuations(raw: Any) -> dict[str, ZoneEvacuation]:
     try:
         evacuations = {
-            zone: ZoneEvacuation(zone, bool(is_evacuating), *map(float, figures))
-            for zone, (is_evacuating, *figures) in raw.items()
+            zone: ZoneEvacuation(zone, bool(is_evacuating), *map(float, numbers))
+            for zone, (is_evacuating, *numbers) in raw.items()
         }
     except (TypeError, ValueError, AttributeError) as error:
-        raise ValueError(f"not the evacuations of zones: {error}") from error
+        raise ValueError(f"not valid zone evacuations: {error}") from error
     for evacuation in evacuations.values():
-        figures = (evacuation.started_at_ms, evacuation.duration_ms, evacuation.initial_fraction)
-        if not all(math.isfinite(figure) for figure in figures):
-            raise ValueError(f"not the evacuation of a zone: {evacuation}")
+        numbers = (evacuation.started_at_ms, evacuation.duration_ms, evacuation.initial_fraction)
+        if not all(math.isfinite(number) for number in numbers):
+            raise ValueError(f"not a valid zone evacuation: {evacuation}")
     return evacuations
--- a/loadbalancer/net/hot_restart/__init__.py
+++ b/loadbalancer/net/hot_restart/__init__.py
@@ -1,11 +1,11 @@
-"""Hot restart: a new process takes the listening socket and the state over from the one that serves.
+"""Hot restart: a new process takes over the listening socket and the state of the serving process.
 
     predecessor = connect_to_predecessor(folder)             # in the new process, at its start
-    HotRestartListener(folder, loop, process).start()        # in the process that serves
+    HotRestartListener(folder, loop, process).start()        # in the serving process
 
-The new process connects to a Unix socket in a folder that both may write, and is sent the listening socket
-and the state. When it is ready it says so; the older one then accepts no more and, until it ends, sends how
-many descriptors it still has. So there is one accept queue, never closed, and one of the two accepts from it.
+The new process connects to a Unix socket in a folder that both may write, and receives the listening socket
+and the state. Once it reports that it is ready, the old process stops accepting and, until it exits, sends
+its descriptor counts. So the one accept queue is never closed, and exactly one process accepts from it.
 """
 
 from loadbalancer.net.hot_restart.listener import HotRestartListener, ServingProcess
--- a/loadbalancer/net/hot_restart/predecessor.py
+++ b/loadbalancer/net/hot_restart/predecessor.py
@@ -1,4 +1,4 @@
-"""The older process of a hot restart, as the new one sees it."""
+"""The old process of a hot restart, as seen by the new one."""
 
 from __future__ import annotations
 
@@ -18,44 +18,44 @@
     socket_path,
 )
 
-ANSWER_TIMEOUT_S = 1.0  # the older process answers at once or not at all
+ANSWER_TIMEOUT_S = 1.0  # a working predecessor answers at once
 MAX_STATE_BYTES = 16_000_000
 RECEIVE_BYTES = 65_536
 COUNTS_RECEIVE_BYTES = 4_096  # a line of counts takes less than a hundred
 
 
 class Predecessor:
-    """The connection to the older process, with the listening socket and the state that it has sent."""
+    """The connection to the old process, with the listening socket and the state that it has sent."""
 
-    def __init__(self, link: socket.socket, listener: socket.socket, state: dict[str, Any]) -> None:
+    def __init__(self, connection: socket.socket, listener: socket.socket, state: dict[str, Any]) -> None:
         self.listener = listener
         self.state = state
-        self._link = link
+        self._connection = connection
         self._unread = b""
 
     async def take_over(self) -> DescriptorCounts:
-        """Say that we are ready; return what the older process still has, now that it accepts no more."""
+        """Report that we are ready; return the old process's descriptor counts after it stops accepting."""
         loop = asyncio.get_running_loop()
-        self._link.setblocking(False)
+        self._connection.setblocking(False)
         with suppress(OSError, ValueError, TimeoutError):
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
-                await loop.sock_sendall(self._link, READY)
+                await loop.sock_sendall(self._connection, READY)
                 return await self._receive_counts() or DescriptorCounts()
         return DescriptorCounts()
 
     async def follow_counts(self, on_counts: Callable[[DescriptorCounts], None]) -> None:
-        """Pass on what the older process still has, and at its end that it has nothing; then close."""
+        """Report each count that the old process sends, and zero counts when it ends; then close."""
         with suppress(OSError, ValueError):
             while counts := await self._receive_counts():
                 on_counts(counts)
-        self._link.close()
+        self._connection.close()
         on_counts(DescriptorCounts())
 
     async def _receive_counts(self) -> DescriptorCounts | None:
-        """Return the next counts; None at the end of the older process."""
+        """Return the next counts; None if the old process has ended."""
         loop = asyncio.get_running_loop()
         while END_OF_MESSAGE not in self._unread:
-            data = await loop.sock_recv(self._link, COUNTS_RECEIVE_BYTES)
+            data = await loop.sock_recv(self._connection, COUNTS_RECEIVE_BYTES)
             if not data:
                 return None
             self._unread += data
@@ -64,40 +64,40 @@
 
 
 def connect_to_predecessor(folder: Path | None) -> Predecessor | None:
-    """Return the process that serves here now; None if there is none that can hand over.
+    """Return the process that serves now; None if there is none that can hand over.
 
-    It blocks: call it before there is an event loop.
+    Blocks: call it before the event loop starts.
     """
     if folder is None:
         return None
     with ExitStack() as opened:
         try:
-            link = opened.enter_context(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
-            link.settimeout(ANSWER_TIMEOUT_S)
+            connection = opened.enter_context(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
+            connection.settimeout(ANSWER_TIMEOUT_S)
             with socket_path(folder) as path:
-                link.connect(path)
-            listener, received = _receive_listener(link)
+                connection.connect(path)
+            listener, received = _receive_listener(connection)
             opened.enter_context(listener)
-            state = decode_state(_receive_message(link, received))
+            state = decode_state(_receive_message(connection, received))
         except (OSError, ValueError):
-            return None  # we start on our own; what was opened is closed
+            return None  # we start without it; the exit stack closes what was opened
         opened.pop_all()
-    return Predecessor(link, listener, state)
+    return Predecessor(connection, listener, state)
 
 
-def _receive_listener(link: socket.socket) -> tuple[socket.socket, bytes]:
-    """Return the listening socket, and the bytes that came with it."""
-    data, descriptors, _, _ = socket.recv_fds(link, RECEIVE_BYTES, 1)
+def _receive_listener(connection: socket.socket) -> tuple[socket.socket, bytes]:
+    """Return the listening socket, and the bytes received with it."""
+    data, descriptors, _, _ = socket.recv_fds(connection, RECEIVE_BYTES, 1)
     if not descriptors:
         raise ValueError("the predecessor sent no listening socket")
     return socket.socket(fileno=descriptors[0]), data
 
 
-def _receive_message(link: socket.socket, data: bytes) -> bytes:
-    """Return a whole message, of which `data` has come."""
+def _receive_message(connection: socket.socket, data: bytes) -> bytes:
+    """Return a complete message, of which `data` was received already."""
     while not data.endswith(END_OF_MESSAGE):
-        more = link.recv(RECEIVE_BYTES)
+        more = connection.recv(RECEIVE_BYTES)
         if not more or len(data) > MAX_STATE_BYTES:
-            raise ValueError(f"the predecessor's state came in part: {len(data)} bytes")
+            raise ValueError(f"the predecessor's state is incomplete or too large: {len(data)} bytes")
         data += more
     return data
--- a/loadbalancer/net/learned_state.py
+++ b/loadbalancer/net/learned_state.py
@@ -1,9 +1,9 @@
-"""Encode learned state as plain JSON values, for the next process and for a snapshot.
+"""Encode learned state as JSON values, for the next process and for a snapshot.
 
-    plain = encode_learned_state(balancer.learned_state(now))
-    balancer.restore(decode_learned_state(plain, classes), now, age_ms)
+    encoded = encode_learned_state(balancer.learned_state(now))
+    balancer.restore(decode_learned_state(encoded, classes), now, age_ms)
 
-The keys are data that versions before and after this one read too; they differ from the fields' names.
+Older and newer versions read the keys too: they are fixed, and differ from the fields' names.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def encode_learned_state(state: LearnedState) -> dict[str, Any]:
-    """Return the state as values that JSON can hold."""
+    """Return the state as JSON values."""
     return {
         "servers": {name: _encode_server(evidence) for name, evidence in state.servers.items()},
         "work": dict(state.latencies),
@@ -32,21 +32,21 @@
 def decode_learned_state(raw: Any, classes: Collection[str]) -> LearnedState:
     """Return the state that another process encoded.
 
-    Raises ValueError if the values are malformed, or if they are about other classes of requests.
+    Raises ValueError if the values are malformed or concern other request classes.
     """
     try:
-        servers = {str(name): _decode_server(figures) for name, figures in raw["servers"].items()}
-        latencies = _by_name(raw["work"])
-        uncongested_latencies = _by_name(raw["easy"])
-        peak_rates = _by_name(raw["usual"])
-        lateness, responses, updated_at_ms = _figures(raw["pressure"])
-        (median,) = _figures([raw["median"]])
-        (recent_requests,) = _figures([raw.get("asked", 0.0)])  # older versions do not send it
-        recent_requests_at_peak = _by_name(raw.get("asked_then", {}))
+        servers = {str(name): _decode_server(numbers) for name, numbers in raw["servers"].items()}
+        latencies = _numbers_by_name(raw["work"])
+        uncongested_latencies = _numbers_by_name(raw["easy"])
+        peak_rates = _numbers_by_name(raw["usual"])
+        lateness, responses, updated_at_ms = _numbers(raw["pressure"])
+        (median,) = _numbers([raw["median"]])
+        (recent_requests,) = _numbers([raw.get("asked", 0.0)])  # older versions do not send it
+        recent_requests_at_peak = _numbers_by_name(raw.get("asked_then", {}))
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"no learned state: {error!r}") from error
+        raise ValueError(f"malformed learned state: {error!r}") from error
     if {*latencies, *uncongested_latencies} != {*classes}:
-        raise ValueError("no learned state: it is about other classes")
+        raise ValueError("learned state concerns other request classes")
     return LearnedState(
         servers=servers,
         latencies=latencies,
@@ -69,19 +69,19 @@
 
 
 def _decode_server(raw: Iterable[Any]) -> ServerEvidence:
-    figures = _figures(raw)
-    if len(figures) < 3:
-        raise ValueError("no learned state: the figures of a server are too few")
-    started_at_ms, served_calls, in_flight_ms, *sends = figures
+    numbers = _numbers(raw)
+    if len(numbers) < 3:
+        raise ValueError("malformed learned state: a server has fewer than 3 numbers")
+    started_at_ms, served_calls, in_flight_ms, *sends = numbers
     return ServerEvidence(started_at_ms, served_calls, in_flight_ms, tuple(sends))
 
 
-def _by_name(raw: Mapping[str, Any]) -> dict[str, float]:
-    return dict(zip(raw, _figures(raw.values()), strict=True))
+def _numbers_by_name(raw: Mapping[str, Any]) -> dict[str, float]:
+    return dict(zip(raw, _numbers(raw.values()), strict=True))
 
 
-def _figures(raw: Iterable[Any]) -> list[float]:
-    figures = [float(figure) for figure in raw]
-    if not all(0 <= figure < math.inf for figure in figures):
-        raise ValueError("no learned state: a figure is negative or not finite")
-    return figures
+def _numbers(raw: Iterable[Any]) -> list[float]:
+    numbers = [float(number) for number in raw]
+    if not all(0 <= number < math.inf for number in numbers):
+        raise ValueError("malformed learned state: a number is negative or not finite")
+    return numbers
--- a/loadbalancer/net/log.py
+++ b/loadbalancer/net/log.py
@@ -1,10 +1,10 @@
-"""The log: one event name with fields a line, as text or as JSON, bounded in each span of time.
+"""The log: one event with its fields per line, as text or JSON, with a limit on the lines per interval.
 
     log = Log("n1")
-    log.event("list_failed", "server list out of reach", server="s-5be2a07c")
+    log.event("list_failed", "the list service is unreachable", server="s-5be2a07c")
 
-By hand and not by structlog: that costs every process 7 MB and 60 ms, and machines have 32 MB. Who starts
-the balancer may pass a sink of their own, as `irondrum serve` does.
+It does not use structlog, which costs every process 7 MB and 60 ms: machines have 32 MB. A caller that starts
+the balancer may pass its own sink, as `irondrum serve` does.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 import traceback
 from collections.abc import Callable
 
-SPAN_S = 10.0
-MAX_LINES_PER_SPAN = 50  # a fault that repeats must not fill the disk
+INTERVAL_S = 10.0
+MAX_LINES_PER_INTERVAL = 50  # a recurring fault must not fill the disk
 Fields = dict[str, object]
 Sink = Callable[[str, str, str, Fields], None]
 """Takes the balancer's name, the event's name, its text and its fields."""
 
 
 def write_text(name: str, event: str, text: str, fields: Fields) -> None:
-    """Write a line for people to standard error: the text, then the fields."""
+    """Write a line of text to standard error: the event's text, then its fields."""
     suffix = "".join(f" {key}={value}" for key, value in fields.items())
     print(f"{name}: {text}{suffix}", file=sys.stderr, flush=True)
 
 
 def write_json(name: str, event: str, text: str, fields: Fields) -> None:
-    """Write a line of JSON to standard error: `time` (Unix s), `balancer`, `event`, `text`, the fields."""
+    """Write a line of JSON to standard error: `time` (Unix s), `balancer`, `event`, `text` and the fields."""
     line = {"time": round(time.time(), 3), "balancer": name, "event": event, "text": text} | fields
     print(json.dumps(line, default=str), file=sys.stderr, flush=True)
 
@@ -39,41 +39,41 @@
 
 
 class Log:
-    """Events of one balancer; past the bound they are counted, and the next span begins with the count."""
+    """Logs one balancer's events; counts those over the limit and reports the count in the next interval."""
 
     def __init__(self, name: str, sink: Sink = write_text) -> None:
         """Create the log of the balancer `name`."""
         self._name = name
         self._sink = sink
-        self._span = 0
-        self._span_lines = 0
-        self._span_dropped_lines = 0
+        self._interval = 0
+        self._interval_lines = 0
+        self._interval_dropped_lines = 0
         self.dropped_lines = 0  # since the start
 
     def event(self, event: str, text: str, **fields: object) -> None:
-        """Write an event unless the span is full."""
-        span = int(time.monotonic() / SPAN_S)
-        if span != self._span:
-            self._begin_span(span)
-        self._span_lines += 1
-        if self._span_lines <= MAX_LINES_PER_SPAN:
+        """Write an event, or count it as dropped if the interval's limit is reached."""
+        interval = int(time.monotonic() / INTERVAL_S)
+        if interval != self._interval:
+            self._begin_interval(interval)
+        self._interval_lines += 1
+        if self._interval_lines <= MAX_LINES_PER_INTERVAL:
             self._write(event, text, fields)
         else:
-            self._span_dropped_lines += 1
+            self._interval_dropped_lines += 1
             self.dropped_lines += 1
 
     def exception(self, text: str) -> None:
-        """Write the exception that is being handled, with its traceback."""
+        """Write the exception being handled, with its traceback."""
         self.event("exception", f"{text}\n{traceback.format_exc()}")
 
-    def _begin_span(self, span: int) -> None:
-        if self._span_dropped_lines:
-            text = f"{self._span_dropped_lines} lines were dropped"
-            self._write("lines_dropped", text, {"lines": self._span_dropped_lines})
-        self._span = span
-        self._span_lines = 0
-        self._span_dropped_lines = 0
+    def _begin_interval(self, interval: int) -> None:
+        if self._interval_dropped_lines:
+            text = f"{self._interval_dropped_lines} lines over the log's limit were dropped"
+            self._write("lines_dropped", text, {"lines": self._interval_dropped_lines})
+        self._interval = interval
+        self._interval_lines = 0
+        self._interval_dropped_lines = 0
 
     def _write(self, event: str, text: str, fields: Fields) -> None:
-        with contextlib.suppress(OSError):  # a log that nobody reads must not end the balancer
+        with contextlib.suppress(OSError):  # a log that can't be written must not end the balancer
             self._sink(self._name, event, text, fields)
--- a/loadbalancer/net/state_transfer.py
+++ b/loadbalancer/net/state_transfer.py
@@ -1,4 +1,4 @@
-"""What this process has learned, for the next one or a snapshot, and back: list, evidence and cordons."""
+"""Export and restoration of the state for a hot restart or snapshot: list, learned state and cordons."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StateTransfer:
-    """Exports the state of this process, and restores that of another."""
+    """Exports the state of this process, and restores that of an earlier one."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._log = log
 
     def handover_state(self) -> dict[str, object]:
-        """Return what the next process should know, as values that JSON can hold."""
+        """Return the state for the next process, as JSON values."""
         learned = self._balancer.learned_state(self._clock.now())
         return {
             "list": encode_endpoint_list(self._endpoint_list.current()),
@@ -44,20 +44,22 @@
         }
 
     def restore_predecessor(self, state: dict[str, Any]) -> None:
-        """Go on from the state of the process before this one, as far as it can be read."""
-        if "cordons" in state:  # a version before this one does not send them
+        """Restore the predecessor's state as far as it is valid."""
+        if "cordons" in state:  # older versions do not send them
             try:
-                self._cordons.inherit(state["cordons"])
+                self._cordons.restore_cordons(state["cordons"])
             except ValueError as error:
                 self._log.event(
-                    "cordons_unreadable", "the cordons on file apply, not those sent", error=str(error)
+                    "cordons_unreadable",
+                    "the cordons sent are malformed; those in the file apply",
+                    error=str(error),
                 )
         self.restore(state, 0.0)
 
     def restore(self, state: dict[str, Any], age_ms: float) -> None:
-        """Go on from an endpoint list and evidence of some age, as far as they can be read.
+        """Restore an endpoint list and learned state of the given age, as far as they are valid.
 
-        Evidence of servers that have restarted since is not restored.
+        Evidence about servers that have restarted since is not restored.
         """
         try:
             self._endpoint_list.apply_cached(decode_endpoint_list(state["list"]))
--- a/loadbalancer/net/takeover.py
+++ b/loadbalancer/net/takeover.py
@@ -1,4 +1,4 @@
-"""Hot restart as the proxy sees it: this process takes over from one, and another takes over from it."""
+"""Hot restart of the proxy: taking over from the previous process, and handing over to the next."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 if TYPE_CHECKING:
     from loadbalancer.net.membership import MembershipHost
 
-MIN_CONNECTIONS = 4  # on either side, however many the other process still holds
+MIN_CONNECTIONS = 4  # per side, however many the other process still holds
 
 
 class Takeover:
-    """Owns the part of this process in a hot restart: who accepts, and who may hold how many sockets."""
+    """Coordinates a hot restart: which process accepts, and how many connections each may hold."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         log: Log,
         dispatch: Callable[[interface.Event], None],
     ) -> None:
-        """Create a takeover; without a folder no process can take over from this one."""
+        """Create a takeover; without a folder, no process can take over from this one."""
         self._loop = loop
         self._downstream = downstream
         self._upstreams = upstreams
@@ -50,7 +50,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self, predecessor: Predecessor | None, endpoint_list: EndpointListFollower) -> None:
-        """Accept connections, once the process before this one no longer does."""
+        """Accept connections as soon as the predecessor, if any, has stopped."""
         if predecessor is None:
             self._start_serving()
         else:
@@ -67,7 +67,7 @@
             self._log.event("membership_unavailable", problem)
 
     async def _take_over(self, predecessor: Predecessor, endpoint_list: EndpointListFollower) -> None:
-        """Read the endpoint list, have the older process accept no more, then accept in its place."""
+        """Wait for the endpoint list, have the old process stop accepting, then accept in its place."""
         await endpoint_list.wait_for_first_response()
         self._limit_connections(await predecessor.take_over())
         if not self._downstream.is_shutting_down:
@@ -75,42 +75,44 @@
         await predecessor.follow_counts(self._limit_connections)
 
     def _limit_connections(self, other_process: DescriptorCounts) -> None:
-        """Hold fewer connections by so many as the other process holds."""
+        """Reduce the connection limits by the counts of the other process."""
         downstream = self._max_downstream_connections - other_process.downstream
         upstream = self._max_upstream_connections - other_process.upstream
         self._downstream.max_connections = max(downstream, MIN_CONNECTIONS)
         self._upstreams.max_connections = max(upstream, MIN_CONNECTIONS)
 
-    # What the process that takes over from this one gets: `HotRestartListener` calls these.
+    # The handover to the next process: `HotRestartListener` calls these methods.
 
     def listening_socket(self) -> socket.socket:
-        """Return the socket at which clients wait."""
+        """Return the socket that accepts clients."""
         return self._downstream.listening_socket
 
     def handover_state(self) -> dict[str, object]:
-        """Return what the next process should know."""
+        """Return the state to send to the next process."""
         return self._transfer.handover_state()
 
     def stop_accepting(self) -> None:
-        """Accept no more: the next process does so in place of this one."""
-        self._log.event("takeover_started", "another process takes over")
+        """Stop accepting clients and gossiping: the next process does so instead."""
+        self._log.event("takeover_started", "another process is taking over from this one")
         if self._membership is not None:
-            self._membership.stop()  # the next process speaks for this balancer
+            self._membership.stop()  # the next process represents this balancer
         self._downstream.stop_accepting()
         self._dispatch(interface.TakeoverChanged(True))
 
     def resume_accepting(self) -> None:
-        """Accept again: the next process has died."""
-        self._log.event("takeover_failed", "the process that took over has ended")
+        """Accept clients again: the next process has died."""
+        self._log.event(
+            "takeover_failed", "the process that took over has ended; accepting connections again"
+        )
         self._downstream.resume_accepting()
         self._join_membership()
         self._upstreams.max_connections = self._max_upstream_connections
         self._dispatch(interface.TakeoverChanged(False))
 
     def descriptor_counts(self) -> DescriptorCounts:
-        """Return how many connections this process holds at most from now on.
+        """Return how many connections this process will hold at most from now on.
 
-        Clients only leave it, and upstream connections are opened for those clients alone.
+        It accepts no new clients, and opens upstream connections only for those it has.
         """
         clients = self._downstream.connection_count()
         upstreams = self._upstreams
--- a/loadbalancer/net/upstream_attempt.py
+++ b/loadbalancer/net/upstream_attempt.py
@@ -1,7 +1,7 @@
-"""One attempt at an upstream: its times, its connection, and what each way of ending means.
+"""One attempt at an upstream: its timers, its connection, and the outcome of each way it can end.
 
-Each attempt ends exactly once, and where the ending leaves a doubt, the request counts as one that may have
-run: that no request is run twice against its class's rules rests on this.
+Each attempt ends exactly once. In doubt the request counts as one that may have run, so that no request is
+run twice against the rules of its class.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from loadbalancer.net.upstream_connection import UpstreamConnection
 from loadbalancer.net.upstream_response import ResponseReader, UpstreamResponse
 
-# An attempt whose last byte never left can't have begun: it ends as one that never connected.
+# A server runs no request before its last byte: an unwritten attempt ends as CONNECT_FAILED instead.
 IMPOSSIBLE_IF_UNWRITTEN = (Outcome.RESET, Outcome.TIMED_OUT, Outcome.ERROR)
-STALL_TIMEOUT_S = 20.0  # with no byte moved for so long, whoever should read or write has gone
+STALL_TIMEOUT_S = 20.0  # without a byte in either direction for this long, the other end is taken for dead
 
 
 class AttemptPool(Protocol):
-    """The connections to the server of an attempt."""
+    """The pool of connections to an attempt's server."""
 
     loop: asyncio.AbstractEventLoop
     connect_timeout_s: float
 
     def can_start_attempt(self) -> bool:
-        """Return whether a request may still be sent whose connection came up only now."""
+        """Return whether a request may still be sent on a connection that was just established."""
 
     def take_idle(self) -> UpstreamConnection | None:
         """Take an idle connection."""
@@ -39,38 +39,38 @@
         """Return a new connection, to be opened by `connect`, or None if there are too many."""
 
     async def connect(self, connection: UpstreamConnection) -> None:
-        """Open a connection; one that does not come up is closed. Raises OSError."""
+        """Open a connection; close it and raise OSError if that fails."""
 
 
 class ResponseSink(Protocol):
-    """Where a response is streamed to."""
+    """The receiver of a streamed response."""
 
     def send_body_part(self, data: bytes) -> None:
-        """Take a part of the body; `pause` and `resume` of the attempt tell when more should come."""
+        """Send a part of the body; the attempt's `pause` and `resume` control the flow."""
 
 
 class AttemptHandler:
-    """What an attempt is made for: what it sends, and who is notified; enough for a health check."""
+    """The owner of an attempt: provides its request and is notified of its progress. Serves health checks."""
 
-    body: Body | None = None  # where it is streamed behind the head
+    body: Body | None = None  # if it is streamed after the head
 
     def is_needed(self) -> bool:
-        """Return whether the attempt may still begin; called in the instant in which it would."""
+        """Return whether the attempt is still to be sent; called right before it is."""
         return True
 
     def build_request(self) -> bytes:
-        """Return the request, or its head if the body follows; called when the connection is there."""
+        """Return the request, or its head if the body follows; called once there is a connection."""
         raise NotImplementedError
 
     def on_request_written(self) -> None:
-        """Handle that the last byte of the request has left."""
+        """Handle that the last byte of the request was sent."""
 
     def on_response_started(self, attempt: Attempt, answer: UpstreamResponse) -> ResponseSink | None:
-        """Return where a long response is streamed to, or None if nobody needs it any more."""
+        """Return the sink for a response to be streamed, or None if it is no longer needed."""
         return None
 
     def on_attempt_ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
-        """Handle the end; the response is there if it came complete and was not streamed before."""
+        """Handle the end; `answer` is the response if it is complete and was not streamed."""
 
 
 def _outcome_of(status: int, headers: Headers) -> Outcome:
@@ -82,7 +82,7 @@
 
 
 class AttemptTimers:
-    """The times of an attempt: that of its end, and that of its request's last byte."""
+    """The timers of an attempt: for its end, and for the last byte of its request."""
 
     __slots__ = ("_last_progress_s", "_loop", "_timer", "_write_timer")
 
@@ -93,11 +93,11 @@
         self._write_timer: asyncio.TimerHandle | None = None
 
     def on_progress(self) -> None:
-        """Note that bytes have moved one way or the other."""
+        """Record that bytes were sent or received."""
         self._last_progress_s = time.monotonic()
 
     def _on_stall(self) -> None:
-        """Handle that no byte has moved for too long."""
+        """Handle that no byte was sent or received for too long."""
         raise NotImplementedError
 
     def _set_timer(self, after_s: float, callback: Callable[[], None]) -> None:
@@ -106,7 +106,7 @@
         self._timer = self._loop.call_later(after_s, callback)
 
     def _watch_progress(self) -> None:
-        """Time the progress, not the whole: long bodies take as long as they take."""
+        """Limit the time without progress, not the total: long bodies may take any time."""
         self.on_progress()
         self._set_timer(STALL_TIMEOUT_S, self._check_progress)
 
@@ -124,7 +124,7 @@
 
 
 class Attempt(AttemptTimers):
-    """One attempt at a server; its handler is notified of its end exactly once, whatever crosses what."""
+    """One attempt at a server; its handler is notified of its end exactly once, whatever events race."""
 
     __slots__ = (
         "_connect_task",
@@ -147,7 +147,7 @@
         self._is_over = False
         self._is_body_incomplete = handler.body is not None  # at the start
         self._connection: UpstreamConnection | None = None
-        self._new_connection: UpstreamConnection | None = None  # that is coming up
+        self._new_connection: UpstreamConnection | None = None  # being established
         self._connect_task: asyncio.Task[None] | None = None
         self._timeout_s = 0.0
         self._write_by_s = math.inf
@@ -157,8 +157,8 @@
     def start(self, timeout_s: float, write_within_s: float, connect_within_s: float) -> None:
         """Begin on an idle connection, or open one; the handler is not notified before this returns.
 
-        The timeout runs from here, or from the last byte of a body that is still coming. That byte leaves
-        within `write_within_s`, or never; a new connection comes up within `connect_within_s`, or never.
+        The timeout runs from now, or from the last byte of a body that is still arriving. If that byte is not
+        sent within `write_within_s`, or a new connection not up within `connect_within_s`, the attempt ends.
         """
         self._timeout_s = timeout_s
         if write_within_s < math.inf:
@@ -182,33 +182,33 @@
             self._loop.call_soon(self._end, Outcome.CONNECT_FAILED)
 
     def cancel(self) -> None:
-        """Stop waiting: the connection is closed, which tells the upstream."""
+        """End the attempt; closing its connection notifies the upstream."""
         self._end(Outcome.CANCELLED)
 
     def cancel_if_unwritten(self, outcome: Outcome = Outcome.NOT_SENT) -> None:
-        """End it unless its last byte has left: then it can't have begun, and never will."""
+        """End the attempt unless its last byte was sent: the server then has not begun it and never will."""
         if not self._is_written():
             self._end(outcome)
 
     def is_unwritten(self) -> bool:
-        """Return whether it is out and its last byte has not left."""
+        """Return whether the attempt is in progress and its last byte is not sent yet."""
         return not (self._is_over or self._is_written())
 
     def _is_written(self) -> bool:
         return self._connection is not None and self._connection.is_written()
 
     def on_request_written(self) -> None:
-        """Handle that the last byte has left: from now on the response is waited for."""
+        """Handle that the last byte was sent: the response's timeout begins."""
         self._handler.on_request_written()
         if self._is_body_incomplete and not self._is_over:
             self._set_timer(self._timeout_s, self._on_timeout)
 
     def is_streaming(self) -> bool:
-        """Return whether the response is being streamed to the client: there is no way back."""
+        """Return whether the response is being streamed to the client: it can't be replaced any more."""
         return self._sink is not None
 
     def start_streaming(self, reader: ResponseReader) -> None:
-        """Let the client have a long response as it comes."""
+        """Stream a long response to the client."""
         if not self._is_written():
             self.on_connection_failed()
             return
@@ -219,34 +219,34 @@
             self._watch_progress()
 
     def stream(self, data: bytes) -> None:
-        """Send a part of the response on."""
+        """Forward a part of the response."""
         if self._sink is not None and data:
             self._sink.send_body_part(data)
 
     def on_response_completed(self, reader: ResponseReader) -> None:
-        """End with what the response means."""
+        """End with the outcome of the response."""
         if self._sink is not None:
             self._end(Outcome.SERVED, reuse=True)
             return
         response = reader.response()
         outcome = _outcome_of(response.status, response.headers)
         if outcome is Outcome.SERVED and not self._is_written():
-            # Guards against an answer to an earlier request: no server begins before the last byte.
+            # It answers an earlier request: no server runs a request before its last byte.
             self.on_connection_failed()
         else:
             self._end(outcome, response, reuse=True)
 
     def on_connection_failed(self) -> None:
-        """End: the connection ended, or carried what can't be passed on."""
+        """End because the connection closed or delivered an invalid response."""
         self._end(Outcome.RESET)
 
     def pause(self) -> None:
-        """Let the upstream wait: the client is behind."""
+        """Stop reading from the upstream: the client reads too slowly."""
         if self._connection is not None:
             self._connection.pause()
 
     def resume(self) -> None:
-        """Read on: the client has caught up."""
+        """Read from the upstream again: the client has caught up."""
         if self._connection is not None:
             self.on_progress()
             self._connection.resume()
@@ -262,14 +262,14 @@
             self._end(Outcome.CONNECT_FAILED)
             return
         self._connect_task = None
-        is_needed = not self._is_over and self._handler.is_needed()  # which may end it
-        if self._is_over:  # cancelled while the connection came up
+        is_needed = not self._is_over and self._handler.is_needed()  # this may end the attempt
+        if self._is_over:  # ended while the connection was being established
             connection.close()
         elif not is_needed:
             self._end(Outcome.NOT_SENT)
         elif not self._pool.can_start_attempt() or time.monotonic() >= self._write_by_s:
-            # Guards against a send that begins late: while we connected the server began to drain, or
-            # started anew, or what it remembers of an earlier attempt ran out.
+            # Too late to send: while connecting, the server began to drain, or restarted, or the
+            # deduplication window of an earlier attempt ended.
             self._end(Outcome.CONNECT_FAILED)
         else:
             self._send(connection)
@@ -282,7 +282,7 @@
         self._end(Outcome.TIMED_OUT)
 
     def _on_timeout(self) -> None:
-        # Nothing written means that it never ran, whatever kept it from being written.
+        # A request that was not written never ran, for whatever reason.
         self._end(Outcome.TIMED_OUT if self._connection else Outcome.CONNECT_FAILED)
 
     def _end(
--- a/loadbalancer/net/upstream_connection.py
+++ b/loadbalancer/net/upstream_connection.py
@@ -1,4 +1,4 @@
-"""A connection to an upstream: it carries one request at a time, and is idle in its pool between two."""
+"""A connection to an upstream: it carries one request at a time, and is idle in its pool in between."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from loadbalancer.net.sockets import peek_socket, set_no_delay
 from loadbalancer.net.upstream_response import RESPONSE_ERRORS, ResponseReader
 
-# A response of unknown length is buffered for so long before its first bytes are passed on.
+# A response of unknown length is buffered for at most this long before it is streamed.
 MAX_RESPONSE_BUFFERING_S = 0.05
 
 
 class ConnectionUser(Protocol):
-    """The attempt that a connection carries the request of."""
+    """The attempt that uses a connection."""
 
     def on_request_written(self) -> None:
-        """Handle that the last byte of the request has left."""
+        """Handle that the last byte of the request was sent."""
 
     def on_progress(self) -> None:
-        """Note that bytes have moved one way or the other."""
+        """Record that bytes were sent or received."""
 
     def is_streaming(self) -> bool:
         """Return whether the response is being streamed."""
 
     def start_streaming(self, reader: ResponseReader) -> None:
-        """Let the client have a long response as it comes."""
+        """Stream a long response to the client."""
 
     def stream(self, data: bytes) -> None:
-        """Send a part of the response on."""
+        """Forward a part of the response."""
 
     def on_response_completed(self, reader: ResponseReader) -> None:
         """Handle a complete response."""
 
     def on_connection_failed(self) -> None:
-        """Handle that the connection ended, or carried what can't be passed on."""
+        """Handle that the connection closed or delivered an invalid response."""
 
 
 class ConnectionOwner(Protocol):
@@ -67,7 +67,7 @@
         self._unsent = BufferReservation(self._budget)  # of the request, in the transport's buffer
         self._unread = BufferReservation(self._budget)  # of the response, in the reader
         self._attempt: ConnectionUser | None = None
-        self._body: Body | None = None  # that is streamed behind the head
+        self._body: Body | None = None  # if it is streamed after the head
         self._transport: asyncio.Transport | None = None
         self._reader: ResponseReader | None = None
         self._streaming_timer: asyncio.TimerHandle | None = None
@@ -78,7 +78,7 @@
         self._is_closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Have writes reported exactly: any byte that stays in our buffer pauses writing."""
+        """Set the buffer limits to 0, so that any byte left in our buffer pauses writing."""
         self._transport = cast(asyncio.Transport, transport)
         set_no_delay(transport)
         self._transport.set_write_buffer_limits(high=0, low=0)
@@ -86,7 +86,7 @@
     # ---- the request ------------------------------------------------------------------------
 
     def send_request(self, attempt: ConnectionUser, request: bytes, body: Body | None) -> None:
-        """Send a request, with the body behind it if that is still coming, and wait for its response."""
+        """Send a request, followed by its body if that is still arriving, and wait for the response."""
         assert self._transport is not None
         self._attempt = attempt
         self._body = body
@@ -116,17 +116,17 @@
         self._check_written()
 
     def is_ready(self) -> bool:
-        """Return whether more of the body should come now."""
+        """Return whether more of the body can be written now."""
         return not self._is_writing_paused
 
     def pause_writing(self) -> None:
-        """Note that bytes are still in our buffer."""
+        """Handle that bytes are left in our buffer."""
         assert self._transport is not None
         self._is_writing_paused = True
         self._unsent.resize(self._transport.get_write_buffer_size())
 
     def resume_writing(self) -> None:
-        """Go on: the last byte has left our buffer."""
+        """Go on: our buffer is empty."""
         self._is_writing_paused = False
         self._unsent.resize(0)
         if self._attempt is None:
@@ -144,23 +144,23 @@
             self._attempt.on_request_written()
 
     def is_written(self) -> bool:
-        """Return whether the last byte of the request has left."""
+        """Return whether the last byte of the request was sent."""
         return self._is_written
 
     def is_alive(self) -> bool:
-        """Return whether the socket is open and silent: its end may have come since the loop last read."""
+        """Return whether the socket is open and has nothing to read; the loop may not know of its end yet."""
         if self._is_closed or self._transport is None or self._transport.is_closing():
             return False
-        return peek_socket(self._transport) is None  # neither the end, nor bytes that nobody asked for
+        return peek_socket(self._transport) is None  # neither end of file nor unsolicited bytes
 
     # ---- the response -----------------------------------------------------------------------
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return where to read to."""
+        """Return the buffer to read into."""
         return self._budget.receive_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Read on; anything that is no proper response ends the connection."""
+        """Parse received bytes; anything but a valid response fails the attempt or closes the connection."""
         attempt, reader = self._attempt, self._reader
         if attempt is None or reader is None:
             self.close()
@@ -174,14 +174,14 @@
         self._handle_response(attempt, reader)
 
     def _handle_response(self, attempt: ConnectionUser, reader: ResponseReader) -> None:
-        """Do with a response what can be done as far as it has come."""
+        """Stream, buffer or complete a response, as far as it has arrived."""
         if attempt.is_streaming():
             attempt.stream(reader.take_body())
         elif not reader.is_complete and reader.has_head:
             size_bytes = max(reader.buffered_bytes, reader.length or 0)
             if reader.status != 200:
                 if size_bytes > MAX_BUFFERED_BODY_BYTES:
-                    attempt.on_response_completed(reader)  # nobody needs the rest of it
+                    attempt.on_response_completed(reader)  # the rest of it is not needed
                     return
             elif size_bytes > MAX_BUFFERED_BODY_BYTES or (reader.buffered_bytes and self._budget.is_full()):
                 attempt.start_streaming(reader)
@@ -213,7 +213,7 @@
             self._transport.resume_reading()
 
     def eof_received(self) -> None:
-        """Take the upstream's end, which may end its response; the transport closes by itself."""
+        """Handle the upstream's end of file, which may end its response; the transport then closes itself."""
         if self._attempt is not None and self._reader is not None:
             if self._reader.feed_eof():
                 self._handle_response(self._attempt, self._reader)
@@ -221,13 +221,13 @@
                 self._attempt.on_connection_failed()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Count as closed, and notify the attempt that was out."""
+        """Count as closed, and notify the attempt in progress."""
         self._mark_closed()
         if self._attempt is not None:
             self._attempt.on_connection_failed()
 
     def release(self, *, reuse: bool) -> None:
-        """End the attempt: keep the connection if `reuse` and its end was clean, else close it."""
+        """Detach the attempt; return the connection to its pool if `reuse` and it is clean, else close it."""
         self._attempt = None
         if self._body is not None and not self._body.is_complete:
             self._body.discard()
@@ -244,7 +244,7 @@
             self.close()
 
     def close(self) -> None:
-        """Close at once, for the upstream to notice."""
+        """Close at once, so that the upstream notices."""
         self._mark_closed()
         if self._transport is not None:
             self._transport.abort()
--- a/loadbalancer/net/upstream_pool.py
+++ b/loadbalancer/net/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Pools of upstream connections: one a server that the endpoint list names, and a bound over all of them."""
+"""Pools of upstream connections: one for each listed server, with a limit on all connections together."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from loadbalancer.net.upstream_attempt import Attempt, AttemptHandler
 from loadbalancer.net.upstream_connection import UpstreamConnection
 
-# Of the upstream's idle limit: a request that crosses its closing would end as a reset.
+# Of the upstream's idle timeout: a request that is sent while the upstream closes would be reset.
 IDLE_LIMIT_FRACTION = 0.8
-# After a response, until the next request on its connection: second answers were seen up to 4 ms late.
+# From a response to the next request on its connection: stray second responses came up to 4 ms late.
 REUSE_DELAY_S = 0.006
-# Of the drain grace: the list's update may have waited in our buffer before it was read.
+# Of the drain grace: the list update may have waited in our buffer before it was read.
 DRAIN_GRACE_FRACTION = 0.5
 
 
 class ConnectionPool:
-    """The connections to one server at one address since one start."""
+    """The connections to one server at one address, until it restarts."""
 
     def __init__(self, pools: UpstreamPools, server: str, address: Address, started_at_ms: float) -> None:
         self.loop = pools.loop
@@ -34,19 +34,19 @@
         self.server = server
         self.address = address
         self.started_at_ms = started_at_ms
-        self.idle_connections: list[UpstreamConnection] = []  # the newest last
+        self.idle_connections: list[UpstreamConnection] = []  # the longest idle first
         self.draining_since_s: float | None = None
-        self.is_current = True  # whether the list still names this server, address and start
+        self.is_current = True  # whether the list still has this server, address and start time
 
     def can_start_attempt(self) -> bool:
-        """Return whether list, cordons and drain grace allow a request whose connection came up only now."""
+        """Return whether list, cordons and drain grace allow a request on a connection just established."""
         if not self.is_current or self.server in self._pools.cordoned:
             return False
         grace_s = DRAIN_GRACE_FRACTION * self._pools.config.drain_grace_ms / 1000
         return self.draining_since_s is None or time.monotonic() < self.draining_since_s + grace_s
 
     def take_idle(self) -> UpstreamConnection | None:
-        """Take the newest idle connection that is alive and has rested; close the dead ones before it."""
+        """Take the latest idle connection that is alive and past the reuse delay, closing unusable ones."""
         index = bisect_right(self.idle_connections, time.monotonic() - REUSE_DELAY_S, key=_idle_since_s)
         while index:
             index -= 1
@@ -61,7 +61,7 @@
         return UpstreamConnection(self) if self._pools.ensure_capacity() else None
 
     async def connect(self, connection: UpstreamConnection) -> None:
-        """Open a connection; one that does not come up is closed. Raises OSError."""
+        """Open a connection; close it and raise OSError if that fails."""
         try:
             await self._pools.loop.create_connection(lambda: connection, *self.address)
         except BaseException:
@@ -69,7 +69,7 @@
             raise
 
     def return_idle(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for the next request, unless the server has changed meanwhile."""
+        """Keep a connection for the next request, unless its server has changed, drains or is cordoned."""
         if not self.is_current or self.draining_since_s is not None or self.server in self._pools.cordoned:
             connection.close()
             return
@@ -77,19 +77,19 @@
         self.idle_connections.append(connection)
 
     def start_draining(self) -> None:
-        """Start no attempt once the drain grace is over, and keep no idle connection; no-op if it drains."""
+        """Start no attempt after the drain grace, and keep no idle connection; no-op while draining."""
         if self.draining_since_s is None:
             self.draining_since_s = time.monotonic()
             self.close_idle()
 
     def retire(self) -> None:
-        """Start no attempt any more: the list names this server, address or start no longer."""
+        """Start no further attempt: the list no longer has this server, address or start time."""
         self.is_current = False
         self.draining_since_s = self.draining_since_s or time.monotonic()
         self.close_idle()
 
     def on_connection_opened(self) -> None:
-        """Count a connection, from the start of its handshake on."""
+        """Count a connection, before its handshake begins."""
         self._pools.open_connections += 1
 
     def on_connection_closed(self, connection: UpstreamConnection) -> None:
@@ -105,7 +105,7 @@
 
 
 class UpstreamPools:
-    """The pools of all servers that the endpoint list names."""
+    """The pools of all servers on the endpoint list."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, buffers: BufferBudget) -> None:
         self.config = config
@@ -114,11 +114,11 @@
         self.max_idle_s = IDLE_LIMIT_FRACTION * config.idle_timeout_ms / 1000
         self.open_connections = 0
         self.max_connections = max_connections_per_side(config.max_sockets)
-        self.cordoned: set[str] = set()  # by operators: nothing begins there
+        self.cordoned: set[str] = set()  # by operators: no attempt may start there
         self._pools: dict[str, ConnectionPool] = {}
 
     def update_endpoints(self, update: EndpointList) -> None:
-        """Follow the list: a server that is removed, moved or restarted loses its connections."""
+        """Apply a list update: a server that is removed, moved or restarted loses its pool."""
         if update.is_full_snapshot:
             for server in self._pools.keys() - {e.endpoint.server for e in update.endpoints}:
                 self._remove(server)
@@ -134,7 +134,7 @@
                 pool.start_draining()
 
     def _pool_of(self, addressed: AddressedEndpoint) -> ConnectionPool:
-        """Return the pool of a server, a new one if it is new, or at another address, or started anew."""
+        """Return the pool of a server; a new pool if the server is new, has moved or has restarted."""
         endpoint = addressed.endpoint
         pool = self._pools.get(endpoint.server)
         if pool and (pool.address, pool.started_at_ms) != (addressed.address, endpoint.started_at_ms):
@@ -158,7 +158,7 @@
         write_within_s: float = math.inf,
         connect_within_s: float = math.inf,
     ) -> Attempt | None:
-        """Start an attempt, or return None for a server that no list names any more; see `Attempt.start`."""
+        """Start an attempt, or return None if the server is no longer listed; see `Attempt.start`."""
         pool = self._pools.get(server)
         if pool is None:
             return None
@@ -167,7 +167,7 @@
         return attempt
 
     def cordon(self, server: str) -> None:
-        """Begin nothing at a server from now on, not even on connections that are coming up."""
+        """Start no attempt at a server from now on, not even on connections being established."""
         self.cordoned.add(server)
         self.close_idle(server)
 
@@ -177,7 +177,7 @@
             pool.close_idle()
 
     def ensure_capacity(self) -> bool:
-        """Return whether one more connection may be opened, closing the longest idle one if need be."""
+        """Return whether a connection may be opened, after closing the longest idle one if necessary."""
         if self.open_connections < self.max_connections:
             return True
         longest_idle = (p.idle_connections[0] for p in self._pools.values() if p.idle_connections)
@@ -187,7 +187,7 @@
         return oldest is not None
 
     def close_expired(self) -> None:
-        """Close what has been idle for too long, before the upstreams do."""
+        """Close connections that were idle for too long, before their upstreams do."""
         idle_limit_s = time.monotonic() - self.max_idle_s
         for pool in self._pools.values():
             while pool.idle_connections and pool.idle_connections[0].idle_since_s < idle_limit_s:
--- a/loadbalancer/net/upstream_response.py
+++ b/loadbalancer/net/upstream_response.py
@@ -1,4 +1,4 @@
-"""Reading an upstream's responses from the bytes of its connection, each body part by part."""
+"""Parsing of an upstream's responses from the bytes of its connection, with incremental bodies."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 )
 
 RESPONSE_ERRORS = (httptools.HttpParserError, httptools.HttpParserUpgrade, FramingError)
-"""What a reader raises on bytes that are no proper response."""
+"""What a reader raises on an invalid response."""
 
 
 class UpstreamResponse:
-    """A response: complete, or its head alone where the body is streamed."""
+    """A complete response, or its head and what has arrived of a body that is streamed."""
 
     __slots__ = ("body", "headers", "length", "status")
 
     def __init__(self, status: int, headers: Headers, length: int | None, body: bytes = b"") -> None:
-        """`length` is None where the head does not tell it."""
+        """Create a response; `length` is None if the head does not give it."""
         self.status = status
         self.headers = headers
         self.length = length
@@ -33,9 +33,9 @@
 
 
 class ResponseReader:
-    """Reads one response after another from the bytes of a connection; takes each body out part by part.
+    """Parses the successive responses of a connection, with incremental access to each body.
 
-    Call `feed` with what comes and `feed_eof` at the end of the connection, then look at `has_head` and
+    Call `feed` with received bytes and `feed_eof` at the end of the connection, then check `has_head` and
     `is_complete`; call `reset` before the next response.
     """
 
@@ -44,21 +44,21 @@
         self.reset()
 
     def reset(self) -> None:
-        """Wait for the next response."""
+        """Prepare for the next response."""
         self.is_reusable = False  # whether the connection may carry a further request
         self.has_head = False
         self.is_complete = False
         self.status = 0
         self.length: int | None = LENGTH_NOT_GIVEN  # None for a chunked body
-        self.buffered_bytes = 0  # of the body: what has come and was not taken
+        self.buffered_bytes = 0  # of the body: received and not taken yet
         self._headers: Headers = []
         self._parts: list[bytes] = []
-        self._raw_head_bytes = 0  # as they were fed
-        self._header_bytes = 0  # of names and values, with the overhead of each
+        self._raw_head_bytes = 0  # as fed to the parser
+        self._header_bytes = 0  # names and values, plus a fixed overhead for each header
         self._body_bytes = 0
 
     def feed(self, data: bytes | memoryview) -> bool:
-        """Take bytes; return whether the response is complete. Raises one of `RESPONSE_ERRORS`."""
+        """Parse bytes; return whether the response is complete. Raises one of `RESPONSE_ERRORS`."""
         if not self.has_head and self._raw_head_bytes > MAX_HEAD_BYTES:
             raise MessageTooLargeError("headers too large")
         try:
@@ -70,19 +70,19 @@
         return self.is_complete
 
     def feed_eof(self) -> bool:
-        """Take the end of the connection; return whether that was the proper end of the response."""
+        """Handle the end of the connection; return whether it completed the response."""
         if self.has_head and not self.is_complete and self.length == LENGTH_NOT_GIVEN:
             self.is_complete = True
             return True
         return False
 
     def response(self) -> UpstreamResponse:
-        """Return the response as far as it has come, and take its body."""
+        """Return the response as far as it has arrived, and take its body."""
         length = None if self.length == LENGTH_NOT_GIVEN else self.length
         return UpstreamResponse(self.status, self._headers, length, self.take_body())
 
     def take_body(self) -> bytes:
-        """Return the part of the body that has come since it was last taken."""
+        """Return the part of the body that has arrived since the last call."""
         data = self._parts[0] if len(self._parts) == 1 else b"".join(self._parts)
         self._parts = []
         self.buffered_bytes = 0
@@ -91,7 +91,7 @@
     # ---- the parser's callbacks -----------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Forget an interim response; what comes behind a complete one is for no request of ours."""
+        """Discard an interim response; a message after a complete one answers none of our requests."""
         if self.is_complete:
             self.is_reusable = False
         else:
@@ -107,7 +107,7 @@
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Take the head; an interim one (100 and the like) is dropped."""
+        """Store the head; that of an interim response (status below 200) is dropped."""
         status = self._parser.get_status_code()
         if self.is_complete or status < 200:
             return
@@ -115,7 +115,7 @@
         self.status = status
         self.length = body_length(self._headers)
         if (self.length or 0) > MAX_BODY_BYTES:
-            raise MessageTooLargeError(f"a body of {self.length} bytes")
+            raise MessageTooLargeError(f"body of {self.length} bytes is too large")
 
     def on_body(self, data: bytes) -> None:
         """Keep a part of the body until it is taken."""
@@ -124,11 +124,11 @@
             self.buffered_bytes += len(data)
             self._body_bytes += len(data)
             if self._body_bytes > MAX_BODY_BYTES:
-                raise MessageTooLargeError(f"a body of over {MAX_BODY_BYTES} bytes")
+                raise MessageTooLargeError(f"body exceeds {MAX_BODY_BYTES} bytes")
 
     def on_message_complete(self) -> None:
         """Mark the response complete."""
         if self.has_head and not self.is_complete:
-            # Asked here and not later: the parser forgets its flags once the message is over.
+            # Queried here, since the parser resets its flags after the message.
             self.is_reusable = self._parser.should_keep_alive()
             self.is_complete = True
--- a/tests/test_metrics_and_log.py
+++ b/tests/test_metrics_and_log.py
@@ -68,12 +68,12 @@
     monkeypatch.setattr("loadbalancer.net.log.time.monotonic", lambda: now)
     seen: list[str] = []
     bounded_log = log.Log("n1", lambda name, event, text, fields: seen.append(event))
-    for _ in range(log.MAX_LINES_PER_SPAN + 7):
+    for _ in range(log.MAX_LINES_PER_INTERVAL + 7):
         bounded_log.event("noise", "once more")
-    assert seen == ["noise"] * log.MAX_LINES_PER_SPAN and bounded_log.dropped_lines == 7
-    now += log.SPAN_S
+    assert seen == ["noise"] * log.MAX_LINES_PER_INTERVAL and bounded_log.dropped_lines == 7
+    now += log.INTERVAL_S
     bounded_log.event("later", "again")
-    assert seen[log.MAX_LINES_PER_SPAN :] == ["lines_dropped", "later"] and bounded_log.dropped_lines == 7
+    assert seen[log.MAX_LINES_PER_INTERVAL :] == ["lines_dropped", "later"] and bounded_log.dropped_lines == 7
 
 
 def test_log_line_is_text_or_json_with_its_fields(capsys: pytest.CaptureFixture[str]) -> None:
