--- a/loadbalancer/net/config_reader.py
+++ b/loadbalancer/net/config_reader.py
@@ -123,7 +123,7 @@
     others = tuple(parse_address(address) for address in table.get("others") or ())
     own = parse_address(raw["discovery"])
     if len({own, *others}) < 1 + len(others):
-        raise ValueError("lists.others: an instance stands twice, or is the one in `discovery`")
+        raise ValueError("lists.others: an instance is listed twice, or is the one in `discovery`")
     tier = str(table.get("tier") or "")
     services = _decode_services(table)
     subset_size = int(table.get("part") or 0)
--- a/tests/test_instance_selection.py
+++ b/tests/test_instance_selection.py
@@ -134,7 +134,7 @@
     assert len(configuration.validation_errors(bad)) == 3
     twice = json.loads(config_text("127.0.0.1:9", entries, lists={"others": ["127.0.0.1:9"]}))
     assert configuration.validation_errors(twice) == [
-        "lists.others: an instance stands twice, or is the one in `discovery`"
+        "lists.others: an instance is listed twice, or is the one in `discovery`"
     ]
 
 
