--- a/tests/test_instance_selection.py
+++ b/tests/test_instance_selection.py
@@ -134,14 +134,14 @@
     assert len(configuration.validation_errors(bad)) == 3
     twice = json.loads(config_text("127.0.0.1:9", entries, lists={"others": ["127.0.0.1:9"]}))
     assert configuration.validation_errors(twice) == [
-        "lists.others: an instance stands twice, or is the one in `discovery`"
+        "lists.others: an instance is listed twice, or is the one in `discovery`"
     ]
 
 
 def test_a_server_that_is_silent_for_long_costs_ever_fewer_cross_checks() -> None:
     """Each of its balancers read another instance's full list every second or two."""
     watch = Watch(
-        (A, B), balancer_index=0, balancer_count=2, drain_grace_ms=3_000, is_own_service=True, seed=1, index=7
+        (A, B), balancer_index=0, balancer_count=2, drain_grace_ms=3_000, is_self_hosted=True, seed=1, index=7
     )
 
     def count_cross_checks(first_s: int, last_s: int, is_contradicted: bool) -> int:
