--- a/loadbalancer/interface.py
+++ b/loadbalancer/interface.py
@@ -14,7 +14,7 @@
 
 
 class Idempotency(enum.Enum):
-    """Say whether a request of a class may run more than once (RFC 9110, section 9.2.2)."""
+    """Whether a request of a class may run more than once (RFC 9110, section 9.2.2)."""
 
     IDEMPOTENT = "safe"
     WITH_KEY = "keyed"
@@ -22,7 +22,7 @@
 
 
 class DeduplicationScope(enum.Enum):
-    """Name the servers among which a repeated idempotency key is recognized and the repeat dropped."""
+    """Servers among which a repeated idempotency key is recognized and the duplicate dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -38,7 +38,7 @@
 
 
 class UpdateKind(enum.Enum):
-    """Say what an endpoint list update carries; a failed one carries nothing."""
+    """Content of an endpoint list update; a failed one has none."""
 
     DELTA = "delta"
     FULL_SNAPSHOT = "full"
@@ -65,11 +65,11 @@
 
 
 LIST_RETRY_MEAN_BACKOFF_MS = 25.0
-"""Mean backoff after a failed list request, for each balancer of a tier: after an outage all retry."""
+"""Mean backoff after a failed list request, per balancer of a tier, since all retry after an outage."""
 LIST_RETRY_JITTER = 0.5
 """Fraction by which a backoff is randomly shorter or longer, so that balancers do not retry in step."""
 DEFAULT_LIST_RETRY_WITHIN_MS = 2_750.0
-"""Time to the next list request after a failure, unless the host knows better (`endpoint_watch.budget`)."""
+"""Time limit for retrying a failed list request, unless the host sets one (`endpoint_watch.time_budget`)."""
 
 
 def _require(condition: bool, name: str, value: object, expected: str) -> None:
@@ -81,7 +81,7 @@
 class RequestClass:
     """One class of requests: its latency objective, deadline, weight and idempotency.
 
-    Raises ValueError if a figure is out of range.
+    Raises ValueError if a value is out of range.
     """
 
     name: str
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One customer and its quota in requests a second over all balancers.
+    """One customer and its quota in requests per second over all balancers.
 
     Raises ValueError if the name is empty or the quota negative.
     """
@@ -133,16 +133,16 @@
 class Settings:
     """Configuration of one balancer process; permissions are off unless the platform grants them.
 
-    Raises ValueError if a figure is out of range.
+    Raises ValueError if a value is out of range.
     """
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     balancer_count: int = 1
     balancer_index: int = 0
-    """Index of this balancer among them, from 0."""
+    """Index of this balancer, from 0 to `balancer_count` - 1."""
     tier: int = 0
-    """0 at the edge; 1 and more for tiers that are called by another tier."""
+    """0 at the edge; 1 or more for tiers that are called by another tier."""
     zone: str = ""
     polls_endpoint_list: bool = False
     suspect_stale_fraction: float = 1.0
@@ -186,7 +186,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One server as the endpoint list describes it; `started_at_ms` is 0 when it started long ago."""
+    """One server as the endpoint list describes it; `started_at_ms` is 0 if it started long ago."""
 
     server: str
     readiness: Readiness = Readiness.READY
@@ -208,9 +208,9 @@
     is_rolled_back: bool = False
     """Whether the service has gone back to an older revision."""
     suspected_stale: frozenset[str] = frozenset()
-    """Endpoints that a full snapshot omits and that stay until they prove dead: see `Balancer.validate`."""
+    """Endpoints that a full snapshot omits and that stay until proven dead: see `Balancer.validate`."""
     retry_within_ms: float = DEFAULT_LIST_RETRY_WITHIN_MS
-    """For a failed update: the next list request is due within this, so that changes arrive in time."""
+    """For a failed update: time limit for the next list request, so that changes arrive in time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -237,7 +237,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed response is being forwarded: its deadline no longer applies, and no retry can help."""
+    """A streamed response is being forwarded: its deadline no longer applies, and it is not retried."""
 
     request_id: int
     attempt_index: int
@@ -245,7 +245,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has ended; `is_final` says that its response was the request's final one."""
+    """An attempt has ended; `is_final` means that its response was the request's final one."""
 
     request_id: int
     attempt_index: int
@@ -284,12 +284,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CordonChanged:
-    """Operators have cordoned a server, which no list update lifts, or have uncordoned it."""
+    """Operators have cordoned or uncordoned a server; list updates do not lift a cordon."""
 
     server: str
     is_cordoned: bool
     returned_at_ms: float = 0.0
-    """When it was uncordoned: it counts as started no earlier, since it is restarted while cordoned."""
+    """When it was uncordoned: it counts as started then or later, since it is restarted while cordoned."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -337,7 +337,7 @@
     server: str
     timeout_ms: float
     write_within_ms: float = math.inf
-    """Its last byte must be written within this, or never: a later attempt might run twice."""
+    """Time limit for writing its last byte: written later, the request might run twice."""
     connect_within_ms: float = math.inf
     """Limit on establishing a new connection; past it the attempt ends as `CONNECT_FAILED`."""
 
@@ -367,7 +367,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Request a `TimerExpired` at a time of the clock; the token contains no spaces."""
+    """Request a `TimerExpired` event at `at_ms`; the token contains no spaces."""
 
     at_ms: float
     token: str
@@ -420,13 +420,13 @@
     """What one process has learned about one server."""
 
     started_at_ms: float
-    """Unix time at which the server started: evidence about an earlier incarnation is void."""
+    """Unix time at which the server started: evidence about an earlier incarnation is invalid."""
     served_calls: float
     """Calls served, decayed over time."""
     in_flight_ms: float
-    """Time that our calls spent in flight there, decayed over time."""
+    """Time that its calls spent in flight there, decayed over time."""
     slow_start_sends: tuple[float, ...] = ()
-    """When attempts were sent to it while it was warming up."""
+    """Times at which attempts were sent to it while it was warming up."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -449,9 +449,9 @@
     latencies: Mapping[str, float]
     """By class: smoothed latency in milliseconds."""
     uncongested_latencies: Mapping[str, float]
-    """By class: latency in milliseconds when no server is crowded."""
+    """By class: latency in milliseconds when no server is congested."""
     peak_rates: Mapping[str, float]
-    """By zone: the highest rate at which a unit of registered capacity served us, in calls a millisecond."""
+    """By zone: the peak rate at which a unit of registered capacity served it, in calls per millisecond."""
     overload: OverloadEvidence
     median_capacity: float
     recent_requests: float
--- a/loadbalancer/policy/__init__.py
+++ b/loadbalancer/policy/__init__.py
@@ -1,7 +1,7 @@
-"""Decide everything that the balancer decides; the boundary's types are in `loadbalancer.interface`.
+"""Make the balancer's decisions; the types of events and actions are in `loadbalancer.interface`.
 
-`balancer.Balancer` takes one event at a time and returns the actions to carry out. No module here does I/O,
-or has a clock or randomness but what it is given. By subject:
+`balancer.Balancer` takes one event at a time and returns the actions to carry out. No module here does
+I/O; time and randomness are passed in. By subject:
 
 - the life of a request: `request_lifecycle`, `requests`, `admission`, `wait_queue`; its attempts: `attempts`,
   `retries`, `hedging`, `deduplication`, `outcomes`, `timers`
@@ -9,7 +9,7 @@
   `zones`
 - endpoint membership: `endpoint_membership`, `endpoints`, `ready_servers`, `list_validation`, `list_backoff`
 - what is learned: `estimates`, `servers`, `capacity_estimates`, `latency_estimates`, `overload`,
-  `idle_connections`; its hand-over on a hot restart: `learned_state`
+  `idle_connections`; its transfer on a hot restart: `learned_state`
 """
 
 from loadbalancer.policy.balancer import Balancer
--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -9,16 +9,16 @@
 from loadbalancer.policy.requests import Request
 
 QUOTA_BURST_MS = 2_000.0
-"""A tenant may use this much of its quota at once."""
+"""A tenant may use the quota of this much time at once."""
 
 
 class Admission:
-    """Sheds load by priority weight: of the offered work a fraction is admitted, the highest weight first."""
+    """Sheds load by priority weight: admits a fraction of the offered work, the highest weight first."""
 
-    def __init__(self, latencies: LatencyEstimates, chance: random.Random) -> None:
+    def __init__(self, latencies: LatencyEstimates, rng: random.Random) -> None:
         self._latencies = latencies
-        self._random = chance
-        self._offered_ms: dict[float, float] = {}  # by priority weight: smoothed work
+        self._random = rng
+        self._offered_ms: dict[float, float] = {}  # smoothed work, by priority weight
 
     def admits(self, request: Request, admitted_fraction: float) -> bool:
         """Return whether a request is admitted, by its effective priority weight."""
@@ -42,14 +42,14 @@
     def effective_weight(
         self, event: interface.RequestArrived, request_class: interface.RequestClass, now: float
     ) -> float:
-        """Charge a request to its tenant, and return its priority weight: little if over quota."""
+        """Charge a request to its tenant, and return its priority weight: reduced if over quota."""
         factor = self._over_quota_weight_factor if self.charge(event, now) else 1.0
         return request_class.priority_weight * factor
 
     def charge(self, event: interface.RequestArrived, now: float) -> bool:
         """Charge a request to its tenant, and return whether that is over its quota.
 
-        A client's retry is not charged: it is the same request, counted before.
+        A client's retry is not charged: it is the same request, which was charged before.
         """
         tenant = event.tenant or ""
         rate = self._rates.get(tenant)
--- a/loadbalancer/policy/attempts.py
+++ b/loadbalancer/policy/attempts.py
@@ -19,7 +19,7 @@
 class AttemptSender:
     """Sends attempts within the limits on their number, their time and the retry budget.
 
-    Its actions go to the list that it is given.
+    It appends its actions to the list that it is given.
     """
 
     def __init__(
@@ -76,12 +76,12 @@
         self.retry_budget.withdraw(cost)
         return True
 
-    def cancel_in_flight(self, request: Request, spared: Attempt | None = None) -> None:
-        """Cancel the attempts that are in flight, but for one, where the platform permits it."""
+    def cancel_in_flight(self, request: Request, kept: Attempt | None = None) -> None:
+        """Cancel the attempts in flight except `kept`, where the platform permits it."""
         if not self._settings.may_cancel:
             return
         for index, attempt in enumerate(request.attempts):
-            if attempt.is_in_flight and attempt is not spared:
+            if attempt.is_in_flight and attempt is not kept:
                 self._actions.append(interface.CancelAttempt(request.id, index))
 
     def _reusable_idle_ms(self, server: Server, request: Request, now: float) -> float:
@@ -97,7 +97,7 @@
         return idle_ms
 
     def _hedge_or_shorten(self, request: Request, timeout_ms: float, now: float) -> float:
-        """Set the timer of a hedged request, or where none is permitted, time out in time for a retry."""
+        """Set the hedge timer, or if hedging is not permitted, return a timeout that allows for a retry."""
         latency_ms = self._latencies.smoothed_ms[request.request_class.name]
         delay_ms = hedge_delay_ms(request, latency_ms, timeout_ms)
         if not delay_ms:
@@ -108,7 +108,7 @@
         return timeout_ms
 
     def _connect_within_ms(self, server: Server, request: Request) -> float:
-        """Return the limit on a new connection; infinite where a late one would help nobody.
+        """Return the limit on a new connection; infinite where giving up early does not help.
 
         That is on the last attempt, and at a suspected server, which a late connection would count against.
         """
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -1,4 +1,4 @@
-"""Dispatch events to the parts that decide, and answer what a host asks about them."""
+"""Dispatch events to the objects that make the decisions, and answer a host's queries."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 class Balancer:
     """The decisions of one balancer instance: pass it events in order, carry out the actions it returns.
 
-    It does no I/O, and has no clock and no randomness but those it is given. Times are milliseconds on one
-    clock that never goes backwards.
+    It does no I/O; time and randomness are passed in. Times are milliseconds on one clock that never goes
+    backwards.
     """
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
-        chance = random.Random(seed)
-        self._actions: list[interface.Action] = []  # shared with the parts that append to it
+        rng = random.Random(seed)
+        self._actions: list[interface.Action] = []  # shared with the objects that append to it
         if settings.polls_endpoint_list:
             self._actions.append(interface.WatchEndpointList())
-        self._endpoints = EndpointSet(settings, chance)
-        self._estimates = Estimates(settings, chance)
+        self._endpoints = EndpointSet(settings, rng)
+        self._estimates = Estimates(settings, rng)
         self._zones = ZoneEvacuations()
         self._limits = ConcurrencyLimits(settings)
         self._selector = ServerSelector(
-            settings, self._endpoints, self._zones, self._limits, self._estimates, chance
+            settings, self._endpoints, self._zones, self._limits, self._estimates, rng
         )
         self._membership = EndpointMembership(
             self._endpoints, self._estimates.slow_start, self._limits, self._selector
@@ -49,14 +49,14 @@
             self._membership,
             AttemptSender(settings, self._endpoints, self._estimates, self._selector, self._actions),
             OutcomeRecorder(self._endpoints, self._estimates, self._selector),
-            chance,
+            rng,
             self._actions,
         )
 
     def handle(self, event: interface.Event, now: float) -> list[interface.Action]:
-        """Take one event at time `now` (ms), and return what to do, in order.
+        """Handle one event at time `now` (ms), and return the actions to carry out, in order.
 
-        Raises ValueError for an event that cannot be: a request that has arrived before or is of an unknown
+        Raises ValueError for an impossible event: a request that has arrived before or is of an unknown
         class, or an attempt that was never made.
         """
         try:
@@ -66,11 +66,11 @@
             self._actions.clear()
 
     def validate(self, event: interface.EndpointListUpdate) -> interface.EndpointListUpdate:
-        """Return the update to pass to `handle`, and to follow on sockets, in place of a received one."""
+        """Return the update to pass to `handle`, and to apply to connections, in place of a received one."""
         return self._endpoints.validate(event)
 
     def suspected_stale_servers(self) -> list[str]:
-        """Return the servers in use that a list has omitted and that have not proved dead."""
+        """Return the servers in use that a list has omitted and that are not proven dead."""
         return self._endpoints.suspected_stale_servers()
 
     def excluded_servers(self, now: float) -> list[str]:
@@ -108,7 +108,7 @@
         return export_learned_state(self._endpoints, self._estimates, now)
 
     def restore(self, state: interface.LearnedState, now: float, age_ms: float = 0.0) -> None:
-        """Go on with what another process had learned `age_ms` ago."""
+        """Restore what another process had learned `age_ms` ago."""
         restore_learned_state(state, self._endpoints, self._estimates, now, age_ms)
 
     def _dispatch(self, event: interface.Event, now: float) -> None:
@@ -131,7 +131,7 @@
                 self._zones.apply(event)
             case interface.TakeoverChanged():
                 self._selector.is_taken_over = event.is_taken_over
-                # The process that works on counts the requests from now on.
+                # The process that stays in service counts the requests from now on.
                 self._estimates.slow_start.reset_recent_requests(now)
             case interface.ClientDisconnected():
                 self._requests.handle_disconnect(event)
--- a/loadbalancer/policy/hedging.py
+++ b/loadbalancer/policy/hedging.py
@@ -6,16 +6,16 @@
 from loadbalancer.policy.requests import Request
 
 MAX_HEDGE_DELAY_LATENCIES = 4.0
-"""A hedged request is sent after this many usual latencies at the most."""
+"""A hedged request is sent after at most this many usual latencies."""
 MIN_HEDGE_DELAY_LATENCIES = 2.5
-"""None is sent where it would go out before this many usual latencies: a usual response is waited for."""
+"""No hedged request is sent before this many usual latencies: a usual response is awaited."""
 
 
 def hedge_delay_ms(request: Request, latency_ms: float, timeout_ms: float) -> float:
     """Return after how many milliseconds a first attempt is hedged; 0 for never.
 
     A hedged request guards against silent and slow servers and dropped connections, whatever the cause. It
-    adds to congestion: so a usual response is waited for, and none is sent too late to be of use.
+    adds to congestion, so a usual response is awaited first, and none is sent too late to be of use.
     """
     if request.request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
         return 0.0
--- a/loadbalancer/policy/learned_state.py
+++ b/loadbalancer/policy/learned_state.py
@@ -1,4 +1,4 @@
-"""Hand over what one process has learned to the process that takes over from it."""
+"""Transfer what one process has learned to the process that takes over from it."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def restore_learned_state(
     state: LearnedState, endpoints: EndpointSet, estimates: Estimates, now: float, age_ms: float
 ) -> None:
-    """Go on with what another process had learned `age_ms` ago; the evidence decays by that time.
+    """Restore what another process had learned `age_ms` ago; the evidence decays by that time.
 
     Evidence about servers that are unknown, or that have restarted since, is dropped.
     """
--- a/loadbalancer/policy/limits.py
+++ b/loadbalancer/policy/limits.py
@@ -15,7 +15,7 @@
 
 
 class ConcurrencyLimits:
-    """This balancer's part of the concurrency limit of each first-tier server.
+    """This balancer's share of the concurrency limit of each first-tier server.
 
     It prevents congestion: a server with far more calls than cores turns slow, and stays so until it is idle.
     Inner tiers have no limit: other tiers have already worked on their calls, which a rejection would waste.
@@ -31,11 +31,11 @@
 
     @property
     def calls_per_capacity_unit(self) -> float:
-        """How many ordinary calls we may have in flight at a server, per unit of its capacity."""
+        """How many ordinary calls may be in flight from here at a server, per unit of its capacity."""
         return ORDINARY_FRACTION * CALLS_PER_CAPACITY_UNIT / self._balancers_per_server
 
     def update(self, ready: int, subset_size: int, total_capacity: float) -> None:
-        """Take our part for a number of ready servers, of which each balancer uses a subset."""
+        """Update this balancer's share for the ready servers, of which each balancer uses a subset."""
         self._balancers_per_server = max(self._balancer_count * subset_size / max(ready, 1), 1.0)
         self.max_waiting = math.ceil(CALLS_PER_CAPACITY_UNIT * total_capacity / self._balancer_count)
 
@@ -47,9 +47,9 @@
         return server.in_flight < self._limit(server, fraction)
 
     def _limit(self, server: Server, fraction: float) -> int:
-        """Return our part of a fraction of a server's limit: at least one call.
+        """Return this balancer's share of a fraction of a server's limit: at least one call.
 
         The random rank rounds it, up for some balancers and down for others, so that their sum is the limit.
         """
-        part = fraction * CALLS_PER_CAPACITY_UNIT * server.registered_capacity / self._balancers_per_server
-        return max(math.floor(part + server.rank), 1)
+        share = fraction * CALLS_PER_CAPACITY_UNIT * server.registered_capacity / self._balancers_per_server
+        return max(math.floor(share + server.rank), 1)
--- a/loadbalancer/policy/outcomes.py
+++ b/loadbalancer/policy/outcomes.py
@@ -15,7 +15,7 @@
 
 
 class OutcomeRecorder:
-    """Turns what becomes of attempts into evidence."""
+    """Updates the estimates with the outcomes of attempts."""
 
     def __init__(self, endpoints: EndpointSet, estimates: Estimates, selector: ServerSelector) -> None:
         self._endpoints = endpoints
@@ -48,7 +48,7 @@
         self._endpoints.forget_if_unused(server)
         self._selector.record_call_ended(server, now)
 
-    def record_overtaken(self, request: Request) -> None:
+    def record_superseded(self, request: Request) -> None:
         """Count the attempts still in flight as silent: another one has served the request."""
         for attempt in request.attempts:
             if attempt.is_in_flight:
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -10,15 +10,15 @@
 from loadbalancer.policy.requests import Request
 
 UPDATE_INTERVAL_MS = 20.0
-"""The level is computed anew at most this often, which only saves work."""
+"""Interval between computations of the admitted fraction, only to save work."""
 PRIOR_RESPONSES = 2.0
-"""Responses' worth of belief that all is well, so that one late response sheds nothing."""
+"""Timely responses that are assumed beforehand, so that one late response sheds nothing."""
 MAX_LATENESS_ALL_ADMITTED = 0.17
-"""Mean lateness (a square) up to which everything is admitted."""
+"""Mean lateness (which is squared) up to which everything is admitted."""
 MIN_LATENESS_LEAST_ADMITTED = 0.34
-"""Mean lateness from which on as little as possible is admitted."""
+"""Mean lateness from which on only the minimum is admitted."""
 MIN_ADMITTED_FRACTION = 0.05
-"""Fraction that is admitted whatever happens, so that a recovery is seen."""
+"""Fraction that is always admitted, so that a recovery is noticed."""
 
 
 class OverloadLevel:
@@ -38,7 +38,7 @@
         self._computed_at_ms = -math.inf
 
     def record(self, lateness: float, weight: float, now: float) -> None:
-        """Count how late a response was, and how much of a response it is."""
+        """Count how late a response was, with its weight."""
         decay = math.exp((self._updated_at_ms - now) / OVERLOAD_DECAY_MS)
         self._updated_at_ms = now
         self._responses = self._responses * decay + weight
--- a/loadbalancer/policy/request_lifecycle.py
+++ b/loadbalancer/policy/request_lifecycle.py
@@ -20,13 +20,13 @@
 RETRY_AFTER_OBJECTIVE_FRACTION = 0.1
 """Retry-After of a rejection, as a fraction of the latency objective, so that the retry can still meet it."""
 SHEDDING_LOG_INTERVAL_MS = 6_000.0
-"""A line is logged only if nothing was shed for this long."""
+"""Rejections are logged only if there were none for this long."""
 OVERLOAD_TEXT = "responses are late: shedding load, lowest priority weight first"
 NO_CAPACITY_TEXT = "no server can accept a call: rejecting requests"
 
 
 class RequestLifecycle:
-    """Owns the open requests and the queue of those that wait; its actions go to the list it is given."""
+    """Owns the open requests and the wait queue; appends its actions to the list it is given."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         membership: EndpointMembership,
         sender: AttemptSender,
         recorder: OutcomeRecorder,
-        chance: random.Random,
+        rng: random.Random,
         actions: list[interface.Action],
     ) -> None:
         self._settings = settings
@@ -48,7 +48,7 @@
         self._recorder = recorder
         self._actions = actions
         self._quotas = TenantQuotas(settings)
-        self._admission = Admission(estimates.latencies, chance)
+        self._admission = Admission(estimates.latencies, rng)
         self._shedding_until_ms = -math.inf
         self.open_requests: dict[int, Request] = {}
         self.wait_queue = WaitQueue()
@@ -68,7 +68,7 @@
             self._wait(request, now)
 
     def handle_completion(self, event: interface.RequestCompleted, now: float) -> None:
-        """Let a request's times run from now on, since its body is complete."""
+        """Restart a request's clock, since its body is complete."""
         request = self.open_requests.get(event.request_id)
         if request is not None:
             request.restart_clock(now)
@@ -80,10 +80,10 @@
         request.is_streaming = True
         if attempt.is_in_flight:
             self._recorder.record(attempt, Outcome.SERVED, request, now)
-        self._sender.cancel_in_flight(request, spared=attempt)
+        self._sender.cancel_in_flight(request, kept=attempt)
 
     def handle_attempt_end(self, event: interface.AttemptEnded, now: float) -> None:
-        """Count the outcome; if a response is still due, retry or give the request up."""
+        """Record the outcome; if a response is still due, retry or give up."""
         request, attempt = self._attempt_of(event)
         if not attempt.is_in_flight:
             return
@@ -94,11 +94,11 @@
             self.release_waiting(now)
         if event.is_final:
             request.is_response_due = False
-            self._recorder.record_overtaken(request)
+            self._recorder.record_superseded(request)
             self._sender.cancel_in_flight(request)
         elif request.is_response_due and not request.has_attempt_in_flight():
             self._retry_or_give_up(request, now, is_body_discarded=event.is_body_discarded)
-        self._close_if_over(request)
+        self._close_if_done(request)
         self.release_waiting(now)
 
     def handle_disconnect(self, event: interface.ClientDisconnected) -> None:
@@ -108,7 +108,7 @@
             self.wait_queue.discard(request)
             request.is_response_due = False
             self._sender.cancel_in_flight(request)
-            self._close_if_over(request)
+            self._close_if_done(request)
 
     def handle_timer(self, timer: RequestTimer, now: float) -> None:
         """Reject a request that has waited too long, or hedge one whose response is overdue."""
@@ -122,7 +122,7 @@
             self._sender.retry_if_possible(request, now)
 
     def release_waiting(self, now: float) -> None:
-        """Send the requests that wait, in their order, as far as there is capacity."""
+        """Send waiting requests in queue order while there is capacity."""
         while (first := self.wait_queue.first()) and self._sender.send_if_possible(first, now):
             self.wait_queue.discard(first)
 
@@ -148,9 +148,8 @@
     def _wait(self, request: Request, now: float) -> None:
         """Queue a request until a server has capacity, and reject the last one if too many wait.
 
-        A wait guards against bursts, and against clients that retry at once and meet the same full servers.
-        It makes responses late: so it takes a small part of the objective, and never half of the client's
-        time.
+        Waiting absorbs bursts, and saves clients from retrying at once at the same full servers. It delays
+        responses, so it takes a small part of the objective and less than half of the client's time.
         """
         if request.max_wait_ms <= self._settings.tick_ms:
             self._reject_unsent(request, NO_CAPACITY_TEXT, now)
@@ -163,13 +162,13 @@
             self._actions.append(interface.SetTimer(now + request.max_wait_ms, wait_token(request.id)))
 
     def _can_hedge(self, request: Request, now: float) -> bool:
-        """Return whether a second attempt is due, and nothing else needs the capacity more."""
+        """Return whether a second attempt is due, and no other request needs the capacity."""
         if not request.is_response_due or len(request.attempts) != 1 or self.wait_queue:
             return False
         return self.admitted_fraction(now) >= 1
 
     def _reject_unsent(self, request: Request, reason: str, now: float) -> None:
-        """Reject a request that was never sent; log one line for a whole spell of it."""
+        """Reject a request that was never sent; log one line for consecutive rejections."""
         self.wait_queue.discard(request)
         if now > self._shedding_until_ms:
             self._actions.append(interface.LogMessage(reason))
@@ -190,9 +189,9 @@
             self._actions.append(interface.Reject(request.id, retry_after_ms))
         else:
             self._actions.append(interface.Fail(request.id))
-        self._close_if_over(request)
+        self._close_if_done(request)
 
-    def _close_if_over(self, request: Request) -> None:
+    def _close_if_done(self, request: Request) -> None:
         if not request.is_response_due and not request.has_attempt_in_flight():
             self.open_requests.pop(request.id, None)
 
--- a/loadbalancer/policy/requests.py
+++ b/loadbalancer/policy/requests.py
@@ -1,4 +1,4 @@
-"""Keep the open requests: those that still need a response or have attempts in flight."""
+"""State of open requests, which need a response or have attempts in flight, and of their attempts."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
         self.request_class = request_class
         self.arrived_at_ms = now
         self.useful_until_ms = now + event.remaining_ms
-        """Until when a response is of any value."""
+        """When a response stops being of any value."""
         if not request_class.late_value_fraction:
             self.useful_until_ms = min(self.useful_until_ms, now + request_class.latency_objective_ms)
         self.attempts: list[Attempt] = []
@@ -77,7 +77,7 @@
             MAX_WAIT_REMAINING_FRACTION * event.remaining_ms,
         )
         self.relative_work = 1.0
-        """Its expected work over the average, where the client gives it."""
+        """Its expected work relative to the average, where the client states it."""
 
     @property
     def work_factor(self) -> float:
@@ -100,7 +100,7 @@
 
     def has_attempt_in_flight(self) -> bool:
         """Return whether an attempt has no outcome yet."""
-        # `any` would make a generator several times for each decision.
+        # `any` would create a generator several times per decision.
         for attempt in self.attempts:  # noqa: SIM110
             if attempt.is_in_flight:
                 return True
@@ -108,7 +108,7 @@
 
     def may_have_run(self) -> bool:
         """Return whether a server may have executed an attempt of it."""
-        # `any` would make a generator several times for each decision.
+        # `any` would create a generator several times per decision.
         for attempt in self.attempts:  # noqa: SIM110
             if attempt.may_have_run:
                 return True
--- a/loadbalancer/policy/retries.py
+++ b/loadbalancer/policy/retries.py
@@ -1,4 +1,4 @@
-"""Ration retries and hedged requests to a fraction of the first attempts."""
+"""Limit retries and hedged requests to a fraction of the first attempts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 RETRIES_PER_REQUEST = 0.2
 """Retries that each request adds to the budget."""
 MAX_SAVED_RETRIES = 10.0
-"""Retries that the budget saves up for a burst of failures."""
+"""Retries that the budget accumulates for a burst of failures."""
 
 
 class RetryBudget:
@@ -17,7 +17,7 @@
         self._balance = MAX_SAVED_RETRIES
 
     def deposit(self) -> None:
-        """Add the part of a retry that a new request allows."""
+        """Add the fraction of a retry that a new request allows."""
         self._balance = min(MAX_SAVED_RETRIES, self._balance + RETRIES_PER_REQUEST)
 
     def cost(self, request: Request) -> float:
--- a/loadbalancer/policy/timers.py
+++ b/loadbalancer/policy/timers.py
@@ -1,4 +1,4 @@
-"""Write and read the tokens of timers, by which an expired timer says what it was for."""
+"""Format and parse the tokens of timers, which tell what an expired timer was set for."""
 
 from __future__ import annotations
 
--- a/loadbalancer/simhost.py
+++ b/loadbalancer/simhost.py
@@ -1,4 +1,4 @@
-"""Runs balancers on the simulator's wire: reads batches, keeps instances apart, answers each batch."""
+"""Run balancers in the simulator: read batches of events, dispatch them to instances, write the replies."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     """The instances of one process, and the endpoint lists that are sent once for all of them."""
 
     def __init__(self, errors: TextIO) -> None:
-        """Create a host that writes complaints and notes to `errors`."""
+        """Create a host that writes error messages and notes to `errors`."""
         self._errors = errors
         self._written_notes: set[str] = set()
         self._balancers: dict[str, Balancer | None] = {}  # None for one that has failed
@@ -34,17 +34,17 @@
                     target.write("\n".join(self._answer_batch(lines)) + "\n")
                     target.flush()
         except (wire.WireError, UnicodeDecodeError) as error:
-            self._complain(str(error))
+            self._report_error(str(error))
             return 1
         except BrokenPipeError:
             return 1
         return 0
 
-    def _complain(self, reason: str) -> None:
+    def _report_error(self, reason: str) -> None:
         print(f"loadbalancer: batch {self._batch}, line {self._line[:200]!r}: {reason}", file=self._errors)
 
     def _note(self, text: str) -> None:
-        """Write a line once, however often its cause is met."""
+        """Write a note, unless it has been written before."""
         if text not in self._written_notes:
             self._written_notes.add(text)
             print(f"loadbalancer: {text}", file=self._errors)
@@ -78,7 +78,7 @@
         for _ in range(wire.read_integer(fields, "membersList")):
             kind, *parts = self._next_line(lines)
             if kind != "m":
-                raise wire.WireError("the entries of a ledger are cut short")
+                raise wire.WireError("a ledger has fewer entries than 'membersList' says")
             endpoints.append(wire.read_endpoint(wire.read_fields(parts)))
         self._ledgers[wire.read_integer(fields, "list")] = tuple(endpoints)
 
@@ -121,7 +121,7 @@
         except Exception as error:  # reported on the wire, so that the failure is seen where it happened
             traceback.print_exc(file=self._errors)
             self._balancers[instance] = None
-            reply.append(wire.write_fault(instance, error))
+            reply.append(wire.write_failure(instance, error))
 
 
 def main() -> int:
--- a/loadbalancer/wire.py
+++ b/loadbalancer/wire.py
@@ -1,4 +1,4 @@
-"""The codec between the simulator's lines and the types of `loadbalancer.interface`; it decides nothing."""
+"""Convert between the lines of the simulator's protocol and the types of `loadbalancer.interface`."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 Fields = dict[str, str]
 Note = Callable[[str], None]
-"""Takes a line on something unknown that is passed over."""
+"""Takes a message about unknown input that is ignored."""
 Value = TypeVar("Value")
 
 _OUTCOMES = {
@@ -92,7 +92,7 @@
 
 
 class WireError(ValueError):
-    """A line is not allowed on the wire; the text says why."""
+    """A line violates the simulator's protocol; the text says how."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,7 +149,7 @@
     except ValueError:
         value = math.nan
     if not math.isfinite(value):
-        raise WireError(f"field {name!r} holds {text!r}, which is no number")
+        raise WireError(f"field {name!r} holds {text!r}, which is not a finite number")
     return value
 
 
@@ -159,7 +159,7 @@
     try:
         return int(text)
     except ValueError as error:
-        raise WireError(f"field {name!r} holds {text!r}, which is no whole number") from error
+        raise WireError(f"field {name!r} holds {text!r}, which is not an integer") from error
 
 
 def _read_flag(fields: Fields, name: str) -> bool:
@@ -175,7 +175,7 @@
     except ValueError:
         report = (math.nan,)
     if not all(map(math.isfinite, report)):
-        raise WireError(f"field 'gauge' holds {text!r}, which is no row of numbers")
+        raise WireError(f"field 'gauge' holds {text!r}, which is not a list of finite numbers")
     return report
 
 
@@ -184,20 +184,20 @@
     try:
         return values[text]
     except KeyError as error:
-        raise WireError(f"field {name!r} holds {text!r}, which has no meaning there") from error
+        raise WireError(f"field {name!r} holds {text!r}, which is not a known value") from error
 
 
 def _read_outcome(fields: Fields, note: Note) -> Outcome:
     code = read_text(fields, "verdict")
     outcome = _OUTCOMES.get(code)
     if outcome is None:
-        note(f"outcome code {code!r} is unknown; taken as one that may have run")
+        note(f"outcome code {code!r} is unknown; assuming that the attempt may have run")
         return Outcome.UNKNOWN
     return outcome
 
 
 def read_endpoint(fields: Fields) -> Endpoint:
-    """Return one entry of a ledger."""
+    """Return the endpoint of one entry of a ledger."""
     return Endpoint(
         server=read_text(fields, "upstream"),
         readiness=_read_enum(_READINESS, fields, "readiness"),
@@ -208,56 +208,56 @@
     )
 
 
-def _read_class(facts: Fields, prefix: str) -> RequestClass:
+def _read_class(fields: Fields, prefix: str) -> RequestClass:
     return RequestClass(
-        name=read_text(facts, prefix + "name"),
-        latency_objective_ms=read_number(facts, prefix + "target"),
-        deadline_ms=read_number(facts, prefix + "deadline"),
-        idempotency=_read_enum(_IDEMPOTENCIES, facts, prefix + "effect"),
+        name=read_text(fields, prefix + "name"),
+        latency_objective_ms=read_number(fields, prefix + "target"),
+        deadline_ms=read_number(fields, prefix + "deadline"),
+        idempotency=_read_enum(_IDEMPOTENCIES, fields, prefix + "effect"),
         deduplication_scope=_DEDUPLICATION_SCOPES.get(
-            facts.get(prefix + "keyScope", "all"), DeduplicationScope.CELL
+            fields.get(prefix + "keyScope", "all"), DeduplicationScope.CELL
         ),
-        deduplication_window_ms=read_number(facts, prefix + "repeatWindow", 0.0),
-        priority_weight=read_number(facts, prefix + "worth", 1.0),
-        late_value_fraction=read_number(facts, prefix + "lateShare", 0.0),
-        is_streaming=_read_flag(facts, prefix + "stream"),
+        deduplication_window_ms=read_number(fields, prefix + "repeatWindow", 0.0),
+        priority_weight=read_number(fields, prefix + "worth", 1.0),
+        late_value_fraction=read_number(fields, prefix + "lateShare", 0.0),
+        is_streaming=_read_flag(fields, prefix + "stream"),
     )
 
 
-def read_settings(facts: Fields, note: Note) -> Settings:
-    """Return the settings that come with the start of an instance; those that are unknown are noted."""
-    for name in facts:
+def read_settings(fields: Fields, note: Note) -> Settings:
+    """Return the settings from the start event of an instance; unknown ones are noted and ignored."""
+    for name in fields:
         if _ARRAY_INDEX.sub(".", name) not in _KNOWN_SETTINGS:
             note(f"setting {name!r} is unknown and ignored")
-    classes = [_read_class(facts, f"classes.{i}.") for i in range(read_integer(facts, "classes.count"))]
+    classes = [_read_class(fields, f"classes.{i}.") for i in range(read_integer(fields, "classes.count"))]
     tenants = [
-        Tenant(read_text(facts, f"orgs.{i}.name"), read_number(facts, f"orgs.{i}.quotaPerS"))
-        for i in range(int(read_number(facts, "orgs.count", 0.0)))
+        Tenant(read_text(fields, f"orgs.{i}.name"), read_number(fields, f"orgs.{i}.quotaPerS"))
+        for i in range(int(read_number(fields, "orgs.count", 0.0)))
     ]
     retry_after = (
-        read_number(facts, "limits.maxRetryAfter", 0.0) if _read_flag(facts, "limits.retryAfter") else 0.0
+        read_number(fields, "limits.maxRetryAfter", 0.0) if _read_flag(fields, "limits.retryAfter") else 0.0
     )
     return Settings(
         classes=tuple(classes),
         tenants=tuple(tenants),
-        balancer_count=int(read_number(facts, "balancers", 1.0)),
-        balancer_index=int(read_number(facts, "myNumber", 0.0)),
-        tier=int(read_number(facts, "tier", 0.0)),
-        zone=facts.get("zone", ""),
-        polls_endpoint_list=facts.get("discovery") == "ask",
-        poll_interval_ms=read_number(facts, "contract.askWithin", 10_000.0),
-        max_attempts=int(read_number(facts, "limits.attemptsCap", 1.0)),
-        may_cancel=_read_flag(facts, "limits.mayCancel"),
-        may_hedge=_read_flag(facts, "limits.mayDuplicate"),
-        may_health_check=_read_flag(facts, "limits.probes"),
+        balancer_count=int(read_number(fields, "balancers", 1.0)),
+        balancer_index=int(read_number(fields, "myNumber", 0.0)),
+        tier=int(read_number(fields, "tier", 0.0)),
+        zone=fields.get("zone", ""),
+        polls_endpoint_list=fields.get("discovery") == "ask",
+        poll_interval_ms=read_number(fields, "contract.askWithin", 10_000.0),
+        max_attempts=int(read_number(fields, "limits.attemptsCap", 1.0)),
+        may_cancel=_read_flag(fields, "limits.mayCancel"),
+        may_hedge=_read_flag(fields, "limits.mayDuplicate"),
+        may_health_check=_read_flag(fields, "limits.probes"),
         max_retry_after_ms=retry_after,
-        slow_start_ms=read_number(facts, "contract.cold", 0.0),
-        slow_start_initial_fraction=read_number(facts, "contract.coldFrom", 1.0),
-        slow_start_overload_factor=read_number(facts, "contract.overloadFactor", 1.0),
-        slow_start_window_ms=read_number(facts, "contract.tipAfter", 1_000.0),
-        over_quota_weight_factor=read_number(facts, "overShareWorth", 1.0),
-        tick_ms=read_number(facts, "tick", 1.0),
-        load_report_fields=tuple(f for f in facts.get("telemetry.fields", "").split(",") if f),
+        slow_start_ms=read_number(fields, "contract.cold", 0.0),
+        slow_start_initial_fraction=read_number(fields, "contract.coldFrom", 1.0),
+        slow_start_overload_factor=read_number(fields, "contract.overloadFactor", 1.0),
+        slow_start_window_ms=read_number(fields, "contract.tipAfter", 1_000.0),
+        over_quota_weight_factor=read_number(fields, "overShareWorth", 1.0),
+        tick_ms=read_number(fields, "tick", 1.0),
+        load_report_fields=tuple(f for f in fields.get("telemetry.fields", "").split(",") if f),
     )
 
 
@@ -308,16 +308,16 @@
 
 
 def _read_instance_started(fields: Fields, note: Note) -> InstanceStarted:
-    facts = {name: value for name, value in fields.items() if name not in ("who", "prng")}
-    return InstanceStarted(read_integer(fields, "prng"), read_settings(facts, note))
+    settings = {name: value for name, value in fields.items() if name not in ("who", "prng")}
+    return InstanceStarted(read_integer(fields, "prng"), read_settings(settings, note))
 
 
 def _read_instance_killed(fields: Fields, note: Note) -> InstanceKilled:
     return InstanceKilled()
 
 
-def _pass_over(fields: Fields, note: Note) -> None:
-    """Read an event that is of no use to a balancer."""
+def _ignore_event(fields: Fields, note: Note) -> None:
+    """Ignore an event that a balancer does not need."""
 
 
 _EVENT_READERS: dict[str, Callable[[Fields, Note], HostEvent | None]] = {
@@ -330,12 +330,12 @@
     "membership": _read_endpoint_list_notice,
     "up": _read_instance_started,
     "killed": _read_instance_killed,
-    "note_from": _pass_over,
+    "note_from": _ignore_event,
 }
 
 
 def read_event(kind: str, fields: Fields, note: Note) -> HostEvent | None:
-    """Return the event of one line, or None for a kind that is unknown or of no use to a balancer."""
+    """Return the event of one line, or None for a kind that is unknown or that a balancer does not need."""
     reader = _EVENT_READERS.get(kind)
     if reader is None:
         note(f"event {kind!r} is unknown and ignored")
@@ -348,32 +348,32 @@
     return EndpointListUpdate(notice.kind, endpoints)
 
 
-def write_action(who: str, action: Action) -> str:
-    """Return one action as a line of the reply."""
+def write_action(instance: str, action: Action) -> str:
+    """Return the reply line of one action."""
     match action:
         case SendAttempt(request, server, timeout):
-            return f"send who={who} corr={request} upstream={server} timeout={timeout:.3f}"
+            return f"send who={instance} corr={request} upstream={server} timeout={timeout:.3f}"
         case SetTimer(at, token):
-            return f"remind who={who} moment={at:.3f} ctx={token}"
+            return f"remind who={instance} moment={at:.3f} ctx={token}"
         case Reject(request, after):
-            return f"reject who={who} corr={request} stayAway={after:.3f}"
+            return f"reject who={instance} corr={request} stayAway={after:.3f}"
         case Fail(request):
-            return f"abort who={who} corr={request}"
+            return f"abort who={instance} corr={request}"
         case CancelAttempt(request, attempt):
-            return f"cancel who={who} corr={request} shot={attempt}"
+            return f"cancel who={instance} corr={request} shot={attempt}"
         case SendHealthCheck(server):
-            return f"sound_out who={who} upstream={server}"
+            return f"sound_out who={instance} upstream={server}"
         case CloseIdleConnections(server):
-            return f"close_idle who={who} upstream={server}"
+            return f"close_idle who={instance} upstream={server}"
         case WatchEndpointList():
-            return f"follow who={who} enable=1"
+            return f"follow who={instance} enable=1"
         case LogMessage(text):
-            return f"say_log who={who} bodyText={_join_lines(text)}"
+            return f"say_log who={instance} bodyText={_join_lines(text)}"
 
 
-def write_fault(who: str, error: BaseException) -> str:
-    """Return the line that reports a failure of an instance's decision code."""
-    return f"give_in who={who} bodyText={_join_lines(f'{type(error).__name__}: {error}')}"
+def write_failure(instance: str, error: BaseException) -> str:
+    """Return the reply line that reports an exception in an instance's decision code."""
+    return f"give_in who={instance} bodyText={_join_lines(f'{type(error).__name__}: {error}')}"
 
 
 def _join_lines(text: str) -> str:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec of the simulator's wire and its host, on lines written here."""
+"""The codec and the host of the simulator's wire."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     return f"up who={who} prng={seed} {SETTINGS}\n"
 
 
-def first_batch(who: int = 1) -> str:
+def start_batch(who: int = 1) -> str:
     notice = f"membership who={who} generation=1 mode=0 list=3\n"
     return f"sync time=100.0 batch=1\n{start_line(who)}{LEDGER}{notice}eob\n"
 
@@ -77,7 +77,7 @@
 
 def test_request_is_sent_and_every_batch_is_answered() -> None:
     status, out, _ = run_host(
-        first_batch() + "\nsync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
+        start_batch() + "\nsync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
     )
     assert status == 0
     lines = out.split("\n")
@@ -87,7 +87,7 @@
 
 
 def test_unknown_events_and_settings_are_noted_once_and_ignored() -> None:
-    text = first_batch().replace("tick=5.0", "tick=5.0 moon.phase=3")
+    text = start_batch().replace("tick=5.0", "tick=5.0 moon.phase=3")
     text += "sync time=110.0 batch=2\nfrobnicate who=1\nfrobnicate who=1\neob\n"
     status, out, err = run_host(text)
     assert status == 0 and out.endswith("yield batch=2\n")
@@ -98,14 +98,17 @@
     ("bad", "reason"),
     [
         ("knock who=1 corr=9 grade=read", "'remaining' is missing"),
-        ("knock who=1 corr=x remaining=9 grade=read", "no whole number"),
-        ("knock who=1 corr=9 remaining=soon grade=read", "no number"),
-        ("knock who=1 corr=9 remaining=nan grade=read", "'nan', which is no number"),
-        ("verdict who=1 corr=9 shot=0 upstream=u1 verdict=1 gauge=1,inf", "'1,inf', which is no row"),
+        ("knock who=1 corr=x remaining=9 grade=read", "is not an integer"),
+        ("knock who=1 corr=9 remaining=soon grade=read", "is not a finite number"),
+        ("knock who=1 corr=9 remaining=nan grade=read", "'nan', which is not a finite number"),
+        (
+            "verdict who=1 corr=9 shot=0 upstream=u1 verdict=1 gauge=1,inf",
+            "'1,inf', which is not a list of finite numbers",
+        ),
         ("membership who=1 generation=2 mode=8 list=3", "'mode' holds '8'"),
         ("knock who=5 corr=9 remaining=9.0 grade=read", "instance '5' is unknown"),
         ("membership who=1 generation=2 mode=2 list=9", "ledger 9 was never sent"),
-        ("ledger list=1 membersList=2\nm upstream=u1 readiness=1", "cut short"),
+        ("ledger list=1 membersList=2\nm upstream=u1 readiness=1", "fewer entries"),
         ("knock who=1 corr", "not name=value"),
         (
             start_line(2).strip().replace("classes.0.target=900.0", "classes.0.target=-1"),
@@ -114,19 +117,19 @@
     ],
 )
 def test_malformed_line_is_named_in_one_message(bad: str, reason: str) -> None:
-    status, _, err = run_host(first_batch() + f"sync time=110.0 batch=2\n{bad}\neob\n")
+    status, _, err = run_host(start_batch() + f"sync time=110.0 batch=2\n{bad}\neob\n")
     assert status == 1
     assert reason in err and "batch 2" in err and err.count("\n") == 1
 
 
 def test_input_may_end_between_batches_but_not_inside_one() -> None:
-    assert run_host(first_batch())[0] == 0
-    status, _, err = run_host(first_batch() + "sync time=110.0 batch=2\n")
+    assert run_host(start_batch())[0] == 0
+    status, _, err = run_host(start_batch() + "sync time=110.0 batch=2\n")
     assert status == 1 and "inside a batch" in err
 
 
 def test_failure_is_reported_for_its_instance_only() -> None:
-    text = "sync time=90.0 batch=0\n" + start_line(2) + "eob\n" + first_batch(1)
+    text = "sync time=90.0 batch=0\n" + start_line(2) + "eob\n" + start_batch(1)
     text += "sync time=110.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=nosuch\n"
     text += "knock who=2 corr=9 remaining=900.0 grade=read\neob\n"
     status, out, err = run_host(text)
@@ -135,7 +138,7 @@
 
 
 def test_unknown_outcome_counts_as_one_that_may_have_run() -> None:
-    unsafe = first_batch().replace("retryable", "fragile")
+    unsafe = start_batch().replace("retryable", "fragile")
     text = unsafe + "sync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
     text += "sync time=110.0 batch=3\nverdict who=1 corr=9 shot=0 upstream=u1 verdict=42 timeTaken=5.0\neob\n"
     status, out, err = run_host(text)
@@ -144,17 +147,17 @@
 
 
 def test_every_setting_of_the_wire_is_known() -> None:
-    facts = (
+    fields = (
         "classes.0.aimStretch=2 goal.logLossPart=0.4 goal.fullAtNines=3 goal.punctual=0.2 goal.tailMiss=0.02 "
         "limits.connIdle=30000.0 limits.streamsPerConn=1 familyInfo.passesDeadline=true prices.waste=0.02 "
         "worthBy=work weights=nominal myNumber=0 contract.drainGrace=2000.0 contract.graceToAnswer=8.0"
     )
-    status, _, err = run_host(first_batch().replace("tick=5.0", f"tick=5.0 {facts}"))
+    status, _, err = run_host(start_batch().replace("tick=5.0", f"tick=5.0 {fields}"))
     assert status == 0 and err == ""
 
 
 def replies_of(instances: list[int], hash_seed: str) -> str:
-    """The replies of a process that hosts these instances, apart from the batch lines."""
+    """Return the output of a process that hosts these instances."""
     text = "".join(["sync time=100.0 batch=1\n", LEDGER, *(start_line(i, 11 + i) for i in instances)])
     text += "".join(f"membership who={i} generation=1 mode=0 list=3\n" for i in instances) + "eob\n"
     for n in range(40):
@@ -176,6 +179,6 @@
     together = replies_of([1, 2], "1")
     assert together == replies_of([1, 2], "2")
     for who in (1, 2):
-        mine = [line for line in together.split("\n") if f"who={who} " in line]
+        hosted_together = [line for line in together.split("\n") if f"who={who} " in line]
         alone = [line for line in replies_of([who], "3").split("\n") if f"who={who} " in line]
-        assert mine == alone and mine
+        assert hosted_together == alone and hosted_together
