--- a/loadbalancer/wire.py
+++ b/loadbalancer/wire.py
@@ -208,56 +208,56 @@
     )
 
 
-def _read_class(fields: Fields, prefix: str) -> RequestClass:
+def _read_class(raw: Fields, prefix: str) -> RequestClass:
     return RequestClass(
-        name=read_text(fields, prefix + "name"),
-        latency_objective_ms=read_number(fields, prefix + "target"),
-        deadline_ms=read_number(fields, prefix + "deadline"),
-        idempotency=_read_enum(_IDEMPOTENCIES, fields, prefix + "effect"),
+        name=read_text(raw, prefix + "name"),
+        latency_objective_ms=read_number(raw, prefix + "target"),
+        deadline_ms=read_number(raw, prefix + "deadline"),
+        idempotency=_read_enum(_IDEMPOTENCIES, raw, prefix + "effect"),
         deduplication_scope=_DEDUPLICATION_SCOPES.get(
-            fields.get(prefix + "keyScope", "all"), DeduplicationScope.CELL
+            raw.get(prefix + "keyScope", "all"), DeduplicationScope.CELL
         ),
-        deduplication_window_ms=read_number(fields, prefix + "repeatWindow", 0.0),
-        priority_weight=read_number(fields, prefix + "worth", 1.0),
-        late_value_fraction=read_number(fields, prefix + "lateShare", 0.0),
-        is_streaming=_read_flag(fields, prefix + "stream"),
+        deduplication_window_ms=read_number(raw, prefix + "repeatWindow", 0.0),
+        priority_weight=read_number(raw, prefix + "worth", 1.0),
+        late_value_fraction=read_number(raw, prefix + "lateShare", 0.0),
+        is_streaming=_read_flag(raw, prefix + "stream"),
     )
 
 
-def read_settings(fields: Fields, note: Note) -> Settings:
+def read_settings(raw: Fields, note: Note) -> Settings:
     """Return the settings from the start event of an instance; unknown ones are noted and ignored."""
-    for name in fields:
+    for name in raw:
         if _ARRAY_INDEX.sub(".", name) not in _KNOWN_SETTINGS:
             note(f"setting {name!r} is unknown and ignored")
-    classes = [_read_class(fields, f"classes.{i}.") for i in range(read_integer(fields, "classes.count"))]
+    classes = [_read_class(raw, f"classes.{i}.") for i in range(read_integer(raw, "classes.count"))]
     tenants = [
-        Tenant(read_text(fields, f"orgs.{i}.name"), read_number(fields, f"orgs.{i}.quotaPerS"))
-        for i in range(int(read_number(fields, "orgs.count", 0.0)))
+        Tenant(read_text(raw, f"orgs.{i}.name"), read_number(raw, f"orgs.{i}.quotaPerS"))
+        for i in range(int(read_number(raw, "orgs.count", 0.0)))
     ]
     retry_after = (
-        read_number(fields, "limits.maxRetryAfter", 0.0) if _read_flag(fields, "limits.retryAfter") else 0.0
+        read_number(raw, "limits.maxRetryAfter", 0.0) if _read_flag(raw, "limits.retryAfter") else 0.0
     )
     return Settings(
         classes=tuple(classes),
         tenants=tuple(tenants),
-        balancer_count=int(read_number(fields, "balancers", 1.0)),
-        balancer_index=int(read_number(fields, "myNumber", 0.0)),
-        tier=int(read_number(fields, "tier", 0.0)),
-        zone=fields.get("zone", ""),
-        polls_endpoint_list=fields.get("discovery") == "ask",
-        poll_interval_ms=read_number(fields, "contract.askWithin", 10_000.0),
-        max_attempts=int(read_number(fields, "limits.attemptsCap", 1.0)),
-        may_cancel=_read_flag(fields, "limits.mayCancel"),
-        may_hedge=_read_flag(fields, "limits.mayDuplicate"),
-        may_health_check=_read_flag(fields, "limits.probes"),
+        balancer_count=int(read_number(raw, "balancers", 1.0)),
+        balancer_index=int(read_number(raw, "myNumber", 0.0)),
+        tier=int(read_number(raw, "tier", 0.0)),
+        zone=raw.get("zone", ""),
+        polls_endpoint_list=raw.get("discovery") == "ask",
+        poll_interval_ms=read_number(raw, "contract.askWithin", 10_000.0),
+        max_attempts=int(read_number(raw, "limits.attemptsCap", 1.0)),
+        may_cancel=_read_flag(raw, "limits.mayCancel"),
+        may_hedge=_read_flag(raw, "limits.mayDuplicate"),
+        may_health_check=_read_flag(raw, "limits.probes"),
         max_retry_after_ms=retry_after,
-        slow_start_ms=read_number(fields, "contract.cold", 0.0),
-        slow_start_initial_fraction=read_number(fields, "contract.coldFrom", 1.0),
-        slow_start_overload_factor=read_number(fields, "contract.overloadFactor", 1.0),
-        slow_start_window_ms=read_number(fields, "contract.tipAfter", 1_000.0),
-        over_quota_weight_factor=read_number(fields, "overShareWorth", 1.0),
-        tick_ms=read_number(fields, "tick", 1.0),
-        load_report_fields=tuple(f for f in fields.get("telemetry.fields", "").split(",") if f),
+        slow_start_ms=read_number(raw, "contract.cold", 0.0),
+        slow_start_initial_fraction=read_number(raw, "contract.coldFrom", 1.0),
+        slow_start_overload_factor=read_number(raw, "contract.overloadFactor", 1.0),
+        slow_start_window_ms=read_number(raw, "contract.tipAfter", 1_000.0),
+        over_quota_weight_factor=read_number(raw, "overShareWorth", 1.0),
+        tick_ms=read_number(raw, "tick", 1.0),
+        load_report_fields=tuple(f for f in raw.get("telemetry.fields", "").split(",") if f),
     )
 
 
@@ -308,8 +308,8 @@
 
 
 def _read_instance_started(fields: Fields, note: Note) -> InstanceStarted:
-    settings = {name: value for name, value in fields.items() if name not in ("who", "prng")}
-    return InstanceStarted(read_integer(fields, "prng"), read_settings(settings, note))
+    raw = {name: value for name, value in fields.items() if name not in ("who", "prng")}
+    return InstanceStarted(read_integer(fields, "prng"), read_settings(raw, note))
 
 
 def _read_instance_killed(fields: Fields, note: Note) -> InstanceKilled:
