--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Share settings, endpoints and a small host of the decision module among tests."""
+"""Settings, endpoints and a minimal host of the decision module, for tests."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 READ = RequestClass("read", 1_000, 3_000, Idempotency.IDEMPOTENT)
 ORDER = RequestClass("order", 1_000, 3_000, Idempotency.WITH_KEY, DeduplicationScope.CELL, 2_000)
-ANYWHERE = RequestClass("anywhere", 1_000, 3_000, Idempotency.WITH_KEY, DeduplicationScope.ALL, 2_000)
-ZONAL = RequestClass("zonal", 1_000, 3_000, Idempotency.WITH_KEY, DeduplicationScope.ZONE, 2_000)
-# A window says nothing for a class that must not run twice, but settings may give one.
+KEYED_ANYWHERE = RequestClass("anywhere", 1_000, 3_000, Idempotency.WITH_KEY, DeduplicationScope.ALL, 2_000)
+KEYED_IN_ZONE = RequestClass("zonal", 1_000, 3_000, Idempotency.WITH_KEY, DeduplicationScope.ZONE, 2_000)
+# The window has no effect for a class that must not run twice, but settings may contain one.
 PAY = RequestClass("pay", 1_000, 3_000, Idempotency.NOT_IDEMPOTENT, deduplication_window_ms=2_000)
-CLASSES = (READ, ORDER, ANYWHERE, ZONAL, PAY)
+CLASSES = (READ, ORDER, KEYED_ANYWHERE, KEYED_IN_ZONE, PAY)
 
 
 def settings(**changes: Any) -> Settings:
-    """Return settings with changes."""
+    """Return the tests' default settings with changes."""
     base: dict[str, Any] = {
         "classes": CLASSES,
         "max_attempts": 4,
@@ -49,7 +49,7 @@
 
 
 class BalancerHost:
-    """A host without I/O: it keeps a balancer's clock, request IDs and actions."""
+    """A host without I/O, which keeps a balancer's clock, request IDs and actions."""
 
     def __init__(self, count: int = 4, seed: int = 1, **changes: Any) -> None:
         self.balancer = Balancer(settings(**changes), seed)
@@ -82,7 +82,7 @@
         return self.handle(AttemptEnded(request, attempt, server, outcome, outcome is Outcome.SERVED))
 
     def serve_request(self, cls: RequestClass = READ, takes: float | dict[str, float] = 50.0) -> str:
-        """Let one request be served, and return by which server; each may take its own time."""
+        """Let one request be served, and return its server; each server may have its own latency."""
         request, actions = self.receive_request(cls)
         server = sent_attempts(actions)[0].server
         self.now += takes[server] if isinstance(takes, dict) else takes
@@ -91,7 +91,7 @@
 
 
 def sent_attempts(actions: list[Action]) -> list[SendAttempt]:
-    """Return the attempts among actions."""
+    """Return the attempts that actions send."""
     return [a for a in actions if isinstance(a, SendAttempt)]
 
 
@@ -101,6 +101,6 @@
 
 
 def serve_with_latencies(host: BalancerHost, times: dict[str, float], rounds: int = 400) -> None:
-    """Serve requests one at a time, each server taking its own time."""
+    """Serve requests one at a time, each server with its own latency."""
     for _ in range(rounds):
         host.serve_request(takes=times)
--- a/tests/http_messages.py
+++ b/tests/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages that the socket tests write by hand, and the outcomes of their attempts."""
+"""Hand-written HTTP messages for the socket tests, and a recorder of attempt outcomes."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from tests.loopback import ProxyHarness
 
 LONG_BODY = bytes(range(256)) * 4_096  # 1 MiB, which is streamed
-HEAD = "Host: h\r\nX-Request-Id: 9b\r\nX-Class: {0}\r\nX-Deadline: 4000m\r\n"
+HEAD_TEMPLATE = "Host: h\r\nX-Request-Id: 9b\r\nX-Class: {0}\r\nX-Deadline: 4000m\r\n"
 
 
 def head(method: str = "POST", path: str = "/pay/x", version: str = "1.1", more: str = "") -> bytes:
-    """Return the head of a request; its class is the path's last part but one."""
-    name = path.split("/")[-2]
-    return f"{method} {path} HTTP/{version}\r\n{HEAD.format(name)}{more}\r\n".encode()
+    """Return the head of a request; its class is the path's second-last segment."""
+    class_name = path.split("/")[-2]
+    return f"{method} {path} HTTP/{version}\r\n{HEAD_TEMPLATE.format(class_name)}{more}\r\n".encode()
 
 
 def chunked(data: bytes, size: int, extension: bytes = b"", trailer: bytes = b"") -> bytes:
-    """Return a body in chunks of `size`, each with this extension, and a trailer behind them."""
+    """Return a chunked body: chunks of `size`, each with this extension, and a trailer at the end."""
     parts = [data[i : i + size] for i in range(0, len(data), size)]
     lines = [b"%x%b\r\n%b\r\n" % (len(part), extension, part) for part in parts]
     return b"".join(lines) + b"0\r\n" + trailer + b"\r\n"
 
 
 async def write_in_parts(writer: asyncio.StreamWriter, data: bytes, size: int = 50_000) -> None:
-    """Write no faster than the other side reads."""
+    """Write in parts, no faster than the receiver reads."""
     for i in range(0, len(data), size):
         writer.write(data[i : i + size])
         await writer.drain()
@@ -37,10 +37,10 @@
     outcomes: list[Outcome] = []
     handle = harness.proxy.balancer.handle
 
-    def spy(event: interface.Event, now: float) -> list[interface.Action]:
+    def record(event: interface.Event, now: float) -> list[interface.Action]:
         if isinstance(event, interface.AttemptEnded):
             outcomes.append(event.outcome)
         return handle(event, now)
 
-    harness.proxy.balancer.handle = spy  # type: ignore[method-assign]
+    harness.proxy.balancer.handle = record  # type: ignore[method-assign]
     return outcomes
--- a/tests/recorded_events.py
+++ b/tests/recorded_events.py
@@ -1,4 +1,4 @@
-"""Records the events that reach the decision module of a proxy under test."""
+"""Record the events that reach the decision module of a proxy under test."""
 
 from __future__ import annotations
 
--- a/tests/test_decision_module.py
+++ b/tests/test_decision_module.py
@@ -1,4 +1,4 @@
-"""The decision module as a whole: settings, impossible events, determinism."""
+"""The decision module as a whole: invalid settings, impossible events, determinism."""
 
 from __future__ import annotations
 
--- a/tests/test_decision_rules.py
+++ b/tests/test_decision_rules.py
@@ -66,66 +66,66 @@
 
 
 class RuleChecker:
-    """Keeps what was sent and answered, and checks each attempt and response against the rules."""
+    """Records attempts and final responses, and checks each of them against the rules."""
 
-    def __init__(self, own: Settings) -> None:
-        self.settings = own
+    def __init__(self, balancer_settings: Settings) -> None:
+        self.settings = balancer_settings
         self.now = 50_000.0
         self.requests: dict[int, RequestRecord] = {}
         self.finished_count = 0
-        self.final_responses = {"served": 0, "refused": 0, "failed": 0}
+        self.final_responses = {"served": 0, "rejected": 0, "failed": 0}
         self.endpoints: dict[str, Endpoint] = {}
         self.send_times: dict[str, list[float]] = {}
         self.most_calls_at_warm_server = 0
 
-    def finish(self, case: RequestRecord, how: str) -> None:
+    def finish(self, record: RequestRecord, result: str) -> None:
         """Record a final response, and check that it is the only one and in time."""
-        assert case.final is None, "two final answers"
-        if not case.is_disconnected:
-            assert self.now <= case.deadline_ms + RESPONSE_TOLERANCE_MS, "answered too late"
-        case.final = how
+        assert record.final is None, "two final responses"
+        if not record.is_disconnected:
+            assert self.now <= record.deadline_ms + RESPONSE_TOLERANCE_MS, "final response too late"
+        record.final = result
         self.finished_count += 1
-        self.final_responses[how] += 1
+        self.final_responses[result] += 1
 
-    def check_send(self, case: RequestRecord, server: str) -> None:
+    def check_send(self, record: RequestRecord, server: str) -> None:
         """Check an attempt against the rules on deadlines, draining, retries and deduplication."""
-        assert case.final is None and not case.is_disconnected, "sent after the end"
-        assert self.now <= case.deadline_ms, "sent after the deadline"
-        assert len(case.attempts) < self.settings.max_attempts, "more attempts than allowed"
+        assert record.final is None and not record.is_disconnected, "sent after the request ended"
+        assert self.now <= record.deadline_ms, "sent after the deadline"
+        assert len(record.attempts) < self.settings.max_attempts, "more attempts than allowed"
         endpoint = self.endpoints.get(server)
         assert endpoint is not None and endpoint.readiness is Readiness.READY, (
             "sent to a draining or dead server"
         )
         if not self.settings.may_hedge:
-            assert not any(t.is_in_flight for t in case.attempts), "two attempts in flight"
-        maybe = [t for t in case.attempts if t.may_have_run]
-        if maybe and case.request_class.idempotency is not Idempotency.IDEMPOTENT:
-            assert case.request_class.idempotency is Idempotency.WITH_KEY, (
+            assert not any(t.is_in_flight for t in record.attempts), "two attempts in flight"
+        possibly_run = [t for t in record.attempts if t.may_have_run]
+        if possibly_run and record.request_class.idempotency is not Idempotency.IDEMPOTENT:
+            assert record.request_class.idempotency is Idempotency.WITH_KEY, (
                 "a non-idempotent request sent twice"
             )
-            assert self.now < maybe[0].sent_at_ms + case.request_class.deduplication_window_ms, (
+            assert self.now < possibly_run[0].sent_at_ms + record.request_class.deduplication_window_ms, (
                 "repeated after the window"
             )
-            for earlier in maybe:
-                if case.request_class.deduplication_scope is DeduplicationScope.CELL:
+            for earlier in possibly_run:
+                if record.request_class.deduplication_scope is DeduplicationScope.CELL:
                     assert earlier.cell == endpoint.cell, "repeated outside the cell"
-                if case.request_class.deduplication_scope is DeduplicationScope.ZONE:
+                if record.request_class.deduplication_scope is DeduplicationScope.ZONE:
                     assert earlier.zone == endpoint.zone, "repeated outside the zone"
         self.check_slow_start(endpoint)
 
     def check_slow_start(self, endpoint: Endpoint) -> None:
-        """Check that a warming server gets one call in a window, or its fraction of what a warm one got."""
+        """Check that a warming server gets one call per window, or its fraction of what a warm one got."""
         window = self.settings.slow_start_window_ms
-        mine = self.send_times.setdefault(endpoint.server, [])
+        send_times = self.send_times.setdefault(endpoint.server, [])
         fraction = self.warm_up_fraction(endpoint)
         if fraction < 1:
             most = self.settings.slow_start_overload_factor * fraction * self.most_calls_at_warm_server
-            count = 1 + sum(t > self.now - window for t in mine)
+            count = 1 + sum(t > self.now - window for t in send_times)
             assert count <= max(1, most), f"a warming server overloaded: {count} calls, at most {most}"
         else:
-            recent = sum(t > self.now - window for t in mine)
+            recent = sum(t > self.now - window for t in send_times)
             self.most_calls_at_warm_server = max(self.most_calls_at_warm_server, recent)
-        mine.append(self.now)
+        send_times.append(self.now)
 
     def warm_up_fraction(self, endpoint: Endpoint) -> float:
         """Return the fraction of its capacity that a server has by its age."""
@@ -139,11 +139,11 @@
 
     def check_overdue(self) -> None:
         """Check that no request without a response is past its deadline."""
-        for number, case in self.requests.items():
+        for number, record in self.requests.items():
             late = (
-                case.final is None
-                and not case.is_disconnected
-                and self.now > case.deadline_ms + RESPONSE_TOLERANCE_MS
+                record.final is None
+                and not record.is_disconnected
+                and self.now > record.deadline_ms + RESPONSE_TOLERANCE_MS
             )
             assert not late, f"request {number} was lost"
 
@@ -161,7 +161,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Start a balancer anew, with the cached list and without requests."""
+        """Start a new balancer, with the cached list and without requests."""
         self.scheduled_events = []
         self.requests = {}
         self.send_times = {}
@@ -173,7 +173,7 @@
         self.handle(EndpointListUpdate(UpdateKind.CACHED, tuple(self.endpoints.values())))
 
     def schedule(self, at: float, event: Event) -> None:
-        """Let an event come at a time."""
+        """Schedule an event for a time."""
         self.event_count += 1
         heapq.heappush(self.scheduled_events, (at, self.event_count, event))
 
@@ -183,27 +183,27 @@
             self.carry_out(action)
 
     def carry_out(self, action: Action) -> None:
-        """Check an action and do what a host would."""
+        """Check an action, and carry it out as a host would."""
         match action:
             case SendAttempt(request, server, timeout):
                 self.check_send(self.requests[request], server)
                 self.start(request, server, timeout)
             case Reject(request):
-                case = self.requests[request]
-                maybe = [t for t in case.attempts if t.may_have_run]
-                once_more = case.request_class.idempotency is Idempotency.IDEMPOTENT or (
-                    case.request_class.idempotency is Idempotency.WITH_KEY
-                    and case.request_class.deduplication_scope is DeduplicationScope.ALL
+                record = self.requests[request]
+                possibly_run = [t for t in record.attempts if t.may_have_run]
+                is_repeatable = record.request_class.idempotency is Idempotency.IDEMPOTENT or (
+                    record.request_class.idempotency is Idempotency.WITH_KEY
+                    and record.request_class.deduplication_scope is DeduplicationScope.ALL
                 )
-                assert not maybe or once_more, "rejected what may have run"
-                self.finish(case, "refused")
+                assert not possibly_run or is_repeatable, "rejected what may have run"
+                self.finish(record, "rejected")
             case Fail(request):
                 self.finish(self.requests[request], "failed")
             case CancelAttempt(request, attempt):
                 assert self.settings.may_cancel
-                case = self.requests[request]
-                assert attempt < len(case.attempts), "cancelled an attempt never made"
-                if case.attempts[attempt].is_in_flight:
+                record = self.requests[request]
+                assert attempt < len(record.attempts), "cancelled an attempt never made"
+                if record.attempts[attempt].is_in_flight:
                     self.schedule(self.now, self.attempt_ended(request, attempt, Outcome.CANCELLED))
             case SetTimer(at, token):
                 self.schedule(max(at, self.now + 0.01), TimerExpired(token))
@@ -219,25 +219,26 @@
 
     def start(self, request: int, server: str, timeout: float) -> None:
         """Send an attempt, whose outcome is random."""
-        case = self.requests[request]
+        record = self.requests[request]
         endpoint = self.endpoints[server]
-        attempt = len(case.attempts)
+        attempt = len(record.attempts)
         if attempt:
             self.retry_count += 1
-        case.attempts.append(SentAttempt(server, endpoint.cell, endpoint.zone, self.now))
-        limit = case.deadline_ms - self.now
+        record.attempts.append(SentAttempt(server, endpoint.cell, endpoint.zone, self.now))
+        limit = record.deadline_ms - self.now
         limit = min(limit, timeout) if timeout > 0 else limit
-        takes = self.random.expovariate(1 / 80)
+        latency_ms = self.random.expovariate(1 / 80)
         kind = self.random.random()
-        if kind < 0.6 and takes < limit:
-            self.schedule(self.now + takes, self.attempt_ended(request, attempt, Outcome.SERVED))
-        elif kind < 0.75 and takes < limit:
+        if kind < 0.6 and latency_ms < limit:
+            self.schedule(self.now + latency_ms, self.attempt_ended(request, attempt, Outcome.SERVED))
+        elif kind < 0.75 and latency_ms < limit:
             self.schedule(
-                self.now + takes, self.attempt_ended(request, attempt, self.random.choice(OUTCOMES_NEVER_RUN))
+                self.now + latency_ms,
+                self.attempt_ended(request, attempt, self.random.choice(OUTCOMES_NEVER_RUN)),
             )
-        elif kind < 0.9 and takes < limit:
+        elif kind < 0.9 and latency_ms < limit:
             self.schedule(
-                self.now + takes,
+                self.now + latency_ms,
                 self.attempt_ended(request, attempt, self.random.choice(OUTCOMES_POSSIBLY_RUN)),
             )
         else:
@@ -248,23 +249,23 @@
         return AttemptEnded(request, attempt, self.requests[request].attempts[attempt].server, outcome)
 
     def deliver(self, event: Event) -> None:
-        """Pass a scheduled event on, unless it is void by now."""
+        """Pass a scheduled event on, unless it no longer applies."""
         if isinstance(event, AttemptEnded):
-            case = self.requests[event.request_id]
-            this = case.attempts[event.attempt_index]
-            if not this.is_in_flight:
+            record = self.requests[event.request_id]
+            attempt = record.attempts[event.attempt_index]
+            if not attempt.is_in_flight:
                 return
-            this.is_in_flight = False
-            this.may_have_run = event.outcome not in OUTCOMES_NEVER_RUN
-            if event.outcome is Outcome.SERVED and case.final is None and not case.is_disconnected:
-                self.finish(case, "served")
-            answered = case.final is not None or case.is_disconnected
-            event = AttemptEnded(event.request_id, event.attempt_index, event.server, event.outcome, answered)
+            attempt.is_in_flight = False
+            attempt.may_have_run = event.outcome not in OUTCOMES_NEVER_RUN
+            if event.outcome is Outcome.SERVED and record.final is None and not record.is_disconnected:
+                self.finish(record, "served")
+            is_final = record.final is not None or record.is_disconnected
+            event = AttemptEnded(event.request_id, event.attempt_index, event.server, event.outcome, is_final)
         if isinstance(event, ClientDisconnected):
-            case = self.requests[event.request_id]
-            if case.final is not None:
+            record = self.requests[event.request_id]
+            if record.final is not None:
                 return
-            case.is_disconnected = True
+            record.is_disconnected = True
         if isinstance(event, EndpointListUpdate):
             event = EndpointListUpdate(
                 event.kind, tuple(self.endpoints.values()) if event.kind is UpdateKind.FULL_SNAPSHOT else ()
@@ -282,7 +283,7 @@
             new = Endpoint(name, Readiness.DEAD, old.zone, old.cell, 1.0, old.started_at_ms)
         else:
             new = Endpoint(name, Readiness.READY, old.zone, old.cell, 1.0, self.now)
-            self.send_times[name] = []  # what went to the process before it is no burden to the new one
+            self.send_times[name] = []  # calls to the earlier process do not burden the new one
         self.endpoints[name] = new
         self.handle(EndpointListUpdate(UpdateKind.DELTA, (new,)))
 
@@ -298,7 +299,7 @@
         self.handle(EndpointListUpdate(UpdateKind.FULL_SNAPSHOT, tuple(self.endpoints.values())))
 
     def run(self, steps: int) -> None:
-        """Let random events happen."""
+        """Pass random events to the balancer."""
         number = 0
         for _ in range(steps):
             until = self.now + self.random.expovariate(1 / 15)
@@ -308,12 +309,12 @@
                 self.deliver(event)
             self.now = until
             self.check_overdue()
-            dice = self.random.random()
-            if dice < 0.004:
+            choice = self.random.random()
+            if choice < 0.004:
                 self.restart()
-            elif dice < 0.016:
+            elif choice < 0.016:
                 self.change_list()
-            elif dice < 0.022:
+            elif choice < 0.022:
                 self.shorten_list()
             else:
                 number += 1
@@ -339,9 +340,9 @@
 @pytest.mark.parametrize("variant", range(len(VARIANTS)))
 @pytest.mark.parametrize("seed", range(6))
 def test_rules_hold_under_random_events(variant: int, seed: int) -> None:
-    day = RandomEventRun(seed, **VARIANTS[variant])
-    day.run(1_500)
-    assert day.final_responses["served"] > 60, "a day on which nothing is served checks nothing"
-    assert day.final_responses["failed"] + day.final_responses["refused"] > 20
-    if day.settings.max_attempts > 1:
-        assert day.retry_count > 10
+    run = RandomEventRun(seed, **VARIANTS[variant])
+    run.run(1_500)
+    assert run.final_responses["served"] > 60, "a run in which nothing is served checks nothing"
+    assert run.final_responses["failed"] + run.final_responses["rejected"] > 20
+    if run.settings.max_attempts > 1:
+        assert run.retry_count > 10
--- a/tests/test_event_order.py
+++ b/tests/test_event_order.py
@@ -1,4 +1,4 @@
-"""Pass every kind of event in every order to the decision module: hypothesis chooses what comes next."""
+"""Pass events of every kind in any order to the decision module: hypothesis chooses the next one."""
 
 from __future__ import annotations
 
@@ -46,11 +46,11 @@
 
 
 class EventOrderHost:
-    """One balancer, and what its host owes it; each step is one event, taken from what may come now."""
+    """A host of one balancer; each step passes it an event that is possible at that time."""
 
-    def __init__(self, own: interface.Settings, seed: int) -> None:
-        self.settings, self.now = own, 10_000.0
-        self.balancer = Balancer(own, seed)
+    def __init__(self, balancer_settings: interface.Settings, seed: int) -> None:
+        self.settings, self.now = balancer_settings, 10_000.0
+        self.balancer = Balancer(balancer_settings, seed)
         self.requests: dict[int, RequestRecord] = {}
         self.timers: list[tuple[float, str]] = []
         self.endpoints = {m.server: m for m in make_endpoints(4)}
@@ -65,13 +65,13 @@
             case interface.SendAttempt():
                 self.record_send(action, self.requests[action.request_id])
             case interface.Reject(number):
-                case, ran = (
+                record, possibly_run = (
                     self.requests[number],
                     [t for t in self.requests[number].attempts if t.may_have_run],
                 )
-                anywhere = case.request_class.idempotency is Idempotency.IDEMPOTENT
-                assert not ran or anywhere, "refused what may have run"
-                self.record_final_response(case, "refused")
+                anywhere = record.request_class.idempotency is Idempotency.IDEMPOTENT
+                assert not possibly_run or anywhere, "rejected what may have run"
+                self.record_final_response(record, "rejected")
             case interface.Fail(number):
                 self.record_final_response(self.requests[number], "failed")
             case interface.CancelAttempt(number, index):
@@ -80,30 +80,32 @@
             case interface.SetTimer(at, token):
                 self.timers.append((at, token))
 
-    def record_final_response(self, case: RequestRecord, how: str) -> None:
-        assert not case.ending, f"{how} after it was {case.ending}"
-        case.ending = how
+    def record_final_response(self, record: RequestRecord, ending: str) -> None:
+        assert not record.ending, f"{ending} after it was {record.ending}"
+        record.ending = ending
 
-    def record_send(self, send: interface.SendAttempt, case: RequestRecord) -> None:
-        assert not case.ending, f"sent after it was {case.ending}"
-        member = self.endpoints[send.server]
-        assert member.readiness is Readiness.READY
-        ran = [t for t in case.attempts if t.may_have_run]
-        assert self.settings.may_hedge or all(t.outcome is not None for t in case.attempts)
+    def record_send(self, send: interface.SendAttempt, record: RequestRecord) -> None:
+        assert not record.ending, f"sent after it was {record.ending}"
+        endpoint = self.endpoints[send.server]
+        assert endpoint.readiness is Readiness.READY
+        possibly_run = [t for t in record.attempts if t.may_have_run]
+        assert self.settings.may_hedge or all(t.outcome is not None for t in record.attempts)
         write_by = self.now + send.write_within_ms
-        if ran and case.request_class.idempotency is not Idempotency.IDEMPOTENT:
-            assert case.request_class.idempotency is Idempotency.WITH_KEY, "an unsafe request sent twice"
-            assert write_by <= ran[0].sent_at_ms + case.request_class.deduplication_window_ms, (
-                "it may be written after its window"
+        if possibly_run and record.request_class.idempotency is not Idempotency.IDEMPOTENT:
+            assert record.request_class.idempotency is Idempotency.WITH_KEY, (
+                "a non-idempotent request sent twice"
+            )
+            assert write_by <= possibly_run[0].sent_at_ms + record.request_class.deduplication_window_ms, (
+                "it may be written after its deduplication window"
             )
             assert write_by > self.now
-            if case.request_class.deduplication_scope is DeduplicationScope.ZONE:
-                assert member.zone == ran[0].zone
-            if case.request_class.deduplication_scope is DeduplicationScope.CELL:
-                assert member.cell == ran[0].cell
-        case.attempts.append(SentAttempt(send.server, member.zone, member.cell, self.now, write_by))
+            if record.request_class.deduplication_scope is DeduplicationScope.ZONE:
+                assert endpoint.zone == possibly_run[0].zone
+            if record.request_class.deduplication_scope is DeduplicationScope.CELL:
+                assert endpoint.cell == possibly_run[0].cell
+        record.attempts.append(SentAttempt(send.server, endpoint.zone, endpoint.cell, self.now, write_by))
 
-    # ---- what may come ------------------------------------------------------------------------
+    # ---- steps --------------------------------------------------------------------------------
 
     def arrive(self, number: int, pick: int) -> None:
         if number not in self.requests:
@@ -112,58 +114,60 @@
             self.handle(interface.RequestArrived(number, cls.name, (40.0, 900.0, 2_900.0)[pick % 3]))
 
     def end(self, number: int, pick: int) -> None:
-        """One attempt ends; one that could not be written in its time can't have run."""
-        case = self.requests.get(number)
-        out = [(i, t) for i, t in enumerate(case.attempts) if t.outcome is None] if case else []
-        if case is None or not out:
+        """End an attempt of a request that has one in flight."""
+        record = self.requests.get(number)
+        in_flight = [(i, t) for i, t in enumerate(record.attempts) if t.outcome is None] if record else []
+        if record is None or not in_flight:
             return
-        index, attempt = out[pick % len(out)]
+        index, attempt = in_flight[pick % len(in_flight)]
         attempt.outcome = ENDING_OUTCOMES[pick % len(ENDING_OUTCOMES)]
-        if attempt.outcome is Outcome.SERVED and not case.ending:
-            case.ending = "served"
-        self.handle(interface.AttemptEnded(number, index, attempt.server, attempt.outcome, bool(case.ending)))
-
-    def leave(self, number: int, pick: int) -> None:
-        case = self.requests.get(number)
-        if case is not None and (not case.ending or pick % 3 == 0):  # it may cross its final answer
-            case.ending = case.ending or "left"
+        if attempt.outcome is Outcome.SERVED and not record.ending:
+            record.ending = "served"
+        self.handle(
+            interface.AttemptEnded(number, index, attempt.server, attempt.outcome, bool(record.ending))
+        )
+
+    def disconnect(self, number: int, pick: int) -> None:
+        record = self.requests.get(number)
+        if record is not None and (not record.ending or pick % 3 == 0):  # it may cross its final response
+            record.ending = record.ending or "disconnected"
             self.handle(interface.ClientDisconnected(number))
 
-    def fire(self, number: int, pick: int) -> None:
+    def expire_timer(self, number: int, pick: int) -> None:
         if self.timers:
             at, token = self.timers.pop(pick % len(self.timers))
             self.now = max(self.now, at)
             self.handle(interface.TimerExpired(token))
 
-    def change(self, number: int, pick: int) -> None:
+    def change_endpoint(self, number: int, pick: int) -> None:
         name = f"s{number % 4}"
         readiness = (Readiness.READY, Readiness.DRAINING, Readiness.DEAD)[pick % 3]
-        since = self.now if pick % 2 else self.endpoints[name].started_at_ms
+        started_at_ms = self.now if pick % 2 else self.endpoints[name].started_at_ms
         old = self.endpoints[name]
-        self.endpoints[name] = interface.Endpoint(name, readiness, old.zone, old.cell, 1.0, since)
+        self.endpoints[name] = interface.Endpoint(name, readiness, old.zone, old.cell, 1.0, started_at_ms)
         self.handle(interface.EndpointListUpdate(UpdateKind.DELTA, (self.endpoints[name],)))
 
     def wait(self, number: int, pick: int) -> None:
         self.now += (1.0, 30.0, 700.0)[pick % 3]
 
     def finish(self) -> None:
-        """Everything that is still out ends, every timer comes due: then nothing is kept."""
-        for number, case in self.requests.items():
-            while any(t.outcome is None for t in case.attempts):
+        """End all attempts, let all timers expire, and check that the balancer keeps nothing."""
+        for number, record in self.requests.items():
+            while any(t.outcome is None for t in record.attempts):
                 self.end(number, ENDING_OUTCOMES.index(Outcome.TIMED_OUT))
         while self.timers:
-            self.fire(0, 0)
+            self.expire_timer(0, 0)
             for number in self.requests:
                 self.end(number, ENDING_OUTCOMES.index(Outcome.RESET))
         for number in self.requests:
             while any(t.outcome is None for t in self.requests[number].attempts):
                 self.end(number, ENDING_OUTCOMES.index(Outcome.RESET))
-        assert all(case.ending for case in self.requests.values()), "a request has no final answer"
+        assert all(record.ending for record in self.requests.values()), "a request has no final response"
         assert not self.balancer._requests.open_requests and not self.balancer._requests.wait_queue
         assert not any(s.in_flight for s in self.balancer._endpoints.servers.values())
 
 
-STEPS = (*["arrive"] * 4, "end", "end", "leave", "fire", "change", "wait")
+STEPS = (*["arrive"] * 4, "end", "end", "disconnect", "expire_timer", "change_endpoint", "wait")
 step = st.tuples(st.sampled_from(STEPS), st.integers(0, 15), st.integers(0, 40))
 flags: Any = st.fixed_dictionaries(
     {
--- a/tests/test_message_forms.py
+++ b/tests/test_message_forms.py
@@ -1,4 +1,4 @@
-"""Every form of HTTP/1.1 messages, proper, ambiguous and malformed, on loopback sockets."""
+"""HTTP/1.1 messages of all forms, valid, ambiguous and malformed, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "ends"),
+    ("response", "is_ended_by_close"),
     [
         (OK + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(b"tile", 1, b";x=y", b"T: 1\r\n"), False),
         (OK + b"\r\ntile", True),
@@ -34,12 +34,14 @@
     ],
 )
 @pytest.mark.parametrize("at_once", [True, False])
-def test_responses_of_all_forms_are_forwarded(answer: bytes, ends: bool, at_once: bool) -> None:
+def test_responses_of_all_forms_are_forwarded(
+    response: bytes, is_ended_by_close: bool, at_once: bool
+) -> None:
     async def script(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
-        for i in range(0, len(answer), len(answer) if at_once else 1):
-            writer.write(answer[i : i + (len(answer) if at_once else 1)])
+        for i in range(0, len(response), len(response) if at_once else 1):
+            writer.write(response[i : i + (len(response) if at_once else 1)])
             await asyncio.sleep(0)
-        if ends:
+        if is_ended_by_close:
             writer.close()
 
     async def scenario() -> None:
@@ -47,14 +49,14 @@
             client = await harness.connect()
             for _ in range(2):
                 client.send_request()
-                got = await client.read_response()
-                assert (status_of(got), got.body) == (200, b"tile")
+                received = await client.read_response()
+                assert (status_of(received), received.body) == (200, b"tile")
 
     run_scenario(scenario())
 
 
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-def test_a_long_response_of_unknown_length_has_an_end_that_its_client_sees(version: str) -> None:
+def test_client_sees_the_end_of_a_long_response_of_unknown_length(version: str) -> None:
     async def script(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(OK + b"Transfer-Encoding: chunked\r\n\r\n")
         await write_in_parts(writer, chunked(LONG_BODY, 100_000))
@@ -72,7 +74,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         OK + b"Content-Length: 4\r\nContent-Length: 5\r\n\r\ntile",
         OK + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(b"tile", 4),
@@ -82,9 +84,9 @@
         b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\ntile",
     ],
 )
-def test_an_ambiguous_response_is_a_failed_attempt_that_may_have_run(answer: bytes) -> None:
+def test_ambiguous_response_is_a_failed_attempt_that_may_have_run(response: bytes) -> None:
     async def script(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
-        writer.write(answer)
+        writer.write(response)
 
     async def scenario() -> None:
         upstream = Upstream(script)
@@ -131,7 +133,7 @@
     run_scenario(scenario())
 
 
-def test_a_client_that_expects_100_continue_gets_it_in_its_turn() -> None:
+def test_100_continue_is_sent_after_the_response_to_the_previous_request() -> None:
     async def scenario() -> None:
         upstream = Upstream()
         async with ProxyHarness(upstream) as harness:
@@ -165,7 +167,7 @@
         b"CONNECT other:80 HTTP/1.1\r\nHost: other:80\r\n\r\n",
     ],
 )
-def test_an_ambiguous_request_gets_400_and_a_close(raw: bytes) -> None:
+def test_ambiguous_request_gets_400_and_its_connection_is_closed(raw: bytes) -> None:
     async def scenario() -> None:
         upstream = Upstream()
         async with ProxyHarness(upstream) as harness:
@@ -178,7 +180,7 @@
     run_scenario(scenario())
 
 
-def test_a_malformed_chunk_in_a_long_request_ends_it_and_its_attempt() -> None:
+def test_malformed_chunk_in_a_long_request_ends_it_and_its_attempt() -> None:
     async def scenario() -> None:
         upstream = Upstream()
         async with ProxyHarness(upstream) as harness:
--- a/tests/test_request_attempts.py
+++ b/tests/test_request_attempts.py
@@ -21,7 +21,7 @@
     UpdateKind,
 )
 from tests.helpers import (
-    ANYWHERE,
+    KEYED_ANYWHERE,
     ORDER,
     PAY,
     READ,
@@ -36,7 +36,9 @@
     for _ in range(3):
         request, actions = host.receive_request()
         assert Reject(request) in actions and not sent_attempts(actions)
-    assert len([a for a in host.actions if isinstance(a, LogMessage)]) == 1, "one line for the spell"
+    assert len([a for a in host.actions if isinstance(a, LogMessage)]) == 1, (
+        "one line for consecutive rejections"
+    )
 
 
 def test_request_without_remaining_time_is_rejected_at_once() -> None:
@@ -57,9 +59,9 @@
 def test_non_idempotent_request_is_retried_only_if_it_never_ran() -> None:
     host = BalancerHost(4)
     request, actions = host.receive_request(PAY)
-    again = sent_attempts(host.end_attempt(request, 0, sent_attempts(actions)[0].server, Outcome.REJECTED))
-    assert len(again) == 1
-    assert host.end_attempt(request, 1, again[0].server, Outcome.RESET) == [Fail(request)]
+    retries = sent_attempts(host.end_attempt(request, 0, sent_attempts(actions)[0].server, Outcome.REJECTED))
+    assert len(retries) == 1
+    assert host.end_attempt(request, 1, retries[0].server, Outcome.RESET) == [Fail(request)]
 
 
 def test_retry_with_idempotency_key_stays_in_its_cell_and_window() -> None:
@@ -69,9 +71,9 @@
         if not sent_attempts(actions):
             continue  # errors shed load
         first = sent_attempts(actions)[0].server
-        again = sent_attempts(host.end_attempt(request, 0, first, Outcome.ERROR))
-        if again:
-            assert int(again[0].server[1]) // 2 == int(first[1]) // 2
+        retries = sent_attempts(host.end_attempt(request, 0, first, Outcome.ERROR))
+        if retries:
+            assert int(retries[0].server[1]) // 2 == int(first[1]) // 2
         host.now += 100
     host = BalancerHost(
         6, classes=(RequestClass("order", 5_000, 9_000, ORDER.idempotency, ORDER.deduplication_scope, 2_000),)
@@ -83,13 +85,13 @@
 
 def test_restarted_server_is_not_trusted_to_deduplicate() -> None:
     host = BalancerHost(2, slow_start_ms=0)
-    request, actions = host.receive_request(ANYWHERE)
+    request, actions = host.receive_request(KEYED_ANYWHERE)
     first = sent_attempts(actions)[0].server
     host.now += 50
     other = "s1" if first == "s0" else "s0"
     host.update_list(Endpoint(other, started_at_ms=host.now), kind=UpdateKind.DELTA)
-    again = sent_attempts(host.end_attempt(request, 0, first, Outcome.ERROR))
-    assert [a.server for a in again] in ([], [first])
+    retries = sent_attempts(host.end_attempt(request, 0, first, Outcome.ERROR))
+    assert [a.server for a in retries] in ([], [first])
 
 
 def test_streamed_response_cancels_hedged_requests_and_prevents_retries() -> None:
@@ -97,27 +99,31 @@
     request, actions = host.receive_request()
     host.now += 300
     hedge = next(a.token for a in actions if isinstance(a, SetTimer))
-    copy = sent_attempts(host.handle(TimerExpired(hedge)))[0].server
+    hedged = sent_attempts(host.handle(TimerExpired(hedge)))[0].server
     actions = host.handle(ResponseStarted(request, 1))
     assert actions_of(actions, CancelAttempt) == [CancelAttempt(request, 0)]
     host.handle(AttemptEnded(request, 0, "x", Outcome.CANCELLED))
-    actions = host.handle(AttemptEnded(request, 1, copy, Outcome.RESET, is_final=True))
+    actions = host.handle(AttemptEnded(request, 1, hedged, Outcome.RESET, is_final=True))
     assert not sent_attempts(actions) and not actions_of(actions, Reject, Fail)
 
 
 def test_slow_client_of_a_streamed_response_does_not_count_against_the_server() -> None:
-    host, quick = BalancerHost(1), BalancerHost(1)
+    host, reference = BalancerHost(1), BalancerHost(1)
     for _ in range(20):
         request, _ = host.receive_request()
         host.now += 20
         host.handle(ResponseStarted(request, 0))
         host.now += 2_000
         host.end_attempt(request, 0, "s0", Outcome.SERVED)
-        quick.serve_request(takes=20)
-        quick.now += 2_000
-    assert host.balancer.learned_state(host.now).servers == quick.balancer.learned_state(quick.now).servers
+        reference.serve_request(takes=20)
+        reference.now += 2_000
+    assert (
+        host.balancer.learned_state(host.now).servers
+        == reference.balancer.learned_state(reference.now).servers
+    )
     assert (
-        host.balancer.learned_state(host.now).latencies == quick.balancer.learned_state(quick.now).latencies
+        host.balancer.learned_state(host.now).latencies
+        == reference.balancer.learned_state(reference.now).latencies
     )
 
 
@@ -142,18 +148,18 @@
 
 def test_retry_with_idempotency_key_goes_to_its_cell_outside_the_subset() -> None:
     host = BalancerHost(60, balancer_count=3_000)
-    mates = 0
+    retries_at_other_servers = 0
     for _ in range(60):
         request, actions = host.receive_request(ORDER)
         if sent_attempts(actions):
             first = int(sent_attempts(actions)[0].server[1:])
-            again = sent_attempts(
+            retries = sent_attempts(
                 host.end_attempt(request, 0, sent_attempts(actions)[0].server, Outcome.ERROR)
             )
-            assert all(int(s.server[1:]) // 2 == first // 2 for s in again)
-            mates += any(int(s.server[1:]) != first for s in again)
+            assert all(int(s.server[1:]) // 2 == first // 2 for s in retries)
+            retries_at_other_servers += any(int(s.server[1:]) != first for s in retries)
         host.now += 500
-    assert mates > 0
+    assert retries_at_other_servers > 0
 
 
 @pytest.mark.parametrize("tier", [0, 1])
@@ -168,22 +174,24 @@
     assert timer.at_ms < host.now + 501
     host.now = timer.at_ms
     actions = host.handle(TimerExpired(timer.token))
-    copy = sent_attempts(actions)[0]
-    assert copy.server != first.server
-    assert actions.index(CloseIdleConnections(copy.server)) < actions.index(copy), (
-        "on a connection that is surely alive"
+    hedged = sent_attempts(actions)[0]
+    assert hedged.server != first.server
+    assert actions.index(CloseIdleConnections(hedged.server)) < actions.index(hedged), (
+        "a hedged request opens a new connection"
     )
-    assert cls is READ or int(copy.server[1]) // 2 == int(first.server[1]) // 2, "inside its group"
+    assert cls is READ or int(hedged.server[1]) // 2 == int(first.server[1]) // 2, "inside its cell"
     assert not sent_attempts(host.handle(TimerExpired(timer.token))), "one hedged request, not more"
     host.now += 40
-    assert CancelAttempt(request, 0) in host.end_attempt(request, 1, copy.server, Outcome.SERVED)
+    assert CancelAttempt(request, 0) in host.end_attempt(request, 1, hedged.server, Outcome.SERVED)
 
 
 def test_request_is_not_hedged_without_permission_or_idempotency() -> None:
     assert not actions_of(BalancerHost(4).receive_request(PAY)[1], SetTimer)
     actions = BalancerHost(4, may_hedge=False).receive_request(READ)[1]
     assert not actions_of(actions, SetTimer)
-    assert sent_attempts(actions)[0].timeout_ms == pytest.approx(800), "timed out in time for a retry instead"
+    assert sent_attempts(actions)[0].timeout_ms == pytest.approx(800), (
+        "the timeout allows for a retry instead"
+    )
     assert sent_attempts(BalancerHost(4, max_attempts=1).receive_request(READ)[1])[
         0
     ].timeout_ms == pytest.approx(1_000)
@@ -191,21 +199,23 @@
 
 @pytest.mark.parametrize("takes", [240.0, 400.0, 800.0])
 def test_usual_latency_is_waited_for_and_not_hedged(takes: float) -> None:
-    """A tenth of all calls was hedged: at half of their time, though usual latencies were as long."""
+    """A tenth of all calls was hedged: at half of their time, though usual latencies were that long."""
     host = BalancerHost(4, tier=1)
     for _ in range(200):
         host.serve_request(takes=takes)
     start, timers = host.now, actions_of(host.receive_request()[1], SetTimer)
-    assert bool(timers) == (takes < 250), "where no usual answer fits behind it, a copy is a loss"
+    assert bool(timers) == (takes < 250), (
+        "a hedged request is useless if no usual response to it would be in time"
+    )
     for timer in timers:
         assert isinstance(timer, SetTimer)
         assert 2.9 * takes <= timer.at_ms - start <= 1_001 - takes
 
 
 def count_retries(outcome: Outcome) -> int:
-    """Further attempts made for 300 requests whose every attempt ends so."""
+    """Return how many retries 300 requests get if every attempt has this outcome."""
     host = BalancerHost(8, slow_start_ms=0, tier=1)
-    again = 0
+    retries = 0
     for _ in range(300):
         request, actions = host.receive_request()
         attempt = 0
@@ -213,8 +223,8 @@
             host.now += 5
             actions = host.end_attempt(request, attempt, sent_attempts(actions)[0].server, outcome)
             attempt += 1
-        again += max(attempt - 1, 0)
-    return again
+        retries += max(attempt - 1, 0)
+    return retries
 
 
 def test_retries_are_limited_by_the_retry_budget() -> None:
@@ -223,12 +233,12 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED])
 def test_attempts_that_never_ran_do_not_cost_retry_budget(outcome: Outcome) -> None:
-    """With half of all connections refused the budget ran out before the third attempt, which would serve."""
+    """With half of all connections refused the budget ran out before a third attempt, which would succeed."""
     assert count_retries(outcome) == 300 * 3, "up to the maximum of attempts"
 
 
 def opens_new_connection(host: BalancerHost, pause: float) -> bool:
-    """Whether a call after such a pause opens a new connection; it is served."""
+    """Serve a call after a pause, and return whether it opened a new connection."""
     host.now += pause
     request, actions = host.receive_request(PAY)
     host.now += 20
@@ -237,8 +247,8 @@
 
 
 def test_connections_that_die_when_idle_are_closed_sooner() -> None:
-    """Unseen drops after a second without use cost each later call there its whole time-out."""
-    host = BalancerHost(1, tier=1)  # nothing is shed there
+    """Connections silently dropped after a second of idleness cost each later call its whole timeout."""
+    host = BalancerHost(1, tier=1)  # inner tiers shed nothing
     for _ in range(20):
         assert not opens_new_connection(host, 400.0)
     assert not opens_new_connection(host, 1_500.0)
@@ -250,16 +260,16 @@
         host.now += 1_000
         host.end_attempt(request, 0, "s0", Outcome.TIMED_OUT)
     opens_new_connection(host, 10.0)
-    assert opens_new_connection(host, 1_600.0), "as long a pause as that of the silent calls"
-    assert not opens_new_connection(host, 400.0), "a short one is known to be safe"
+    assert opens_new_connection(host, 1_600.0), "idle as long as before the silent calls"
+    assert not opens_new_connection(host, 400.0), "a short idle time is known to be safe"
     for _ in range(60):
         opens_new_connection(host, 400.0)
-    assert not opens_new_connection(host, 1_600.0), "the evidence has given way"
+    assert not opens_new_connection(host, 1_600.0), "newer attempts have displaced the evidence"
 
 
 def test_request_never_has_two_attempts_in_flight_without_permission() -> None:
     host = BalancerHost(4, may_hedge=False)
     request, _ = host.receive_request()
-    for token in (f"wait:{request}", f"hedge:{request}", "list", "unheard-of:7"):
+    for token in (f"wait:{request}", f"hedge:{request}", "list", "unknown:7"):
         host.now += 100
         assert sent_attempts(host.handle(TimerExpired(token))) == []
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Refactorings change no action: the same streams of events give what was written down."""
+"""Refactorings change no action: the same event streams give the recorded digests."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 import pytest
 
 from loadbalancer import interface
-from tests.streams import RECORD, SEEDS, World, digest
+from tests.streams import DIGESTS_PATH, SEEDS, RandomEnvironment, digest
 
-RECORDED = json.loads(RECORD.read_text(encoding="utf-8"))
+RECORDED = json.loads(DIGESTS_PATH.read_text(encoding="utf-8"))
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_decisions_are_those_that_were_recorded(seed: int) -> None:
-    """Where a change means to change them, `python -m tests.streams --record` writes them anew."""
+def test_decisions_match_the_recorded_digests(seed: int) -> None:
+    """After an intended change, `python -m tests.streams --record` updates the digests."""
     assert digest(seed) == RECORDED[str(seed)]
 
 
-def test_the_streams_meet_every_event_and_action_that_decisions_hang_on() -> None:
-    told = [step for seed in SEEDS for step in World(seed, 600).run()]
-    events = {type(event) for event, _ in told}
-    actions = {type(action) for _, done in told for action in done}
+def test_streams_contain_every_event_and_action_that_decisions_depend_on() -> None:
+    steps = [step for seed in SEEDS for step in RandomEnvironment(seed, 600).run()]
+    events = {type(event) for event, _ in steps}
+    actions = {type(action) for _, actions_of_step in steps for action in actions_of_step}
     assert events == set(get_args(interface.Event)) - {
         interface.RequestCompleted,
         interface.HealthCheckEnded,
