--- a/loadbalancer/policy/hedging.py
+++ b/loadbalancer/policy/hedging.py
@@ -8,7 +8,7 @@
 MAX_HEDGE_DELAY_LATENCIES = 4.0
 """A hedged request is sent after at most this many usual latencies."""
 MIN_HEDGE_DELAY_LATENCIES = 2.5
-"""No hedged request is sent before this many usual latencies: a usual response is awaited."""
+"""None is sent if it would be due before this many usual latencies: a usual response is awaited."""
 
 
 def hedge_delay_ms(request: Request, latency_ms: float, timeout_ms: float) -> float:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -65,33 +65,33 @@
 def count_admitted_under_load(
     host: BalancerHost, takes: float, *requests: tuple[RequestClass, str | None], rounds: int = 200
 ) -> Counter[str]:
-    """Pass rounds of requests, one each 20 ms, served after `takes`; return what was admitted, by class."""
+    """Pass rounds of requests, one every 20 ms, served after `takes`; count admitted ones by tenant or class."""
     admitted: Counter[str] = Counter()
-    names: dict[int, str] = {}
+    labels: dict[int, str] = {}
     due: list[tuple[float, int, str]] = []  # ends of calls, and timers of waiting requests
 
     def carry_out(actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SendAttempt):
-                admitted[names[action.request_id]] += 1
+                admitted[labels[action.request_id]] += 1
                 heapq.heappush(due, (host.now + takes, action.request_id, action.server))
             elif isinstance(action, SetTimer) and action.token.startswith("wait:"):
                 heapq.heappush(due, (action.at_ms, 0, action.token))
 
     def advance_to(until: float) -> None:
         while due and due[0][0] <= until:
-            host.now, request, what = heapq.heappop(due)
+            host.now, request, server_or_token = heapq.heappop(due)
             carry_out(
-                host.end_attempt(request, 0, what, Outcome.SERVED)
+                host.end_attempt(request, 0, server_or_token, Outcome.SERVED)
                 if request
-                else host.handle(TimerExpired(what))
+                else host.handle(TimerExpired(server_or_token))
             )
         host.now = until
 
     for _ in range(rounds):
         for cls, tenant in requests:
             advance_to(host.now + 20)
-            names[host.last_request_id + 1] = tenant or cls.name
+            labels[host.last_request_id + 1] = tenant or cls.name
             carry_out(host.receive_request(cls, tenant=tenant)[1])
     while due:
         advance_to(due[0][0])
@@ -126,7 +126,7 @@
         if not sent_attempts(actions):
             return sent
         sent.append((request, sent_attempts(actions)[0].server))
-    raise AssertionError("no limit")
+    raise AssertionError("no concurrency limit was reached")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_decision_rules.py
+++ b/tests/test_decision_rules.py
@@ -97,8 +97,8 @@
             "sent to a draining or dead server"
         )
         if not self.settings.may_hedge:
-            assert not any(t.is_in_flight for t in record.attempts), "two attempts in flight"
-        possibly_run = [t for t in record.attempts if t.may_have_run]
+            assert not any(a.is_in_flight for a in record.attempts), "two attempts in flight"
+        possibly_run = [a for a in record.attempts if a.may_have_run]
         if possibly_run and record.request_class.idempotency is not Idempotency.IDEMPOTENT:
             assert record.request_class.idempotency is Idempotency.WITH_KEY, (
                 "a non-idempotent request sent twice"
@@ -190,7 +190,7 @@
                 self.start(request, server, timeout)
             case Reject(request):
                 record = self.requests[request]
-                possibly_run = [t for t in record.attempts if t.may_have_run]
+                possibly_run = [a for a in record.attempts if a.may_have_run]
                 is_repeatable = record.request_class.idempotency is Idempotency.IDEMPOTENT or (
                     record.request_class.idempotency is Idempotency.WITH_KEY
                     and record.request_class.deduplication_scope is DeduplicationScope.ALL
--- a/tests/test_event_order.py
+++ b/tests/test_event_order.py
@@ -67,7 +67,7 @@
             case interface.Reject(number):
                 record, possibly_run = (
                     self.requests[number],
-                    [t for t in self.requests[number].attempts if t.may_have_run],
+                    [a for a in self.requests[number].attempts if a.may_have_run],
                 )
                 anywhere = record.request_class.idempotency is Idempotency.IDEMPOTENT
                 assert not possibly_run or anywhere, "rejected what may have run"
@@ -88,8 +88,8 @@
         assert not record.ending, f"sent after it was {record.ending}"
         endpoint = self.endpoints[send.server]
         assert endpoint.readiness is Readiness.READY
-        possibly_run = [t for t in record.attempts if t.may_have_run]
-        assert self.settings.may_hedge or all(t.outcome is not None for t in record.attempts)
+        possibly_run = [a for a in record.attempts if a.may_have_run]
+        assert self.settings.may_hedge or all(a.outcome is not None for a in record.attempts)
         write_by = self.now + send.write_within_ms
         if possibly_run and record.request_class.idempotency is not Idempotency.IDEMPOTENT:
             assert record.request_class.idempotency is Idempotency.WITH_KEY, (
@@ -116,7 +116,7 @@
     def end(self, number: int, pick: int) -> None:
         """End an attempt of a request that has one in flight."""
         record = self.requests.get(number)
-        in_flight = [(i, t) for i, t in enumerate(record.attempts) if t.outcome is None] if record else []
+        in_flight = [(i, a) for i, a in enumerate(record.attempts) if a.outcome is None] if record else []
         if record is None or not in_flight:
             return
         index, attempt = in_flight[pick % len(in_flight)]
@@ -153,14 +153,14 @@
     def finish(self) -> None:
         """End all attempts, let all timers expire, and check that the balancer keeps nothing."""
         for number, record in self.requests.items():
-            while any(t.outcome is None for t in record.attempts):
+            while any(a.outcome is None for a in record.attempts):
                 self.end(number, ENDING_OUTCOMES.index(Outcome.TIMED_OUT))
         while self.timers:
             self.expire_timer(0, 0)
             for number in self.requests:
                 self.end(number, ENDING_OUTCOMES.index(Outcome.RESET))
         for number in self.requests:
-            while any(t.outcome is None for t in self.requests[number].attempts):
+            while any(a.outcome is None for a in self.requests[number].attempts):
                 self.end(number, ENDING_OUTCOMES.index(Outcome.RESET))
         assert all(record.ending for record in self.requests.values()), "a request has no final response"
         assert not self.balancer._requests.open_requests and not self.balancer._requests.wait_queue
