--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -65,9 +65,9 @@
 def count_admitted_under_load(
     host: BalancerHost, takes: float, *requests: tuple[RequestClass, str | None], rounds: int = 200
 ) -> Counter[str]:
-    """Pass rounds of requests, one every 20 ms, served after `takes`; count admitted ones by tenant or class."""
+    """Pass rounds of requests, one every 20 ms, served after `takes`; count those admitted, by label."""
     admitted: Counter[str] = Counter()
-    labels: dict[int, str] = {}
+    labels: dict[int, str] = {}  # tenant or class, by request
     due: list[tuple[float, int, str]] = []  # ends of calls, and timers of waiting requests
 
     def carry_out(actions: list[Action]) -> None:
