--- a/loadbalancer/net/config.py
+++ b/loadbalancer/net/config.py
@@ -1,4 +1,4 @@
-"""What a balancer is told at its start, as typed values; `config_reader` reads them from the file."""
+"""The configuration of a balancer as typed values; `config_reader` reads it from the file."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from loadbalancer.net.address import Address
 
 DEFAULT_SUSPECT_STALE_FRACTION = 0.3
-"""Of the ready servers: more do not go at once without draining, but for a fault of the list itself."""
-MAX_SERVICES = 32  # a registry takes no more in one request
-MAX_SUBSET_SIZE = 100_000  # a registry takes no more
+"""Of the ready servers: only a fault of the list removes more of them at once without draining."""
+MAX_SERVICES = 32  # a registry accepts no more in one request
+MAX_SUBSET_SIZE = 100_000  # a registry accepts no more
 SERVICE_NAME_PATTERN = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$")
 DEFAULT_SNAPSHOT_INTERVAL_MS = 10_000.0
-MIN_SNAPSHOT_INTERVAL_MS = 100.0  # evidence fades within 6 s: more often gains nothing
+MIN_SNAPSHOT_INTERVAL_MS = 100.0  # evidence decays within 6 s: shorter intervals gain nothing
 
 OPERATOR_NAMES = {
     "max_sockets": "sockets",
@@ -26,16 +26,16 @@
     "snapshot_interval_ms": "snapshot_every_ms",
     "registry": "lists",
 }
-"""What operators read for a field of `Config`, in errors and on a reload, where it differs from the field."""
+"""The names of `Config` fields in errors and reload reports, where they differ from the field's name."""
 
 
 class ConfigError(ValueError):
-    """The configuration can't be used; the text is one plain line."""
+    """The configuration is invalid; the text is a single line."""
 
 
 @dataclass(frozen=True, slots=True)
 class AddressedEndpoint:
-    """One entry of the endpoint list: what the decision module sees of a server, and where to reach it."""
+    """One entry of the endpoint list: a server as the decision module knows it, and its address."""
 
     endpoint: Endpoint
     address: Address
@@ -43,32 +43,32 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """One response of discovery: the full list, or only what changed."""
+    """One response of discovery: the full list, or only its changes."""
 
     index: int
     is_full_snapshot: bool
     endpoints: tuple[AddressedEndpoint, ...]
     is_rewound: bool = False
-    """Whether its service has gone back to an older state, and nobody else has a newer one."""
+    """Whether the list service returned to an older state and no other instance has a newer one."""
 
 
 @dataclass(frozen=True, slots=True)
 class RegistryConfig:
-    """How a registry of one's own is polled (the key `lists`); the platform's is polled as PROTOCOL says."""
+    """How a self-hosted registry is polled (the key `lists`); the platform's is polled as PROTOCOL says."""
 
     other_instances: tuple[Address, ...] = ()
-    """Further instances that have the same list."""
+    """Further instances that serve the same list."""
     tier: str = ""
-    """The tier that is requested; empty for the registry's first."""
+    """The requested tier; empty for the registry's first."""
     suspect_stale_fraction: float = DEFAULT_SUSPECT_STALE_FRACTION
-    """A full list that leaves out more than this fraction of the ready servers is suspected stale."""
+    """A full list that omits more than this fraction of the ready servers is suspected stale."""
     services: tuple[str, ...] = ()
-    """What is requested in place of a tier, where the registry knows interests; several are one pool."""
+    """Requested in place of a tier, if the registry supports interests; the servers of all form one pool."""
     subset_size: int = 0
-    """Servers of each service that this balancer is given in each zone at the least; 0 for all."""
+    """The minimum number of servers of each service in each zone for this balancer; 0 for all."""
 
     def can_change_to(self, other: RegistryConfig | None) -> bool:
-        """Return whether `other` can be followed while we run: where only services or subset differ."""
+        """Return whether a reload can apply `other`: only services or subset size may differ."""
         if other is None or not (self.services and other.services):
             return False
         return replace(self, services=other.services, subset_size=other.subset_size) == other
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a balancer is told at its start."""
+    """The complete configuration of a balancer."""
 
     name: str
     listen: Address
@@ -91,16 +91,16 @@
     idle_timeout_ms: float
     drain_grace_ms: float
     peers: tuple[Address, ...] = ()
-    """One for each balancer of the tier, by their numbers; none where membership is off."""
+    """One for each balancer of the tier, by index; empty if membership is off."""
     peer_listen: Address | None = None
     snapshot_folder: Path | None = None
-    """Where snapshots of what was learned are saved; None for nowhere."""
+    """Where snapshots of learned state are saved; None to save none."""
     snapshot_interval_ms: float = DEFAULT_SNAPSHOT_INTERVAL_MS
     registry: RegistryConfig | None = None
     """None for the platform's discovery."""
 
     def __post_init__(self) -> None:
-        """Check the figures; ConfigError names the first that can't be used."""
+        """Check the numbers; ConfigError names the first invalid one."""
         for field in ("max_sockets", "memory_mb", "connect_timeout_ms", "snapshot_interval_ms"):
             if not 0 < (value := getattr(self, field)) < math.inf:
                 raise ConfigError(f"{_operator_name(field)} is {value!r}: it must be a finite number above 0")
@@ -112,7 +112,7 @@
 
 
 def changed_settings(old: Config, new: Config) -> list[str]:
-    """Return the names, as operators read them, of the fields in which two configurations differ."""
+    """Return the operators' names of the fields in which two configurations differ."""
     names = [field.name for field in fields(Config)]
     return [_operator_name(name) for name in names if getattr(old, name) != getattr(new, name)]
 
--- a/loadbalancer/net/config_reader.py
+++ b/loadbalancer/net/config_reader.py
@@ -1,8 +1,8 @@
-"""Reads the file that `LB_CONFIG` names, leniently: what is not known is noted and passed over.
+"""Parses the file that `LB_CONFIG` names, leniently: unknown settings are reported and ignored.
 
-The settings bear the names of the simulator's wire, nested. They are flattened to the wire's own form and
-read by `loadbalancer.wire`, so that the simulator and the real balancer cannot come to differ. The other keys
-are mapped here, and only here, to the fields of `Config`.
+The settings have the names of the simulator's wire format, nested. They are flattened to that format and read
+by `loadbalancer.wire`, so that the simulator and the real balancer can't diverge. The other keys are mapped
+here, and only here, to the fields of `Config`.
 """
 
 from __future__ import annotations
@@ -36,10 +36,10 @@
 
 
 def read_config(text: str, on_unknown: Callable[[str], None], console: str = "") -> Config:
-    """Return the configuration in a JSON text; ConfigError says in one line what is wrong with it.
+    """Parse a configuration in JSON; ConfigError gives the fault in one line.
 
-    `on_unknown` gets a line on each setting that is passed over; `console` is where operators call if the
-    text does not say.
+    `on_unknown` is called with a line on each setting that is ignored; `console` is the console's address if
+    the text has none.
     """
     try:
         return _decode_config(json.loads(text), on_unknown, console)
@@ -84,7 +84,7 @@
 
 
 def _flatten(value: object, prefix: str, into: wire.Fields) -> None:
-    """Add nested settings as the wire's path=value pairs."""
+    """Add nested settings as the wire format's path=value pairs."""
     if isinstance(value, dict):
         for name, inner in value.items():
             _flatten(inner, f"{prefix}.{name}" if prefix else str(name), into)
@@ -103,20 +103,20 @@
 
 
 def _decode_peers(raw: Mapping[str, Any], settings: Settings, flat: wire.Fields) -> tuple[Address, ...]:
-    """Return the addresses for gossip, if it is wanted and allowed."""
+    """Return the gossip addresses; empty unless membership is requested and allowed."""
     is_on = raw.get("membership") is True and flat.get("limits.peers") == "true"
     if not is_on or not raw.get("peer_listen"):
         return ()
     peers = tuple(parse_address(address) for address in raw.get("peers") or ())
     if not settings.balancer_index < len(peers) or len(set(peers)) < len(peers):
         raise ValueError(
-            f"peers: {len(peers)} addresses for number {settings.balancer_index}, each may stand once"
+            f"peers: {len(peers)} addresses; balancer {settings.balancer_index} needs one, all must differ"
         )
     return peers
 
 
 def _decode_registry(raw: Mapping[str, Any]) -> RegistryConfig | None:
-    """Return how a registry of one's own is polled, if the configuration has one."""
+    """Return how a self-hosted registry is polled, or None if the configuration has none."""
     table = raw.get("lists")
     if not isinstance(table, Mapping):
         return None
@@ -128,7 +128,7 @@
     services = _decode_services(table)
     subset_size = int(table.get("part") or 0)
     if services and tier:
-        raise ValueError("lists.tier: is the one service of `lists.services`; give one of the two")
+        raise ValueError("lists.tier: excludes `lists.services`; give one of the two")
     if not 0 <= subset_size <= MAX_SUBSET_SIZE or (subset_size and not services):
         raise ValueError(
             f"lists.part: {subset_size}; allowed: 0 to {MAX_SUBSET_SIZE}, and only with `lists.services`"
@@ -138,7 +138,7 @@
 
 
 def _decode_services(table: Mapping[str, Any]) -> tuple[str, ...]:
-    """Return the services that are requested, each once, sorted."""
+    """Return the requested services, sorted; a duplicate or invalid name is a ValueError."""
     services = tuple(str(name) for name in table.get("services") or ())
     if len(set(services)) < len(services) or len(services) > MAX_SERVICES:
         raise ValueError(f"lists.services: {len(services)} names; allowed: {MAX_SERVICES}, each once")
--- a/loadbalancer/net/metrics.py
+++ b/loadbalancer/net/metrics.py
@@ -1,6 +1,6 @@
-"""The stats in Prometheus' text form (https://prometheus.io/docs/instrumenting/exposition_formats/).
+"""The metrics in Prometheus' text format (https://prometheus.io/docs/instrumenting/exposition_formats/).
 
-Written by hand: prometheus_client costs every process 5 MB. A test parses the result with that package.
+It does not use prometheus_client, which costs every process 5 MB. A test parses the result with that package.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """What Prometheus is told of a metric beside its samples."""
+    """The type and help text of a metric."""
 
     kind: str
     help: str
@@ -37,7 +37,7 @@
 
 
 def render(stats: BalancerStats, dropped_log_lines: int, members_by_state: Mapping[str, int]) -> str:
-    """Return all metrics, one sample a line; those of membership are omitted where it is off."""
+    """Return all metrics, one sample per line; those of membership are omitted if it is off."""
     outcomes = {"succeeded": stats.succeeded, "declined": stats.rejected, "aborted": stats.failed}
     requests = [
         (f'{{class="{_escape(name)}",ending="{outcome}"}}', count)
--- a/loadbalancer/net/reports.py
+++ b/loadbalancer/net/reports.py
@@ -1,4 +1,4 @@
-"""What operators read of a balancer, as records; `console_codec` gives them the names of the console."""
+"""Reports on a balancer for operators; `console_codec` encodes them under the console's names."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BalancerStats:
-    """Counts since the start of this process, and what it knows of its upstreams now."""
+    """Counts since the start of this process, and the current state of its upstreams."""
 
     succeeded: Mapping[str, int]
-    """Requests that were answered with 200, by class; so are the next two."""
+    """Requests answered with 200, by class, like the next two counts."""
     rejected: Mapping[str, int]
-    """Requests that were answered with 429 or 503."""
+    """Requests answered with 429 or 503."""
     failed: Mapping[str, int]
-    """Requests that were answered with anything else."""
+    """Requests answered with any other status."""
     attempts: int
     """Attempts written in full to upstreams."""
     requests_in_flight: int
@@ -25,34 +25,34 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListReport:
-    """Where the endpoint list is from, how old it is, and what speaks against it; ages are None for never."""
+    """The endpoint list's source, age and contradictions; an age is None if the event never happened."""
 
     source: str
-    """The address of the instance that was asked last, `snapshot` or `configuration`."""
+    """The address of the instance that was last polled, `snapshot` or `configuration`."""
     revision: int
     last_response_age_ms: float | None
     last_change_age_ms: float | None
     source_changes: int
     rewinds: int
-    """How often the source has gone back to an older revision."""
+    """How often the source returned to an older revision."""
     stalls: int
-    """How often the source was left because its list stood still."""
+    """How often the source was changed because its list did not advance."""
     contradicted_servers: list[str]
     """Servers whose attempts contradict what the list says of them."""
     suspected_servers: list[str] = field(default_factory=list)
-    """Servers in use though the list omits them: it is suspected to be stale."""
+    """Servers kept in use although the list omits them, since it is suspected stale."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberReport:
-    """What this balancer believes of one member of its tier."""
+    """The state of one member of the tier as this balancer knows it."""
 
     index: int
     state: str
     state_age_s: float
     incarnation: int
     last_message_age_s: float | None
-    """None where no message of the member has come."""
+    """None if no message from the member was received."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,12 +63,12 @@
     sent_bytes: int
     received: int
     dropped: Mapping[str, int]
-    """Received messages that were not taken, by the reason."""
+    """Received messages that were dropped, by reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipReport:
-    """The balancers of the tier as this one sees them."""
+    """The balancers of the tier as this one knows them."""
 
     own_index: int
     active_members: int
--- a/loadbalancer/net/request_counters.py
+++ b/loadbalancer/net/request_counters.py
@@ -1,4 +1,4 @@
-"""What this process has done so far, counted from 0: requests by class and outcome, and attempts."""
+"""Counters since the start of this process: requests by class and outcome, and attempts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """Counts requests by class and outcome; each request is recorded at its start and once at its end."""
 
     def __init__(self, class_names: Iterable[str]) -> None:
-        """Begin with 0 for each class."""
+        """Start each class at 0."""
         names = tuple(class_names)
         self._succeeded = dict.fromkeys(names, 0)
         self._rejected = dict.fromkeys(names, 0)
@@ -23,11 +23,11 @@
         self._requests_in_flight = 0
 
     def record_request(self) -> None:
-        """Record a request that has arrived, and is owed a response."""
+        """Record a request that has arrived and awaits its response."""
         self._requests_in_flight += 1
 
     def record_response(self, class_name: str, status: int | None) -> None:
-        """Record the end of a request; its status is None where its client has disconnected before."""
+        """Record the end of a request; the status is None if its client disconnected first."""
         self._requests_in_flight -= 1
         if status is None:
             return
@@ -38,11 +38,11 @@
         counts[class_name] += 1
 
     def record_attempt(self) -> None:
-        """Record an attempt that has been written in full to an upstream."""
+        """Record an attempt that was written in full to an upstream."""
         self._attempts += 1
 
     def stats(self, listed_servers: int, ejected_servers: int) -> BalancerStats:
-        """Return the counts, with those of servers that others know."""
+        """Return the counts together with the given numbers of servers."""
         return BalancerStats(
             succeeded=self._succeeded,
             rejected=self._rejected,
