--- a/tests/console_client.py
+++ b/tests/console_client.py
@@ -16,12 +16,12 @@
 
 
 async def send_to_console(harness: ProxyHarness, data: bytes) -> HttpMessage:
-    """Return the console's answer to these bytes, after which it has to close."""
+    """Return the console's answer to these bytes, and check that the console closes the connection."""
     assert harness.proxy.console is not None
     reader, writer = await asyncio.open_connection(*harness.proxy.console.address[:2])
     writer.write(data)
     response = await read_message(reader)
-    assert await reader.read() == b"", "one call to a connection"
+    assert await reader.read() == b"", "one call per connection"
     writer.close()
     return response
 
@@ -30,8 +30,8 @@
     """Return the answer to `/admin/stats`."""
     response = await call_console(harness, "GET", "/admin/stats")
     assert (status_of(response), response.headers["content-type"]) == (200, "application/json")
-    read: dict[str, Any] = json.loads(response.body)
-    return read
+    stats: dict[str, Any] = json.loads(response.body)
+    return stats
 
 
 async def set_cordon(harness: ProxyHarness, server: str, is_cordoned: bool = True) -> int:
--- a/tests/test_connect_limits.py
+++ b/tests/test_connect_limits.py
@@ -1,4 +1,4 @@
-"""Limits on the time to connect, and where a request goes whose connection is late."""
+"""Limits on the connect time, and the retry of requests whose connection is late."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 )
 from tests.test_upstream_attempts import RecordedAttempt, full_backlog, make_pools
 
-MAX_WAIT_MS = 0.1 * PAY.latency_objective_ms  # the most that a request of the class waits before it is sent
+MAX_WAIT_MS = 0.1 * PAY.latency_objective_ms  # the longest wait of a request of this class before it is sent
 
 
 def serve_request(host: BalancerHost, connect_ms: float | None) -> SendAttempt:
-    """A request is served on a connection that took so long to come up, or that was open before."""
+    """Serve a request on a new connection that took `connect_ms`, or on a pooled one if None."""
     request, actions = host.receive_request(PAY)
     (send,) = sent_attempts(actions)
     host.now += 20.0
@@ -61,18 +61,18 @@
 
 
 def test_connect_limit_follows_slow_connections() -> None:
-    """A zone far away, or one where all connections have become slow."""
+    """Covers a zone that is far away, and one whose connections have all become slow."""
     host = BalancerHost(1)
     for _ in range(30):
         serve_request(host, 1.0)
     for _ in range(30):
         serve_request(host, 400.0)
-        assert serve_on_pooled_connection(host).connect_within_ms > 400.0, "from the first one on"
+        assert serve_on_pooled_connection(host).connect_within_ms > 400.0, "from the first slow connect on"
     host = BalancerHost(1)
     for _ in range(300):
         serve_request(host, 400.0)
     assert 400.0 <= serve_on_pooled_connection(host).connect_within_ms < 420.0, (
-        "and not for much longer than they take"
+        "and not much above their connect time"
     )
 
 
@@ -82,8 +82,10 @@
         request, actions = host.receive_request(PAY)
         (send,) = sent_attempts(actions)
         host.now += 20.0
-        took = {"s0": 1.0, "s1": 400.0}[send.server]
-        host.handle(AttemptEnded(request, 0, send.server, Outcome.SERVED, True, connect_duration_ms=took))
+        connect_ms = {"s0": 1.0, "s1": 400.0}[send.server]
+        host.handle(
+            AttemptEnded(request, 0, send.server, Outcome.SERVED, True, connect_duration_ms=connect_ms)
+        )
     limits = {
         send.server: send.connect_within_ms for send in (serve_on_pooled_connection(host) for _ in range(40))
     }
@@ -104,23 +106,23 @@
 
 
 def test_late_connection_sheds_nothing() -> None:
-    """It was never written: its time tells of connections, not of crowds."""
+    """The request was never written: its time is evidence of slow connects, not of overload."""
     host = BalancerHost(4)
     for _ in range(30):
         serve_request(host, 1.0)
     for _ in range(20):
         request, actions = host.receive_request(PAY)
         host.now += MAX_WAIT_MS
-        again = sent_attempts(
+        retry = sent_attempts(
             host.end_attempt(request, 0, sent_attempts(actions)[0].server, Outcome.CONNECT_FAILED)
         )
         host.now += 20.0
-        host.end_attempt(request, 1, again[0].server, Outcome.SERVED)
+        host.end_attempt(request, 1, retry[0].server, Outcome.SERVED)
         assert host.balancer._requests.admitted_fraction(host.now) == 1.0
 
 
 def test_suspected_server_has_no_connect_limit() -> None:
-    """A late connection would count against it as if it were dead."""
+    """With a limit, a late connection would count as evidence that the server is dead."""
     host = BalancerHost(6, suspect_stale_fraction=0.5)
     for _ in range(30):
         serve_request(host, 1.0)
@@ -134,7 +136,7 @@
 
 
 def test_failed_connection_closes_no_idle_connections() -> None:
-    """That one could not connect speaks against no open connection: it had to open a further one."""
+    """A failed connect concerns a new connection: it is no evidence against those already open."""
 
     def closes_after(outcome: Outcome) -> bool:
         host = BalancerHost(2)
@@ -143,9 +145,9 @@
         request = 1_000
         actions = host.handle(RequestArrived(request, "read", 3_000))
         host.now += 20.0
-        again = host.end_attempt(request, 0, sent_attempts(actions)[0].server, outcome)
-        assert sent_attempts(again)
-        return bool(actions_of(again, CloseIdleConnections))
+        retry = host.end_attempt(request, 0, sent_attempts(actions)[0].server, outcome)
+        assert sent_attempts(retry)
+        return bool(actions_of(retry, CloseIdleConnections))
 
     assert not closes_after(Outcome.CONNECT_FAILED)
     assert closes_after(Outcome.TIMED_OUT) and closes_after(Outcome.RESET)
@@ -158,7 +160,7 @@
     async def scenario() -> None:
         async with full_backlog() as address:
             upstreams = make_pools(address, connectTimeout=60_000.0)
-            attempt = RecordedAttempt(upstreams, timeout_s=60.0, connect_s=0.02)
+            attempt = RecordedAttempt(upstreams, timeout_s=60.0, connect_within_s=0.02)
             assert await attempt.outcome() is Outcome.CONNECT_FAILED
             assert attempt.attempt.connect_duration_s is None and upstreams.open_connections == 0
 
@@ -171,9 +173,9 @@
         first = RecordedAttempt(upstreams)
         assert await first.outcome() is Outcome.SERVED
         assert first.attempt.connect_duration_s is not None and 0.0 <= first.attempt.connect_duration_s < 10.0
-        upstreams._pools["s0"].idle_connections[0].idle_since_s -= 1.0  # it has rested
-        second = RecordedAttempt(upstreams, connect_s=0.0)
-        assert await second.outcome() is Outcome.SERVED, "nothing is opened: nothing can be late"
+        upstreams._pools["s0"].idle_connections[0].idle_since_s -= 1.0  # past the reuse delay
+        second = RecordedAttempt(upstreams, connect_within_s=0.0)
+        assert await second.outcome() is Outcome.SERVED, "no connection is opened, so none can be late"
         assert second.attempt.connect_duration_s is None
 
     run_scenario(scenario())
@@ -182,26 +184,26 @@
 def test_requests_are_served_elsewhere_while_connections_to_one_server_hang(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """They waited for it until their time was over, and were refused."""
+    """Guards against requests that wait for the connection until their deadline and are rejected."""
 
     async def scenario() -> None:
-        dials = PausedConnects(monkeypatch, "s1")
+        connects = PausedConnects(monkeypatch, "s1")
         limits = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 60_000.0}
         upstream = Upstream()
-        async with ProxyHarness(upstream, Upstream(never_answer), limits=limits) as rig:
-            callers = [await rig.connect() for _ in range(2)]
-            for caller in callers:  # one for each server: from the first the usual time is known
-                caller.send_request("/pay/x", b"debit")
+        async with ProxyHarness(upstream, Upstream(never_answer), limits=limits) as harness:
+            clients = [await harness.connect() for _ in range(2)]
+            for client in clients:  # one per server: the first gives the zone's usual connect time
+                client.send_request("/pay/x", b"debit")
             await upstream.request_received.wait()
-            await dials.started.wait()
-            for caller in callers:
-                caller.writer.close()
-            await wait_until(lambda: not rig.proxy.requests.by_id)
-            begun = dials.count
+            await connects.started.wait()
+            for client in clients:
+                client.writer.close()
+            await wait_until(lambda: not harness.proxy.requests.by_id)
+            connect_count = connects.count
             answers = await asyncio.gather(
-                *[rig.request("/pay/x", b"debit", deadline="1500m") for _ in range(4)]
+                *[harness.request("/pay/x", b"debit", deadline="1500m") for _ in range(4)]
             )
             assert [status_of(answer) for answer in answers] == [200] * 4
-            assert dials.count > begun
+            assert connects.count > connect_count
 
     run_scenario(scenario())
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -66,7 +66,7 @@
         async with ProxyHarness(upstream) as harness:
             assert status_of(await harness.request("/read/a")) == 200
             assert status_of(await harness.request("/pay/a", b"debit")) == 502  # reset, and it may have run
-            assert status_of(await harness.request("/pay/a", b"debit")) == 503  # turned away wherever it went
+            assert status_of(await harness.request("/pay/a", b"debit")) == 503  # rejected by every server
             stats = await read_stats(harness)
             assert stats["succeeded"] == {"read": 1, "pay": 0}
             assert stats["aborted"] == {"read": 0, "pay": 1}
@@ -143,7 +143,7 @@
     run_scenario(scenario())
 
 
-def test_cordoned_server_gets_no_requests_until_uncordoned_whatever_lists_contain() -> None:
+def test_cordoned_server_gets_no_requests_until_uncordoned_regardless_of_the_list() -> None:
     async def scenario() -> None:
         first, second = Upstream(), Upstream()
         async with ProxyHarness(first, second) as harness:
@@ -153,9 +153,7 @@
             harness.discovery.publish(9, harness.entries[0] | {"status": "terminated"})
             harness.discovery.publish(10, harness.entries[0])
             for _ in range(4):
-                await (
-                    harness.discovery.request_lines.get()
-                )  # the fourth tells that three answers have been read
+                await harness.discovery.request_lines.get()  # the fourth shows that three responses were read
             for _ in range(20):
                 assert status_of(await harness.request()) == 200
             assert (len(first.requests), len(second.requests)) == (0, 20)
@@ -173,7 +171,7 @@
             assert (
                 await set_cordon(harness, "s7") == await set_cordon(harness, "s7", is_cordoned=False) == 404
             )
-            assert await set_cordon(harness, "s0", is_cordoned=False) == 200  # known, and not out
+            assert await set_cordon(harness, "s0", is_cordoned=False) == 200  # known, and not cordoned
             for body in (b"", b" ", b"s0 s1", b"s0\x00", b"\xff"):
                 assert status_of(await call_console(harness, "POST", "/admin/cordon", body)) == 400
             assert (await read_stats(harness))["ejected"] == 0
@@ -192,25 +190,25 @@
     run_scenario(scenario())
 
 
-def test_attempt_that_is_connecting_does_not_begin_after_the_cordon() -> None:
+def test_attempt_that_is_connecting_is_not_sent_after_the_cordon() -> None:
     async def scenario() -> None:
         first, second = Upstream(), Upstream()
         async with ProxyHarness(first, second) as harness:
-            gate = asyncio.Event()
+            released = asyncio.Event()
             connect = harness.proxy.upstreams.loop.create_connection
 
             async def slow(*args: Any, **more: Any) -> Any:
-                await gate.wait()
+                await released.wait()
                 return await connect(*args, **more)
 
-            harness.proxy.upstreams.loop = Loop(harness.proxy.upstreams.loop, slow)  # type: ignore[assignment]
+            harness.proxy.upstreams.loop = PatchedLoop(harness.proxy.upstreams.loop, slow)  # type: ignore[assignment]
             clients = [await harness.connect() for _ in range(8)]
             for client in clients:
                 client.send_request()
             while (await read_stats(harness))["outstanding"] < len(clients):
                 pass
             assert await set_cordon(harness, "s0") == 200
-            gate.set()
+            released.set()
             for client in clients:
                 assert status_of(await client.read_response()) == 200
             assert (len(first.requests), len(second.requests)) == (0, 8)
@@ -218,8 +216,8 @@
     run_scenario(scenario())
 
 
-class Loop:
-    """An event loop whose connections come up when a test lets them."""
+class PatchedLoop:
+    """An event loop whose `create_connection` a test replaces."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, create_connection: Any) -> None:
         self._loop, self.create_connection = loop, create_connection
--- a/tests/test_endings_upstream.py
+++ b/tests/test_endings_upstream.py
@@ -1,4 +1,4 @@
-"""What is owed in the instant in which an attempt, a dial or a connection to an upstream ends."""
+"""Races at the end of an attempt, while its connection is established or its request written."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 }  # fmt: skip
 
 
-# ---- dials --------------------------------------------------------------------------------------
+# ---- connects -----------------------------------------------------------------------------------
 
 Ending = Callable[[UpstreamPools, str, RecordedAttempt], Any]
 ENDINGS: dict[str, tuple[Ending, Outcome]] = {
@@ -61,16 +61,16 @@
         ),
         Outcome.CONNECT_FAILED,
     ),
-    "held": (lambda upstreams, address, attempt: upstreams.cordon("s0"), Outcome.CONNECT_FAILED),
+    "cordoned": (lambda upstreams, address, attempt: upstreams.cordon("s0"), Outcome.CONNECT_FAILED),
 }
 
 
 @pytest.mark.parametrize("order", ["before it is up", "right when it is up"])
 @pytest.mark.parametrize("ending", ENDINGS)
-def test_a_connection_that_comes_up_as_its_attempt_ends_is_closed_and_sends_nothing(
+def test_a_connection_established_as_its_attempt_ends_is_closed_and_sends_nothing(
     ending: str, order: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A dial for a server that had started anew meanwhile went to the new process; `open` counted late."""
+    """Guards against a request sent to the new process of a restarted server, and a late connection count."""
     end, wanted = ENDINGS[ending]
 
     async def scenario() -> None:
@@ -79,7 +79,7 @@
         grace_ms = 0.0 if ending == "drained" else 60_000.0
         upstreams = make_pools(address, connectTimeout=60_000.0, contract={"drainGrace": grace_ms})
         attempt = RecordedAttempt(upstreams)
-        assert upstreams.open_connections == 1, "it counts from the dial on"
+        assert upstreams.open_connections == 1, "it counts from the start of the connect on"
         await connects.started.wait()
         if order == "before it is up":
             end(upstreams, address, attempt)
@@ -96,8 +96,8 @@
     run_scenario(scenario())
 
 
-def test_many_connects_at_once_keep_to_the_bound_on_connections(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each was counted when it began to connect, in a later turn of the loop: a burst went over the bound."""
+def test_many_connects_at_once_keep_to_the_limit_on_connections(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against counting connections only in a later loop iteration: a burst exceeded the limit."""
 
     async def scenario() -> None:
         connects = PausedConnects(monkeypatch)
@@ -105,7 +105,7 @@
         upstreams.max_connections = 3
         attempts = [RecordedAttempt(upstreams) for _ in range(10)]
         assert upstreams.open_connections == 3
-        await wait_until(lambda: sum(t.ended.is_set() for t in attempts) == 7)
+        await wait_until(lambda: sum(attempt.ended.is_set() for attempt in attempts) == 7)
         assert connects.count == 3
         connects.release()
         for attempt in attempts:
@@ -114,7 +114,7 @@
     run_scenario(scenario())
 
 
-def test_a_connect_and_its_timeout_in_one_turn_end_the_attempt_once(
+def test_a_connect_and_its_timeout_in_one_loop_iteration_end_the_attempt_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -130,15 +130,15 @@
     run_scenario(scenario())
 
 
-# ---- clients that leave -------------------------------------------------------------------------
+# ---- clients that disconnect --------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("path", ["/read/x", "/pay/x"])
-def test_a_client_that_disconnects_while_its_connection_comes_up_has_nothing_forwarded(
+def test_a_client_that_disconnects_during_the_connect_has_nothing_forwarded(
     may_cancel: bool, path: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Where the settings forbid cancelling the dial went on, and the request was sent when it was up."""
+    """Without permission to cancel, the connect went on and the request was sent once it was established."""
 
     async def scenario() -> None:
         connects, upstream = PausedConnects(monkeypatch), Upstream()
@@ -158,8 +158,8 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_a_client_that_disconnects_behind_half_a_body_frees_the_upstream_at_once(may_cancel: bool) -> None:
-    """Where the settings forbid cancelling, the attempt stayed out until nothing had moved for 20 s."""
+def test_a_client_that_disconnects_after_half_a_body_frees_the_upstream_at_once(may_cancel: bool) -> None:
+    """Without permission to cancel, the attempt stayed open until its stall timeout of 20 s."""
 
     async def scenario() -> None:
         arrived, ended = asyncio.Event(), asyncio.Event()
@@ -183,7 +183,7 @@
             client = await harness.connect()
             client.send_request("/pay/x", b"x" * 200_000)
             await arrived.wait()
-            client.send_request("/pay/x", b"")  # bytes behind it that nobody will read
+            client.send_request("/pay/x", b"")  # bytes after it that are never read
             partial = await harness.connect()
             partial.writer.write(
                 b"POST /pay/x HTTP/1.1\r\nX-Class: pay\r\nX-Request-Id: 2\r\nX-Deadline: 900m\r\n"
@@ -197,10 +197,10 @@
     run_scenario(scenario())
 
 
-def test_the_hedge_of_an_answered_request_is_not_written_when_its_connection_comes_up(
+def test_the_hedge_of_an_answered_request_is_not_written_once_its_connection_is_established(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Where the settings forbid cancelling, a second attempt was sent after the final answer had gone out."""
+    """Without permission to cancel, a second attempt was sent after the final response."""
 
     async def scenario() -> None:
         first, second = Upstream(), Upstream()
@@ -229,13 +229,13 @@
     run_scenario(scenario())
 
 
-# ---- repeats that are late ----------------------------------------------------------------------
+# ---- late retries -------------------------------------------------------------------------------
 
 
-def test_a_retry_whose_connection_comes_up_after_its_window_is_not_written(
+def test_a_retry_whose_connection_is_established_after_its_window_is_not_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It was allowed when it was decided, and was sent when the servers had forgotten the first attempt."""
+    """A retry within its window when decided was sent after the servers had forgotten the first attempt."""
 
     async def scenario() -> None:
         upstreams = Upstream(reset_connection), Upstream(reset_connection)
@@ -245,7 +245,7 @@
             client.send_request("/book/x", b"seat")
             await wait_until(lambda: any(u.requests for u in upstreams))
             connects = PausedConnects(monkeypatch)
-            await connects.started.wait()  # the repeat
+            await connects.started.wait()  # the retry
             await wait_at_least(0.2)
             connects.release()
             assert status_of(await client.read_response()) == 502
@@ -256,20 +256,20 @@
 
 
 def test_the_last_byte_of_a_retry_is_sent_within_its_window_or_never() -> None:
-    """The upstream reads nothing: most of the request is still with us when the time is over."""
+    """The upstream reads nothing: most of the request is still in our buffer when the window ends."""
 
     async def scenario() -> None:
-        ended, begun = asyncio.Event(), asyncio.Event()
+        ended, accepted = asyncio.Event(), asyncio.Event()
 
         async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            begun.set()
+            accepted.set()
             await ended.wait()
             writer.close()
 
         server = await asyncio.start_server(take, "127.0.0.1", 0, limit=1024)
         upstreams = make_pools(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
-        attempt = RecordedAttempt(upstreams, b"x" * 50_000_000, timeout_s=60.0, within_s=0.05)
-        await begun.wait()
+        attempt = RecordedAttempt(upstreams, b"x" * 50_000_000, timeout_s=60.0, write_within_s=0.05)
+        await accepted.wait()
         assert await attempt.outcome() is Outcome.CONNECT_FAILED, "it can't have run"
         assert upstreams.open_connections == 0
         ended.set()
@@ -281,9 +281,9 @@
     async def scenario() -> None:
         upstream = Upstream(never_answer)
         upstreams = make_pools(await upstream.start())
-        attempt = RecordedAttempt(upstreams, timeout_s=60.0, within_s=0.02)
+        attempt = RecordedAttempt(upstreams, timeout_s=60.0, write_within_s=0.02)
         await upstream.request_received.wait()
-        await wait_at_least(0.03)  # behind the limit's timer in the loop's order
+        await wait_at_least(0.03)  # until the timer of the limit has fired
         assert not attempt.outcomes
         upstream.writers[0].write(http_response())
         assert await attempt.outcome() is Outcome.SERVED
--- a/tests/test_golden_console.py
+++ b/tests/test_golden_console.py
@@ -1,6 +1,6 @@
-"""Every console call, and the metrics, are answered as d282128 answered them.
+"""The console answers every call, the metrics included, exactly as commit d282128 did.
 
-Masked: ports, times, loads, shares that are on their way, and counts of datagrams and of members by state.
+Masked: ports, times, loads, traffic fractions in transition, and counts of datagrams and of members by state.
 """
 
 from __future__ import annotations
@@ -30,5 +30,5 @@
 
 def test_recorded_session_makes_every_call_of_the_console() -> None:
     made = {line for line, _ in replay.CONSOLE_CALLS}
-    service = ConsoleService(cast(ConsoleBackend, None))  # it answers no call here
+    service = ConsoleService(cast(ConsoleBackend, None))  # no call is made
     assert {f"{method} {path}" for path, method in service.methods().items()} <= made
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restart: one process of the balancer takes over from another, as real processes on loopback sockets."""
+"""Hot restart: one balancer process takes over from another, as real processes on loopback sockets."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class Site:
-    """The addresses and the folder that the processes of one balancer share, and its upstreams."""
+    """The addresses and folder shared by the processes of one balancer, and its upstreams."""
 
     def __init__(
         self, folder: Path, *upstreams: Upstream, sockets: int = 1024, deadline_ms: float = 5_000.0
@@ -85,7 +85,7 @@
 
 
 class Process:
-    """A balancer's process, and its console."""
+    """A balancer process and its console."""
 
     def __init__(self, child: asyncio.subprocess.Process, console: int) -> None:
         self.child = child
@@ -119,7 +119,7 @@
 
 
 async def send_requests(site: Site, stop: asyncio.Event, reuse: bool) -> int:
-    """Requests one after another, on one connection for as long as it is kept open; how many were served."""
+    """Send requests in sequence, on a kept connection if `reuse`; return how many were served."""
     served, client = 0, None
     while not stop.is_set():
         client = client or await site.connect()
@@ -133,43 +133,43 @@
     return served
 
 
-@pytest.mark.parametrize("link", ["handed over", "refused"])
-def test_no_request_is_lost_under_load_during_a_hot_restart(tmp_path: Path, link: str) -> None:
+@pytest.mark.parametrize("handover", ["handed over", "refused"])
+def test_no_request_is_lost_under_load_during_a_hot_restart(tmp_path: Path, handover: str) -> None:
     async def scenario() -> None:
         site = Site(tmp_path, Upstream(), Upstream())
         await site.start()
         site.discovery.publish(8, *site.entries, snapshot=True)
-        if link == "refused":
-            (tmp_path / "shared" / "handover").mkdir()  # no socket can be laid there
+        if handover == "refused":
+            (tmp_path / "shared" / "handover").mkdir()  # no socket can be created there
         async with site.process() as old:
             await old.wait_until_serving()
             stop = asyncio.Event()
-            load = [asyncio.ensure_future(send_requests(site, stop, reuse=i % 2 == 0)) for i in range(6)]
+            clients = [asyncio.ensure_future(send_requests(site, stop, reuse=i % 2 == 0)) for i in range(6)]
             async with site.process() as new:
-                if link == "handed over":
+                if handover == "handed over":
                     await site.discovery.request_lines.get()
                     site.discovery.publish(8, *site.entries, snapshot=True)
                 await new.wait_until_serving()
-                if link == "handed over":
+                if handover == "handed over":
                     await old.stop()
                     before = (await new.stats())["succeeded"]["read"]
                     while (await new.stats())["succeeded"]["read"] <= before:
                         await asyncio.sleep(0.01)
                 stop.set()
-                assert min(await asyncio.gather(*load)) > 0
+                assert min(await asyncio.gather(*clients)) > 0
 
     run_scenario(scenario())
 
 
 def test_clients_in_the_accept_queue_are_served_by_the_successor(tmp_path: Path) -> None:
     async def scenario() -> None:
-        gate = asyncio.Event()
+        released = asyncio.Event()
 
         async def gated(asked: HttpMessage, writer: asyncio.StreamWriter) -> None:
-            await gate.wait()
+            await released.wait()
             writer.write(http_response())
 
-        # Room for four clients; they wait for a process to start, however long that takes on a busy machine.
+        # Room for four clients; the deadline allows for a slow process start on a busy machine.
         site = Site(tmp_path, Upstream(gated), sockets=100, deadline_ms=60_000.0)
         await site.start()
         async with site.process() as old:
@@ -183,7 +183,7 @@
                 site.discovery.publish(8, *site.entries, snapshot=True)
                 site.discovery.publish(8, *site.entries, snapshot=True)
                 await new.wait_until_serving()
-                gate.set()
+                released.set()
                 await old.stop()
                 for client in clients:
                     assert status_of(await client.read_response()) == 200
@@ -210,7 +210,7 @@
     run_scenario(scenario())
 
 
-def test_cordon_outlasts_the_process_that_took_it(tmp_path: Path) -> None:
+def test_cordon_outlasts_the_process_that_applied_it(tmp_path: Path) -> None:
     async def scenario() -> None:
         first, second = Upstream(), Upstream()
         site = Site(tmp_path, first, second)
@@ -274,7 +274,7 @@
 
 
 @pytest.mark.parametrize("leftover", ["nothing", "a file", "a dead socket"])
-def test_leftovers_of_a_killed_process_prevent_no_start(tmp_path: Path, leftover: str) -> None:
+def test_leftovers_of_a_killed_process_do_not_prevent_a_start(tmp_path: Path, leftover: str) -> None:
     path = tmp_path / "handover"
     if leftover == "a file":
         path.write_bytes(b"half")
@@ -303,8 +303,8 @@
     for _ in range(300):
         old.serve_request(takes={"s0": 400.0, "s1": 20.0, "s2": 20.0, "s3": 20.0})
     new.now = old.now
-    plain = json.loads(json.dumps(encode_learned_state(old.balancer.learned_state(old.now))))
-    new.balancer.restore(decode_learned_state(plain, {c.name for c in settings().classes}), new.now)
+    encoded = json.loads(json.dumps(encode_learned_state(old.balancer.learned_state(old.now))))
+    new.balancer.restore(decode_learned_state(encoded, {c.name for c in settings().classes}), new.now)
     served = [new.serve_request(takes=20.0) for _ in range(40)]
     assert served.count("s0") <= 3
 
--- a/tests/test_metrics_and_log.py
+++ b/tests/test_metrics_and_log.py
@@ -1,4 +1,4 @@
-"""What a balancer reports of itself: its log, its metrics, and what dashboard and alerts name of them."""
+"""The log and the metrics of a balancer, and the metric names in the dashboard and alerts."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def samples(text: str) -> dict[tuple[str, str, str], float]:
-    """Each sample by its name, class and ending, as Prometheus reads it."""
+    """Return each sample by its name, class and ending, as Prometheus parses it."""
     return {
         (s.name, s.labels.get("class", ""), s.labels.get("ending", "")): s.value
         for family in text_string_to_metric_families(text)
@@ -63,17 +63,17 @@
     json.loads((ROOT / "ops" / "dashboard.json").read_text(encoding="utf-8"))
 
 
-def test_log_is_bounded_and_reports_what_it_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_log_is_limited_and_reports_how_much_it_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 1_000.0
     monkeypatch.setattr("loadbalancer.net.log.time.monotonic", lambda: now)
     seen: list[str] = []
-    bounded_log = log.Log("n1", lambda name, event, text, fields: seen.append(event))
+    limited_log = log.Log("n1", lambda name, event, text, fields: seen.append(event))
     for _ in range(log.MAX_LINES_PER_INTERVAL + 7):
-        bounded_log.event("noise", "once more")
-    assert seen == ["noise"] * log.MAX_LINES_PER_INTERVAL and bounded_log.dropped_lines == 7
+        limited_log.event("noise", "once more")
+    assert seen == ["noise"] * log.MAX_LINES_PER_INTERVAL and limited_log.dropped_lines == 7
     now += log.INTERVAL_S
-    bounded_log.event("later", "again")
-    assert seen[log.MAX_LINES_PER_INTERVAL :] == ["lines_dropped", "later"] and bounded_log.dropped_lines == 7
+    limited_log.event("later", "again")
+    assert seen[log.MAX_LINES_PER_INTERVAL :] == ["lines_dropped", "later"] and limited_log.dropped_lines == 7
 
 
 def test_log_line_is_text_or_json_with_its_fields(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The balancer as a program: its exit status, its configuration and its clock."""
+"""The balancer's program: its exit status, configuration and clock."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from loadbalancer.net.clock import Clock
 from tests.loopback import SCENARIO_TIMEOUT_S, config_text
 
-MAX_DESCRIPTORS = 40  # fewer than the configuration says
-CROWD = 60  # clients, more than there are descriptors
+MAX_DESCRIPTORS = 40  # fewer than the configuration allows for
+CLIENT_COUNT = 60  # more than there are descriptors
 COMMAND = [sys.executable, "-m", "loadbalancer"]
 
 
@@ -57,8 +57,8 @@
             time.sleep(0.02)
 
 
-def test_running_out_of_descriptors_is_survived(tmp_path: Path) -> None:
-    """With fewer descriptors than the configuration says, accepting fails; it must go on later."""
+def test_program_survives_running_out_of_descriptors(tmp_path: Path) -> None:
+    """With fewer descriptors than the configuration allows for, accept fails; accepting must resume later."""
     port = find_free_port("127.0.0.1")
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []).replace("127.0.0.1:0", f"127.0.0.1:{port}"))
@@ -70,7 +70,7 @@
     )
     try:
         wait_until_healthy(port)
-        clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(CROWD)]
+        clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(CLIENT_COUNT)]
         for client in clients:
             client.close()
         assert get_health(port) == 200
@@ -80,7 +80,7 @@
         process.kill()
 
 
-def test_clock_compares_with_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clock_matches_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
     first = clock.now()
     assert abs(first - time.time() * 1000) < 1000
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings of any deployment are read, and invalid ones are reported in one line."""
+"""The settings of any deployment are accepted, and invalid ones are reported in one line."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     },
     optional={
         "keyScope": st.sampled_from(["all", "zone", "cell", "another"]),
-        "repeatWindow": st.sampled_from([0.0, 5.0, 120.0, 5_000.0]),  # some are shorter than a dial
+        "repeatWindow": st.sampled_from([0.0, 5.0, 120.0, 5_000.0]),  # some are shorter than a connect
         "worth": st.sampled_from([0.0, 0.5, 12.0]),
         "lateShare": st.sampled_from([0.0, 0.3, 1.0]),
     },
@@ -110,10 +110,10 @@
     assert config.settings.may_hedge is limits.get("mayDuplicate", False)
     assert config.settings.max_attempts == limits.get("attemptsCap", 1)
     assert config.drain_grace_ms == site.get("contract", {}).get("drainGrace", 0.0)
-    assert not config.peers, "no notes unless membership is asked for"
+    assert not config.peers, "no gossip unless membership is requested"
 
 
-# Names of deployments that are known; those of the variants here are read from their files.
+# Names of known deployments; those of the site variants are read from their files.
 NAMED_DEPLOYMENTS = """
 romobil jadran zagreb split ulaz jezgra karta voznja otkljucaj grad
 ljubljana faculty claims parcel claim photo assess polje dolina zav
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""A process that starts is ready whatever its calls for the list come to, and however many start with it."""
+"""A starting process becomes ready whatever its list requests return, and however many start together."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.loopback import config_text, endpoint_entry, http_response, run_scenario, running_program
 
 HOST = "127.0.0.1"
-MAX_READY_S = 10.0  # the operators' term, for nine in ten
+MAX_READY_S = 10.0  # the operators' requirement, for 90 % of the processes
 SLOW_ANSWER_S = 4.0
 INITIAL_LIST = [endpoint_entry("s0", "127.0.0.1:5000")]
 FAILURES = ("refused", "silent", "slow", "503", "half")
@@ -28,7 +28,7 @@
 
 
 class FailingListService:
-    """A discovery that ends every call in one way."""
+    """A discovery service that handles every call in the same way."""
 
     def __init__(self, failure: str) -> None:
         self._failure, self.calls = failure, 0
@@ -57,7 +57,7 @@
 
 
 async def measure_start_s(port: int, started_at_s: float) -> float:
-    """Seconds from the start of a process until it answers 200 to a look at its health."""
+    """Return the seconds from the start of a process until it answers a health check with 200."""
     while True:
         try:
             reader, writer = await asyncio.open_connection(HOST, port)
@@ -68,12 +68,12 @@
                 return time.monotonic() - started_at_s
         except OSError:
             pass
-        await asyncio.sleep(0.02)  # between looks, as a front does
+        await asyncio.sleep(0.02)  # between health checks, as a front proxy does
 
 
 @asynccontextmanager
 async def running_balancer(config: dict[str, Any], path: Path) -> AsyncIterator[int]:
-    """One balancer as the platform starts it; gives the port that it listens on, and ends it."""
+    """Run a balancer as the platform starts it; yield the port that it listens on."""
     port = find_free_port(HOST)
     path.write_text(json.dumps(config | {"listen": f"{HOST}:{port}"}))
     async with running_program(path):
@@ -81,7 +81,7 @@
 
 
 def configuration(
-    address: str, how: str, has_initial_list: bool, has_own_registry: bool = False
+    address: str, discovery_mode: str, has_initial_list: bool, has_own_registry: bool = False
 ) -> dict[str, Any]:
     lists = {"others": [f"{HOST}:{find_free_port(HOST)}"]} if has_own_registry else None
     contract = {"drainGrace": 300.0, "askWithin": 30_000.0}
@@ -89,7 +89,7 @@
         address,
         INITIAL_LIST if has_initial_list else [],
         lists=lists,
-        discovery=how,
+        discovery=discovery_mode,
         balancers=18_000,
         contract=contract,
     )
@@ -103,39 +103,45 @@
         return await measure_start_s(port, started_at_s)
 
 
-@pytest.mark.parametrize("how", ["ask", "push"])
-def test_processes_that_start_together_are_ready_whatever_discovery_does(how: str, tmp_path: Path) -> None:
-    """Twelve at once; where the machine is busy, those that discovery answers show how long a start takes."""
+@pytest.mark.parametrize("discovery_mode", ["ask", "push"])
+def test_processes_that_start_together_are_ready_whatever_discovery_does(
+    discovery_mode: str, tmp_path: Path
+) -> None:
+    """Starts twelve at once; those with a working discovery show how long a start takes on a busy machine."""
 
     async def scenario() -> None:
         working = await FailingListService("up").start()
-        configs = [configuration(working, how, has_initial_list) for has_initial_list in (True, False)]
+        configs = [
+            configuration(working, discovery_mode, has_initial_list) for has_initial_list in (True, False)
+        ]
         for failure in FAILURES:
             address = await FailingListService(failure).start()
             configs += [
-                configuration(address, how, True),
-                configuration(address, how, False, has_own_registry=True),
+                configuration(address, discovery_mode, True),
+                configuration(address, discovery_mode, False, has_own_registry=True),
             ]
         starts = [start_and_measure_s(config, tmp_path / f"{n}.json") for n, config in enumerate(configs)]
         ready_after_s = await asyncio.wait_for(asyncio.gather(*starts), SCENARIO_LIMIT_S)
         usual_s, others_s = max(ready_after_s[:2]), sorted(ready_after_s[2:])
-        print(f"{how}: with discovery {usual_s:.2f} s, without {others_s}")
+        print(f"{discovery_mode}: with discovery {usual_s:.2f} s, without {others_s}")
         assert others_s[math.ceil(len(others_s) * 0.9) - 1] <= max(MAX_READY_S, 2 * usual_s)
-        assert others_s[-1] <= usual_s + SLOW_ANSWER_S / 2, "it waited for discovery"
+        assert others_s[-1] <= usual_s + SLOW_ANSWER_S / 2, "the start waited for discovery"
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(scenario())
 
 
-@pytest.mark.parametrize("how", ["ask", "push"])
+@pytest.mark.parametrize("discovery_mode", ["ask", "push"])
 @pytest.mark.parametrize("has_initial_list", [True, False])
 @pytest.mark.parametrize("has_own_registry", [True, False])
 def test_balancer_serves_before_its_first_request_for_the_list(
-    how: str, has_initial_list: bool, has_own_registry: bool
+    discovery_mode: str, has_initial_list: bool, has_own_registry: bool
 ) -> None:
     async def scenario() -> None:
         text = json.dumps(
-            configuration(f"{HOST}:{find_free_port(HOST)}", how, has_initial_list, has_own_registry)
+            configuration(
+                f"{HOST}:{find_free_port(HOST)}", discovery_mode, has_initial_list, has_own_registry
+            )
         )
         proxy = Proxy(read_config(text, lambda note: None), asyncio.get_running_loop())
         proxy.start()
--- a/tests/test_upstream_attempts.py
+++ b/tests/test_upstream_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts and pools on loopback sockets: what is told when things cross or break."""
+"""Attempts and connection pools on loopback sockets: the reported outcomes of races and failures."""
 
 from __future__ import annotations
 
@@ -43,27 +43,27 @@
 
 
 class IgnoredAttempt(AttemptHandler):
-    """An exchange whose end nobody waits for."""
+    """An attempt whose outcome is ignored."""
 
     def build_request(self) -> bytes:
         return REQUEST
 
 
 class RecordedAttempt(AttemptHandler):
-    """One attempt and all that was told of its end."""
+    """An attempt and the outcomes that were reported for it."""
 
     def __init__(
         self,
         upstreams: UpstreamPools,
         request: bytes = REQUEST,
         timeout_s: float = 5.0,
-        within_s: float = math.inf,
-        connect_s: float = math.inf,
+        write_within_s: float = math.inf,
+        connect_within_s: float = math.inf,
     ) -> None:
         self.outcomes: list[Outcome] = []
         self.ended = asyncio.Event()
         self._request = request
-        attempt = upstreams.start_attempt("s0", timeout_s, self, within_s, connect_s)
+        attempt = upstreams.start_attempt("s0", timeout_s, self, write_within_s, connect_within_s)
         assert attempt is not None
         self.attempt: Attempt = attempt
 
@@ -82,7 +82,7 @@
 
 @asynccontextmanager
 async def full_backlog() -> AsyncIterator[str]:
-    """An address where connections never come up."""
+    """Yield an address at which connections are never established."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -93,7 +93,7 @@
             yield f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-def test_a_connection_that_never_comes_up_is_a_failed_connect() -> None:
+def test_a_connection_that_is_never_established_is_a_failed_connect() -> None:
     async def scenario() -> None:
         async with full_backlog() as address:
             upstreams = make_pools(address)
@@ -113,7 +113,7 @@
 
 
 def test_an_attempt_that_breaks_before_its_last_byte_is_sent_never_ran() -> None:
-    """The upstream takes the head and resets while the rest is still in our buffer."""
+    """The upstream reads the head and resets while the rest is still in our buffer."""
 
     async def scenario() -> None:
         accepted = asyncio.Event()
@@ -132,13 +132,13 @@
     run_scenario(scenario())
 
 
-def test_an_attempt_ends_once_though_a_cancel_crosses_its_response() -> None:
+def test_an_attempt_ends_once_although_its_cancellation_races_its_response() -> None:
     async def scenario() -> None:
         upstream = Upstream(never_answer)
         upstreams = make_pools(await upstream.start())
         attempt = RecordedAttempt(upstreams)
         await upstream.request_received.wait()
-        upstream.writers[0].write(http_response())  # in the kernel by now, and not yet read
+        upstream.writers[0].write(http_response())  # already in the kernel, and not read yet
         attempt.attempt.cancel()
         attempt.attempt.cancel()
         await upstream.connection_ended.wait()
@@ -178,7 +178,9 @@
         upstreams.close_idle("s0")
         assert upstreams.open_connections == 0
         await serve()
-        upstreams._pools["s0"].idle_connections[0].idle_since_s -= 0.9 * 60  # not yet the upstream's limit
+        upstreams._pools["s0"].idle_connections[0].idle_since_s -= (
+            0.9 * 60
+        )  # over our limit, but not yet the upstream's
         await serve()
         assert upstream.connection_count == 3
         upstreams._pools["s0"].idle_connections[0].idle_since_s -= 0.9 * 60
@@ -197,7 +199,7 @@
 
 
 def test_a_second_response_behind_the_first_is_dropped_with_its_connection() -> None:
-    """It took the place of the answer, and a client was given what was made for no request of its own."""
+    """Guards against returning a stray second response to the next request on the connection."""
 
     async def scenario() -> None:
         upstream = Upstream(http_response() + http_response(200, b"other"), http_response())
@@ -226,7 +228,7 @@
     run_scenario(scenario())
 
 
-def test_the_cached_list_comes_first_and_an_attempt_after_the_response_is_not_sent() -> None:
+def test_the_cached_list_is_the_first_event_and_an_attempt_after_the_response_is_not_sent() -> None:
     async def scenario() -> None:
         upstream = Upstream()
         async with ProxyHarness(upstream) as harness:
@@ -250,10 +252,10 @@
     run_scenario(scenario())
 
 
-def test_the_cached_list_is_taken_before_the_first_turn_of_the_loop() -> None:
+def test_the_cached_list_is_applied_before_the_first_iteration_of_the_event_loop() -> None:
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as harness:
-            assert harness.proxy.balancer._endpoints.ready  # before a single turn of the loop
+            assert harness.proxy.balancer._endpoints.ready  # before the first iteration of the event loop
             assert harness.discovery.request_lines.empty()
 
     run_scenario(scenario())
