--- a/loadbalancer/net/hot_restart/__init__.py
+++ b/loadbalancer/net/hot_restart/__init__.py
@@ -5,7 +5,7 @@
 
 The new process connects to a Unix socket in a folder that both may write, and receives the listening socket
 and the state. Once it reports that it is ready, the old process stops accepting and, until it exits, sends
-its descriptor counts. So the one accept queue is never closed, and exactly one process accepts from it.
+its descriptor counts. So the one accept queue is never closed, and one process at a time accepts from it.
 """
 
 from loadbalancer.net.hot_restart.listener import HotRestartListener, ServingProcess
--- a/loadbalancer/net/hot_restart/predecessor.py
+++ b/loadbalancer/net/hot_restart/predecessor.py
@@ -18,7 +18,7 @@
     socket_path,
 )
 
-ANSWER_TIMEOUT_S = 1.0  # a working predecessor answers at once
+ANSWER_TIMEOUT_S = 1.0  # the old process answers at once or not at all
 MAX_STATE_BYTES = 16_000_000
 RECEIVE_BYTES = 65_536
 COUNTS_RECEIVE_BYTES = 4_096  # a line of counts takes less than a hundred
--- a/loadbalancer/net/upstream_pool.py
+++ b/loadbalancer/net/upstream_pool.py
@@ -17,7 +17,7 @@
 
 # Of the upstream's idle timeout: a request that is sent while the upstream closes would be reset.
 IDLE_LIMIT_FRACTION = 0.8
-# From a response to the next request on its connection: stray second responses came up to 4 ms late.
+# From a response to the next request on its connection: second responses were seen up to 4 ms late.
 REUSE_DELAY_S = 0.006
 # Of the drain grace: the list update may have waited in our buffer before it was read.
 DRAIN_GRACE_FRACTION = 0.5
--- a/tests/test_connect_limits.py
+++ b/tests/test_connect_limits.py
@@ -82,9 +82,9 @@
         request, actions = host.receive_request(PAY)
         (send,) = sent_attempts(actions)
         host.now += 20.0
-        connect_ms = {"s0": 1.0, "s1": 400.0}[send.server]
+        duration_ms = {"s0": 1.0, "s1": 400.0}[send.server]
         host.handle(
-            AttemptEnded(request, 0, send.server, Outcome.SERVED, True, connect_duration_ms=connect_ms)
+            AttemptEnded(request, 0, send.server, Outcome.SERVED, True, connect_duration_ms=duration_ms)
         )
     limits = {
         send.server: send.connect_within_ms for send in (serve_on_pooled_connection(host) for _ in range(40))
--- a/tests/test_endings_upstream.py
+++ b/tests/test_endings_upstream.py
@@ -105,7 +105,7 @@
         upstreams.max_connections = 3
         attempts = [RecordedAttempt(upstreams) for _ in range(10)]
         assert upstreams.open_connections == 3
-        await wait_until(lambda: sum(attempt.ended.is_set() for attempt in attempts) == 7)
+        await wait_until(lambda: sum(item.ended.is_set() for item in attempts) == 7)
         assert connects.count == 3
         connects.release()
         for attempt in attempts:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -144,7 +144,7 @@
         async with site.process() as old:
             await old.wait_until_serving()
             stop = asyncio.Event()
-            clients = [asyncio.ensure_future(send_requests(site, stop, reuse=i % 2 == 0)) for i in range(6)]
+            senders = [asyncio.ensure_future(send_requests(site, stop, reuse=i % 2 == 0)) for i in range(6)]
             async with site.process() as new:
                 if handover == "handed over":
                     await site.discovery.request_lines.get()
@@ -156,7 +156,7 @@
                     while (await new.stats())["succeeded"]["read"] <= before:
                         await asyncio.sleep(0.01)
                 stop.set()
-                assert min(await asyncio.gather(*clients)) > 0
+                assert min(await asyncio.gather(*senders)) > 0
 
     run_scenario(scenario())
 
