--- a/loadbalancer/net/config_reader.py
+++ b/loadbalancer/net/config_reader.py
@@ -128,7 +128,7 @@
     services = _decode_services(table)
     subset_size = int(table.get("part") or 0)
     if services and tier:
-        raise ValueError("lists.tier: is equivalent to a single service in `lists.services`; give one of the two")
+        raise ValueError("lists.tier: is one service of `lists.services`; give one of the two")
     if not 0 <= subset_size <= MAX_SUBSET_SIZE or (subset_size and not services):
         raise ValueError(
             f"lists.part: {subset_size}; allowed: 0 to {MAX_SUBSET_SIZE}, and only with `lists.services`"
