--- a/loadbalancer/drill/defects/registry.py
+++ b/loadbalancer/drill/defects/registry.py
@@ -33,7 +33,7 @@
 def lapses_unheard() -> None:
     """Let a lease expire though another instance, out of reach, may have renewed it."""
     real = Catalog.expire_leases
-    Catalog.expire_leases = lambda self, now, peers_known_since=0.0: real(self, now)  # type: ignore[method-assign]
+    Catalog.expire_leases = lambda self, now, peers_complete_as_of_ms=0.0: real(self, now)  # type: ignore[method-assign]
 
 
 def takes_drains_back() -> None:
--- a/loadbalancer/registry/catalog.py
+++ b/loadbalancer/registry/catalog.py
@@ -139,9 +139,9 @@
         self.renew_lease(entry, now)
         return self.commit(entry, now, ChangeKind.PINNED if is_pinned else ChangeKind.UNPINNED, who, why)
 
-    def expire_leases(self, now: float, peers_known_since: float = math.inf) -> list[Change]:
+    def expire_leases(self, now: float, peers_complete_as_of_ms: float = math.inf) -> list[Change]:
         """Take servers off the list whose leases have run out: see `LeaseExpiry.expire`."""
-        return self._lease_expiry.expire(now, peers_known_since)
+        return self._lease_expiry.expire(now, peers_complete_as_of_ms)
 
     # ---- accounts of other instances ------------------------------------------------------------
 
--- a/loadbalancer/registry/lease_expiry.py
+++ b/loadbalancer/registry/lease_expiry.py
@@ -30,13 +30,13 @@
         self._recent_expirations: dict[str, deque[float]] = {}  # by tier: when leases ran out
         self.suspended_until_ms: dict[str, float] = {}  # by tier
 
-    def expire(self, now: float, peers_known_since: float) -> list[Change]:
-        """Take servers off the list whose leases have run out; the others of these stay, marked.
+    def expire(self, now: float, peers_complete_as_of_ms: float) -> list[Change]:
+        """Remove servers whose leases have run out, or mark those that must stay as preserved.
 
-        `peers_known_since` is the time up to which all renewals at other instances are known here. While one
-        is out of reach, a server whose lease ran out after that may have renewed there: it stays, marked.
+        All renewals at other instances up to `peers_complete_as_of_ms` are known here. While one is
+        unreachable, a server whose lease ran out later may have renewed there: it is preserved.
         """
-        over = self._leases_over(now, peers_known_since)
+        over = self._leases_over(now, peers_complete_as_of_ms)
         for entry in over:
             if not entry.is_preserved:
                 self._recent_expirations.setdefault(entry.registration.tier, deque()).append(now)
@@ -57,12 +57,12 @@
                 changes.append(self._remove(entry, now))
         return changes
 
-    def _leases_over(self, now: float, peers_known_since: float) -> list[Entry]:
+    def _leases_over(self, now: float, peers_complete_as_of_ms: float) -> list[Entry]:
         entries = self._table.entries.values()
         over = [entry for entry in entries if is_lease_over(entry, now) and not entry.is_pinned]
         for entry in over:
-            entry.is_preserved = entry.is_preserved or entry.lease_expiry_ms >= peers_known_since
-        return [entry for entry in over if entry.lease_expiry_ms < peers_known_since]
+            entry.is_preserved = entry.is_preserved or entry.lease_expiry_ms >= peers_complete_as_of_ms
+        return [entry for entry in over if entry.lease_expiry_ms < peers_complete_as_of_ms]
 
     def _detect_mass_expiry(self, tier: str, now: float) -> None:
         """Suspend expiry in a tier where too many leases have run out within the window."""
