--- a/loadbalancer/net/action_executor.py
+++ b/loadbalancer/net/action_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of the decision module: each becomes I/O, a timer or a line of the log."""
+"""Carries out the actions of the decision module: each becomes I/O, a timer or a log line."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from loadbalancer.net.upstream_pool import UpstreamPools
 from loadbalancer.net.upstream_response import UpstreamResponse
 
-HEALTH_CHECK_TIMEOUT_MS = 250.0  # a server that answers later is of no use to requests either
+HEALTH_CHECK_TIMEOUT_MS = 250.0  # a server that responds later is of no use to requests either
 
 
 class HealthCheck(AttemptHandler):
     """One health check of a server."""
 
     def __init__(self, server: str, dispatch: Callable[[interface.Event], None]) -> None:
-        """Create the check; `dispatch` takes its end to the decision module."""
+        """Create the check; `dispatch` passes its outcome to the decision module."""
         self._server = server
         self._dispatch = dispatch
 
@@ -34,7 +34,7 @@
         return b"GET /healthz HTTP/1.1\r\nHost: upstream\r\n\r\n"
 
     def on_attempt_ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
-        """Report the end."""
+        """Report the outcome."""
         self._dispatch(interface.HealthCheckEnded(self._server, outcome))
 
 
@@ -52,7 +52,7 @@
         log: Log,
         dispatch: Callable[[interface.Event], None],
     ) -> None:
-        """Create the executor; `dispatch` takes events that actions cause back to the decision module."""
+        """Create the executor; `dispatch` passes events that actions cause to the decision module."""
         self._loop = loop
         self._clock = clock
         self._requests = requests
@@ -92,7 +92,7 @@
         request = self._requests.get_open(request_id)
         if request is not None:
             self._requests.respond(request, status, headers)
-            # It may end with an event of another request, or with a timer.
+            # On a timer or another request's event, `on_event_handled` doesn't remove this request.
             self._requests.forget_if_finished(request)
 
     def _send_health_check(self, server: str) -> None:
--- a/loadbalancer/net/address.py
+++ b/loadbalancer/net/address.py
@@ -1,4 +1,4 @@
-"""Addresses of machines, as the platform writes them."""
+"""Network addresses, as the platform writes them."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class AddressError(ValueError):
-    """A text that is no address; the message is one plain line."""
+    """A text that is not an address; the message is a single line."""
 
 
 def parse_address(text: object) -> Address:
-    """Return `host:port` as a pair; AddressError if it is none. The platform has no names to look up."""
+    """Parse `host:port`, without name look-ups, which the platform lacks; raises AddressError."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
-        raise AddressError(f"{text!r} is no address of the form host:port")
+        raise AddressError(f"{text!r} is not an address of the form host:port")
     try:
         return str(ipaddress.ip_address(host.strip("[]"))), int(port)
     except ValueError as error:
-        raise AddressError(f"{text!r} holds no address of a machine") from error
+        raise AddressError(f"{text!r} does not contain an IP address") from error
--- a/loadbalancer/net/clock.py
+++ b/loadbalancer/net/clock.py
@@ -8,7 +8,7 @@
 class Clock:
     """Unix milliseconds at the start plus the monotonic time since then.
 
-    It is not stepped when the machine's clock is set, and its values compare with the `since_ms` of servers.
+    It does not jump when the system clock is set, and its values compare with the `since_ms` of servers.
     """
 
     def __init__(self) -> None:
--- a/loadbalancer/net/decision_loop.py
+++ b/loadbalancer/net/decision_loop.py
@@ -15,20 +15,20 @@
 
 
 class RequestTracker(Protocol):
-    """What the loop reports about the request that an event or an action belongs to."""
+    """Receives what the loop reports about the request of an event or an action."""
 
     def on_event_handled(self, request_id: int | None) -> None:
-        """Handle that an event has been handled; the ID is None if it belongs to no request."""
+        """Record that an event has been handled; the ID is None if it belongs to no request."""
 
-    def rescue(self, request_id: int | None) -> None:
-        """Answer a request whose handling has failed, if it is still open."""
+    def respond_with_error(self, request_id: int | None) -> None:
+        """Answer a request whose handling has failed with an error, if it is still open."""
 
 
 class DecisionLoop:
     """Passes events to the decision module one at a time and has its actions carried out."""
 
     def __init__(self, balancer: Balancer, clock: Clock, log: Log) -> None:
-        """Create a loop; `attach` completes it before the first event."""
+        """Create a loop; `attach` must be called before the first event."""
         self.balancer = balancer
         self._clock = clock
         self._log = log
@@ -38,7 +38,7 @@
         self._execute: Callable[[interface.Action], None]
 
     def attach(self, requests: RequestTracker, execute: Callable[[interface.Action], None]) -> None:
-        """Set who tracks requests and who carries out actions; both need the loop to be created."""
+        """Set the request tracker and the action executor, whose constructors need the loop."""
         self._requests = requests
         self._execute = execute
 
@@ -62,14 +62,14 @@
         try:
             actions = self.balancer.handle(event, self._clock.now())
         except Exception:
-            # Guards against a fault in the decisions: it costs this request, never the process.
-            self._log.exception(f"the decision module failed at {event!r}"[:MAX_LOGGED_EVENT_CHARACTERS])
-            self._requests.rescue(request_id)
+            # A bug in the decision module must cost only this request, never the process.
+            self._log.exception(f"decision module failed to handle {event!r}"[:MAX_LOGGED_EVENT_CHARACTERS])
+            self._requests.respond_with_error(request_id)
             actions = []
         for action in actions:
             try:
                 self._execute(action)
             except Exception:
                 self._log.exception(f"could not carry out {action!r}")
-                self._requests.rescue(getattr(action, "request_id", None))
+                self._requests.respond_with_error(getattr(action, "request_id", None))
         self._requests.on_event_handled(request_id)
--- a/loadbalancer/net/descriptors.py
+++ b/loadbalancer/net/descriptors.py
@@ -6,20 +6,20 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-SIDE_FRACTION = 0.5  # of the descriptors are for clients, as many for upstreams
-# Less on each side: for the event loop, the logs, discovery, the console, sockets that are closing.
+SIDE_FRACTION = 0.5  # of the descriptors are for clients, and the same for upstreams
+# Reserved on each side: for the event loop, the logs, discovery, the console, sockets that are closing.
 RESERVED_SOCKETS_PER_SIDE = 48
 MIN_CONNECTIONS_PER_SIDE = 4  # however few descriptors there are
 EVICTION_INTERVAL_S = 0.05  # between passes: an evicted client needs a moment to close
-MAX_EVICTIONS_PER_PASS = 16  # each connection that comes in place of an evicted one costs processor time
-MIN_EVICTABLE_IDLE_S = 1.0  # a client that has sent no request for so long may be evicted
+MAX_EVICTIONS_PER_PASS = 16  # each connection that replaces an evicted one costs CPU time
+MIN_EVICTABLE_IDLE_S = 1.0  # a client that has sent no request for this long may be evicted
 NEW_CONNECTION_GRACE_S = 0.1  # a connection is opened for a request, which follows
 
 
 def max_connections_per_side(sockets: int) -> int:
     """Return how many connections each side may have; `sockets` is what the configuration allows.
 
-    The process's own limit (RLIMIT_NOFILE) may be lower. Where it was not heeded, idle clients filled it, and
+    The process's own limit (RLIMIT_NOFILE) may be lower. When it was ignored, idle clients exhausted it, and
     nothing was left for connections to the list service, to upstreams and to the console.
     """
     process_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -31,25 +31,25 @@
     """A connection that may be evicted for another."""
 
     idle_since_s: float
-    """When it last had a response, or was accepted, on the monotonic clock."""
+    """When it last got a response, or was accepted, on the monotonic clock."""
 
     def has_received_request(self) -> bool:
-        """Return whether a complete request has ever come."""
+        """Return whether a complete request has ever been received."""
 
     def can_close(self) -> bool:
-        """Return whether it can be closed, once, with nothing lost; asks the kernel."""
+        """Return whether it is open and can be closed with nothing lost; asks the kernel."""
 
     def evict(self) -> None:
-        """Close for another connection."""
+        """Close to make room for another connection."""
 
 
 class IdleEviction:
     """Evicts idle connections while the limit is reached and others wait to be accepted.
 
     Those that never sent a request go first, then the longest idle. As long as the limit stays reached, each
-    pass evicts twice as many as the one before, up to a bound, and asks for half the idleness: a crowd that
-    connects again at once would else keep a request that waits behind it in the kernel's queue for longer
-    than its deadline.
+    pass evicts twice as many as the one before, up to a bound, and requires half the idle time: otherwise
+    many clients that reconnect at once would keep a request that waits behind them in the kernel's queue
+    for longer than its deadline.
     """
 
     def __init__(self) -> None:
@@ -57,11 +57,11 @@
         self._next_pass_s = 0.0
 
     def reset(self) -> None:
-        """Start anew with one eviction a pass: nobody waits any more."""
+        """Start again with one eviction per pass: no connection waits to be accepted."""
         self._max_evictions = 1
 
     def evict_idle(self, connections: Iterable[Evictable], now: float) -> None:
-        """Evict some, unless the last pass was a moment ago; `now` is on the monotonic clock, in seconds."""
+        """Evict some, unless the last pass was too recent; `now` is on the monotonic clock, in seconds."""
         if now < self._next_pass_s:
             return
         self._next_pass_s = now + EVICTION_INTERVAL_S
--- a/loadbalancer/net/downstream_connection.py
+++ b/loadbalancer/net/downstream_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: its reader and pipeline, its client's disconnect, and a close that loses nothing."""
+"""A client's connection: its reader and pipeline, disconnect detection, and closing without data loss."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from loadbalancer.net.sockets import has_peer_closed, peek_socket, set_no_delay
 from loadbalancer.net.upstream_attempt import STALL_TIMEOUT_S
 
-# How long we read on after ending our side, so that no reset overtakes the response.
+# How long to read on after a half-close, so that no reset overtakes the response.
 LINGERING_CLOSE_S = 0.5
 
 
 class ConnectionListener(PipelineListener, Protocol):
-    """The listener that a connection came in by."""
+    """The listener that accepted a connection."""
 
     loop: asyncio.AbstractEventLoop
     buffers: BufferBudget
 
     def on_connection_closed(self, connection: DownstreamConnection) -> None:
-        """Forget a connection that has closed."""
+        """Remove a closed connection."""
 
 
 class DownstreamConnection(asyncio.BufferedProtocol):
@@ -37,7 +37,7 @@
         self._transport: asyncio.Transport | None = None
         self.pipeline = RequestPipeline(self, listener)
         self.reader = RequestReader(self, self.pipeline, self._loop)
-        self.closes_after_body = False  # its response has gone out before its body was complete
+        self.closes_after_body = False  # the response was sent before the body was complete
         self._is_half_closed = False  # by us
         self._unsent_at_last_check = 0  # bytes, in a lingering close
         self.is_lost = False
@@ -46,7 +46,7 @@
     # ---- the transport's callbacks ----------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Have writes reported exactly: any byte that stays in our buffer pauses writing."""
+        """Set the write buffer limits to 0: any byte that stays in the buffer pauses writing."""
         self._transport = cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(high=0, low=0)
         set_no_delay(transport)
@@ -54,55 +54,55 @@
         self.reader.connect(self._transport)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return where to read to."""
+        """Return the buffer to read into."""
         return self.buffers.receive_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Read requests; what follows bad input is dropped, so that the response arrives."""
+        """Parse requests; input after an invalid one is dropped, so that the response arrives."""
         if self.reader.is_stopped:
             return
         has_open_request = self.reader.has_open_request() and not self.closes_after_body
         if has_open_request and not self.is_client_connected():
-            return  # these bytes may be the last of a request, whose client's end lies right behind them
+            return  # these bytes may complete a request whose client has disconnected right after them
         self.reader.feed(self.buffers.received(nbytes))
 
     def pause_writing(self) -> None:
-        """Have the upstream wait: the client is behind."""
+        """Pause the upstream: the client reads too slowly."""
         self.pipeline.pause_writing()
 
     def resume_writing(self) -> None:
-        """Go on: the client has caught up."""
+        """Resume the upstream: the client has caught up."""
         self.pipeline.resume_writing()
 
     def eof_received(self) -> None:
-        """Take it that the client has left; the transport closes once what was written is sent."""
+        """Treat the end as a disconnect; the transport closes once written data has been sent."""
         self._release_requests()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Let go of everything: the connection is over."""
+        """Release all requests and buffers of the closed connection."""
         self.is_lost = True
         self.pipeline.unsent.resize(0)
         self._release_requests()
         self._listener.on_connection_closed(self)
 
-    # ---- events of its parts ----------------------------------------------------------------
+    # ---- events of the pipeline and the upstream --------------------------------------------
 
     def on_pipeline_advanced(self) -> None:
-        """Read on, if reading waited for a response."""
+        """Resume reading, if it waited for a response."""
         self.reader.on_pipeline_advanced()
 
     def on_body_sink_ready(self) -> None:
-        """Read on, if reading waited for the upstream."""
+        """Resume reading, if it waited for the upstream."""
         self.reader.update()
 
     # ---- clients that disconnect ------------------------------------------------------------
 
     def is_client_connected(self) -> bool:
-        """Return whether the client is there, by the kernel: the loop may be late, or not be reading."""
+        """Return whether the kernel sees the client connected: the loop may be late, or not be reading."""
         return not (self.is_lost or self.close_if_disconnected())
 
     def close_if_disconnected(self) -> bool:
-        """Close and return True if the client has ended its side, even behind bytes that were not read."""
+        """Close and return True if the client has ended its side, even if unread bytes come first."""
         if self._transport is None or not has_peer_closed(self._transport):
             return False
         self._release_requests()
@@ -110,31 +110,31 @@
         return True
 
     def _release_requests(self) -> None:
-        """Let go of all requests: nobody waits for what is still out, and nothing more is taken up."""
+        """Abandon all requests, as nobody waits for the responses, and accept no more."""
         self.pipeline.abandon(self.reader.stop())
 
     # ---- closing ----------------------------------------------------------------------------
 
     def has_received_request(self) -> bool:
-        """Return whether a complete request has ever come."""
+        """Return whether a complete request has ever been received."""
         return self.reader.has_received_request
 
     def is_idle(self) -> bool:
-        """Return whether no request is being served, waits or has begun to come in."""
+        """Return whether no request is being served, queued or received."""
         return self.pipeline.is_empty() and not self.reader.is_receiving()
 
     def can_close(self) -> bool:
-        """Return whether it can close with nothing lost: idle, and no request in the kernel either."""
+        """Return whether it can close with nothing lost: idle, and no unread request in the kernel."""
         if self._transport is None or self.is_lost or self._is_half_closed or not self.is_idle():
             return False
         return self.reader.is_stopped or not peek_socket(self._transport)
 
     def evict(self) -> None:
-        """Close for another connection; no response can be overtaken if there never was a request."""
+        """Close to make room; without a request so far, no reset can overtake a response."""
         self.half_close(LINGERING_CLOSE_S if self.reader.has_received_request else NEW_CONNECTION_GRACE_S)
 
     def close_after_body(self) -> None:
-        """Close now, or after a body that is coming in: few clients read before they have sent."""
+        """Close now, or after the body being received: few clients read before they have sent."""
         if self.reader.is_stopped or not self.reader.has_open_request():
             self.half_close()
             return
@@ -142,10 +142,10 @@
         self.reader.discard_body()
 
     def half_close(self, linger_s: float = LINGERING_CLOSE_S) -> None:
-        """End our side, and read on for a moment (lingering close).
+        """Shut down our sending side, and read on for a moment (lingering close).
 
-        Guards against a reset that overtakes our last response, or that hits a request on its way: the
-        client sees a clean end between requests, and sends it again on another connection.
+        A reset could overtake the last response, or hit a request in transit. With a clean end between
+        requests, the client sends that request again on another connection.
         """
         if self._transport is None or self.is_lost or self._is_half_closed or self._transport.is_closing():
             return
@@ -167,18 +167,18 @@
             self._transport.abort()
 
     def close_at_shutdown(self) -> bool:
-        """Take up no more, as the process ends; return whether a response is still on its way."""
+        """Accept no more requests, as the process exits; return whether a response is still being sent."""
         if self._transport is None or self.is_lost:
             return False
         if self.pipeline.is_streaming:
             return True
         is_answered = self.reader.is_stopped or self.closes_after_body
         if not is_answered and not self.pipeline.is_serving() and peek_socket(self._transport):
-            return False  # what has come is read next, and gets its response
+            return False  # the unread request is read next, and gets its response
         self.half_close()
         return self._transport.get_write_buffer_size() > 0
 
     def abort_unfinished_response(self) -> None:
-        """Let the client see that a response is not complete, as the process ends."""
+        """Abort an unfinished response at exit, so that the client sees that it is incomplete."""
         if self.pipeline.is_streaming:
             self.pipeline.abort()
--- a/loadbalancer/net/downstream_flow.py
+++ b/loadbalancer/net/downstream_flow.py
@@ -1,4 +1,4 @@
-"""Pausing to read from a client, and seeing meanwhile that it has left."""
+"""Pauses reading from a client, and detects its disconnect meanwhile."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 import time
 from collections.abc import Callable
 
-# Between checks whether a client from which we do not read has left: no attempt may begin 0.1 s later.
+# Between disconnect checks while reading is paused: no attempt may begin 0.1 s after a disconnect.
 DISCONNECT_POLL_INTERVAL_S = 0.03
 
 
 class ReadingControl:
     """Pauses and resumes reading; while it is paused it polls for the client's disconnect.
 
-    That guards against a client that leaves unseen, since its end lies behind bytes that we do not read.
+    Otherwise a disconnect would go unnoticed, since the end of the stream comes after unread bytes.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, is_disconnected: Callable[[], bool]) -> None:
@@ -24,14 +24,14 @@
         self.is_paused = False
 
     def pause(self, transport: asyncio.Transport) -> None:
-        """Read no more for now."""
+        """Stop reading for now."""
         self.is_paused = True
         self._paused_at_s = time.monotonic()
         transport.pause_reading()
         self._poll_handle = self._loop.call_later(DISCONNECT_POLL_INTERVAL_S, self._poll)
 
     def resume(self, transport: asyncio.Transport) -> float:
-        """Read on; return for how many seconds reading was paused."""
+        """Resume reading; return for how many seconds it was paused."""
         self.is_paused = False
         paused_s = time.monotonic() - self._paused_at_s
         transport.resume_reading()
@@ -39,7 +39,7 @@
         return paused_s
 
     def stop_polling(self) -> None:
-        """Poll no more: reading goes on, or the client is known to have left."""
+        """Stop polling: reading goes on, or the client is known to have left."""
         if self._poll_handle is not None:
             self._poll_handle.cancel()
             self._poll_handle = None
--- a/loadbalancer/net/downstream_listener.py
+++ b/loadbalancer/net/downstream_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: accepting clients, a bound on their connections, and a graceful shutdown of all."""
+"""The listening socket: accepts clients, limits their connections, and shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from loadbalancer.net.downstream_request import RequestHandler
 from loadbalancer.net.message_body import BufferBudget
 
-LISTEN_BACKLOG = 2_048  # clients queue in the kernel while we are busy, instead of being rejected
-ACCEPT_RETRY_INTERVAL_S = 0.05  # after the sockets have run out
+LISTEN_BACKLOG = 2_048  # clients queue in the kernel while the process is busy, instead of being refused
+ACCEPT_RETRY_INTERVAL_S = 0.05  # after running out of sockets or of connection capacity
 OUT_OF_SOCKETS_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 SHUTDOWN_POLL_INTERVAL_S = 0.01  # between checks of a graceful shutdown
 MAX_SHUTDOWN_S = 3.0  # the platform waits no longer, whatever the deadlines
-SHUTDOWN_ACCEPT_S = 0.5  # new connections go on coming for a while after SIGTERM
-# Of the time after that, clients keep the connections they have: there may be no other balancer.
+SHUTDOWN_ACCEPT_S = 0.5  # new connections keep arriving for a while after SIGTERM
+# Of the time after that, in which clients keep their connections: there may be no other balancer.
 SHUTDOWN_KEEP_ALIVE_FRACTION = 0.6
-# At the end responses go out, and input is still read; the platform kills 0.2 s after that begins.
+# In the final phase responses are sent and input is still read; the platform kills 0.2 s after its start.
 SHUTDOWN_FINAL_S = 0.15
-# Longer for clients that have not read their response: only their reading, or a kill, ends that.
+# Extra time for clients that have not read their response; their reading, or a kill, ends it sooner.
 SHUTDOWN_UNREAD_S = 5.0
 
 
@@ -33,14 +33,14 @@
     listening_socket = socket.socket(family, socket.SOCK_STREAM)
     listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     if config.console is not None:
-        # Where operators replace the process, the next one must be able to listen even with no word from us.
+        # A process that operators start as a replacement must be able to listen even without a handover.
         listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     listening_socket.bind(config.listen)
     return listening_socket
 
 
 class DownstreamListener:
-    """The listening socket and the connections that came in by it."""
+    """The listening socket and the connections accepted on it."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         buffers: BufferBudget,
         listening_socket: socket.socket | None = None,
     ) -> None:
-        """`listening_socket` is the one that the process before this one has listened on."""
+        """`listening_socket` is the one that the predecessor process listened on."""
         self.loop = loop
         self.handler = handler
         self.report_error = report_error
@@ -59,9 +59,9 @@
         self.class_names = frozenset([c.name for c in config.settings.classes])
         self.is_serving = False
         self.is_shutting_down = False
-        self.is_closing_connections = False  # responses ask clients to go elsewhere
+        self.is_closing_connections = False  # responses carry `Connection: close`
         self.max_connections = max_connections_per_side(config.max_sockets)
-        self._has_successor = False  # which accepts in our place
+        self._has_successor = False  # which accepts instead of this process
         self._max_deadline_s = max(c.deadline_ms for c in config.settings.classes) / 1000
         self._eviction = IdleEviction()
         self._connections: set[DownstreamConnection] = set()
@@ -72,7 +72,7 @@
         self.address = self.listening_socket.getsockname()
 
     def start(self) -> None:
-        """Listen, and accept."""
+        """Start to listen and accept."""
         self.listening_socket.listen(LISTEN_BACKLOG)
         self.is_serving = True
         self._start_reading()
@@ -82,7 +82,7 @@
         return len(self._connections)
 
     def stop_accepting(self) -> None:
-        """Leave new clients to a successor process; the others move to it as they are answered."""
+        """Leave new clients to a successor process; existing ones move to it as they are answered."""
         self._stop_reading()
         self._has_successor = True
         self.is_closing_connections = True
@@ -107,7 +107,7 @@
             self.loop.remove_reader(self.listening_socket)
 
     def _accept(self) -> bool:
-        """Accept what waits, as far as there is capacity; return whether the kernel's queue is empty then."""
+        """Accept pending connections up to the limit; return whether the kernel's queue is empty then."""
         while len(self._connections) < self.max_connections:
             try:
                 accepted, _ = self.listening_socket.accept()
@@ -124,7 +124,7 @@
             task = self.loop.create_task(self._connect(connection, accepted))
             self._connect_tasks.add(task)
             task.add_done_callback(self._connect_tasks.discard)
-        # Guards against spinning, or dying, when there is no capacity: it is looked for again in a moment.
+        # Without capacity, retry after an interval instead of spinning or failing.
         self._eviction.evict_idle(self._connections, time.monotonic())
         self._stop_reading()
         self.loop.call_later(ACCEPT_RETRY_INTERVAL_S, self._start_reading)
@@ -138,7 +138,7 @@
             self.on_connection_closed(connection)
 
     def on_connection_closed(self, connection: DownstreamConnection) -> None:
-        """Forget a connection that has closed: there is capacity for another."""
+        """Remove a closed connection: there is capacity for another."""
         self._connections.discard(connection)
         if not self._is_accepting:
             self._start_reading()
@@ -146,23 +146,23 @@
     # ---- graceful shutdown ------------------------------------------------------------------
 
     async def shut_down(self) -> None:
-        """Accept what still comes after SIGTERM, answer all of it, and close without losing any.
+        """Accept what still arrives after SIGTERM, answer all requests, and close without losing any.
 
-        The listening socket closes when nothing new comes any more, right after its queue has been emptied,
-        for which there may have to be capacity first: what waits there would be reset. Clients go on with the
-        connections they have while there is time, for the other balancers may be restarting too; then
-        responses ask them to go elsewhere. Where a successor has taken over, it accepts, and responses ask
-        clients to go there at once.
+        The listening socket closes when no new connections arrive, right after its queue has been emptied,
+        which may have to wait for capacity: connections left in the queue would be reset. Clients keep their
+        connections while there is time, as the other balancers may be restarting too; then responses ask
+        them to reconnect elsewhere. If a successor has taken over, it accepts, and responses ask clients to
+        reconnect to it at once.
         """
         self.is_shutting_down = True
         started_s = time.monotonic()
         span_s = min(self._max_deadline_s, MAX_SHUTDOWN_S)
-        await self._accept_the_last(started_s, span_s)
+        await self._accept_last_connections(started_s, span_s)
         await self._wait_for_clients(started_s, span_s)
         self.handler.on_shutdown_deadline()
-        await self._send_the_last()
+        await self._flush_and_close()
 
-    async def _accept_the_last(self, started_s: float, span_s: float) -> None:
+    async def _accept_last_connections(self, started_s: float, span_s: float) -> None:
         while not self._has_successor and time.monotonic() - started_s < SHUTDOWN_ACCEPT_S:
             await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
         while not self._has_successor and not self._accept():
@@ -173,7 +173,7 @@
         self.listening_socket.close()
 
     async def _wait_for_clients(self, started_s: float, span_s: float) -> None:
-        """Wait until all clients have left; once their time to stay is over, close what is idle."""
+        """Wait until all clients have left; after the keep-alive period, close idle connections."""
         keep_alive_s = SHUTDOWN_ACCEPT_S + SHUTDOWN_KEEP_ALIVE_FRACTION * span_s
         while self._connections and time.monotonic() - started_s < keep_alive_s:
             await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
@@ -185,7 +185,7 @@
                     connection.half_close()
             await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
 
-    async def _send_the_last(self) -> None:
+    async def _flush_and_close(self) -> None:
         """Close all connections, waiting a while for clients that read their response slowly."""
         final_s = time.monotonic() + SHUTDOWN_FINAL_S
         while self._connections and time.monotonic() < final_s + SHUTDOWN_UNREAD_S:
--- a/loadbalancer/net/downstream_parser.py
+++ b/loadbalancer/net/downstream_parser.py
@@ -1,4 +1,4 @@
-"""Parsing the requests of a client's connection: limits, and what is not to be read as a request."""
+"""Parses the requests of a client's connection, enforces limits and rejects invalid input."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class InvalidRequestError(FramingError):
-    """Bytes that are no request that we take; nothing behind them can be read as one."""
+    """Input that is not an acceptable request; nothing after it can be parsed as one."""
 
     def __init__(self, status: int, reason: str) -> None:
         """`status` and `reason` are those of the response."""
@@ -31,7 +31,7 @@
 
 
 class ParserEvents(Protocol):
-    """Who is notified of requests."""
+    """Receives a parser's events."""
 
     def on_request_started(self) -> None:
         """Handle the first byte of a request."""
@@ -47,7 +47,7 @@
         self._connection = connection
         self._events = events
         self._parser = httptools.HttpRequestParser(self)
-        self._rejection: RequestRejection | None = None  # by a callback
+        self._rejection: RequestRejection | None = None  # set by a callback
         self._is_in_head = False
         self._target = b""
         self._headers: Headers = []
@@ -56,12 +56,12 @@
         self._reservation = BufferReservation(connection.buffers)  # of a head that is not complete
         self._is_released = False
         self.is_receiving = False  # whether a request has begun and not ended
-        self.request: DownstreamRequest | None = None  # whose body has still to come, or to end
+        self.request: DownstreamRequest | None = None  # whose body is incomplete
 
     def feed(self, data: memoryview) -> memoryview | None:
-        """Take bytes; return those that are left behind a request for another protocol, to be fed next.
+        """Parse bytes; return those that are left after a request to upgrade the protocol, to be fed next.
 
-        Such a request is answered in this protocol. Raises InvalidRequestError.
+        Such a request is answered in HTTP/1.1. Raises InvalidRequestError.
         """
         if self._is_in_head and self._raw_head_bytes > MAX_HEAD_BYTES:
             raise InvalidRequestError(431, "headers too large")
@@ -79,15 +79,15 @@
         return None
 
     def take_request(self) -> DownstreamRequest | None:
-        """Give up the request whose body is still coming, and return it."""
+        """Remove the request whose body is incomplete, and return it."""
         request = self.request
         self.request = None
         return request
 
     def release(self) -> None:
-        """Drop the head that was coming in: nothing more is fed.
+        """Drop an incomplete head: nothing more is fed.
 
-        The parser and its connection refer to each other, so that the collector finds them late.
+        The parser and its connection form a reference cycle, which the garbage collector frees late.
         """
         self._is_released = True
         self._headers = []
@@ -97,7 +97,7 @@
     # ---- httptools' callbacks ---------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Forget the request before."""
+        """Reset the state of the last request."""
         self.is_receiving = True
         self._is_in_head = True
         self._target = b""
@@ -123,12 +123,12 @@
             self._reject(431, "headers too large")
 
     def _reject(self, status: int, reason: str) -> NoReturn:
-        """Stop the parser, which wraps what is raised here; `feed` raises an error of its own."""
+        """Stop the parser, which wraps this exception; `feed` raises an error of its own."""
         self._rejection = RequestRejection(status, reason)
         raise MessageTooLargeError(reason)
 
     def on_headers_complete(self) -> None:
-        """Take the head: the body is what comes next."""
+        """Create the request from its head; its body comes next."""
         self._is_in_head = False
         request = DownstreamRequest(self._connection, self._parser.get_method(), self._target, self._headers)
         request.keep_alive = self._parser.should_keep_alive()
@@ -138,13 +138,13 @@
         if request.body.length == LENGTH_NOT_GIVEN:
             request.body.length = 0
         elif self._parser.should_upgrade():
-            raise AmbiguousLengthError("a body and another protocol")
+            raise AmbiguousLengthError("a body with a protocol upgrade")
         if request.method == b"CONNECT":
-            raise AmbiguousLengthError("what follows would be for somebody else")
+            raise AmbiguousLengthError("bytes after CONNECT would be for another host")
         self.request = request
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Handle a part of the body."""
         request = self.request
         assert request is not None
         if request.body.received_bytes + len(data) > MAX_BODY_BYTES:
@@ -152,7 +152,7 @@
         request.body.feed(data)
 
     def on_message_complete(self) -> None:
-        """Hand the request over as complete."""
+        """Report the request as complete."""
         request = self.take_request()
         assert request is not None
         self.is_receiving = False
--- a/loadbalancer/net/downstream_pipeline.py
+++ b/loadbalancer/net/downstream_pipeline.py
@@ -1,4 +1,4 @@
-"""The requests of one client's connection in turn: each is answered before the next is looked at."""
+"""The pipelined requests of one client's connection: each is answered before the next is served."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
     is_lost: bool
 
     def on_pipeline_advanced(self) -> None:
-        """Read on, if reading waited for a response."""
+        """Resume reading, if it waited for a response."""
 
     def close_if_disconnected(self) -> bool:
         """Close and return True if the client has disconnected."""
 
     def close_after_body(self) -> None:
-        """Close now, or after a body that is coming in."""
+        """Close now, or after the body being received."""
 
 
 class PipelineListener(Protocol):
-    """What a pipeline must know of the listener: who serves requests, which classes there are, if it ends."""
+    """What a pipeline uses of the listener: the request handler, the classes, the state of the shutdown."""
 
     handler: RequestHandler
     report_error: Callable[[str], None]
@@ -50,7 +50,7 @@
 
 
 class RequestPipeline:
-    """The requests that wait on a connection, the one that is being served, and its response."""
+    """The queued requests of a connection, the one that is being served, and its response."""
 
     def __init__(self, connection: PipelineConnection, listener: PipelineListener) -> None:
         self._connection = connection
@@ -58,10 +58,10 @@
         self._transport: asyncio.Transport | None = None
         self._waiting: deque[DownstreamRequest] = deque()
         self._current: DownstreamRequest | None = None
-        self._rejection: RequestRejection | None = None  # of input behind the requests that wait
+        self._rejection: RequestRejection | None = None  # of input after the queued requests
         self._is_advancing = False
-        self.is_streaming = False  # whether a response is going out part by part
-        self._ends_with_close = False  # the response that is streamed: nothing else tells its end
+        self.is_streaming = False  # whether a response is being streamed
+        self._ends_with_close = False  # whether only the close marks the end of the streamed response
         self.unsent = BufferReservation(connection.buffers)
 
     def connect(self, transport: asyncio.Transport) -> None:
@@ -71,7 +71,7 @@
     # ---- requests ---------------------------------------------------------------------------
 
     def is_empty(self) -> bool:
-        """Return whether no request is being served or waits."""
+        """Return whether no request is being served or queued."""
         return self._current is None and not self._waiting
 
     def is_full(self) -> bool:
@@ -87,22 +87,22 @@
         return self._current is not None
 
     def has(self, request: DownstreamRequest) -> bool:
-        """Return whether this request is being served or waits."""
+        """Return whether this request is being served or queued."""
         return request is self._current or request in self._waiting
 
     def append(self, request: DownstreamRequest) -> None:
-        """Serve a request after those that wait."""
+        """Queue a request."""
         self._waiting.append(request)
 
     def on_request_received(self, request: DownstreamRequest) -> None:
-        """Handle the end of a request, which may be served already, or wait, if its body is long."""
+        """Handle the end of a request, which may already be served or queued if its body is long."""
         if request is self._current:
             self._listener.handler.on_request_completed(request)
         elif request not in self._waiting:
             self._waiting.append(request)
 
     def reject(self, request: DownstreamRequest | None, status: int, reason: str) -> None:
-        """End with this response: input that is no request, or the rest of one that will not come."""
+        """End with this response, for invalid input or a request whose rest will not arrive."""
         if request is not None and request is self._current:
             self._listener.handler.on_request_failed(request, status)
             return
@@ -114,7 +114,7 @@
         self.advance()
 
     def abandon(self, incoming: DownstreamRequest | None) -> None:
-        """Let go of all requests, and of the one that is coming in: the client has left."""
+        """Drop all requests and the one being received, as the client has disconnected."""
         for request in (*self._waiting, incoming):
             if request is not None and request is not self._current:
                 request.body.discard()
@@ -127,12 +127,12 @@
             self._listener.handler.on_client_disconnected(request)
 
     def advance(self) -> None:
-        """Serve what waits, as far as responses have left, then the rejection behind it."""
+        """Serve queued requests, each once the response before it has been sent, then send any rejection."""
         if self._is_advancing or self._transport is None or self._transport.is_closing():
             return
         self._is_advancing = True
         try:
-            # Guards against a client that sends and never reads: one response at most is held for it.
+            # At most one response is buffered for a client that sends requests and never reads.
             while self._waiting and self._current is None and self._transport.get_write_buffer_size() == 0:
                 self._current = self._waiting.popleft()
                 self._serve(self._current)
@@ -145,11 +145,11 @@
         self._connection.on_pipeline_advanced()
 
     def _serve(self, request: DownstreamRequest) -> None:
-        # Whoever asks for no service gets a close with the answer: such peers stay, and there are many.
+        # Requests for no class of service close the connection: such clients are many, and would stay.
         if request.target == b"/healthz" and request.method == b"GET":
             request.keep_alive = False
             request.body.discard()
-            if self._listener.is_shutting_down:  # tell whoever polls where to send requests
+            if self._listener.is_shutting_down:  # tell health checkers to send requests elsewhere
                 request.send_response(503, body=b"ending\n")
             else:
                 request.send_response(200, body=b"ok\n")
@@ -158,12 +158,12 @@
             request.body.discard()
             request.send_response(rejection.status, body=rejection.reason.encode() + b"\n")
         elif self._connection.close_if_disconnected():
-            request.body.discard()  # it lay unread until now, in the kernel or behind others
+            request.body.discard()  # it waited until now, in the kernel or in the queue
         else:
             try:
                 self._listener.handler.on_request_arrived(request)
-            except Exception:  # whatever happens, the client is owed a response
-                self._listener.report_error("a request could not be taken up")
+            except Exception:  # whatever happens, the client must get a response
+                self._listener.report_error("could not handle a request")
                 request.body.discard()
                 request.send_response(500)
 
@@ -178,9 +178,9 @@
         self.advance()
 
     def _is_last(self, request: DownstreamRequest) -> bool:
-        """Return whether the connection is to end with the response to this request."""
+        """Return whether the connection closes after the response to this request."""
         if not request.body.is_complete:
-            return True  # what still comes of the body is no request
+            return True  # the rest of the body must not be parsed as a request
         is_last = not self._waiting and self._rejection is None
         return is_last and (self._listener.is_closing_connections or not request.keep_alive)
 
@@ -192,7 +192,7 @@
             self._connection.close_after_body()
 
     def start_response(self, request: DownstreamRequest, headers: Headers, length: int | None) -> None:
-        """Write the head of a response that is streamed."""
+        """Write the head of a streamed response."""
         if self._connection.is_lost or self._transport is None or request is not self._current:
             return
         self.is_streaming = True
@@ -205,13 +205,13 @@
         self._transport.write(encode_response_head(200, headers, length, close=close))
 
     def send_body_part(self, request: DownstreamRequest, data: bytes) -> None:
-        """Write a part of the body of a response that is streamed."""
+        """Write a part of the body of a streamed response."""
         if self._connection.is_lost or self._transport is None or request is not self._current:
             return
         self._transport.write(encode_chunk(data) if request.is_chunked else data)
 
     def end_response(self, request: DownstreamRequest) -> None:
-        """Write the end of a response that is streamed."""
+        """Write the end of a streamed response."""
         if self._connection.is_lost or self._transport is None or request is not self._current:
             return
         self._current = None
@@ -224,23 +224,23 @@
         self.advance()
 
     def abort(self) -> None:
-        """End the connection at once, in the middle of a response, so that the client can tell."""
+        """Abort the connection in the middle of a response, so that the client sees that it is incomplete."""
         if self._transport is not None:
             if self._ends_with_close and not self._transport.is_closing():
-                reset_on_close(self._transport)  # a proper end would be the response's
+                reset_on_close(self._transport)  # an orderly close would mark the response as complete
             self._transport.abort()
 
     # ---- flow control -----------------------------------------------------------------------
 
     def pause_writing(self) -> None:
-        """Have the upstream wait: the client is behind."""
+        """Pause the upstream: the client reads too slowly."""
         assert self._transport is not None
         self.unsent.resize(self._transport.get_write_buffer_size())
         if self.is_streaming and self._current is not None and self._current.response_source is not None:
             self._current.response_source.pause()
 
     def resume_writing(self) -> None:
-        """Go on: the client has caught up."""
+        """Resume the upstream: the client has caught up."""
         self.unsent.resize(0)
         if self.is_streaming and self._current is not None and self._current.response_source is not None:
             self._current.response_source.resume()
--- a/loadbalancer/net/downstream_reader.py
+++ b/loadbalancer/net/downstream_reader.py
@@ -1,4 +1,4 @@
-"""Reading requests from a client's connection: in time, no faster than served, until one is invalid."""
+"""Reads requests from a client's connection, with a timeout and flow control, until one is invalid."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ReaderConnection(RequestConnection, Protocol):
-    """The connection that a reader reads for."""
+    """The connection that a reader belongs to."""
 
     is_lost: bool
     closes_after_body: bool
@@ -24,7 +24,7 @@
         """Close and return True if the client has disconnected."""
 
     def half_close(self) -> None:
-        """End our side, and read on for a moment."""
+        """Shut down our sending side, and read on for a moment."""
 
 
 class RequestReader:
@@ -39,7 +39,7 @@
         self._parser = RequestParser(connection, self)
         self._timer = RequestTimer(loop, self._on_timeout)
         self.control = ReadingControl(loop, connection.close_if_disconnected)
-        self.is_stopped = False  # no request is taken any more; what still comes is read and dropped
+        self.is_stopped = False  # no more requests are accepted; further input is read and dropped
         self.has_received_request = False  # a complete one
 
     def connect(self, transport: asyncio.Transport) -> None:
@@ -48,15 +48,15 @@
         self._update_timer()
 
     def is_receiving(self) -> bool:
-        """Return whether a request has begun to come in, and not ended."""
+        """Return whether a request has been received in part."""
         return self._parser.is_receiving
 
     def has_open_request(self) -> bool:
-        """Return whether the body of a request has still to come, or to end."""
+        """Return whether the body of a request is still incomplete."""
         return self._parser.request is not None
 
     def feed(self, data: memoryview) -> None:
-        """Parse what has come, and serve what can be."""
+        """Parse received bytes, and serve what can be served."""
         rest: memoryview | None = data
         while rest is not None and not self.is_stopped:
             try:
@@ -74,7 +74,7 @@
         return self._pipeline.has(request) or self._connection.closes_after_body
 
     def stop(self) -> DownstreamRequest | None:
-        """Take no more requests; return the one that was coming in."""
+        """Accept no more requests; return the one being received."""
         self.is_stopped = True
         self._update_timer()
         self.control.stop_polling()
@@ -82,14 +82,14 @@
         return self._parser.take_request()
 
     def _reject(self, status: int, reason: str) -> None:
-        """Read no more here: the request that was coming in ends with this response."""
+        """Accept no more requests: the one being received ends with this response."""
         self.is_stopped = True
         self._update_timer()
         self._parser.release()
         self._pipeline.reject(self._parser.take_request(), status, reason)
 
     def discard_body(self) -> None:
-        """Drop the body that is coming in, and read it as fast as it comes."""
+        """Drop the body being received, and read the rest as fast as it arrives."""
         if self._parser.request is not None:
             self._parser.request.body.discard()
             self.update()
@@ -102,7 +102,7 @@
             self._timer.restart()
 
     def on_request_received(self, request: DownstreamRequest) -> None:
-        """Handle that a request has come to its end."""
+        """Handle the end of a request."""
         self.has_received_request = True
         request.arrived_at_s = time.monotonic()
         request.body.complete()
@@ -114,12 +114,12 @@
     # ---- flow control -----------------------------------------------------------------------
 
     def on_pipeline_advanced(self) -> None:
-        """Go on with what may have waited for a response."""
+        """Resume what may have waited for a response."""
         self._send_continue()
         self.update()
 
     def _send_continue(self) -> None:
-        """Let a client go on that asks before it sends a body, once it is its turn (RFC 9110, 10.1.1)."""
+        """Send 100 Continue to a client that waits for it, once it is its turn (RFC 9110, 10.1.1)."""
         request = self._parser.request
         if request is None or not request.expects_continue or self._transport is None:
             return
@@ -127,14 +127,14 @@
             return
         if self._pipeline.is_empty() or self._pipeline.is_current(request):
             request.expects_continue = False
-            self._timer.restart()  # it could send nothing before
+            self._timer.restart()  # the client was waiting until now
             self._update_timer()
             can_continue = request.version == "1.1" and not self._transport.is_closing()
             if request.body.received_bytes == 0 and can_continue:
                 self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def update(self) -> None:
-        """Read on if what is read has somewhere to go, else pause."""
+        """Resume reading if the queue and the body have room, else pause."""
         if self._transport is None or self._connection.is_lost or self._transport.is_closing():
             return
         request = self._parser.request
@@ -144,13 +144,13 @@
             self.control.pause(self._transport)
             self._update_timer()
         elif not is_full and self.control.is_paused:
-            self._timer.extend(self.control.resume(self._transport))  # it was we who did not read
+            self._timer.extend(self.control.resume(self._transport))  # this side had paused, not the client
             self._update_timer()
 
-    # ---- requests that do not come ----------------------------------------------------------
+    # ---- request timeout --------------------------------------------------------------------
 
     def _update_timer(self) -> None:
-        """Let the timer run while the first request, or the rest of one, has still to come."""
+        """Let the timer run while the first request, or the rest of one, is awaited."""
         is_running = self._parser.is_receiving or not self.has_received_request
         is_running = is_running and not (self.is_stopped or self.control.is_paused)
         request = self._parser.request
@@ -168,6 +168,6 @@
         elif self._parser.is_receiving and not self._connection.closes_after_body:
             self._reject(408, "the request is not whole")
         elif self._transport is not None and peek_socket(self._transport):
-            self._update_timer()  # its first request has come in this very instant, and is read next
+            self._update_timer()  # its first request has just arrived, and is read next
         else:
             self._connection.half_close()
--- a/loadbalancer/net/downstream_request.py
+++ b/loadbalancer/net/downstream_request.py
@@ -1,4 +1,4 @@
-"""A client's request: what the balancer must know of it, and the one response that it is owed."""
+"""A client's request: the values that the balancer reads from it, and its single response."""
 
 from __future__ import annotations
 
@@ -9,86 +9,86 @@
 from loadbalancer.net.http_framing import Headers, body_length, end_to_end_headers, to_origin_form
 from loadbalancer.net.message_body import Body, BufferBudget
 
-MAX_DEADLINE_MS = 3_600_000.0  # a longer one is cut: it would be none
+MAX_DEADLINE_MS = 3_600_000.0  # a longer one is cut to this, as it would amount to none
 _MS_PER_UNIT = {b"m": 1.0, b"u": 0.001}
-# Written anew for each attempt, or settled with the client.
+# Written anew for each attempt, or handled by the balancer itself.
 _HEADERS_NOT_FORWARDED = (b"x-deadline", b"expect")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRejection:
-    """Why a request is not taken: the status and reason of the response to it."""
+    """Why a request is rejected: the status and reason of the response to it."""
 
     status: int
     reason: str
 
 
 class ResponseSource(Protocol):
-    """Where a response comes from that is streamed."""
+    """The source of a streamed response."""
 
     def pause(self) -> None:
-        """Send no more for now."""
+        """Stop sending for now."""
 
     def resume(self) -> None:
-        """Go on."""
+        """Resume sending."""
 
 
 class ResponseWriter(Protocol):
-    """What writes the responses of a connection."""
+    """Writes the responses of a connection."""
 
     def send_response(self, request: DownstreamRequest, status: int, headers: Headers, body: bytes) -> None:
         """Write a complete response."""
 
     def start_response(self, request: DownstreamRequest, headers: Headers, length: int | None) -> None:
-        """Write the head of a response that is streamed."""
+        """Write the head of a streamed response."""
 
     def send_body_part(self, request: DownstreamRequest, data: bytes) -> None:
-        """Write a part of the body of a response that is streamed."""
+        """Write a part of the body of a streamed response."""
 
     def end_response(self, request: DownstreamRequest) -> None:
-        """Write the end of a response that is streamed."""
+        """Write the end of a streamed response."""
 
     def abort(self) -> None:
-        """End the connection at once, in the middle of a response."""
+        """Abort the connection in the middle of a response."""
 
 
 class RequestConnection(Protocol):
-    """The connection that a request came on."""
+    """The connection that a request arrived on."""
 
     buffers: BufferBudget
 
     @property
     def pipeline(self) -> ResponseWriter:
-        """What writes its responses."""
+        """The writer of its responses."""
 
     def on_body_sink_ready(self) -> None:
-        """Read on, if reading waited for the upstream."""
+        """Resume reading, if it waited for the upstream."""
 
     def is_client_connected(self) -> bool:
-        """Return whether the client is there, by the kernel."""
+        """Return whether the kernel sees the client connected."""
 
 
 class RequestHandler(Protocol):
-    """Where requests go."""
+    """Handles the requests of clients."""
 
     def on_request_arrived(self, request: DownstreamRequest) -> None:
-        """Take a request; the rest of a long body may still come."""
+        """Handle a request; the rest of a long body may still arrive."""
 
     def on_request_completed(self, request: DownstreamRequest) -> None:
-        """Handle that the rest of a request's body has come."""
+        """Handle the end of a request's body."""
 
     def on_request_failed(self, request: DownstreamRequest, status: int) -> None:
-        """End a request with this status: the rest of its body will not come."""
+        """End a request with this status: the rest of its body will not arrive."""
 
     def on_client_disconnected(self, request: DownstreamRequest) -> None:
-        """Handle that nobody waits for the response any more."""
+        """Handle the disconnect of a request's client."""
 
     def on_shutdown_deadline(self) -> None:
-        """Answer all that is still open, and reject what still comes: there is no more time."""
+        """Answer all open requests, and reject later ones: the time for the shutdown is over."""
 
 
 class DownstreamRequest:
-    """A client's request; it is owed one response once it is complete."""
+    """A client's request, which gets one response once it is complete."""
 
     __slots__ = (
         "_connection",
@@ -114,7 +114,7 @@
     )
 
     def __init__(self, connection: RequestConnection, method: bytes, target: bytes, headers: Headers) -> None:
-        """Raises AmbiguousLengthError for a body whose length is not clear."""
+        """Raises AmbiguousLengthError for a body whose length is ambiguous."""
         self._connection = connection
         self._writer = connection.pipeline
         self.method = method
@@ -123,7 +123,7 @@
         self.body = Body(connection.buffers, body_length(headers), connection.on_body_sink_ready)
         self.version = "1.1"
         self.expects_continue = dict(headers).get(b"expect", b"").lower() == b"100-continue"
-        self.arrived_at_s = 0.0  # complete, on the monotonic clock
+        self.arrived_at_s = 0.0  # when it was complete, on the monotonic clock
         self.keep_alive = True
         self.is_open = True  # until its response is complete, or nobody waits for one
         self.class_name = ""
@@ -131,13 +131,13 @@
         self.is_retry = False
         self.cost_hint_ms = 0.0
         self.deadline_ms = 0.0
-        self.forwarded_head = b""  # without the end of the head
-        self.request_id = -1  # its number with the proxy
-        self.is_chunked = False  # whether the response goes out in chunks
-        self.response_source: ResponseSource | None = None  # of a response that is streamed
+        self.forwarded_head = b""  # without X-Deadline, framing headers and the blank line
+        self.request_id = -1  # given by the request table
+        self.is_chunked = False  # whether the response is sent in chunks
+        self.response_source: ResponseSource | None = None  # of a streamed response
 
     def send_response(self, status: int, headers: Headers | None = None, body: bytes = b"") -> None:
-        """Send the final response; what comes after it is dropped."""
+        """Send the final response; any later one is dropped."""
         if self.is_open:
             self.is_open = False
             self._writer.send_response(self, status, headers or [], body)
@@ -159,17 +159,17 @@
             self._writer.end_response(self)
 
     def abort_response(self) -> None:
-        """End the connection in the middle of a response, so that the client can tell."""
+        """Abort the connection in the middle of a response, so that the client sees that it is incomplete."""
         if self.is_open:
             self.is_open = False
             self._writer.abort()
 
     def is_client_connected(self) -> bool:
-        """Return whether its client is there in this very instant; one that has left is let go at once."""
+        """Return whether its client is connected right now; if not, its connection is closed at once."""
         return self.is_open and self._connection.is_client_connected()
 
     def validate(self, class_names: frozenset[str]) -> RequestRejection | None:
-        """Read what the balancer must know; return why the request is not acceptable, if it is not."""
+        """Read what the balancer needs; return why the request is not acceptable, if it is not."""
         path = self.target.partition(b"?")[0]
         class_name = path[1:].partition(b"/")[0].decode("latin-1")
         if path[:1] != b"/" or class_name not in class_names:
@@ -178,7 +178,7 @@
             return RequestRejection(405, "GET or POST")
         if self.version not in ("1.0", "1.1"):
             return RequestRejection(505, "HTTP/1.1 or 1.0")
-        values = dict(reversed(self.headers))  # of a header that came twice the first counts
+        values = dict(reversed(self.headers))  # the first of repeated headers counts
         if values.get(b"x-class", b"").decode("latin-1") != class_name:
             return RequestRejection(400, "X-Class must be the first part of the path")
         if not values.get(b"x-request-id"):
@@ -205,7 +205,7 @@
 
 
 def parse_duration_ms(text: bytes) -> float | None:
-    """Return a number with a unit (m or u) in milliseconds, None if it is no duration above 0."""
+    """Convert a number with a unit (m or u) to milliseconds; None if it is not a duration above 0."""
     try:
         value_ms = float(text[:-1]) * _MS_PER_UNIT[text[-1:]]
     except (ValueError, KeyError):
@@ -214,7 +214,7 @@
 
 
 def _parse_cost_hint_ms(text: bytes | None) -> float:
-    """Return a number of microseconds in milliseconds, 0 if it is no duration above 0."""
+    """Convert a number of microseconds to milliseconds; 0 if it is not a duration above 0."""
     try:
         value_ms = float(text or b"0") / 1000
     except ValueError:
--- a/loadbalancer/net/downstream_timeout.py
+++ b/loadbalancer/net/downstream_timeout.py
@@ -1,4 +1,4 @@
-"""The time that a client has to send a request."""
+"""The timeout for receiving a client's request."""
 
 from __future__ import annotations
 
@@ -6,35 +6,35 @@
 import time
 from collections.abc import Callable
 
-# A peer that sends no request is disconnected after this time; a request that has begun may take as long, and
-# in addition as long as its body takes at the lowest rate.
+# A client that sends no request is disconnected after this time; a request may take as long from its first
+# byte, plus the time that its body takes at the minimum rate.
 REQUEST_TIMEOUT_S = 2.6
 MIN_BODY_BYTES_PER_S = 64_000
 
 
 class RequestTimer:
-    """Runs while a request, or its rest, has still to come; body bytes buy the time that they may take.
+    """Runs while a request, or its rest, is awaited; each received body byte extends the time.
 
-    It guards against peers that send nothing, or no end: they would hold their connections for ever.
+    Without it, clients that send nothing, or no complete request, would hold their connections for ever.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, on_timeout: Callable[[], None]) -> None:
-        """`on_timeout` is to ask `is_due`, as bytes may have come since the timer was set."""
+        """`on_timeout` must check `is_due`, as bytes may have arrived since the timer was set."""
         self._loop = loop
         self._on_timeout = on_timeout
         self._started_s = time.monotonic()
         self._handle: asyncio.TimerHandle | None = None
 
     def restart(self) -> None:
-        """Count from now on; a timer that is set fires when it would have, and finds that it is not due."""
+        """Count from now on; a timer already set fires at its old time, and finds that it is not due."""
         self._started_s = time.monotonic()
 
     def extend(self, duration_s: float) -> None:
-        """Leave out a time in which nothing was read."""
+        """Exclude a period in which nothing was read."""
         self._started_s += duration_s
 
     def is_due(self, received_bytes: int) -> bool:
-        """Return whether the time is over, given the bytes of the body that have come."""
+        """Return whether the time is over, given the bytes of the body received so far."""
         return time.monotonic() >= self._due_s(received_bytes)
 
     def update(self, *, is_running: bool, received_bytes: int) -> None:
--- a/loadbalancer/net/http_framing.py
+++ b/loadbalancer/net/http_framing.py
@@ -7,18 +7,18 @@
 MAX_HEAD_BYTES = 65_536  # of a request line, or status line, and headers with their overhead
 HEADER_OVERHEAD_BYTES = 32  # that each header counts beside its name and value, as in RFC 9113, 6.5.2
 MAX_BODY_BYTES = 32 * 1024 * 1024
-LENGTH_NOT_GIVEN = -1  # by the head: a request has no body then, a response ends with its connection
+LENGTH_NOT_GIVEN = -1  # in the head: a request then has no body, a response ends with its connection
 LAST_CHUNK = b"0\r\n\r\n"
 _HOP_BY_HOP_HEADERS = frozenset(
     b"connection content-length keep-alive proxy-connection te trailer transfer-encoding upgrade".split()
 )
 
 Headers = list[tuple[bytes, bytes]]
-"""Names in lower case and values, in the order in which they came."""
+"""Names in lower case and values, in the order received."""
 
 
 class FramingError(Exception):
-    """A message that can't be taken as HTTP/1.1 sends it."""
+    """A message that is not acceptable HTTP/1.1."""
 
 
 class MessageTooLargeError(FramingError):
@@ -26,7 +26,7 @@
 
 
 class AmbiguousLengthError(FramingError):
-    """A message whose end two readers could see at different places."""
+    """A message whose end two parsers could see at different places."""
 
 
 def encode_chunk(data: bytes) -> bytes:
@@ -37,14 +37,14 @@
 def body_length(headers: Headers) -> int | None:
     """Return the length of a body as its head gives it.
 
-    It is None for a chunked body, and `LENGTH_NOT_GIVEN` if the head says nothing of a body. Raises
+    It is None for a chunked body, and `LENGTH_NOT_GIVEN` if the head announces no body. Raises
     AmbiguousLengthError for a transfer coding other than chunked.
     """
     values = dict(headers)
     coding = values.get(b"transfer-encoding")
     if coding is not None:
         if coding.strip().lower() != b"chunked":
-            raise AmbiguousLengthError("a transfer coding that is not known")
+            raise AmbiguousLengthError("unknown transfer coding")
         return None
     length = values.get(b"content-length")
     return LENGTH_NOT_GIVEN if length is None else int(length)
@@ -52,20 +52,20 @@
 
 def to_origin_form(target: bytes) -> bytes:
     """Return the path and query of a target, which may name a host before them (RFC 9112, 3.2)."""
-    scheme, mark, rest = target.partition(b"://")
-    if not mark or scheme.lower() not in (b"http", b"https"):
+    scheme, separator, rest = target.partition(b"://")
+    if not separator or scheme.lower() not in (b"http", b"https"):
         return target
     path = rest[min((rest.index(c) for c in (b"/", b"?") if c in rest), default=len(rest)) :]
     return path if path[:1] == b"/" else b"/" + path
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """Return the headers that are not about this one connection."""
+    """Return the headers that are not hop-by-hop."""
     return [(name, value) for name, value in headers if name not in _HOP_BY_HOP_HEADERS]
 
 
 def reason_phrase(status: int) -> str:
-    """Return the phrase that goes with a status, empty for one that has none."""
+    """Return the reason phrase of a status, empty if it has none."""
     try:
         return HTTPStatus(status).phrase
     except ValueError:
@@ -82,5 +82,5 @@
 
 
 def encode_response(status: int, headers: Headers, body: bytes, *, close: bool) -> bytes:
-    """Return a complete response; with `close` it announces the end of the connection."""
+    """Return a complete response; with `close` it has `Connection: close`."""
     return encode_response_head(status, headers, len(body), close=close) + body
--- a/loadbalancer/net/message_body.py
+++ b/loadbalancer/net/message_body.py
@@ -1,4 +1,4 @@
-"""Bodies on their way through the balancer: buffered or streamed, under one bound for all connections."""
+"""Bodies in transit through the balancer: buffered or streamed, within one limit for all connections."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 # A body up to this is buffered until it is complete; a larger one is streamed.
 MAX_BUFFERED_BODY_BYTES = 65_536
 MAX_READ_BYTES = 65_536  # in one read from a socket
-MIN_READ_BYTES = 4_096  # in one read, once much is buffered: a large piece may have to wait
+MIN_READ_BYTES = 4_096  # in one read, once much is buffered: what is read may have to be buffered, too
 
 
 class BufferBudget:
-    """One bound over the bytes of bodies that are buffered, on all connections together."""
+    """One limit on the bytes that are buffered, for all connections together."""
 
     def __init__(self, max_bytes: int) -> None:
-        """Allow `max_bytes` in all; what is already on its way may exceed it by a read a connection."""
+        """Allow `max_bytes` in total; data in transit may exceed it by one read per connection."""
         self.max_bytes = max_bytes
         self.used_bytes = 0
         self._receive_buffer = memoryview(bytearray(MAX_READ_BYTES))
 
     def is_full(self) -> bool:
-        """Return whether no more should be buffered than what can't be helped."""
+        """Return whether no more should be buffered than is unavoidable."""
         return self.used_bytes >= self.max_bytes
 
     def receive_buffer(self) -> memoryview:
-        """Return where the next read goes to: a small part once much is buffered, for it may have to wait."""
+        """Return where the next read goes to: a small part once much is buffered."""
         if self.used_bytes < self.max_bytes / 2:
             return self._receive_buffer
         return self._receive_buffer[:MIN_READ_BYTES]
 
     def received(self, count: int) -> memoryview:
-        """Return the bytes that have just been read; they must be used up before the next read."""
+        """Return the bytes that have just been read; they must be consumed before the next read."""
         return self._receive_buffer[:count]
 
 
@@ -51,20 +51,20 @@
 
 
 class BodySink(Protocol):
-    """Where a body is streamed to."""
+    """The destination of a streamed body."""
 
     def write(self, data: bytes) -> None:
-        """Take a part."""
+        """Accept a part."""
 
     def end(self) -> None:
-        """Take note that the body is complete."""
+        """Handle the end of the body."""
 
     def is_ready(self) -> bool:
-        """Return whether more should come now."""
+        """Return whether it can accept more now."""
 
 
 class Body:
-    """A request's body: buffered as long as it is small, else streamed to the one attempt that takes it."""
+    """A request's body: buffered as long as it is small, else streamed to a single attempt."""
 
     __slots__ = (
         "_budget",
@@ -79,7 +79,7 @@
     )
 
     def __init__(self, budget: BufferBudget, length: int | None, on_sink_ready: Callable[[], None]) -> None:
-        """`length` is None where only its end tells it; `on_sink_ready` is called when more may be read."""
+        """`length` is None for a chunked body; `on_sink_ready` is called when more may be read."""
         self._budget = budget
         self._on_sink_ready = on_sink_ready
         self._reservation = BufferReservation(budget)
@@ -88,10 +88,10 @@
         self.length = length
         self.received_bytes = 0
         self.is_complete = False
-        self.is_discarded = False  # whether bytes of it are gone: it can't be sent from its start any more
+        self.is_discarded = False  # whether bytes were dropped: it can't be sent from its start any more
 
     def is_too_large_to_buffer(self) -> bool:
-        """Return whether it should be streamed before its end has come."""
+        """Return whether it should be streamed before it is complete."""
         if self.is_complete:
             return False
         size_bytes = max(self._reservation.size_bytes, self.length or 0)
@@ -106,7 +106,7 @@
         return not (self.is_too_large_to_buffer() or self._budget.is_full())
 
     def feed(self, data: bytes) -> None:
-        """Buffer a part, stream it on, or drop it if the body is discarded."""
+        """Buffer a part, stream it, or drop it if the body is discarded."""
         self.received_bytes += len(data)
         if self._sink is not None:
             self._sink.write(data)
@@ -127,7 +127,7 @@
         return self._parts[0] if self._parts else b""
 
     def stream_to(self, sink: BodySink) -> None:
-        """Let an attempt have what is buffered and what still comes."""
+        """Stream what is buffered, and what still arrives, to an attempt."""
         data = self.data()
         self.discard()
         self._sink = sink
@@ -136,11 +136,11 @@
         self.on_sink_ready()
 
     def on_sink_ready(self) -> None:
-        """Read on, if the sink is ready again."""
+        """Resume reading, if the sink is ready again."""
         self._on_sink_ready()
 
     def discard(self) -> None:
-        """Buffer nothing, and drop what still comes."""
+        """Drop what is buffered, and what still arrives."""
         self._sink = None
         self.is_discarded = True
         self._parts = []
--- a/loadbalancer/net/proxy.py
+++ b/loadbalancer/net/proxy.py
@@ -1,4 +1,4 @@
-"""One balancer: the decision module with all that it is connected to, created, started and ended together."""
+"""One balancer: the decision module and its I/O components, created, started and shut down together."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
     from loadbalancer.net.membership import MembershipHost
     from loadbalancer.net.snapshot_writer import SnapshotWriter
 
-BUFFER_MEMORY_FRACTION = 0.1  # of the limit: two processes and their runtimes share that during a hot restart
-IDLE_CONNECTION_SWEEP_INTERVAL_S = 1.0  # idle times are bounded in seconds
+BUFFER_MEMORY_FRACTION = 0.1  # of the limit: two processes and their runtimes share it during a hot restart
+IDLE_CONNECTION_SWEEP_INTERVAL_S = 1.0  # idle timeouts are of the order of seconds
 
 
 class Proxy:
-    """Composes the parts of one balancer, and answers the console from them."""
+    """Wires up the components of one balancer, and is the console's backend."""
 
     def __init__(
         self,
@@ -52,9 +52,9 @@
         predecessor: Predecessor | None = None,
         sink: Sink = write_text,
     ) -> None:
-        """Bind all sockets; OSError if that can't be done.
+        """Bind all sockets; raises OSError on failure.
 
-        `folder` is shared with the process before this one, `predecessor`, and with the one after it.
+        `folder` is shared with the `predecessor` process and with the successor.
         """
         self.config = config
         self._loop = loop
@@ -91,7 +91,7 @@
         )
 
     def _create_snapshot_writer(self) -> SnapshotWriter | None:
-        """Return the writer where a folder is named; what it needs is imported there alone."""
+        """Return the snapshot writer if a folder is configured; imports its dependencies only then."""
         if self.config.snapshot_folder is None:
             return None
         from loadbalancer.net.snapshot_writer import SnapshotWriter
@@ -101,7 +101,7 @@
         )
 
     def _create_membership(self) -> MembershipHost | None:
-        """Return the host where membership is on; what it needs is imported there alone."""
+        """Return the membership host if membership is on; imports its dependencies only then."""
         if self.config.peer_listen is None:
             return None
         from loadbalancer.net.membership import MembershipHost
@@ -156,7 +156,7 @@
         )
 
     def start(self) -> None:
-        """Apply what was known, then begin to accept, or to take over from the process that does."""
+        """Apply the saved state, then begin to accept, or take over from the predecessor."""
         self.endpoint_list.apply(UpdateKind.CACHED, self.config.initial_list)
         self.cordons.start()
         if self._predecessor is not None:
@@ -177,14 +177,14 @@
         self.upstreams.close_expired()
 
     def announce_shutdown(self) -> None:
-        """Begin a graceful shutdown: leave the other balancers, so that they need not detect it."""
+        """Begin a graceful shutdown: leave the membership, so that peers need not detect the exit."""
         if self.membership is not None:
             self.membership.leave()
         if self._snapshots is not None:
             self._snapshots.close()
 
     def apply_configuration(self, config: Config) -> ReloadReport:
-        """Follow a configuration that the platform has replaced, as far as a running process can."""
+        """Apply a replaced configuration, as far as a running process can."""
         report = compare_configurations(self.config, config)
         self.config = config
         self.endpoint_list.apply_configuration(config)
@@ -197,21 +197,21 @@
         return self.downstream.is_serving and not self.downstream.is_shutting_down
 
     def stats(self) -> BalancerStats:
-        """Return the counts as they stand."""
+        """Return the current counts."""
         ejected_servers = len(self.balancer.excluded_servers(self.clock.now()))
         return self._counters.stats(len(self.endpoint_list.endpoints), ejected_servers)
 
     def prometheus_metrics(self) -> str:
-        """Return the same counts in Prometheus' text form."""
+        """Return the same counts in the Prometheus text format."""
         members_by_state = self.membership.count_by_state() if self.membership else {}
         return metrics.write(self.stats(), self.log.dropped_lines, members_by_state)
 
     def membership_report(self) -> MembershipReport | None:
-        """Return what is believed of the other balancers; None where membership is off."""
+        """Return the view of the other balancers; None if membership is off."""
         return self.membership.report() if self.membership else None
 
     def endpoint_list_report(self) -> EndpointListReport:
-        """Return where the endpoint list is from, and how old it is."""
+        """Return the source and the age of the endpoint list."""
         return self.endpoint_list.report()
 
     def zones(self) -> Mapping[str, ZoneStatus]:
@@ -219,11 +219,11 @@
         return self.cordons.zones()
 
     def evacuate_zone(self, zone: str, *, is_evacuating: bool, duration_ms: float, is_forced: bool) -> None:
-        """Evacuate a zone, or return to it; raises ZoneEvacuationError."""
+        """Evacuate a zone, or end its evacuation; raises ZoneEvacuationError."""
         self.cordons.evacuate_zone(
             zone, is_evacuating=is_evacuating, duration_ms=duration_ms, is_forced=is_forced
         )
 
     def set_cordon(self, server: str, *, is_cordoned: bool) -> bool:
-        """Cordon a server or return it to use; return False if nobody has that ID."""
+        """Cordon or uncordon a server; return False if the ID is unknown."""
         return self.cordons.set_cordon(server, is_cordoned=is_cordoned)
--- a/loadbalancer/net/request_attempts.py
+++ b/loadbalancer/net/request_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of requests: each is composed and sent here, and its end goes back to the decision module."""
+"""Builds and sends the attempts of requests, and reports the outcome of each to the decision module."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class RequestAttempt(AttemptHandler):
-    """One attempt of a request: what it sends, and where its end is reported."""
+    """One attempt of a request: what it sends, and where its outcome is reported."""
 
     def __init__(
         self, attempts: RequestAttempts, request: RequestInFlight, send: interface.SendAttempt, index: int
     ) -> None:
-        """Create the attempt that `send` asks for; `index` is its place among those of the request."""
+        """Create the attempt that `send` asks for; `index` is its position among those of the request."""
         self._attempts = attempts
         self._request = request
         self._server = send.server
@@ -39,17 +39,17 @@
         self.body = None if downstream.body.is_complete else downstream.body
 
     def is_needed(self) -> bool:
-        """Return whether the client is there: no attempt begins for one that has disconnected."""
+        """Return whether the client is connected: no attempt begins for one that is not."""
         return self._request.downstream.is_client_connected()
 
     def build_request(self) -> bytes:
-        """Return the head with the time that remains, and the body if it is complete."""
+        """Return the head with the remaining time, and the body if it is complete."""
         downstream = self._request.downstream
         remaining_s = self._ends_at_s - time.monotonic()
         if self.body is not None:
-            remaining_s = self.timeout_ms / 1000  # it counts from the last byte
+            remaining_s = self.timeout_ms / 1000  # counted from the body's last byte
             if downstream.body.is_complete:
-                self.body = None  # the rest came while we connected
+                self.body = None  # the rest arrived while connecting
         data = downstream.body.data() if self.body is None else b""
         length: int | None = len(data) if self.body is None else downstream.body.length
         if length is None:
@@ -64,16 +64,16 @@
         self._attempts.on_attempt_written()
 
     def on_response_started(self, attempt: Attempt, answer: UpstreamResponse) -> DownstreamRequest | None:
-        """Pass a long response on as it comes."""
+        """Stream a long response to the client."""
         return self._attempts.on_response_started(self._request, self._index, attempt, answer)
 
     def on_attempt_ended(self, outcome: Outcome, answer: UpstreamResponse | None) -> None:
-        """Report the end."""
+        """Report the outcome."""
         self._attempts.on_attempt_ended(self._request, self._index, self._server, outcome, answer)
 
 
 class RequestAttempts:
-    """Sends and cancels attempts, and takes their responses to clients and their ends to the module."""
+    """Sends and cancels attempts; passes responses to clients and outcomes to the decision module."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
         counters: RequestCounters,
         on_outcome: Callable[[str, Outcome], None],
     ) -> None:
-        """Create the sender of attempts; `on_outcome` takes the server and the outcome of each."""
+        """Create the sender of attempts; `on_outcome` receives the server and the outcome of each."""
         self._requests = requests
         self._upstreams = upstreams
         self.clock = clock
@@ -96,7 +96,7 @@
         index = len(request.attempts)
         request.attempts_in_flight += 1
         attempt: Attempt | None = None
-        outcome = Outcome.NOT_SENT  # for a request that is over, or whose body is discarded
+        outcome = Outcome.NOT_SENT  # for a request that is closed, or whose body is discarded
         downstream = request.downstream
         if request.is_open and not downstream.body.is_discarded and downstream.is_client_connected():
             handler = RequestAttempt(self, request, action, index)
@@ -107,7 +107,7 @@
                 action.write_within_ms / 1000,
                 action.connect_within_ms / 1000,
             )
-            outcome = Outcome.CONNECT_FAILED  # for a server that no list names any more
+            outcome = Outcome.CONNECT_FAILED  # for a server that is no longer in the endpoint list
         request.attempts.append(attempt)
         if attempt is None:
             self.on_attempt_ended(request, index, action.server, outcome, None)
@@ -120,13 +120,13 @@
             attempt.cancel()
 
     def on_attempt_written(self) -> None:
-        """Handle that an attempt has been written in full."""
+        """Count an attempt that has been written in full."""
         self._counters.record_attempt()
 
     def on_response_started(
         self, request: RequestInFlight, index: int, attempt: Attempt, answer: UpstreamResponse
     ) -> DownstreamRequest | None:
-        """Handle the start of a long response: the first one of a request is passed on, and no other."""
+        """Handle the start of a long response: only the first one of a request is streamed."""
         if not request.is_open or request.streaming_attempt is not None:
             return None
         request.streaming_attempt = attempt
@@ -151,7 +151,7 @@
         self._respond(request, index, outcome, answer)
         attempt = request.attempts[index]
         connect_s = attempt.connect_duration_s if attempt is not None else None
-        ending = interface.AttemptEnded(
+        event = interface.AttemptEnded(
             request.id,
             index,
             server,
@@ -160,12 +160,12 @@
             is_body_discarded=request.downstream.body.is_discarded,
             connect_duration_ms=None if connect_s is None else connect_s * 1000,
         )
-        self._requests.dispatch(request, ending)
+        self._requests.dispatch(request, event)
 
     def _respond(
         self, request: RequestInFlight, index: int, outcome: Outcome, answer: UpstreamResponse | None
     ) -> None:
-        """Give an open request what the end of this attempt means for it."""
+        """Answer an open request, if the end of this attempt decides its response."""
         if not request.is_open:
             return
         if request.streaming_attempt is not None:
--- a/loadbalancer/net/request_intake.py
+++ b/loadbalancer/net/request_intake.py
@@ -1,4 +1,4 @@
-"""What clients do becomes events: a request arrives, its body ends or breaks off, its client disconnects."""
+"""Turns client activity into events: a request arrives, its body ends or fails, its client disconnects."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         self.is_closed = False
 
     def on_request_arrived(self, downstream: DownstreamRequest) -> None:
-        """Handle a request that has arrived, complete or with the rest of its body to come."""
+        """Handle a request that has arrived, complete or with the rest of its body to follow."""
         if self.is_closed:
             downstream.body.discard()
             downstream.send_response(503)
@@ -43,7 +43,7 @@
         self._requests.dispatch(request, arrival)
 
     def on_request_completed(self, downstream: DownstreamRequest) -> None:
-        """Handle that the rest of a body has come: the request's time runs from now."""
+        """Handle the end of a request's body: its deadline counts from now."""
         request = self._requests.get_open(downstream.request_id)
         if request is not None:
             request.respond_by_ms = self._clock.now() + downstream.deadline_ms - RESPONSE_MARGIN_MS
@@ -52,22 +52,22 @@
             self._requests.dispatch(request, interface.RequestCompleted(request.id))
 
     def on_request_failed(self, downstream: DownstreamRequest, status: int) -> None:
-        """Handle that the rest of a body will not come: the request ends with this status."""
+        """End a request with this status, as the rest of its body will not arrive."""
         request = self._requests.get_open(downstream.request_id)
         if request is not None:
             self._requests.respond(request, status)
             self._requests.dispatch(request, interface.ClientDisconnected(request.id))
 
     def on_client_disconnected(self, downstream: DownstreamRequest) -> None:
-        """Handle that the client of a request has disconnected."""
+        """Handle the disconnect of a request's client."""
         request = self._requests.get_open(downstream.request_id)
         if request is not None:
             self._requests.close(request, None)
             if request.streaming_attempt is not None:
-                request.streaming_attempt.cancel()  # there is nobody to pass it on to
+                request.streaming_attempt.cancel()  # nobody is left to receive the response
             self._requests.dispatch(request, interface.ClientDisconnected(request.id))
 
     def on_shutdown_deadline(self) -> None:
-        """End the shutdown: answer all but those whose response is going out, and reject what still comes."""
+        """Answer all requests but those whose response is being streamed, and reject later ones."""
         self.is_closed = True
-        self._requests.rescue_all()
+        self._requests.respond_with_error_to_all()
--- a/loadbalancer/net/request_table.py
+++ b/loadbalancer/net/request_table.py
@@ -1,4 +1,4 @@
-"""The requests in flight: the state of each, and the one place where it gets its final response."""
+"""The requests in flight: the state of each, and the one place that sends its final response."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from loadbalancer.net.request_counters import RequestCounters
 from loadbalancer.net.upstream_attempt import Attempt
 
-RESPONSE_MARGIN_MS = 10.0  # the module gets so much less than the deadline: the response has to travel yet
-SAFETY_MARGIN_MS = 5.0  # so long before the deadline the safety net answers what is still open
+RESPONSE_MARGIN_MS = 10.0  # the module gets this much less than the deadline: the response must still travel
+SAFETY_MARGIN_MS = 5.0  # the safety timer answers open requests this long before the deadline
 
 
 class RequestInFlight:
-    """The state of one request from its arrival until nothing of it is left to happen."""
+    """The state of one request, from its arrival until its last attempt and event are done."""
 
     __slots__ = (
         "attempts",
@@ -41,23 +41,23 @@
         self.is_open = True  # until its final response, or until its client has disconnected
         self.has_run = False  # whether an attempt that has ended may have run
         self.attempts_in_flight = 0
-        self.pending_events = 0  # that the decision module has yet to handle
+        self.pending_events = 0  # not yet handled by the decision module
         self.safety_timer: asyncio.TimerHandle | None = None
-        self.streaming_attempt: Attempt | None = None  # whose response is passed on as it comes
+        self.streaming_attempt: Attempt | None = None  # whose response is being streamed
 
     def may_have_run(self) -> bool:
-        """Return whether any attempt has run, or may yet."""
+        """Return whether any attempt may have run, or may still run."""
         unwritten = sum(attempt.is_unwritten() for attempt in self.attempts if attempt is not None)
         return self.has_run or self.attempts_in_flight > unwritten
 
-    def withdraw(self) -> None:
-        """Withdraw the attempts that have not been written: nobody waits for their responses."""
+    def cancel_unwritten_attempts(self) -> None:
+        """Cancel the attempts that have not been written: nobody waits for their responses."""
         for attempt in self.attempts:
             if attempt is not None:
                 attempt.cancel_if_unwritten()
 
     def cancel_safety_timer(self) -> None:
-        """Cancel the timer of the safety net, if it runs."""
+        """Cancel the safety timer, if it is set."""
         if self.safety_timer is not None:
             self.safety_timer.cancel()
 
@@ -72,7 +72,7 @@
         counters: RequestCounters,
         dispatch: Callable[[interface.Event], None],
     ) -> None:
-        """Create an empty table; `dispatch` takes events to the decision module."""
+        """Create an empty table; `dispatch` passes events to the decision module."""
         self._loop = loop
         self._clock = clock
         self._counters = counters
@@ -81,7 +81,7 @@
         self.by_id: dict[int, RequestInFlight] = {}
 
     def add(self, downstream: DownstreamRequest, remaining_ms: float) -> RequestInFlight:
-        """Add a request that arrived with so much time remaining until its deadline."""
+        """Add a request that arrived with this much time remaining until its deadline."""
         self._last_id += 1
         respond_by_ms = self._clock.now() + remaining_ms - RESPONSE_MARGIN_MS
         request = RequestInFlight(self._last_id, downstream, respond_by_ms)
@@ -91,58 +91,58 @@
         return request
 
     def get_open(self, request_id: int | None) -> RequestInFlight | None:
-        """Return the request if it is owed a response still."""
+        """Return the request if it still awaits its response."""
         request = self.by_id.get(request_id) if request_id is not None else None
         return request if request is not None and request.is_open else None
 
     def dispatch(self, request: RequestInFlight, event: interface.Event) -> None:
-        """Take an event of this request to the decision module."""
+        """Pass an event of this request to the decision module."""
         request.pending_events += 1
         self._dispatch(event)
 
     def on_event_handled(self, request_id: int | None) -> None:
-        """Handle that the decision module has handled an event of this request."""
+        """Record that the decision module has handled an event of this request."""
         request = self.by_id.get(request_id) if request_id is not None else None
         if request is not None:
             request.pending_events -= 1
             if not request.is_open:
-                request.withdraw()
+                request.cancel_unwritten_attempts()
             self.forget_if_finished(request)
 
     def forget_if_finished(self, request: RequestInFlight) -> None:
-        """Remove a request once nothing of it is left to happen."""
+        """Remove a closed request once no attempt or event is pending."""
         if not (request.is_open or request.attempts_in_flight or request.pending_events):
             self.by_id.pop(request.id, None)
             request.downstream.body.discard()
 
     def start_safety_timer(self, request: RequestInFlight, remaining_ms: float) -> None:
-        """Have the request answered shortly before its deadline, whatever happens until then."""
+        """Set a timer that answers the request shortly before its deadline, if it is still open."""
         delay_s = max(remaining_ms - SAFETY_MARGIN_MS, 0.0) / 1000
-        request.safety_timer = self._loop.call_later(delay_s, self.rescue, request.id)
+        request.safety_timer = self._loop.call_later(delay_s, self.respond_with_error, request.id)
 
-    def rescue(self, request_id: int | None) -> None:
-        """Answer a request, whatever went wrong: 503 only if no attempt can have run, else 502."""
+    def respond_with_error(self, request_id: int | None) -> None:
+        """Answer an open request with an error: 503 only if no attempt can have run, else 502."""
         request = self.get_open(request_id)
         if request is None:
             return
         self.respond(request, 502 if request.may_have_run() else 503)
-        # The decision module then cancels the attempts in flight.
+        # On this event the decision module cancels the attempts in flight.
         self.dispatch(request, interface.ClientDisconnected(request.id))
 
-    def rescue_all(self) -> None:
-        """Answer all requests but those whose response is being passed on."""
+    def respond_with_error_to_all(self) -> None:
+        """Answer all open requests with an error, but those whose response is being streamed."""
         for request_id, request in list(self.by_id.items()):
             if request.streaming_attempt is None:
-                self.rescue(request_id)
+                self.respond_with_error(request_id)
 
     def close(self, request: RequestInFlight, status: int | None) -> None:
-        """End a request: with the status of its final response, or None if its client has disconnected."""
+        """Close a request; `status` is that of its final response, None if its client has disconnected."""
         request.is_open = False
         self._counters.record_response(request.downstream.class_name, status)
         request.cancel_safety_timer()
 
     def respond(self, request: RequestInFlight, status: int, headers: Headers | None = None) -> None:
-        """Send the final response of an open request, or break off the one that is being passed on."""
+        """Send the final response of an open request, or abort the one that is being streamed."""
         self.close(request, status)
         if request.streaming_attempt is None:
             request.downstream.send_response(status, headers)
--- a/loadbalancer/net/sockets.py
+++ b/loadbalancer/net/sockets.py
@@ -1,4 +1,4 @@
-"""Socket options, and checks of what the kernel knows of a connection and the loop does not yet."""
+"""Socket options, and checks of connection state that the kernel knows and the loop does not yet."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 def reset_on_close(transport: asyncio.BaseTransport) -> None:
-    """Let the close of a connection be a reset, which nobody takes for the end of a message."""
+    """Make the close of a connection a reset, which the peer can't take for the end of a message."""
     with contextlib.suppress(OSError):
         linger = struct.pack("ii", 1, 0)
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
 
 
 def has_peer_closed(transport: asyncio.Transport) -> bool:
-    """Return whether the other side has ended its sending, though there may be bytes to read before that."""
+    """Return whether the peer has ended its sending, though there may be unread bytes before the end."""
     if transport.is_closing():
-        return True  # by us: its descriptor may be another's by now
+        return True  # by us: its descriptor may have been reused
     poller = select.poll()
     poller.register(transport.get_extra_info("socket"), select.POLLRDHUP)
     try:
@@ -34,9 +34,9 @@
 
 
 def peek_socket(transport: asyncio.BaseTransport) -> bytes | None:
-    """Return what the kernel holds that the loop has not read.
+    """Return the first byte that the kernel has received and the loop has not read.
 
-    That is a first byte, b"" for the end of the stream (or a broken socket), None for nothing.
+    It is b"" for the end of the stream (or a broken socket), None for nothing.
     """
     wrapped = transport.get_extra_info("socket")
     duplicate = socket.socket(wrapped.family, wrapped.type, wrapped.proto, wrapped.fileno())
--- a/tests/test_endings_downstream.py
+++ b/tests/test_endings_downstream.py
@@ -277,10 +277,10 @@
             def crossing(*args: Any) -> None:
                 proxy.attempts.on_attempt_ended = ended  # type: ignore[method-assign]
                 if first == "deadline":
-                    proxy.requests.rescue(number)
+                    proxy.requests.respond_with_error(number)
                 ended(*args)
                 if first == "answer":
-                    proxy.requests.rescue(number)
+                    proxy.requests.respond_with_error(number)
 
             proxy.attempts.on_attempt_ended = crossing  # type: ignore[method-assign, assignment]
             upstream.writers[0].write(http_response(200, b"first"))
@@ -328,7 +328,7 @@
             client.send_request("/pay/x", b"debit", deadline="60000m")
             await connects.started.wait()
             ((number, _),) = harness.proxy.requests.by_id.items()
-            harness.proxy.requests.rescue(number)
+            harness.proxy.requests.respond_with_error(number)
             assert status_of(await client.read_response()) == 503
             await wait_until(lambda: not unreleased_resources(harness.proxy))
 
