--- a/loadbalancer/net/decision_loop.py
+++ b/loadbalancer/net/decision_loop.py
@@ -21,7 +21,7 @@
         """Record that an event has been handled; the ID is None if it belongs to no request."""
 
     def respond_with_error(self, request_id: int | None) -> None:
-        """Answer a request whose handling has failed with an error, if it is still open."""
+        """Send an error response to a request whose handling has failed, if it is still open."""
 
 
 class DecisionLoop:
--- a/loadbalancer/net/request_table.py
+++ b/loadbalancer/net/request_table.py
@@ -130,7 +130,7 @@
         self.dispatch(request, interface.ClientDisconnected(request.id))
 
     def respond_with_error_to_all(self) -> None:
-        """Answer all open requests with an error, but those whose response is being streamed."""
+        """Answer all open requests with an error, except those whose response is being streamed."""
         for request_id, request in list(self.by_id.items()):
             if request.streaming_attempt is None:
                 self.respond_with_error(request_id)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""What the socket tests share: scripted upstreams, a scripted discovery and a client, all on loopback."""
+"""Helpers of the socket tests: scripted upstreams, a scripted list service and a client, all on loopback."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from loadbalancer.net.upstream_pool import ConnectionPool
 
 T = TypeVar("T")
-SCENARIO_TIMEOUT_S = 10.0  # for what must happen; reached only when a test fails
+SCENARIO_TIMEOUT_S = 10.0  # reached only when a test fails
 ResponseScript = Callable[["HttpMessage", asyncio.StreamWriter], Awaitable[None]]
 
 
@@ -56,7 +56,7 @@
 
 
 class Upstream:
-    """A scripted upstream: it answers the nth request by the nth script, later ones by the last script."""
+    """A scripted upstream: it answers the nth request with the nth script, later ones with the last."""
 
     def __init__(self, *scripts: ResponseScript | bytes) -> None:
         self._scripts = scripts or (http_response(),)
@@ -64,7 +64,7 @@
         self.connection_count = 0
         self.writers: list[asyncio.StreamWriter] = []
         self.request_received = asyncio.Event()
-        self.connection_ended = asyncio.Event()  # a connection was ended by the balancer
+        self.connection_ended = asyncio.Event()  # a connection was closed by the balancer
 
     async def start(self) -> str:
         """Listen; return the address."""
@@ -95,12 +95,12 @@
 
 
 async def reset_connection(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
-    """Reset the connection instead of an answer."""
+    """Reset the connection instead of answering."""
     writer.transport.abort()
 
 
 class ListServer:
-    """A scripted list service: a request takes the next response put in, or waits for one as a watch does."""
+    """A scripted list service: a request gets the next published response, or waits for one like a watch."""
 
     def __init__(self) -> None:
         self.responses: asyncio.Queue[bytes] = asyncio.Queue()
@@ -122,7 +122,7 @@
             writer.close()
 
     def publish(self, index: int, *entries: dict[str, Any], snapshot: bool = False) -> None:
-        """Answer the next request by these entries, as a delta or a full snapshot."""
+        """Answer the next request with these entries, as a delta or a full snapshot."""
         body = json.dumps({"index": index, "snapshot": snapshot, "endpoints": entries}).encode()
         self.responses.put_nowait(http_response(200, body))
 
@@ -134,7 +134,7 @@
 
 
 def endpoint_list(*entries: dict[str, Any], is_full_snapshot: bool = False) -> EndpointList:
-    """Return an endpoint list of these entries, as it is read from an answer of the list service."""
+    """Return an endpoint list of these entries, as it is decoded from a response of the list service."""
     return decode_endpoint_list({"index": 1, "snapshot": is_full_snapshot, "endpoints": list(entries)})
 
 
@@ -181,7 +181,7 @@
 
 
 class PausedConnects:
-    """Connections to upstreams, or to one, come up when the test says so; `on_connected` runs right then."""
+    """Holds back connections to all upstreams, or to one, until `release`; `on_connected` runs after each."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, server: str = "") -> None:
         self.started = asyncio.Event()  # the first of them
@@ -201,31 +201,31 @@
         monkeypatch.setattr(ConnectionPool, "connect", gated_connect)
 
     def release(self) -> None:
-        """Let them come up from now on."""
+        """Let connections be established from now on."""
         self._gate.set()
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Let the loop turn until the condition is true; the scenario's timeout bounds it."""
+    """Yield to the loop until the condition is true; the scenario's timeout bounds the wait."""
     while not condition():
         await asyncio.sleep(0)
 
 
 async def wait_at_least(span_s: float) -> None:
-    """Wait for a timer: a slow machine only makes it later, and what comes after it with it."""
-    over = asyncio.Event()
-    asyncio.get_running_loop().call_later(span_s, over.set)
-    await over.wait()
+    """Wait for a timer; a slow machine only makes the wait longer."""
+    elapsed = asyncio.Event()
+    asyncio.get_running_loop().call_later(span_s, elapsed.set)
+    await elapsed.wait()
 
 
 def unreleased_resources(proxy: Proxy) -> list[str]:
-    """Return what an idle balancer still holds: nothing, if all that ended was released."""
+    """Return the resources that an idle balancer still holds, none if all were released."""
     counts = {
         "requests": len(proxy.requests.by_id),
-        "the module's requests": len(proxy.balancer._requests.open_requests),
+        "the decision module's requests": len(proxy.balancer._requests.open_requests),
         "waiting": len(proxy.balancer._requests.wait_queue),
         "bytes": proxy.buffers.used_bytes,
-        "calls in flight": sum(s.in_flight for s in proxy.balancer._endpoints.servers.values()),
+        "attempts in flight": sum(s.in_flight for s in proxy.balancer._endpoints.servers.values()),
         "connections in use": proxy.upstreams.open_connections
         - sum(len(p.idle_connections) for p in proxy.upstreams._pools.values()),
     }
@@ -292,7 +292,7 @@
         deadline: str = "4000m",
         **headers: str,
     ) -> None:
-        """Write a request; a header's `-` is `_` here, and an empty one is left out."""
+        """Write a request; `_` in a header's keyword stands for `-`, and an empty header is left out."""
         method = "POST" if body else "GET"
         named = {"x-request-id": "9b1f03aa", "x-class": path[1:].partition("/")[0], "x-deadline": deadline}
         named |= {n.replace("_", "-"): v for n, v in headers.items()}
@@ -306,13 +306,13 @@
 
 
 def send_now(client: HttpClient, data: bytes) -> None:
-    """Put bytes into the kernel in this very instant."""
+    """Write bytes to the socket at once, without the event loop."""
     os.write(client.writer.get_extra_info("socket").fileno(), data)
 
 
 @asynccontextmanager
 async def running_program(config: Path) -> AsyncIterator[asyncio.subprocess.Process]:
-    """Run the program as the platform starts it; it is killed if it has not ended by then."""
+    """Run the program as the platform starts it; it is killed at the end if it still runs."""
     started = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "loadbalancer", env=os.environ | {"LB_CONFIG": str(config)}
     )
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""What clients may send and how long they may stay: the downstream side on loopback sockets."""
+"""Validation, timeouts and limits of client connections, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 def test_client_without_a_complete_request_is_disconnected(
     raw: bytes, wanted: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each held its place for ever, and callers with requests waited in the queue for one."""
+    """Guards against such clients holding connections for ever while clients with requests wait."""
     monkeypatch.setattr(downstream_timeout, "REQUEST_TIMEOUT_S", 0.01)
 
     async def scenario() -> None:
@@ -89,7 +89,7 @@
 
 
 def test_response_to_a_request_for_no_service_closes_the_connection() -> None:
-    """Hundreds asked once and stayed, and callers with requests waited for their places."""
+    """Guards against hundreds of clients that ask once and stay, while clients with requests wait."""
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as harness:
@@ -103,7 +103,7 @@
 
 
 def test_clients_past_the_connection_limit_wait_and_idle_ones_are_evicted() -> None:
-    """Idle callers held all places, and nobody looked again once they had become idle."""
+    """Guards against no retry of the eviction once the clients at the limit have become idle."""
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as harness:
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,7 +1,7 @@
-"""Nothing begins for a client that has gone, though the loop has not seen its end.
+"""No attempt begins for a client that has disconnected, even if the event loop has not noticed.
 
-An attempt that begins over 0.1 s after its client's close is a break. Here the end stays unseen for as long
-as the test likes: reading is paused, and the looks that pass the time meanwhile are put off.
+An attempt that begins over 0.1 s after its client's close is a violation. Here the disconnect goes unnoticed
+for as long as a test needs: reading is paused, and the polls for disconnects are put off.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     wait_until,
 )
 
-MAX_LATE_START_S = 0.1  # after the close, for what is on its way
+MAX_LATE_START_S = 0.1  # after the close, for attempts under way
 POLL_INTERVAL_S = downstream_flow.DISCONNECT_POLL_INTERVAL_S
 LIMITS = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 5_000.0, "mayDuplicate": True}
 HEAD = b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 4000m\r\n\r\n"
@@ -43,15 +43,15 @@
 by_each_way_of_disconnecting = pytest.mark.parametrize("how", ["closes", "ends its sending", "resets"])
 
 
-class UnseenClient:
-    """A client whose end the loop does not see: it has sent more than is read."""
+class PausedReadClient:
+    """A client whose disconnect the loop does not see: it has sent more than is read."""
 
     def __init__(self, client: HttpClient, connection: DownstreamConnection) -> None:
-        self._caller, self._connection = client, connection
+        self._client, self._connection = client, connection
 
     async def disconnect(self, how: str = "closes") -> None:
-        """Go; over once the kernel knows, and what is on its way has had its time."""
-        writer, transport = self._caller.writer, self._connection._transport
+        """Disconnect; return once the kernel knows, and attempts under way have had their time."""
+        writer, transport = self._client.writer, self._connection._transport
         if how == "ends its sending":
             writer.write_eof()
         elif how == "resets":
@@ -63,8 +63,8 @@
         await wait_at_least(MAX_LATE_START_S)
 
 
-async def send_unseen_request(harness: ProxyHarness) -> UnseenClient:
-    """Send a request, and so many behind it that reading is paused."""
+async def send_request_and_pause_reading(harness: ProxyHarness) -> PausedReadClient:
+    """Send a request, and so many after it that reading is paused."""
     known = set(harness.proxy.downstream._connections)
     client = await harness.connect()
     client.writer.write(HEAD * 40)
@@ -72,7 +72,7 @@
         lambda: any(c.reader.control.is_paused for c in harness.proxy.downstream._connections - known)
     )
     (connection,) = harness.proxy.downstream._connections - known
-    return UnseenClient(client, connection)
+    return PausedReadClient(client, connection)
 
 
 @pytest.fixture(autouse=True)
@@ -81,7 +81,7 @@
 
 
 async def wait_until_released(harness: ProxyHarness) -> None:
-    """Wait until nothing is kept for who has gone."""
+    """Wait until all resources of disconnected clients are released."""
     await wait_until(lambda: harness.proxy.downstream.connection_count() == 0)
     await wait_until(lambda: not unreleased_resources(harness.proxy))
 
@@ -97,7 +97,7 @@
     async def scenario() -> None:
         connects, upstream = PausedConnects(monkeypatch), Upstream()
         async with ProxyHarness(upstream, limits=LIMITS | {"mayCancel": cancel}) as harness:
-            client = await send_unseen_request(harness)
+            client = await send_request_and_pause_reading(harness)
             await connects.started.wait()
             await client.disconnect(how)
             await wait_at_least(0.4)
@@ -115,7 +115,7 @@
     async def scenario() -> None:
         upstreams = Upstream(never_answer), Upstream(never_answer)
         async with ProxyHarness(*upstreams, limits=LIMITS | {"mayCancel": cancel}) as harness:
-            client = await send_unseen_request(harness)
+            client = await send_request_and_pause_reading(harness)
             await wait_until(lambda: any(u.requests for u in upstreams))
             await client.disconnect()
             for upstream in upstreams:
@@ -129,15 +129,15 @@
 
 @may_cancel
 def test_no_hedged_request_is_sent_for_a_disconnected_client(cancel: bool) -> None:
-    """The first server is silent, and the copy's time comes when nobody waits any more."""
+    """The first server is silent, and the hedged request is due when nobody waits any more."""
 
     async def scenario() -> None:
         first, second = Upstream(never_answer), Upstream(never_answer)
         async with ProxyHarness(first, second, limits=LIMITS | {"mayCancel": cancel}) as harness:
             handle, due = harness.proxy.balancer.handle, list[str]()
 
-            def copying(event: interface.Event, now: float) -> list[interface.Action]:
-                if isinstance(event, interface.TimerExpired) and event.token == "copy":
+            def hedging(event: interface.Event, now: float) -> list[interface.Action]:
+                if isinstance(event, interface.TimerExpired) and event.token == "hedge":
                     due.append("now")
                     return [interface.SendAttempt(1, "s1", 1_000.0)]
                 if getattr(event, "request_id", None) != 1:
@@ -148,11 +148,11 @@
                     else []
                 )
 
-            harness.proxy.balancer.handle = copying  # type: ignore[method-assign]
-            client = await send_unseen_request(harness)
+            harness.proxy.balancer.handle = hedging  # type: ignore[method-assign]
+            client = await send_request_and_pause_reading(harness)
             await first.request_received.wait()
             await client.disconnect()
-            harness.proxy._decisions.dispatch(interface.TimerExpired("copy"))
+            harness.proxy._decisions.dispatch(interface.TimerExpired("hedge"))
             assert due and not any(r.is_open for r in harness.proxy.requests.by_id.values())
             first.writers[0].transport.abort()
             await wait_until(lambda: not harness.proxy.requests.by_id)
@@ -180,7 +180,7 @@
             others.pop().writer.close()
             await wait_until(lambda: not harness.proxy.balancer._requests.wait_queue)
             await wait_until(lambda: len(upstream.requests) == len(others))
-            client = await send_unseen_request(harness)
+            client = await send_request_and_pause_reading(harness)
             assert len(harness.proxy.balancer._requests.wait_queue) == 1
             await client.disconnect()
             for writer in upstream.writers:
@@ -196,7 +196,7 @@
 
 @may_cancel
 def test_a_loop_that_was_busy_sends_nothing_for_a_client_that_disconnected_meanwhile(cancel: bool) -> None:
-    """Its end is in the kernel by then; the loop would read it next, and the attempt comes first."""
+    """The kernel knows of the disconnect; the loop would read it next, but the attempt comes first."""
 
     async def scenario() -> None:
         upstream = Upstream(never_answer)
@@ -208,8 +208,8 @@
             with socket.create_connection(harness.proxy.downstream.address) as client:
                 client.sendall(HEAD)
                 await wait_until(lambda: bool(harness.proxy.requests.by_id))
-            time.sleep(0.3)  # the loop is busy: this is the scenario, and waits for nothing
-            harness.proxy._decisions.dispatch(interface.TimerExpired("copy"))
+            time.sleep(0.3)  # keeps the loop busy, which is the scenario
+            harness.proxy._decisions.dispatch(interface.TimerExpired("hedge"))
             assert not harness.proxy.requests.by_id
             harness.proxy.balancer.handle = handle  # type: ignore[method-assign]
             await wait_until_released(harness)
@@ -219,12 +219,12 @@
 
 
 def test_a_first_attempt_is_not_sent_when_request_and_disconnect_are_read_late() -> None:
-    """The request and the end behind it came while the loop was busy: both are there when it is read."""
+    """Both arrive while the loop is busy, and are there when the socket is read."""
 
     async def scenario() -> None:
         upstream = Upstream()
         async with ProxyHarness(upstream) as harness:
-            assert status_of(await harness.request()) == 200  # its connection idles: no dial delays the next
+            assert status_of(await harness.request()) == 200  # leaves an idle connection: no connect delay
             await wait_until(lambda: harness.proxy.downstream.connection_count() == 0)
             await wait_at_least(0.01)
             with socket.create_connection(harness.proxy.downstream.address) as client:
@@ -239,23 +239,23 @@
 
 @may_cancel
 def test_the_last_byte_of_a_long_body_is_not_forwarded_for_a_disconnected_client(cancel: bool) -> None:
-    """The upstream reads slowly: the rest of the body, and the end behind it, wait in the kernel."""
+    """The upstream reads slowly: the rest of the body, and the disconnect after it, wait in the kernel."""
 
     async def scenario() -> None:
         size = 12_000_000
-        begun, go_on, over, got = asyncio.Event(), asyncio.Event(), asyncio.Event(), list[int]()
+        begun, may_read, done, received = asyncio.Event(), asyncio.Event(), asyncio.Event(), list[int]()
 
         async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             begun.set()
-            await go_on.wait()
+            await may_read.wait()
             read = 0
             with contextlib.suppress(ConnectionError):
                 while data := await reader.read(65_536):
                     read += len(data)
                     await asyncio.sleep(0)
-            got.append(read)
-            over.set()
+            received.append(read)
+            done.set()
             writer.close()
 
         server = await asyncio.start_server(slow, "127.0.0.1", 0, limit=4_096)
@@ -270,26 +270,26 @@
             await begun.wait()
             (connection,) = harness.proxy.downstream._connections
             await wait_until(lambda: connection.reader.control.is_paused)
-            client.writer.close()  # the kernel sends on what we still hold for it
+            client.writer.close()  # data buffered on the client's side is still sent
             await wait_at_least(MAX_LATE_START_S)
-            go_on.set()
-            await over.wait()
-            assert got[0] < size
+            may_read.set()
+            await done.wait()
+            assert received[0] < size
             await wait_until_released(harness)
 
     run_scenario(scenario())
 
 
-# ---- what must go on ----------------------------------------------------------------------------
+# ---- what is not affected -----------------------------------------------------------------------
 
 
 def test_the_disconnect_poll_interval_is_well_under_what_is_allowed() -> None:
-    """Bytes of a request that are still with us leave by themselves: there only the looks help."""
+    """Buffered bytes of a request are sent without another check: there only the polls help."""
     assert POLL_INTERVAL_S <= MAX_LATE_START_S / 2
 
 
 def test_clients_that_stay_are_served_through_every_disconnect_check(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Bytes that wait unread, and a connection that has long been idle, are no end."""
+    """Unread bytes, and a connection that has long been idle, must not count as a disconnect."""
 
     async def scenario() -> None:
         connects, upstream = PausedConnects(monkeypatch), Upstream()
@@ -308,7 +308,7 @@
 
 
 def test_a_client_that_was_answered_before_its_body_was_complete_may_end_its_sending_behind_it() -> None:
-    """Its answer is out, and what still comes is dropped: to let go of it then would reset the answer."""
+    """Its response is sent and its body is dropped: aborting the connection then would reset the response."""
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as harness:
--- a/tests/test_decision_loop.py
+++ b/tests/test_decision_loop.py
@@ -1,4 +1,4 @@
-"""What the proxy does where the decision module fails, is silent or answers late."""
+"""The proxy when the decision module raises, decides nothing or rejects a request late."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def test_requests_rejected_by_timer_or_for_another_leave_no_state() -> None:
-    """A balancer grew by 50 MB in half an hour: whoever had waited in vain was kept for good."""
+    """Guards against a leak of 50 MB in half an hour: requests rejected while queued were never removed."""
 
     async def scenario() -> None:
         gate = asyncio.Event()
@@ -71,7 +71,7 @@
                 client.send_request()
             responses = [status_of(await client.read_response()) for client in clients[1:]]
             assert responses == [503, 503, 503], (
-                "one is with the server, one waits in vain, two find no place"
+                "one is in flight, one is rejected from the queue, two find it full"
             )
             assert len(harness.proxy.requests.by_id) == 1
             gate.set()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients fill a process's descriptors while discovery is down: all is well soon after its return."""
+"""Idle clients exhaust a process's descriptors while discovery is down: it recovers soon after its return."""
 
 from __future__ import annotations
 
@@ -44,15 +44,15 @@
 )
 
 HOST = "127.0.0.1"
-MIN_SOCKETS = 256  # sockets that a balancer gets
-CROWD = 600
-OUTAGE_S = 2.0  # that discovery is away, with all places taken
-RECOVERY_S = 6.0  # after its return
-DRAIN_GRACE_S = 0.5  # as the configuration has it
+MIN_SOCKETS = 256  # the fewest sockets that a balancer gets
+CLIENT_COUNT = 600
+OUTAGE_S = 2.0  # of discovery, with all connections in use
+RECOVERY_S = 6.0  # after discovery returns
+DRAIN_GRACE_S = 0.5  # as configured
 HEAD = b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 5000m\r\n\r\n"
 
 
-# ---- the shares ---------------------------------------------------------------------------------
+# ---- connection limits --------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -67,95 +67,95 @@
 
 
 def test_an_accept_for_which_there_is_no_descriptor_is_not_retried_at_once() -> None:
-    """The listener stays readable: an accept that fails and is tried at once would spin."""
+    """The listener stays readable: an accept that fails and is retried at once would spin."""
 
-    class Full(socket.socket):
+    class ExhaustedSocket(socket.socket):
         attempts = 0
 
         def accept(self) -> Any:
-            Full.attempts += 1
+            ExhaustedSocket.attempts += 1
             raise OSError(errno.EMFILE, "no descriptor")
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as harness:
             ours = harness.proxy.downstream
             ours._stop_reading()
-            ours.listening_socket = Full(fileno=ours.listening_socket.detach())
+            ours.listening_socket = ExhaustedSocket(fileno=ours.listening_socket.detach())
             ours._start_reading()
             with socket.create_connection(ours.address):
-                await wait_until(lambda: Full.attempts > 0)
+                await wait_until(lambda: ExhaustedSocket.attempts > 0)
                 for _ in range(1_000):
                     await asyncio.sleep(0)
-                assert Full.attempts <= 2
+                assert ExhaustedSocket.attempts <= 2
                 ours.listening_socket = socket.socket(fileno=ours.listening_socket.detach())
                 await wait_until(lambda: ours.connection_count() == 1)
 
     run_scenario(scenario())
 
 
-# ---- who makes way ------------------------------------------------------------------------------
+# ---- eviction -----------------------------------------------------------------------------------
 
 
-class Idle:
-    """A connection that has been idle since some moment."""
+class StubConnection:
+    """A connection that has been idle since `idle_since_s`."""
 
     def __init__(self, idle_since_s: float, has_received_request: bool, can_close: bool = True) -> None:
         self.idle_since_s = idle_since_s
         self._has_received_request = has_received_request
         self._can_close = can_close
-        self.ended = False
+        self.is_evicted = False
 
     def has_received_request(self) -> bool:
         return self._has_received_request
 
     def can_close(self) -> bool:
-        return self._can_close and not self.ended
+        return self._can_close and not self.is_evicted
 
     def evict(self) -> None:
-        self.idle_since_s, self.ended = float("inf"), True
+        self.idle_since_s, self.is_evicted = float("inf"), True
 
 
 def test_connections_without_a_request_are_evicted_before_the_longest_idle_and_busy_ones_never() -> None:
     now = 100.0
-    asking = Idle(now - 50.0, has_received_request=True, can_close=False)
-    long_idle = Idle(now - 9.0, has_received_request=True)
-    idle = Idle(now - 2 * MIN_EVICTABLE_IDLE_S, has_received_request=True)
-    busy = Idle(now - MIN_EVICTABLE_IDLE_S / 2, has_received_request=True)
-    stranger = Idle(now - 2 * NEW_CONNECTION_GRACE_S, has_received_request=False)
-    fresh = Idle(now - NEW_CONNECTION_GRACE_S / 2, has_received_request=False)
-    clients = [asking, busy, idle, long_idle, fresh, stranger]
-    eviction, order = IdleEviction(), list[Idle]()
+    serving = StubConnection(now - 50.0, has_received_request=True, can_close=False)
+    long_idle = StubConnection(now - 9.0, has_received_request=True)
+    idle = StubConnection(now - 2 * MIN_EVICTABLE_IDLE_S, has_received_request=True)
+    busy = StubConnection(now - MIN_EVICTABLE_IDLE_S / 2, has_received_request=True)
+    without_request = StubConnection(now - 2 * NEW_CONNECTION_GRACE_S, has_received_request=False)
+    recent = StubConnection(now - NEW_CONNECTION_GRACE_S / 2, has_received_request=False)
+    clients = [serving, busy, idle, long_idle, recent, without_request]
+    eviction, order = IdleEviction(), list[StubConnection]()
     for _ in range(4):
         eviction.reset()  # one at a time
         eviction.evict_idle(clients, now)
-        order += [c for c in clients if c.ended and c not in order]
+        order += [c for c in clients if c.is_evicted and c not in order]
         now += EVICTION_INTERVAL_S / 4
         eviction.evict_idle(clients, now)  # too soon
-        assert len([c for c in clients if c.ended]) == len(order)
+        assert len([c for c in clients if c.is_evicted]) == len(order)
         eviction._next_pass_s = 0.0
         now = 100.0
-    assert order == [stranger, long_idle, idle]
+    assert order == [without_request, long_idle, idle]
 
 
 def test_evictions_double_up_to_a_bound_until_nobody_waits() -> None:
     eviction, now, counts = IdleEviction(), 100.0, list[int]()
-    crowd = [Idle(0.0, has_received_request=False) for _ in range(200)]
+    connections = [StubConnection(0.0, has_received_request=False) for _ in range(200)]
     for _ in range(7):
-        before = sum(c.ended for c in crowd)
-        eviction.evict_idle(crowd, now)
-        counts.append(sum(c.ended for c in crowd) - before)
+        before = sum(c.is_evicted for c in connections)
+        eviction.evict_idle(connections, now)
+        counts.append(sum(c.is_evicted for c in connections) - before)
         now += 2 * EVICTION_INTERVAL_S
     assert counts == [1, 2, 4, 8, MAX_EVICTIONS_PER_PASS, MAX_EVICTIONS_PER_PASS, MAX_EVICTIONS_PER_PASS]
     eviction.reset()
-    before = sum(c.ended for c in crowd)
-    eviction.evict_idle(crowd, now)
-    assert sum(c.ended for c in crowd) - before == 1
+    before = sum(c.is_evicted for c in connections)
+    eviction.evict_idle(connections, now)
+    assert sum(c.is_evicted for c in connections) - before == 1
 
 
 def test_an_evicted_client_that_reads_no_response_is_closed_all_the_same(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What it had not taken of its answer was waited for without an end."""
+    """Guards against waiting without an end for the client to read its response."""
     monkeypatch.setattr(downstream_connection, "STALL_TIMEOUT_S", 0.05)
     monkeypatch.setattr(downstream_connection, "LINGERING_CLOSE_S", 0.01)
     monkeypatch.setattr(descriptors, "MIN_EVICTABLE_IDLE_S", 0.0)
@@ -179,22 +179,22 @@
     run_scenario(scenario())
 
 
-# ---- a process ----------------------------------------------------------------------------------
+# ---- a whole process ----------------------------------------------------------------------------
 
 
-class Crowd:
-    """Idle clients, each of which connects again at once when its connection is ended."""
+class ReconnectingClients:
+    """Idle clients, each of which reconnects at once when its connection is closed."""
 
     def __init__(self, port: int, kind: str) -> None:
         self._port, self._kind = port, kind
-        self._tasks = [asyncio.create_task(self._stay()) for _ in range(CROWD)]
-        self.connected = 0
+        self._tasks = [asyncio.create_task(self._stay()) for _ in range(CLIENT_COUNT)]
+        self.connect_count = 0
 
     async def _stay(self) -> None:
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 reader, writer = await asyncio.open_connection(HOST, self._port)
-                self.connected += 1
+                self.connect_count += 1
                 try:
                     if self._kind == "that asked once":
                         writer.write(HEAD)
@@ -206,18 +206,18 @@
                     writer.transport.abort()
             await asyncio.sleep(0)
 
-    async def __aenter__(self) -> Crowd:
+    async def __aenter__(self) -> ReconnectingClients:
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Leave, all of them."""
+        """Disconnect all clients."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
 class Balancer:
-    """The program as a process of few descriptors, with its console."""
+    """The program as a process with few descriptors, and its console."""
 
     def __init__(self, pid: int, port: int, console: int) -> None:
         self.pid, self.port, self._console = pid, port, console
@@ -225,15 +225,15 @@
     def open_descriptors(self) -> int:
         return len(os.listdir(f"/proc/{self.pid}/fd"))
 
-    async def call(self, path: str) -> HttpMessage:
-        """One call of an operator."""
-        return await self._ask(self._console, f"GET {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
+    async def call_console(self, path: str) -> HttpMessage:
+        """Call the console."""
+        return await self._send(self._console, f"GET {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
 
-    async def ask(self) -> HttpMessage:
-        """One request on a new connection, both in the same instant."""
-        return await self._ask(self.port, HEAD)
+    async def get(self) -> HttpMessage:
+        """Send one request on a new connection, as soon as it is established."""
+        return await self._send(self.port, HEAD)
 
-    async def _ask(self, port: int, data: bytes) -> HttpMessage:
+    async def _send(self, port: int, data: bytes) -> HttpMessage:
         with socket.create_connection((HOST, port)) as sock:
             sock.sendall(data)
             reader, writer = await asyncio.open_connection(sock=sock.dup())
@@ -247,7 +247,7 @@
 async def small_process(
     folder: Path, discovery: str, entries: list[dict[str, Any]], sockets: int
 ) -> AsyncIterator[Balancer]:
-    """A process that may open `LEAST` descriptors, and is told that it may hold `sockets`."""
+    """Run a process limited to `MIN_SOCKETS` descriptors, whose configuration allows `sockets`."""
     port, console = find_free_port(HOST), find_free_port(HOST)
     raw = json.loads(config_text(discovery, entries, console=f"{HOST}:{console}", discovery="push"))
     raw["listen"], raw["limits"]["sockets"] = f"{HOST}:{port}", sockets
@@ -261,7 +261,7 @@
     try:
         while True:
             with contextlib.suppress(OSError):
-                if status_of(await balancer.call("/admin/health")) == 200:
+                if status_of(await balancer.call_console("/admin/health")) == 200:
                     break
             assert process.returncode is None
             await wait_at_least(0.01)
@@ -272,14 +272,14 @@
         await process.wait()
 
 
-class Discovery(ListServer):
-    """Discovery that can go away, refusing or silent, and come back."""
+class InterruptibleListServer(ListServer):
+    """A list service that can stop, refusing connections or staying silent, and resume."""
 
-    async def go(self, how: str) -> None:
+    async def stop(self, how: str) -> None:
         if how == "refuses":
             self.server.close()
 
-    async def come_back(self, address: str) -> None:
+    async def resume(self, address: str) -> None:
         if not self.server.is_serving():
             host, _, port = address.rpartition(":")
             self.server = await asyncio.start_server(self._serve, host, int(port))
@@ -299,31 +299,29 @@
     kind: str, away: str, sockets: int, tmp_path: Path
 ) -> None:
     async def scenario() -> None:
-        old, new, discovery = Upstream(), Upstream(), Discovery()
+        old, new, discovery = Upstream(), Upstream(), InterruptibleListServer()
         entries = [endpoint_entry("old", await old.start()), endpoint_entry("new", await new.start())]
         address = await discovery.start()
         async with small_process(tmp_path, address, entries[:1], sockets) as balancer:
-            await discovery.go(away)
-            async with Crowd(balancer.port, kind) as crowd:
+            await discovery.stop(away)
+            async with ReconnectingClients(balancer.port, kind) as idle_clients:
                 console = asyncio.create_task(watch_console(balancer))
-                while crowd.connected < CROWD:
+                while idle_clients.connect_count < CLIENT_COUNT:
                     await wait_at_least(0.01)
                 await wait_at_least(OUTAGE_S)
-                await discovery.come_back(address)
+                await discovery.resume(address)
                 draining = entries[0] | {"status": "terminating"}
-                for _ in range(
-                    discovery.request_lines.qsize() + 3
-                ):  # calls that were given up take theirs, too
+                for _ in range(discovery.request_lines.qsize() + 3):  # abandoned calls take responses, too
                     discovery.publish(9, draining, entries[1], snapshot=True)
                 answers = list[int]()
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(RECOVERY_S):
-                        while json.loads((await balancer.call("/admin/list")).body)["index"] != 9:
+                        while json.loads((await balancer.call_console("/admin/list")).body)["index"] != 9:
                             await wait_at_least(0.02)
                         await wait_at_least(DRAIN_GRACE_S)
                         before = len(old.requests)
-                        answers += map(status_of, await asyncio.gather(*[balancer.ask() for _ in range(20)]))
-                assert answers == [200] * 20, "the list is in force, and requests are answered"
+                        answers += map(status_of, await asyncio.gather(*[balancer.get() for _ in range(20)]))
+                assert answers == [200] * 20, "the new list is applied, and requests are answered"
                 assert new.requests and len(old.requests) == before
                 assert not console.done(), "the console answers throughout"
                 console.cancel()
@@ -331,7 +329,7 @@
     async def watch_console(balancer: Balancer) -> None:
         while True:
             async with asyncio.timeout(2.0):
-                assert status_of(await balancer.call("/admin/stats")) == 200
+                assert status_of(await balancer.call_console("/admin/stats")) == 200
             assert balancer.open_descriptors() < MIN_SOCKETS - 32
             await wait_at_least(0.05)
 
@@ -342,4 +340,4 @@
     try:
         asyncio.run(bounded())
     finally:
-        gc.collect()  # coroutines of the crowd that end while pytest reads a source can stop it
+        gc.collect()  # client coroutines that are finalized while pytest reads a source file can stop it
--- a/tests/test_endings_downstream.py
+++ b/tests/test_endings_downstream.py
@@ -1,4 +1,4 @@
-"""What is owed in the instant in which a client leaves, or the process ends."""
+"""Races of a client's disconnect, a timeout or a deadline with its request and response."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 def test_a_request_is_not_forwarded_if_its_clients_end_lies_behind_an_unread_body(
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Reading was paused, so nobody saw its end, and its request was sent when the connection was up."""
+    """Guards against an attempt for a client whose disconnect goes unnoticed while reading is paused."""
 
     async def scenario() -> None:
         connects, upstream = PausedConnects(monkeypatch), Upstream()
@@ -71,7 +71,7 @@
 def test_pipelined_requests_are_dropped_with_their_client_though_reading_is_paused(
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each was sent on as the one before it was answered, to a client that had gone long ago."""
+    """Guards against forwarding queued requests one after another for a client that has disconnected."""
     monkeypatch.setattr(downstream_flow, "DISCONNECT_POLL_INTERVAL_S", 0.005)
 
     async def scenario() -> None:
@@ -82,7 +82,7 @@
             (connection,) = harness.proxy.downstream._connections
             await wait_until(lambda: connection.reader.control.is_paused)
             await upstream.request_received.wait()
-            await wait_at_least(0.02)  # some looks that see a caller that is there
+            await wait_at_least(0.02)  # some polls that see a connected client
             client.writer.close()
             await wait_until(lambda: harness.proxy.downstream.connection_count() == 0)
             upstream.writers[0].write(http_response())
@@ -93,7 +93,7 @@
 
 
 def test_a_request_that_lay_in_the_kernel_until_its_client_disconnected_is_not_forwarded() -> None:
-    """There was no place for its connection; it was sent on when one became free."""
+    """Guards against forwarding the request once its connection, which waited for capacity, is accepted."""
 
     async def scenario() -> None:
         upstream = Upstream()
@@ -101,15 +101,13 @@
             harness.proxy.downstream.max_connections = 1
             first, late = await harness.connect(), await harness.connect()
             first.send_request()
-            assert (
-                status_of(await first.read_response()) == 200
-            )  # its upstream connection idles: no dial delays the next
+            assert status_of(await first.read_response()) == 200  # leaves an idle upstream connection
             late.send_request("/pay/x", b"debit")
             await late.writer.drain()
             late.writer.close()
             await late.writer.wait_closed()
             first.writer.close()
-            last = await harness.connect()  # behind it in the kernel's queue
+            last = await harness.connect()  # after it in the kernel's queue
             last.send_request("/pay/last")
             assert status_of(await last.read_response()) == 200
             assert [a.start_line.split()[1] for a in upstream.requests] == ["/read/x?y=1", "/pay/last"]
@@ -120,7 +118,7 @@
 
 
 def test_a_client_that_ends_its_sending_and_reads_no_more_frees_all_at_once() -> None:
-    """While its answer could not leave it was not seen to have gone, and all it had asked for went on."""
+    """Guards against missing the disconnect while a response can't be sent: its requests would go on."""
 
     async def scenario() -> None:
         upstream = Upstream(http_response(200, b"x" * 30_000_000), http_response())
@@ -145,14 +143,14 @@
 
 @pytest.mark.parametrize("path", ["/nosuch/x", "/healthz", "/read/x"])
 def test_a_flood_of_bodies_that_are_not_forwarded_keeps_nothing_buffered(path: str) -> None:
-    """The bytes of bodies that were turned away counted as held for good, till nobody might send any."""
+    """Guards against rejected bodies counting as buffered for ever, until no body is accepted any more."""
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as harness:
             clients = [await harness.connect() for _ in range(50)]
             for client in clients:
                 client.send_request(path, b"x" * 60_000, x_class="other")
-                client.writer.write(b"GET /read/x HTTP/1.1\r\n")  # and part of another behind it
+                client.writer.write(b"GET /read/x HTTP/1.1\r\n")  # and part of another after it
             for client in clients[:25]:
                 client.writer.transport.abort()
             for client in clients[25:]:
@@ -165,7 +163,7 @@
 
 
 def test_a_connection_that_we_have_aborted_counts_as_closed_by_its_peer() -> None:
-    """Its descriptor may be another's by now: it is not asked."""
+    """Its descriptor may have been reused: the kernel is not asked."""
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as harness:
@@ -237,26 +235,26 @@
 def test_a_first_request_in_the_instant_of_the_request_timeout_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It lay in the kernel, unread, when its connection was ended as one that asks for nothing."""
+    """Guards against closing a connection as one without a request while one is unread in the kernel."""
     monkeypatch.setattr(downstream_timeout, "REQUEST_TIMEOUT_S", 0.0)
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as harness:
-            on_timeout, crossed = RequestReader._on_timeout, list[int]()
+            on_timeout, sent = RequestReader._on_timeout, list[int]()
             client = HttpClient()
 
-            def crossing(reader: RequestReader) -> None:
-                if not crossed and client.writer is not None:
-                    crossed.append(1)
+            def send_then_time_out(reader: RequestReader) -> None:
+                if not sent and client.writer is not None:
+                    sent.append(1)
                     send_now(client, HEAD)
                 on_timeout(reader)
 
             client.writer = None  # type: ignore[assignment]
-            monkeypatch.setattr(RequestReader, "_on_timeout", crossing)
+            monkeypatch.setattr(RequestReader, "_on_timeout", send_then_time_out)
             pending = socket.create_connection(harness.proxy.downstream.address)
             client.reader, client.writer = await asyncio.open_connection(sock=pending)
             answer = await client.read_response()
-            assert crossed and status_of(answer) == 200
+            assert sent and status_of(answer) == 200
             client.writer.close()
 
     run_scenario(scenario())
@@ -271,18 +269,18 @@
             client.writer.write(HEAD * 2)
             await upstream.request_received.wait()
             proxy = harness.proxy
-            ((number, _),) = proxy.requests.by_id.items()
+            ((request_id, _),) = proxy.requests.by_id.items()
             ended = proxy.attempts.on_attempt_ended
 
-            def crossing(*args: Any) -> None:
+            def end_at_deadline(*args: Any) -> None:
                 proxy.attempts.on_attempt_ended = ended  # type: ignore[method-assign]
                 if first == "deadline":
-                    proxy.requests.respond_with_error(number)
+                    proxy.requests.respond_with_error(request_id)
                 ended(*args)
                 if first == "answer":
-                    proxy.requests.respond_with_error(number)
+                    proxy.requests.respond_with_error(request_id)
 
-            proxy.attempts.on_attempt_ended = crossing  # type: ignore[method-assign, assignment]
+            proxy.attempts.on_attempt_ended = end_at_deadline  # type: ignore[method-assign, assignment]
             upstream.writers[0].write(http_response(200, b"first"))
             answer = await client.read_response()
             assert (status_of(answer), answer.body) == (
@@ -319,7 +317,7 @@
 def test_a_request_that_was_never_written_is_rejected_at_its_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It was answered as failed, though its connection had never come up: nobody might ask again."""
+    """Guards against 502 for a request whose connection never came up: clients may not retry that."""
 
     async def scenario() -> None:
         connects = PausedConnects(monkeypatch)
@@ -327,8 +325,8 @@
             client = await harness.connect()
             client.send_request("/pay/x", b"debit", deadline="60000m")
             await connects.started.wait()
-            ((number, _),) = harness.proxy.requests.by_id.items()
-            harness.proxy.requests.respond_with_error(number)
+            ((request_id, _),) = harness.proxy.requests.by_id.items()
+            harness.proxy.requests.respond_with_error(request_id)
             assert status_of(await client.read_response()) == 503
             await wait_until(lambda: not unreleased_resources(harness.proxy))
 
--- a/tests/test_endings_responses.py
+++ b/tests/test_endings_responses.py
@@ -1,4 +1,4 @@
-"""What is owed in the instant in which a response crosses, breaks off, or does not end."""
+"""Upstream responses that come too early or too late, break off, or do not end."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def test_a_response_before_the_last_byte_of_its_request_is_none() -> None:
-    """Nobody begins before the last byte has come: it is for what was asked on this connection before."""
+    """No server starts before the last byte has arrived: it belongs to an earlier request."""
 
     async def scenario() -> None:
         async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -45,12 +45,12 @@
 
 
 def test_a_second_response_that_comes_late_meets_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It came when its connection had just been taken again, and was passed on as the next one's answer."""
+    """Guards against forwarding it as the response to the next request on a connection reused at once."""
     monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 3_600.0)  # however slow the machine is
 
     async def scenario() -> None:
         async def late(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
-            for earlier in upstream.writers[-2:]:  # its own, if there was no rest
+            for earlier in upstream.writers[-2:]:  # its own, if there was no reuse delay
                 if len(upstream.requests) > 1:
                     earlier.write(http_response(200, b"another's"))
                     break
@@ -60,7 +60,7 @@
         async with ProxyHarness(upstream) as harness:
             for _ in range(5):
                 assert (await harness.request()).body == b"mine"
-            assert upstream.connection_count == 5, "none is taken again before it has rested"
+            assert upstream.connection_count == 5, "none is reused before the reuse delay"
             await wait_until(lambda: harness.proxy.upstreams.open_connections == 1)
 
     run_scenario(scenario())
@@ -107,7 +107,7 @@
 
 @pytest.mark.parametrize("path", ["/read/x", "/pay/x"])
 def test_a_response_with_no_length_that_is_reset_is_not_complete(path: str) -> None:
-    """A reset is no end: what is safe is asked for again, and nobody is given the part that came."""
+    """A reset is no end: retryable requests are retried, and the received part is not forwarded."""
 
     async def scenario() -> None:
         async def cut(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize("version", [b"1.0", b"1.1"])
 def test_a_response_with_no_length_that_breaks_off_is_seen_to_be_incomplete(version: bytes) -> None:
-    """To one of HTTP/1.0 a proper end of the connection is the end of the answer: it took a part for all."""
+    """Guards against an orderly close, which an HTTP/1.0 client takes for the end of the response."""
 
     async def scenario() -> None:
         may_break_off = asyncio.Event()
@@ -163,7 +163,7 @@
 
 @pytest.mark.parametrize("path", ["/read/x", "/pay/x"])
 def test_a_response_that_announces_more_than_the_body_limit_is_none(path: str) -> None:
-    """Its beginning was passed on, so nobody else could be asked, and its client waited for the rest."""
+    """Guards against forwarding its start: then no retry is possible, and the client waits for the rest."""
 
     async def scenario() -> None:
         async def endless(request: HttpMessage, writer: asyncio.StreamWriter) -> None:
@@ -232,7 +232,7 @@
         upstreams = make_pools(await upstream.start())
         assert await RecordedAttempt(upstreams).outcome() is Outcome.SERVED
         (connection,) = upstreams._pools["s0"].idle_connections
-        connection.idle_since_s -= 1.0  # rested
+        connection.idle_since_s -= 1.0  # past the reuse delay
         writer = upstream.writers[0]
         if what:
             os.write(writer.get_extra_info("socket").fileno(), what)
--- a/tests/test_endings_shutdown.py
+++ b/tests/test_endings_shutdown.py
@@ -1,4 +1,4 @@
-"""What is owed in the instant in which the process ends."""
+"""Requests, responses and connections that are open when the process shuts down."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
 
 
 def shut_down_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The time to stay is over as soon as it begins."""
+    """Set the periods of a shutdown to zero."""
     for name in ("SHUTDOWN_ACCEPT_S", "MAX_SHUTDOWN_S", "SHUTDOWN_FINAL_S"):
         monkeypatch.setattr(downstream_listener, name, 0.0)
 
 
 def test_requests_behind_one_that_hangs_are_answered_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The first was answered, the next was taken up and sent on, and the process ended under it."""
+    """Guards against forwarding the second request once the first is answered, as the process exits."""
     shut_down_at_once(monkeypatch)
 
     async def scenario() -> None:
@@ -66,7 +66,7 @@
 def test_a_slow_reader_gets_the_rest_of_its_response_before_the_process_exits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Whoever had not read when the time was up found its answer cut off."""
+    """Guards against cutting off a response that is not read when the time is up."""
     shut_down_at_once(monkeypatch)
 
     async def scenario() -> None:
@@ -115,7 +115,7 @@
 def test_input_that_crosses_our_half_close_is_dropped_and_the_close_is_clean(
     sent: bytes, at: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A close over unread bytes resets the connection, and takes the answer before them with it."""
+    """Closing a socket with unread bytes resets the connection, and the client loses its response."""
     shut_down_at_once(monkeypatch)
     monkeypatch.setattr(downstream_listener, "SHUTDOWN_FINAL_S", 5.0)
     if at == "while there is time":
@@ -135,7 +135,7 @@
 
             def crossing() -> None:
                 half_close()
-                send_now(client, sent)  # in our kernel, unread, right after the half-close
+                send_now(client, sent)  # in the kernel, unread, right after the half-close
 
             monkeypatch.setattr(connection, "half_close", crossing)
             await wait_until(lambda: not harness.proxy.requests.by_id)
@@ -153,7 +153,7 @@
 def test_a_request_that_comes_at_the_shutdown_deadline_is_rejected_with_a_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It lay in the kernel when its connection was ended, and had no answer."""
+    """Guards against closing its connection without a response while it is unread in the kernel."""
     shut_down_at_once(monkeypatch)
     monkeypatch.setattr(downstream_listener, "SHUTDOWN_FINAL_S", 5.0)
 
@@ -183,7 +183,7 @@
 def test_a_connection_in_the_kernels_queue_at_shutdown_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All places were taken: it was reset with the listener, though the machine had accepted it."""
+    """Guards against a reset at the close of the listener if the connection limit was reached."""
     monkeypatch.setattr(downstream_listener, "SHUTDOWN_ACCEPT_S", 0.0)
 
     async def scenario() -> None:
@@ -223,7 +223,7 @@
             ending = asyncio.ensure_future(harness.proxy.downstream.shut_down())
             await wait_until(lambda: harness.proxy.intake.is_closed)
             (connection,) = harness.proxy.downstream._connections
-            send_now(client, b"x" * 1_000)  # more of it is there each time we look
+            send_now(client, b"x" * 1_000)  # unread input at each check
             connection.close_at_shutdown()
             assert connection._is_half_closed
             client.writer.write(b"x" * 299_000)
@@ -247,15 +247,15 @@
         config = json.loads(config_text(await lists.start(), entries, classes=classes))
         path.write_text(json.dumps(config | {"listen": f"127.0.0.1:{port}", "console": ""}))
         async with running_program(path) as process:
-            flight, half, idle = [await connected(port) for _ in range(3)]
+            flight, half, idle = [await connect_when_ready(port) for _ in range(3)]
             flight.writer.write(HEAD.replace(b"4000m", b"60000m") * 2)
             await upstream.request_received.wait()
             half.writer.write(HEAD[:50])
-            for number in (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP):
-                process.send_signal(number)
+            for signal_number in (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP):
+                process.send_signal(signal_number)
             half.writer.write(HEAD[50:].replace(b"4000m", b"60000m"))
             assert await idle.reader.read() == b""
-            idle.writer.write(HEAD.replace(b"Id: 1", b"Id: 9"))  # crosses the end of its connection
+            idle.writer.write(HEAD.replace(b"Id: 1", b"Id: 9"))  # crosses the close of its connection
             assert status_of(await flight.read_response()) in (502, 503)
             assert status_of(await flight.read_response()) in (502, 503)
             assert status_of(await half.read_response()) in (502, 503)
@@ -272,7 +272,7 @@
 def test_a_flood_of_peers_that_send_much_and_disconnect_changes_nothing_in_the_program(
     tmp_path: Path,
 ) -> None:
-    """Descriptors and memory of the process itself are looked at: what is not counted shows here, too."""
+    """Checks descriptors and memory of the process itself, where uncounted resources show, too."""
 
     async def scenario() -> None:
         upstream, lists, path, port = Upstream(), ListServer(), tmp_path / "config.json", free_port()
@@ -280,15 +280,15 @@
         limits = {"cores": 1.0, "memory_mb": 64, "sockets": 256}
         path.write_text(json.dumps(config | {"listen": f"127.0.0.1:{port}", "console": "", "limits": limits}))
         async with running_program(path) as process:
-            first = await connected(port)
+            first = await connect_when_ready(port)
             first.send_request()
             assert status_of(await first.read_response()) == 200
             first.writer.close()
             status_files = Path("/proc", str(process.pid))
             before = len(list((status_files / "fd").iterdir())), resident_mb(status_files)
             for kind in FLOODS:
-                await asyncio.gather(*[send_and_go(port, kind) for _ in range(150)])
-            last = await connected(port)
+                await asyncio.gather(*[send_and_abort(port, kind) for _ in range(150)])
+            last = await connect_when_ready(port)
             last.send_request()
             assert status_of(await last.read_response()) == 200
             last.writer.close()
@@ -308,7 +308,7 @@
 )
 
 
-async def send_and_go(port: int, what: bytes) -> None:
+async def send_and_abort(port: int, what: bytes) -> None:
     with contextlib.suppress(ConnectionError):
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(what)
@@ -316,7 +316,7 @@
 
 
 def resident_mb(process: Path) -> float:
-    """Of the pages that are in memory."""
+    """Return the resident memory of a process."""
     return int((process / "statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
@@ -326,8 +326,8 @@
         return int(probe.getsockname()[1])
 
 
-async def connected(port: int) -> HttpClient:
-    """A client of a program that is starting."""
+async def connect_when_ready(port: int) -> HttpClient:
+    """Connect a client to a program that is starting."""
     client = HttpClient()
     while True:
         try:
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -39,7 +39,7 @@
             assert request.headers["idempotency-key"] == "5c0f"
             assert request.headers["x-class"] == "pay"
             remaining = request.headers["x-deadline"]
-            assert remaining.endswith("u") and 0 < int(remaining[:-1]) <= 2_000_000  # its aim is 2 s
+            assert remaining.endswith("u") and 0 < int(remaining[:-1]) <= 2_000_000  # its objective is 2 s
 
     run_scenario(scenario())
 
@@ -80,7 +80,7 @@
         async with ProxyHarness(upstream) as harness:
             events = record_events(harness)
             assert status_of(await harness.request("/pay/x", b"debit")) == final
-            # Turned away means never run, so the module may ask again; anything else must not.
+            # A rejected attempt never ran, so the decision module may retry it; any other it must not.
             assert set(attempt_outcomes(events)) == {outcome}
             assert len(upstream.requests) == (3 if outcome is Outcome.REJECTED else 1)
 
@@ -112,7 +112,7 @@
             assert status_of(await harness.request("/pay/x", b"debit", deadline="300m")) == 502
             assert loop.time() - began < 0.3 + 0.05
             assert attempt_outcomes(events) == [Outcome.TIMED_OUT]
-            await upstream.connection_ended.wait()  # giving up closes the connection
+            await upstream.connection_ended.wait()  # a timeout closes the connection
 
     run_scenario(scenario())
 
@@ -123,7 +123,7 @@
         async with ProxyHarness(first, second) as harness:
             events = record_events(harness)
             harness.proxy.balancer._estimates.latencies.smoothed_ms["read"] = (
-                100.0  # a usual answer, long overdue when the copy goes out
+                100.0  # the usual latency, long exceeded when the hedged request is sent
             )
             client = await harness.connect()
             client.send_request(deadline="1200m")
@@ -170,7 +170,7 @@
 
 
 def test_connections_are_reused_unless_the_upstream_has_closed_them(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 0.0)  # else the next request is too soon for it
+    monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 0.0)  # else the next request comes too soon
 
     async def scenario() -> None:
         upstream = Upstream()
--- a/tests/test_head_memory.py
+++ b/tests/test_head_memory.py
@@ -1,12 +1,12 @@
-"""What heads of requests may cost: a flood of them keeps the program within its memory limit.
-
-Peers that sent 9,000 short headers each and went took the program from 28 to 113 MB, of 64 MB allowed, in
-every trial, and in one of ten it kept 81 to 98 MB, also after 600 further requests. By `tracemalloc`, 127 MiB
-in 2.7 million objects were headers that the parser had split, at a time when no connection was open; a full
-garbage collection freed all of it. The allocator held 0.5 MB of free memory: it was the program. Limits
-counted names and values alone (18 kB of the 54 kB), an object costs far more than two bytes, heads counted in
-no bound over all connections, and an ended connection and its parser refer to each other, so that they wait
-for the collector.
+"""Memory used by request heads: a flood of them keeps the program within its memory limit.
+
+Clients that sent 9,000 short headers each and left took the program from 28 to 113 MB, of 64 MB allowed, in
+every trial, and in one of ten it kept 81 to 98 MB, even after 600 further requests. By `tracemalloc`, 127 MiB
+in 2.7 million objects were headers that the parser had split, while no connection was open; a full garbage
+collection freed all of it. The allocator held only 0.5 MB of free memory, so the rest was objects. Limits
+counted names and values alone (18 kB of the 54 kB), an object costs far more than two bytes, no limit over
+all connections counted heads, and a closed connection and its parser form a reference cycle, which waits for
+the garbage collector.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     status_of,
     wait_until,
 )
-from tests.test_endings_shutdown import connected, send_and_go
+from tests.test_endings_shutdown import connect_when_ready, send_and_abort
 
 MEMORY_LIMIT_MB = 64
 UNFINISHED_HEAD = b"GET /read/x HTTP/1.1\r\n" + b"X: y\r\n" * 9_000
@@ -39,7 +39,7 @@
 
 
 def peak_resident_mb(process: Path) -> float:
-    """Return the most that was in memory since `clear_refs` was written."""
+    """Return the peak resident memory since `clear_refs` was written."""
     [line] = [line for line in (process / "status").read_text().splitlines() if line.startswith("VmHWM")]
     return int(line.split()[1]) / 1_000
 
@@ -56,14 +56,14 @@
         limits = {"cores": 1.0, "memory_mb": MEMORY_LIMIT_MB, "sockets": 256}
         path.write_text(json.dumps(config | {"listen": f"127.0.0.1:{port}", "console": "", "limits": limits}))
         async with running_program(path) as process:
-            first = await connected(port)
+            first = await connect_when_ready(port)
             first.send_request()
             assert status_of(await first.read_response()) == 200
             first.writer.close()
             proc = Path("/proc", str(process.pid))
             for _ in range(3):
-                await asyncio.gather(*[send_and_go(port, UNFINISHED_HEAD) for _ in range(150)])
-                last = await connected(port)
+                await asyncio.gather(*[send_and_abort(port, UNFINISHED_HEAD) for _ in range(150)])
+                last = await connect_when_ready(port)
                 last.send_request()
                 assert status_of(await last.read_response()) == 200
                 last.writer.close()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A graceful shutdown answers all that has been sent, and ends in time."""
+"""A graceful shutdown answers all requests that have been sent, and ends in time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def test_shutdown_answers_requests_in_flight_and_accepts_late_ones(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Callers were sent away at once, and found the other balancer restarting as well."""
+    """Guards against sending clients away at once, when the other balancer may be restarting too."""
     monkeypatch.setattr(downstream_listener, "SHUTDOWN_KEEP_ALIVE_FRACTION", 0.0)
     monkeypatch.setattr(downstream_listener, "SHUTDOWN_ACCEPT_S", 1.0)
 
@@ -39,7 +39,7 @@
             late = await harness.request()
             assert status_of(late) == 200 and "connection" not in late.headers
             idle.send_request()
-            assert status_of(await idle.read_response()) == 200  # it goes on with the connection it has
+            assert status_of(await idle.read_response()) == 200  # it keeps its connection
             assert await idle.reader.read() == b""  # then a clean end, no reset
             upstream.writers[-1].write(b"")
             for writer in upstream.writers:
@@ -55,7 +55,7 @@
 
 
 def test_request_in_the_accept_queue_at_shutdown_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It was taken with its last byte, though nobody had accepted its connection yet."""
+    """Guards against a reset of a connection that the kernel has accepted and the process has not."""
 
     async def scenario() -> None:
         monkeypatch.setattr("loadbalancer.net.downstream_listener.SHUTDOWN_ACCEPT_S", 0.0)
@@ -64,14 +64,14 @@
             clients: list[socket.socket] = []
             accept = listener._accept
 
-            def at_the_last_moment() -> bool:
+            def connect_then_accept() -> bool:
                 clients.append(socket.create_connection(listener.address))
                 clients[0].sendall(
                     b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 900m\r\n\r\n"
                 )
                 return accept()
 
-            monkeypatch.setattr(listener, "_accept", at_the_last_moment)
+            monkeypatch.setattr(listener, "_accept", connect_then_accept)
             shutdown = asyncio.ensure_future(listener.shut_down())
             while not clients:
                 await asyncio.sleep(0)
@@ -85,7 +85,7 @@
 
 
 def test_shutdown_answers_what_hangs_at_its_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What is still open when the time is up gets its answer, before the platform kills us."""
+    """Requests open at the deadline get a response before the platform kills the process."""
 
     async def scenario() -> None:
         monkeypatch.setattr("loadbalancer.net.downstream_listener.SHUTDOWN_ACCEPT_S", 0.0)
@@ -99,7 +99,7 @@
             shutdown = asyncio.ensure_future(harness.proxy.downstream.shut_down())
             assert status_of(await client.read_response()) == 502
             await shutdown
-            assert attempt_outcomes(events) == [Outcome.CANCELLED]  # its own time-out had not come
+            assert attempt_outcomes(events) == [Outcome.CANCELLED]  # its own timeout had not expired
 
     run_scenario(scenario())
 
@@ -107,7 +107,7 @@
 def test_request_crossing_the_close_of_an_idle_connection_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It lay in the kernel, unread, when the connection was ended as an idle one."""
+    """Guards against closing a connection as idle while a request is unread in the kernel."""
 
     async def scenario() -> None:
         monkeypatch.setattr("loadbalancer.net.downstream_listener.SHUTDOWN_ACCEPT_S", 0.0)
@@ -116,15 +116,15 @@
             client.send_request()
             assert status_of(await client.read_response()) == 200
             (connection,) = harness.proxy.downstream._connections
-            is_idle, crossed = connection.is_idle, list[int]()
+            is_idle, sent = connection.is_idle, list[int]()
 
-            def crossing() -> bool:
-                if not crossed:
-                    crossed.append(1)
-                    client.send_request()  # written at once, and not read before the question is answered
+            def send_then_check() -> bool:
+                if not sent:
+                    sent.append(1)
+                    client.send_request()  # written at once, and not read before `is_idle` returns
                 return is_idle()
 
-            monkeypatch.setattr(connection, "is_idle", crossing)
+            monkeypatch.setattr(connection, "is_idle", send_then_check)
             shutdown = asyncio.ensure_future(harness.proxy.downstream.shut_down())
             response = await client.read_response()
             assert status_of(response) == 200 and response.headers["connection"] == "close"
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -1,4 +1,4 @@
-"""Long bodies both ways on loopback sockets: streamed, slow, broken off, within the buffer budget."""
+"""Long bodies in both directions on loopback sockets: streamed, slow, cut off, within the buffer budget."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class PeakUsage:
-    """The most that was held at once."""
+    """Records the peak of the buffered bytes."""
 
     def __init__(self, harness: ProxyHarness) -> None:
         self._buffers, self.peak_bytes = harness.proxy.buffers, 0
@@ -51,7 +51,7 @@
             usage = PeakUsage(harness)
             client = await harness.connect()
             client.send_request()
-            while not harness.proxy.buffers.used_bytes:  # until it waits for us to read
+            while not harness.proxy.buffers.used_bytes:  # until it waits for the client to read
                 await asyncio.sleep(0)
             answer = await client.read_response()
             assert (status_of(answer), answer.body == data) == (200, True)
@@ -81,7 +81,7 @@
             assert request.body == data
             assert request.headers["x-class"] == "pay"  # a trailer is no header
             assert usage.peak_bytes <= harness.proxy.buffers.max_bytes + message_body.MAX_READ_BYTES
-            client.send_request()  # the connection goes on
+            client.send_request()  # the connection stays usable
             assert status_of(await client.read_response()) == 200
 
     run_scenario(scenario())
@@ -94,20 +94,20 @@
         upstream = Upstream()
         async with ProxyHarness(upstream, memory_mb=2) as harness:
             usage = PeakUsage(harness)
-            crowd = [await harness.connect() for _ in range(60)]
-            for client in crowd:
+            clients = [await harness.connect() for _ in range(60)]
+            for client in clients:
                 client.writer.write(head(more="Content-Length: 60000\r\n") + data[:59_000])
             while harness.proxy.buffers.used_bytes < harness.proxy.buffers.max_bytes:
                 await asyncio.sleep(0)
-            for client in crowd:
+            for client in clients:
                 client.writer.write(data[59_000:])
-            for client in crowd:
+            for client in clients:
                 assert status_of(await client.read_response()) == 200
             assert all(request.body == data for request in upstream.requests)
             assert (
                 usage.peak_bytes
                 <= harness.proxy.buffers.max_bytes
-                + len(crowd) * message_body.MIN_READ_BYTES
+                + len(clients) * message_body.MIN_READ_BYTES
                 + message_body.MAX_READ_BYTES
             )
             assert harness.proxy.buffers.used_bytes == 0
@@ -150,7 +150,7 @@
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("kind", ["reset before its end", "turned away at its end"])
+@pytest.mark.parametrize("kind", ["reset before its end", "rejected at its end"])
 def test_a_long_request_that_fails_is_rejected_and_not_retried(kind: str) -> None:
     async def scenario() -> None:
         connections = 0
@@ -170,19 +170,19 @@
                 upstream.server.close()
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
-            there = [e | {"address": f"127.0.0.1:{port}"} for e in harness.entries]
-            harness.discovery.publish(8, *there, snapshot=True)
+            published = [e | {"address": f"127.0.0.1:{port}"} for e in harness.entries]
+            harness.discovery.publish(8, *published, snapshot=True)
             await harness.discovery.request_lines.get()
             await harness.discovery.request_lines.get()
             client = await harness.connect()
             client.writer.write(head(more=f"Content-Length: {len(LONG_BODY)}\r\n"))
-            # The last bytes stay here until the answer has come: they can't have left before the reset.
+            # The last bytes are withheld until the response arrives: they can't have left before the reset.
             withheld_bytes = 1_000 if kind == "reset before its end" else 0
             await write_in_parts(client.writer, LONG_BODY[: len(LONG_BODY) - withheld_bytes])
             assert status_of(await client.read_response()) == 503  # it never ran
             assert connections == 1
             client.writer.write(LONG_BODY[len(LONG_BODY) - withheld_bytes :])
-            if kind == "reset before its end":  # what still came of the body was no request
+            if kind == "reset before its end":  # the rest of the body was not parsed as a request
                 assert await client.reader.read() == b""
 
     run_scenario(scenario())
@@ -218,7 +218,7 @@
 def test_a_slow_reader_gets_the_end_of_a_response_that_closes_its_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What waited in our buffer for half a second after the last byte had come was cut off."""
+    """Guards against cutting off what is still buffered half a second after the last byte has arrived."""
     monkeypatch.setattr(downstream_connection, "LINGERING_CLOSE_S", 0.01)
     data = LONG_BODY * 2
 
@@ -241,7 +241,7 @@
             got = b""
             while (
                 not connection.reader.is_stopped
-            ):  # until the last piece waits in our buffer, and the end behind it
+            ):  # until the last part is buffered, and the close is due after it
                 got += await client.reader.read(2_000)
             await asyncio.sleep(0.2)
             assert got + await client.reader.read() == data
