--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -274,9 +274,9 @@
         """Send one request on a connection of its own, and return the response."""
         client = await self.connect()
         client.send_request(*args, **more)
-        answer = await client.read_response()
+        response = await client.read_response()
         client.writer.close()
-        return answer
+        return response
 
 
 class HttpClient:
@@ -334,6 +334,6 @@
         return runner.run(bounded())
 
 
-def status_of(answer: HttpMessage) -> int:
+def status_of(response: HttpMessage) -> int:
     """Return the status of a response."""
-    return int(answer.start_line.split(" ")[1])
+    return int(response.start_line.split(" ")[1])
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -78,17 +78,17 @@
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as harness:
-            ours = harness.proxy.downstream
-            ours._stop_reading()
-            ours.listening_socket = ExhaustedSocket(fileno=ours.listening_socket.detach())
-            ours._start_reading()
-            with socket.create_connection(ours.address):
+            listener = harness.proxy.downstream
+            listener._stop_reading()
+            listener.listening_socket = ExhaustedSocket(fileno=listener.listening_socket.detach())
+            listener._start_reading()
+            with socket.create_connection(listener.address):
                 await wait_until(lambda: ExhaustedSocket.attempts > 0)
                 for _ in range(1_000):
                     await asyncio.sleep(0)
                 assert ExhaustedSocket.attempts <= 2
-                ours.listening_socket = socket.socket(fileno=ours.listening_socket.detach())
-                await wait_until(lambda: ours.connection_count() == 1)
+                listener.listening_socket = socket.socket(fileno=listener.listening_socket.detach())
+                await wait_until(lambda: listener.connection_count() == 1)
 
     run_scenario(scenario())
 
@@ -170,8 +170,8 @@
                 (connection,) = harness.proxy.downstream._connections
                 await wait_until(lambda: connection._transport is not None)
                 assert connection._transport is not None
-                ours = connection._transport.get_extra_info("socket")
-                ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
+                accepted = connection._transport.get_extra_info("socket")
+                accepted.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
                 unreading.sendall(HEAD)
                 await wait_until(lambda: connection.pipeline.unsent.size_bytes > 0 and connection.is_idle())
                 assert status_of(await harness.request()) == 200
--- a/tests/test_endings_downstream.py
+++ b/tests/test_endings_downstream.py
@@ -253,8 +253,8 @@
             monkeypatch.setattr(RequestReader, "_on_timeout", send_then_time_out)
             pending = socket.create_connection(harness.proxy.downstream.address)
             client.reader, client.writer = await asyncio.open_connection(sock=pending)
-            answer = await client.read_response()
-            assert sent and status_of(answer) == 200
+            response = await client.read_response()
+            assert sent and status_of(response) == 200
             client.writer.close()
 
     run_scenario(scenario())
@@ -282,8 +282,8 @@
 
             proxy.attempts.on_attempt_ended = end_at_deadline  # type: ignore[method-assign, assignment]
             upstream.writers[0].write(http_response(200, b"first"))
-            answer = await client.read_response()
-            assert (status_of(answer), answer.body) == (
+            response = await client.read_response()
+            assert (status_of(response), response.body) == (
                 (502, b"") if first == "deadline" else (200, b"first")
             )
             assert (await client.read_response()).body == b"second"
--- a/tests/test_endings_responses.py
+++ b/tests/test_endings_responses.py
@@ -117,8 +117,10 @@
 
         upstream = Upstream(cut, http_response(200, b"whole"))
         async with ProxyHarness(upstream) as harness:
-            answer = await harness.request(path, b"" if path == "/read/x" else b"debit")
-            assert (status_of(answer), answer.body) == ((200, b"whole") if path == "/read/x" else (502, b""))
+            response = await harness.request(path, b"" if path == "/read/x" else b"debit")
+            assert (status_of(response), response.body) == (
+                (200, b"whole") if path == "/read/x" else (502, b"")
+            )
             await wait_until(lambda: not unreleased_resources(harness.proxy))
 
     run_scenario(scenario())
@@ -171,8 +173,10 @@
 
         upstream = Upstream(endless, http_response(200, b"whole"))
         async with ProxyHarness(upstream) as harness:
-            answer = await harness.request(path, b"" if path == "/read/x" else b"debit")
-            assert (status_of(answer), answer.body) == ((200, b"whole") if path == "/read/x" else (502, b""))
+            response = await harness.request(path, b"" if path == "/read/x" else b"debit")
+            assert (status_of(response), response.body) == (
+                (200, b"whole") if path == "/read/x" else (502, b"")
+            )
             await upstream.connection_ended.wait()
             await wait_until(lambda: not unreleased_resources(harness.proxy))
 
@@ -248,7 +252,7 @@
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("first", ["we", "they"])
+@pytest.mark.parametrize("first", ["balancer", "upstream"])
 def test_idle_timeouts_of_both_sides_at_once_close_a_connection_once(first: str) -> None:
     async def scenario() -> None:
         upstream = Upstream()
@@ -256,7 +260,7 @@
         assert await RecordedAttempt(upstreams).outcome() is Outcome.SERVED
         upstreams._pools["s0"].idle_connections[0].idle_since_s -= 10.0
         ends: list[Callable[[], object]] = [upstreams.close_expired, upstream.writers[0].transport.abort]
-        for end in ends if first == "we" else reversed(ends):
+        for end in ends if first == "balancer" else reversed(ends):
             end()
         assert await RecordedAttempt(upstreams).outcome() is Outcome.SERVED
         await wait_until(lambda: upstreams.open_connections == 1)
--- a/tests/test_endings_shutdown.py
+++ b/tests/test_endings_shutdown.py
@@ -140,8 +140,8 @@
             monkeypatch.setattr(connection, "half_close", crossing)
             await wait_until(lambda: not harness.proxy.requests.by_id)
             ending = asyncio.ensure_future(harness.proxy.downstream.shut_down())
-            answer = await client.read_response()
-            assert status_of(answer) == 200 and answer.body == b"tile"
+            response = await client.read_response()
+            assert status_of(response) == 200 and response.body == b"tile"
             assert await client.reader.read() == b""
             client.writer.close()
             await ending
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -53,8 +53,8 @@
             client.send_request()
             while not harness.proxy.buffers.used_bytes:  # until it waits for the client to read
                 await asyncio.sleep(0)
-            answer = await client.read_response()
-            assert (status_of(answer), answer.body == data) == (200, True)
+            response = await client.read_response()
+            assert (status_of(response), response.body == data) == (200, True)
             assert 0 < usage.peak_bytes <= harness.proxy.buffers.max_bytes
             assert harness.proxy.buffers.used_bytes == 0
 
@@ -229,22 +229,22 @@
             sock.connect(harness.proxy.downstream.address[:2])
             client = HttpClient()
             client.reader, client.writer = await asyncio.open_connection(sock=sock, limit=4_096)
-            while not (held := harness.proxy.downstream._connections):
+            while not (accepted := harness.proxy.downstream._connections):
                 await asyncio.sleep(0)
-            (connection,) = held
+            (connection,) = accepted
             while connection._transport is None:
                 await asyncio.sleep(0)
-            ours = connection._transport.get_extra_info("socket")
-            ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
+            server_socket = connection._transport.get_extra_info("socket")
+            server_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
             client.send_request(connection="close")
             await client.reader.readuntil(b"\r\n\r\n")
-            got = b""
+            received = b""
             while (
                 not connection.reader.is_stopped
             ):  # until the last part is buffered, and the close is due after it
-                got += await client.reader.read(2_000)
+                received += await client.reader.read(2_000)
             await asyncio.sleep(0.2)
-            assert got + await client.reader.read() == data
+            assert received + await client.reader.read() == data
 
     run_scenario(scenario())
 
