--- a/loadbalancer/net/request_table.py
+++ b/loadbalancer/net/request_table.py
@@ -1,4 +1,4 @@
-"""The requests in flight: the state of each, and the one place that sends its final response."""
+"""The requests in flight: the state of each, and its end with a final response or a disconnect."""
 
 from __future__ import annotations
 
--- a/tests/test_endings_shutdown.py
+++ b/tests/test_endings_shutdown.py
@@ -237,7 +237,7 @@
 
 
 def test_the_program_exits_with_every_response_sent_whatever_signals_come(tmp_path: Path) -> None:
-    """In flight past its deadline, half a request, idle, pipelined; a second SIGTERM and SIGHUP meanwhile."""
+    """Requests in flight past a deadline, partial, pipelined; an idle client; SIGTERM twice, and SIGHUP."""
 
     async def scenario() -> None:
         upstream, lists, path = Upstream(never_answer), ListServer(), tmp_path / "config.json"
@@ -247,19 +247,19 @@
         config = json.loads(config_text(await lists.start(), entries, classes=classes))
         path.write_text(json.dumps(config | {"listen": f"127.0.0.1:{port}", "console": ""}))
         async with running_program(path) as process:
-            flight, half, idle = [await connect_when_ready(port) for _ in range(3)]
-            flight.writer.write(HEAD.replace(b"4000m", b"60000m") * 2)
+            in_flight, partial, idle = [await connect_when_ready(port) for _ in range(3)]
+            in_flight.writer.write(HEAD.replace(b"4000m", b"60000m") * 2)
             await upstream.request_received.wait()
-            half.writer.write(HEAD[:50])
+            partial.writer.write(HEAD[:50])
             for signal_number in (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP):
                 process.send_signal(signal_number)
-            half.writer.write(HEAD[50:].replace(b"4000m", b"60000m"))
+            partial.writer.write(HEAD[50:].replace(b"4000m", b"60000m"))
             assert await idle.reader.read() == b""
             idle.writer.write(HEAD.replace(b"Id: 1", b"Id: 9"))  # crosses the close of its connection
-            assert status_of(await flight.read_response()) in (502, 503)
-            assert status_of(await flight.read_response()) in (502, 503)
-            assert status_of(await half.read_response()) in (502, 503)
-            for client in (flight, half):
+            assert status_of(await in_flight.read_response()) in (502, 503)
+            assert status_of(await in_flight.read_response()) in (502, 503)
+            assert status_of(await partial.read_response()) in (502, 503)
+            for client in (in_flight, partial):
                 assert await client.reader.read() == b"", "no reset"
                 client.writer.close()
             idle.writer.close()
@@ -286,8 +286,8 @@
             first.writer.close()
             status_files = Path("/proc", str(process.pid))
             before = len(list((status_files / "fd").iterdir())), resident_mb(status_files)
-            for kind in FLOODS:
-                await asyncio.gather(*[send_and_abort(port, kind) for _ in range(150)])
+            for payload in FLOOD_PAYLOADS:
+                await asyncio.gather(*[send_and_abort(port, payload) for _ in range(150)])
             last = await connect_when_ready(port)
             last.send_request()
             assert status_of(await last.read_response()) == 200
@@ -299,7 +299,7 @@
     run_scenario(scenario())
 
 
-FLOODS = (
+FLOOD_PAYLOADS = (
     b"\x16\x03\x01" + b"x" * 60_000,
     b"GET /read/x HTTP/1.1\r\n" + b"X: y\r\n" * 9_000,
     b"POST /nosuch/x HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000,
@@ -308,10 +308,10 @@
 )
 
 
-async def send_and_abort(port: int, what: bytes) -> None:
+async def send_and_abort(port: int, payload: bytes) -> None:
     with contextlib.suppress(ConnectionError):
         _, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.write(what)
+        writer.write(payload)
         writer.transport.abort()
 
 
