--- a/tests/test_endings_shutdown.py
+++ b/tests/test_endings_shutdown.py
@@ -286,8 +286,8 @@
             first.writer.close()
             status_files = Path("/proc", str(process.pid))
             before = len(list((status_files / "fd").iterdir())), resident_mb(status_files)
-            for payload in FLOOD_PAYLOADS:
-                await asyncio.gather(*[send_and_abort(port, payload) for _ in range(150)])
+            for flood in FLOOD_PAYLOADS:
+                await asyncio.gather(*[send_and_abort(port, flood) for _ in range(150)])
             last = await connect_when_ready(port)
             last.send_request()
             assert status_of(await last.read_response()) == 200
