--- a/loadbalancer/endpoint_watch/__init__.py
+++ b/loadbalancer/endpoint_watch/__init__.py
@@ -1,14 +1,14 @@
-"""How the endpoint list is watched: which instance is sent which request and when, and what an answer means.
+"""The endpoint list watch: which instance gets which request and when, and how answers are interpreted.
 
     watch = Watch(
         (first, second), balancer_index=0, balancer_count=2, drain_grace_ms=3_000, is_self_hosted=True, seed=1
     )
-    request = watch.next_request(now)            # to which instance, after which version, with what timeout
-    rewound = watch.record_answer(index, now)    # StaleListError: older than the list at hand, a failed call
-    pause_s = watch.record_failure(duration_s, response_timed_out=False)  # None: all instances have failed
+    request = watch.next_request(now)            # instance address, known version and timeout
+    rewound = watch.record_answer(index, now)    # StaleListError if older than the current list
+    pause_s = watch.record_failure(duration_s, response_timed_out=False)  # None if all instances have failed
 
-A sans-I/O core: `net/discovery/` runs it on sockets, `simulation/watches.py` in virtual time. Times are
-seconds of a monotonic clock.
+Sans-I/O: `net/discovery/` runs it on sockets, `simulation/watches.py` in virtual time. Times are seconds of
+a monotonic clock.
 """
 
 from loadbalancer.endpoint_watch.contradictions import ContradictionDetector
--- a/loadbalancer/endpoint_watch/instance_selection.py
+++ b/loadbalancer/endpoint_watch/instance_selection.py
@@ -1,9 +1,9 @@
-"""The choice of the list service's instance that is watched: failover, return, and leaving a stale one.
+"""Selects the list service instance to watch: failover, failback, and switching away from a stale instance.
 
-    instances = InstanceSelector((first, second), balancer_index=0, chance=Random(1))
-    instances.address                     # the balancer's preferred instance; balancers spread over all
-    if instances.record_failure(): ...    # the next one is tried at once, unless all have failed in turn
-    instances.return_to_preferred(now)    # after a while the preferred one is tried again
+    instances = InstanceSelector((first, second), balancer_index=0, rng=Random(1))
+    instances.address                     # at first the preferred instance, which differs between balancers
+    if instances.record_failure(): ...    # try the next one at once, unless all have failed in turn
+    instances.return_to_preferred(now)    # fail back to the preferred instance once it is due
 
 Times are seconds of a monotonic clock.
 """
@@ -15,28 +15,28 @@
 from dataclasses import dataclass
 
 Address = tuple[str, int]
-PREFERRED_INSTANCE_RETRY_S = 60.0  # after so long, spread by half, the preferred instance is tried again
+PREFERRED_INSTANCE_RETRY_S = 60.0  # mean delay before failing back; jittered by a factor of 2/3 to 4/3
 
 
 @dataclass(frozen=True, slots=True)
 class ListVersion:
-    """The list as one instance has it."""
+    """The content and version of the list at one instance."""
 
     address: Address
     index: int
-    """The version; those of different instances can't be compared."""
+    """The version; versions of different instances are not comparable."""
     content: frozenset[tuple[object, ...]]
     """Each listed server with its state."""
 
 
 class InstanceSelector:
-    """Holds the instances in this balancer's order of preference, and which one is watched."""
+    """Holds the instances in this balancer's order of preference, and the one currently watched."""
 
-    def __init__(self, addresses: tuple[Address, ...], balancer_index: int, chance: random.Random) -> None:
-        """`balancer_index` counts within the tier: each balancer prefers another instance."""
+    def __init__(self, addresses: tuple[Address, ...], balancer_index: int, rng: random.Random) -> None:
+        """`balancer_index` is the index in the tier; each balancer prefers a different instance."""
         first = balancer_index % len(addresses)
         self._order = (*addresses[first:], *addresses[:first])
-        self._random = chance
+        self._random = rng
         self._position = 0
         self._consecutive_failures = 0
         self._preferred_retry_at = math.inf
@@ -46,16 +46,16 @@
 
     @property
     def address(self) -> Address:
-        """The instance that is watched."""
+        """The instance currently watched."""
         return self._order[self._position]
 
     @property
     def other_count(self) -> int:
-        """How many instances there are beside it."""
+        """The number of instances that are not watched."""
         return len(self._order) - 1
 
     def record_failure(self) -> bool:
-        """Switch to the next instance; return whether there is one that has not failed in turn."""
+        """Switch to the next instance; return False if all instances have failed in turn."""
         self._consecutive_failures += 1
         if self.other_count:
             self._switch_to(self._position + 1)
@@ -65,10 +65,10 @@
         return False
 
     def record_answer(self, index: int, now: float, was_watch: bool) -> bool:
-        """Record the version of an answer; return whether the instance had a later one before.
+        """Record the version of an answer; return whether the instance sent a later one before.
 
-        Only an answered watch (`was_watch`) shows that an instance is healthy: one that answers requests for
-        the full list and no others has failed as much as one that is down.
+        Only an answered watch (`was_watch`) shows that an instance is healthy: one that answers nothing but
+        requests for the full list counts as failed.
         """
         if was_watch:
             self._consecutive_failures = 0
@@ -79,26 +79,27 @@
         return is_rewound
 
     def last_index(self, address: Address) -> int:
-        """Return the last version that an instance answered with; -1 for none."""
+        """Return the version in an instance's last answer, or -1 if it has sent none."""
         return self._last_indexes.get(address, -1)
 
     def return_to_preferred(self, now: float) -> bool:
-        """Switch back to the preferred instance if that is due; return whether it was."""
+        """Switch back to the preferred instance if due; return whether it switched."""
         if now < self._preferred_retry_at:
             return False
         self._switch_to(0)
         return True
 
     def choose_other(self) -> Address:
-        """Return a random one of the instances that are not watched."""
+        """Return a random instance other than the watched one."""
         step = 1 + self._random.randrange(self.other_count)
         return self._order[(self._position + step) % len(self._order)]
 
     def switch_if_stale(self, ours: ListVersion, other: ListVersion, is_contradicted: bool) -> bool:
-        """Switch to another instance if ours is stale beside it; return whether it is.
+        """Switch to another instance if ours is stale compared with it; return whether it switched.
 
-        It takes two cross-checks: the other's version has grown between them, ours has not, and the lists
-        differ. One is enough where servers contradict our list (`is_contradicted`) and the other's differs.
+        Ours is stale if the lists differ and, between two cross-checks, the other's version has grown while
+        ours has not. One cross-check with differing lists is enough if servers contradict ours
+        (`is_contradicted`).
         """
         last = self._last_cross_check
         self._last_cross_check = (ours, other)
--- a/loadbalancer/endpoint_watch/subscription.py
+++ b/loadbalancer/endpoint_watch/subscription.py
@@ -1,14 +1,14 @@
-"""What a balancer requests of a list service of its own: some services, or a subset of each.
+"""A balancer's subscription to a self-hosted list service: some services, or a subset of each.
 
     subscription = Subscription(
         ("orders",), subset_size=8, name="b-17/3", zone="east", balancer_count=300, has_full_list=False
     )
-    query = subscription.query_parameters(now)   # beside the version and the wait
-    view = subscription.read_view(answer)        # AnswerMismatchError: for other services than requested
-    subscription.record_answer(view, supports_interests=True)  # from now on we hold that view
+    query = subscription.query_parameters(now)   # in addition to version and wait
+    view = subscription.read_view(answer)        # AnswerMismatchError: not the services requested
+    subscription.record_answer(view, supports_interests=True)  # makes that view the current one
 
-A sans-I/O core. The view, which says what is held, goes back to the service with the version, so that the
-service reports what has entered it and what has left it, also when the requested services change.
+Sans-I/O. The view describes which part of the list the balancer holds. It is sent back to the service with
+the version, so that the service reports what entered or left it, even when the requested services change.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from loadbalancer.endpoint_watch.exceptions import AnswerMismatchError, RateLimitedError
 from loadbalancer.endpoint_watch.instance_selection import Address
 
-MAX_RATE_LIMITED_S = 5.0  # that a service may put us off in all before it answers; longer, and it has failed
+MAX_RATE_LIMITED_S = 5.0  # total delay by rate limits before a call counts as failed
 
 
 class Subscription:
-    """One balancer's interest, and the view of it that it holds."""
+    """One balancer's interest, and the view that it currently holds."""
 
     def __init__(
         self,
@@ -37,32 +37,32 @@
         balancer_count: int,
         has_full_list: bool,
     ) -> None:
-        """`subset_size` counts servers of each zone, 0 for all; `has_full_list` if a list is at hand."""
+        """`subset_size` is the number of servers per zone, 0 for all; `has_full_list` if a list is known."""
         self._name = name
         self._zone = zone
         self._balancer_count = balancer_count
         self.services = services
         self.subset_size = subset_size
         self.encoded_view = _full_view(services) if has_full_list else None
-        """What is held, as the service encodes it; None for nothing."""
+        """The current view as encoded by the service; None if no list is held."""
         self.supports_interests = True
-        """Whether the service knows interests, as far as its answers show."""
+        """Whether the service supports interests, judging by its answers."""
         self._ticket: int | None = None
         self._rate_limited_s = 0.0  # since the last answer
-        self._failed_calls: dict[Address, float] = {}  # by instance: when the last call there began
+        self._failed_calls: dict[Address, float] = {}  # start of the last failed call, by instance
 
     def change_interest(self, services: tuple[str, ...], subset_size: int) -> bool:
-        """Request other services or another subset from now on; return whether they differ."""
+        """Set the requested services and subset size; return whether they changed."""
         is_changed = (services, subset_size) != (self.services, self.subset_size)
         self.services = services
         self.subset_size = subset_size
         return is_changed
 
     def query_parameters(self, now: float) -> list[str]:
-        """Return the query's parameters for what is requested and what is held."""
+        """Return the query parameters for the requested services and the current view."""
         parameters = [f"services={','.join(self.services)}"]
         if len(self.services) == 1:
-            parameters.append(f"tier={self.services[0]}")  # for a service that does not know interests
+            parameters.append(f"tier={self.services[0]}")  # for services without support for interests
         if self.subset_size:
             parameters.append(f"part={self.subset_size}")
             parameters.append(f"of={quote(self._name, safe='')}")
@@ -79,10 +79,10 @@
         return parameters
 
     def read_view(self, answer: Mapping[str, Any]) -> str:
-        """Return the view that we hold with an answer; AnswerMismatchError if it is for something else.
+        """Return the view that results from an answer; AnswerMismatchError if it was not requested.
 
-        A service of a version before interests answers with the full list of one tier: of one service that is
-        more than was requested, and is taken; several can't be requested of it.
+        A service version without support for interests answers with the full list of one tier: a superset
+        that is accepted for a request of one service, while several cannot be requested.
         """
         services = answer.get("services")
         if services is None and len(self.services) == 1:
@@ -94,11 +94,13 @@
         is_requested = isinstance(services, list) and sorted(map(str, services)) == sorted(self.services)
         if not is_requested or not isinstance(view := answer.get("held"), str):
             requested = ",".join(self.services)
-            raise AnswerMismatchError(f"the list service answers for {services}, not for {requested}")
+            raise AnswerMismatchError(
+                f"the list service answered for {services}, but {requested} was requested"
+            )
         return view
 
     def record_answer(self, encoded_view: str, supports_interests: bool) -> None:
-        """Take over an answer's view, and end what failures and rate limits had set."""
+        """Adopt an answer's view, and reset the state of failures and rate limits."""
         self.encoded_view = encoded_view
         self.supports_interests = supports_interests
         self._ticket = None
@@ -106,12 +108,12 @@
         self._failed_calls = {}
 
     def record_failure(self, address: Address, began: float) -> None:
-        """Record that a call to an instance has failed: an update may have been there since it `began`."""
+        """Record a failed call to an instance; an update may have been available since it `began`."""
         self._ticket = None
         self._failed_calls[address] = began
 
     def raise_if_rate_limited(self, status: int, body: bytes) -> None:
-        """Raise RateLimitedError if an answer that is no list says when to retry, within bounded time."""
+        """Raise RateLimitedError if an error response says when to retry, within the allowed total delay."""
         if status != 503:
             return
         try:
@@ -124,7 +126,7 @@
             raise RateLimitedError(retry_after_s, ticket)
 
     def record_rate_limit(self, error: RateLimitedError) -> None:
-        """Present the ticket with the next request, and count the pause."""
+        """Send the ticket with the next request, and add up the delay."""
         self._ticket = error.ticket
         self._rate_limited_s += error.retry_after_s
 
--- a/loadbalancer/endpoint_watch/watch.py
+++ b/loadbalancer/endpoint_watch/watch.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list: which instance is sent which request, and when the next one follows."""
+"""The endpoint list watch: which instance gets which request, and when the next one follows."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class Watch:
-    """One balancer's watch, of the platform's list or of a list service of one's own (`is_self_hosted`).
+    """One balancer's watch, of the platform's list or of a self-hosted list service (`is_self_hosted`).
 
-    Where the service is one's own, a failed call fails over to its next instance, and only when all have
-    failed in turn has the list failed. Versions of instances can't be compared: after a switch the full list
-    is requested.
+    A failed call to a self-hosted service fails over to its next instance; the list has failed only when all
+    instances have failed in turn. Versions of different instances are not comparable, so the full list is
+    requested after a switch.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         seed: int,
         index: int = FULL_SNAPSHOT,
     ) -> None:
-        """`drain_grace_ms` is how long draining servers are left; `index` the version of the list at hand."""
+        """`drain_grace_ms` is the grace period of draining servers; `index` the version of the known list."""
         self._balancer_index = balancer_index
         self._is_self_hosted = is_self_hosted
         self._random = random.Random(seed)
@@ -45,37 +45,37 @@
         self.instances = InstanceSelector(addresses, balancer_index, self._random)
         self.index = index
         self._has_failed = False  # since the last answer
-        self._has_rewound = False  # the last answer was of an older version
+        self._has_rewound = False  # the last answer had an older version
         self._is_long_poll_out = False
         self.rewind_count = 0
         self.stale_instance_count = 0
 
     @property
     def retry_within_s(self) -> float:
-        """After the last failed call, the next one has to begin within so long."""
+        """The time after the last failed call within which the next one must start."""
         return self._backoff.retry_within_s
 
     def set_addresses(self, addresses: tuple[Address, ...]) -> None:
-        """Watch a service at other addresses from now on."""
+        """Watch a service at other addresses, starting with the full list."""
         self.instances = InstanceSelector(addresses, self._balancer_index, self._random)
         self._backoff.set_instance_count(len(addresses))
         self.index = FULL_SNAPSHOT
 
     def first_request_delay_s(self) -> float:
-        """Return how long a new process that has a list waits before its first request, in seconds.
+        """Return the delay in seconds before the first request of a new process that has a list.
 
-        The platform's service answers a limited number of requests a second, and spends as much on one that
-        it answers too late. A release restarts many balancers together, whose requests would come at once.
+        The platform's service answers a limited number of requests per second, and requests that it answers
+        too late cost it as much. A release restarts many balancers at once, so their requests are spread.
         """
         if self.index < 0:
             return 0.0
         return self._backoff.start_window_s() * self._random.random()
 
     def next_request(self, now: float = 0.0) -> ListRequest:
-        """Return the next call; `now` counts while a full list is scheduled.
+        """Return the next request; `now` matters only while a full list is scheduled.
 
-        After a failed call it is no long poll: a service that takes calls and answers none shows at once, and
-        what came meanwhile is not left to the end of a wait.
+        It is not a long poll after a failed call, so that a service that accepts calls but answers none is
+        detected at once, and updates made meanwhile arrive without a wait.
         """
         if self._requests.is_full_snapshot_due(now):
             self.index = FULL_SNAPSHOT
@@ -90,14 +90,16 @@
         return ListRequest(address, self.index, wait_ms, self._backoff.call_timeout_s)
 
     def record_answer(self, index: int, now: float) -> bool:
-        """Take over the version of an answer; return whether its service has gone back to an older state.
+        """Adopt the version of an answer; return whether its service has gone back to an older state.
 
-        StaleListError if it is older than the list at hand: the call has failed. If the full list, which is
-        requested next, is no newer, that is a new beginning.
+        StaleListError if it is older than the current list; the call counts as failed. The full list that is
+        requested next is accepted even if it is no newer.
         """
         if index < self.index:
             self._has_rewound = True
-            raise StaleListError(f"list {index} is older than {self.index}, the one we hold")
+            raise StaleListError(
+                f"received list version {index} is older than the current version {self.index}"
+            )
         is_rewound = self.instances.record_answer(index, now, self.index >= 0) and self._is_self_hosted
         self.rewind_count += is_rewound
         self.index = index
@@ -107,17 +109,17 @@
         return is_rewound
 
     def is_current(self, request: ListRequest, index: int) -> bool:
-        """Return whether a late answer is no older than what its instance has answered since."""
+        """Return whether a late answer is at least as new as the latest one of its instance."""
         return index >= max(request.after_index, self.instances.last_index(request.address))
 
     def record_failure(
         self, duration_s: float, response_timed_out: bool, rejected: bool = False
     ) -> float | None:
-        """Return the pause in seconds before the next call; None if the list has failed.
+        """Return the delay in seconds before the next call; None if the list has failed.
 
-        Then the host decides when to call again, within `retry_within_s`. `duration_s` is the time of the
-        call with connecting; `response_timed_out` that it had no answer in time; `rejected` that the service
-        ended it without a list.
+        In that case the host decides when to call again, within `retry_within_s`. `duration_s` includes
+        connecting; `response_timed_out` means that no answer came in time, `rejected` that the service ended
+        the call without a list.
         """
         is_late = duration_s > self._backoff.call_timeout_s
         was_waiting = self._is_long_poll_out and not response_timed_out and is_late
@@ -132,24 +134,24 @@
         return self._backoff.failover_window_s() * self._random.random() if can_fail_over else None
 
     def schedule_full_snapshot(self, now: float) -> None:
-        """Request the full list later, of another instance if there is one: the one that came is suspect.
+        """Schedule a request for the full list, from another instance if any: the received list is suspect.
 
-        Updates after its version do not mention what it has left out. Until then it is watched all the same,
-        for what it does say.
+        Updates after its version do not mention the servers that it omitted. Until then the watch continues
+        for the updates that it does deliver.
         """
         self._requests.schedule_full_snapshot(now)
 
     def return_to_preferred_instance(self, now: float) -> bool:
-        """Switch back to the preferred instance if that is due; return whether it was."""
+        """Switch back to the preferred instance if due; return whether it switched."""
         if not self._is_self_hosted or not self.instances.return_to_preferred(now):
             return False
         self.index = FULL_SNAPSHOT
         return True
 
     def next_cross_check(self, now: float, is_contradicted: bool) -> Address | None:
-        """Return another instance whose list is to be compared with ours now; None if that is not due.
+        """Return the instance whose list is to be compared with ours now; None if no cross-check is due.
 
-        `is_contradicted` is whether servers contradict our list.
+        `is_contradicted` tells whether servers contradict our list.
         """
         if not self.instances.other_count or self.index < 0:
             return None
@@ -158,7 +160,7 @@
         return self.instances.choose_other()
 
     def record_cross_check(self, ours: ListVersion, other: ListVersion, is_contradicted: bool) -> bool:
-        """Return whether our instance is stale; if so, the other one is watched from now on."""
+        """Return whether our instance is stale; if so, switch to the other one."""
         if other.address == ours.address:
             return False
         if not self.instances.switch_if_stale(ours, other, is_contradicted):
