--- a/loadbalancer/endpoint_watch/subscription.py
+++ b/loadbalancer/endpoint_watch/subscription.py
@@ -94,9 +94,7 @@
         is_requested = isinstance(services, list) and sorted(map(str, services)) == sorted(self.services)
         if not is_requested or not isinstance(view := answer.get("held"), str):
             requested = ",".join(self.services)
-            raise AnswerMismatchError(
-                f"the list service answered for {services}, but {requested} was requested"
-            )
+            raise AnswerMismatchError(f"the list service answered for {services} instead of {requested}")
         return view
 
     def record_answer(self, encoded_view: str, supports_interests: bool) -> None:
--- a/loadbalancer/endpoint_watch/watch.py
+++ b/loadbalancer/endpoint_watch/watch.py
@@ -97,9 +97,7 @@
         """
         if index < self.index:
             self._has_rewound = True
-            raise StaleListError(
-                f"received list version {index} is older than the current version {self.index}"
-            )
+            raise StaleListError(f"received version {index} is older than {self.index}, the current version")
         is_rewound = self.instances.record_answer(index, now, self.index >= 0) and self._is_self_hosted
         self.rewind_count += is_rewound
         self.index = index
--- a/loadbalancer/net/discovery/__init__.py
+++ b/loadbalancer/net/discovery/__init__.py
@@ -1,7 +1,7 @@
-"""Discovery's endpoint list on sockets: the client that keeps it fresh, and what its parts raise.
+"""Client for the discovery service: keeps the endpoint list up to date over sockets.
 
 `client` runs the watch of `loadbalancer.endpoint_watch`; `connection`, `call`, `late_answer`, `list_content`,
-`cross_check` and `status` each hold one part of it.
+`cross_check` and `status` implement its parts.
 """
 
 from loadbalancer.net.discovery.call import DiscoveryError, RequestRejectedError, ResponseTimeoutError
--- a/loadbalancer/net/discovery/call.py
+++ b/loadbalancer/net/discovery/call.py
@@ -1,4 +1,4 @@
-"""One call for the list: the request that is sent, the answer that is read, the connection that is kept."""
+"""Calls for the endpoint list: sends the request, reads the answer, and reuses the connection."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 from loadbalancer.net.interest_subscription import AnswerView, InterestSubscription
 from loadbalancer.net.upstream_response import UpstreamResponse
 
-CONNECT_TIMEOUT_S = 1.0  # the wait of a call is for its answer, not for its connection
+CONNECT_TIMEOUT_S = 1.0  # separate from the long-poll wait, which must not cover connecting
 
 
 class DiscoveryError(Exception):
-    """Base of what a call for the list raises beside OSError and ValueError."""
+    """Base class of the errors of a call for the list other than OSError and ValueError."""
 
 
 class ResponseTimeoutError(DiscoveryError):
-    """A call that was sent has had no answer in its time, and no end."""
+    """A request was sent, and neither an answer nor an error came within its timeout."""
 
 
 class RequestRejectedError(DiscoveryError, ValueError):
-    """The service has answered by a status that carries no list."""
+    """The service answered with a status other than 200."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListAnswer:
-    """What a call was answered."""
+    """The decoded answer to a call."""
 
     update: EndpointList
     view: AnswerView
 
 
 class ListCaller:
-    """Makes calls, and keeps the connection between calls to the same instance."""
+    """Makes calls, and reuses the connection between calls to the same instance."""
 
     def __init__(self, interest: InterestSubscription) -> None:
-        """`interest` says what is requested, and reads what an answer holds of it."""
+        """`interest` supplies the query parameters and reads the view in an answer."""
         self._interest = interest
         self._connection: connections.Connection | None = None
         self._address: Address | None = None
@@ -49,8 +49,8 @@
     async def call(self, request: ListRequest) -> ListAnswer:
         """Return the answer to a request.
 
-        Raises ResponseTimeoutError where none came in time, TimeoutError or OSError where connecting failed,
-        RateLimitedError, and ValueError for an answer that is no list.
+        Raises ResponseTimeoutError if none came in time, TimeoutError or OSError if connecting failed,
+        RateLimitedError, and ValueError if the answer is not a list.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + request.timeout_s
@@ -67,7 +67,7 @@
             raise ResponseTimeoutError(f"{host}:{port} sent no answer in {request.timeout_s} s") from error
 
     def detach(self) -> connections.Connection | None:
-        """Return the connection and forget it: its owner closes it from now on."""
+        """Release the connection to the caller, which becomes responsible for closing it."""
         connection = self._connection
         self._connection = None
         return connection
@@ -90,7 +90,7 @@
 async def request_list(
     connection: connections.Connection, request: ListRequest, interest: InterestSubscription
 ) -> ListAnswer:
-    """Send a request and return its answer; ValueError if that is no list."""
+    """Send a request and return its answer; ValueError if the answer is not a list."""
     query = interest.query_parameters(asyncio.get_running_loop().time())
     if request.after_index >= 0:
         query.append(f"after={request.after_index}&wait_ms={request.wait_ms:.0f}")
@@ -101,7 +101,7 @@
 
 
 def read_answer(response: UpstreamResponse, interest: InterestSubscription) -> ListAnswer:
-    """Return what a response holds; ValueError if it is no list, RateLimitedError if it is put off."""
+    """Decode a response; ValueError if it is not a list, RateLimitedError if it says when to retry."""
     if response.status != 200:
         interest.raise_if_rate_limited(response.status, response.body)
         raise RequestRejectedError(f"discovery answered {response.status}")
--- a/loadbalancer/net/discovery/client.py
+++ b/loadbalancer/net/discovery/client.py
@@ -1,4 +1,4 @@
-"""The client that keeps the endpoint list fresh: runs the watch, and hands on updates and failures."""
+"""The discovery client: runs the endpoint list watch, and reports updates and failures."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 from loadbalancer.net.interest_subscription import InterestSubscription
 from loadbalancer.net.upstream_response import UpstreamResponse
 
-PUSH_RETRY_PAUSE_S = 0.5  # before the agent on this machine is called again, where lists are pushed
+PUSH_RETRY_PAUSE_S = 0.5  # before the local agent, which pushes lists, is called again
 
 
 class DiscoveryClient:
-    """Watches the list from `subscribe` on until it has failed: the host of `loadbalancer.endpoint_watch`."""
+    """Hosts `loadbalancer.endpoint_watch`: watches the list from `subscribe` until the list has failed."""
 
     def __init__(
         self,
@@ -44,15 +44,15 @@
         needs_full_snapshot: bool = False,
         log: Callable[[str], None] = lambda text: None,
     ) -> None:
-        """`on_update` returns whether it trusts a list; one that it does not is requested again, in full.
+        """`on_update` returns whether it accepts a list; a list that it rejects is requested again in full.
 
-        `needs_full_snapshot` requests the full list first, which is answered at once, whatever is at hand.
-        `log` takes a line where a service does not support the request.
+        `needs_full_snapshot` requests the full list first, even if a list is known, because that is answered
+        at once. `log` receives a message if a service does not support the request.
         """
         self._on_update = on_update
         self._on_failure = on_failure
         self.on_request_failed: Callable[[ListRequest, float, Exception], None] = lambda *_: None
-        """Takes each request that failed, its time with connecting in seconds, and why."""
+        """Called with each failed request, its duration in seconds including connecting, and the error."""
         self._is_polled = config.settings.polls_endpoint_list
         self._registry = config.registry
         self._address = config.discovery
@@ -71,29 +71,29 @@
             self._watch, self._interest, self._content, self.contradictions, self._restart
         )
         self._watch_task: asyncio.Task[None] | None = None
-        self._has_reopened = False  # a broken watch, since the last answer
-        self._has_begun = False
+        self._has_reopened = False  # whether a broken watch was reopened since the last answer
+        self._has_started = False
         self._answered_at_s = -math.inf
 
     @property
     def index(self) -> int:
-        """The version of the list at hand; -1 for none."""
+        """The version of the current list; -1 if there is none."""
         return self._watch.index
 
     def start(self) -> None:
-        """Listen from the start where lists are pushed: nobody subscribes there."""
+        """Subscribe immediately if lists are pushed, since the decision module does not request it then."""
         if not self._is_polled:
             self.subscribe()
 
     def subscribe(self) -> None:
-        """Begin the watch; a second subscription while one stands changes nothing."""
+        """Start the watch; has no effect while it is running."""
         if self._watch_task is None or self._watch_task.done():
             self._watch_task = asyncio.get_running_loop().create_task(self._run())
         if self._registry is not None:
             self._cross_checker.start()
 
     def close(self) -> None:
-        """End the watch and its connections for good."""
+        """Stop the watch permanently and close its connections."""
         if self._watch_task is not None:
             self._watch_task.cancel()
         self._cross_checker.close()
@@ -103,8 +103,8 @@
     def reconfigure(self, address: Address, registry: RegistryConfig | None = None) -> None:
         """Watch another address, or request other services; a call in flight is abandoned.
 
-        What is held goes out with what is requested now, and the answer says outright what has left it;
-        elsewhere, and of a service that does not know interests, the full list is requested.
+        The current view is sent with the new interest, and the answer lists explicitly what has left it. At
+        another address, or if the service does not support interests, the full list is requested.
         """
         is_other_address = address != self._address
         if not self._interest.change_interest(registry) and not is_other_address:
@@ -115,11 +115,11 @@
         self._restart()
 
     def failure_update(self) -> EndpointListUpdate:
-        """Return a failure of the list as the decision module takes it, with the time for the next call."""
+        """Return the failure event for the decision module, with the deadline for the next call."""
         return EndpointListUpdate(UpdateKind.FAILED, retry_within_ms=self._watch.retry_within_s * 1_000)
 
     def status(self) -> ListStatus:
-        """Return where the list is from and how old it is."""
+        """Return the source and age of the list."""
         now = asyncio.get_running_loop().time()
         return ListStatus(
             address=self._watch.instances.address,
@@ -146,16 +146,16 @@
         loop = asyncio.get_running_loop()
         await self._wait_for_first_request()
         while True:
-            began = loop.time()
-            request = self._watch.next_request(began)
+            started_at = loop.time()
+            request = self._watch.next_request(started_at)
             try:
                 update = await self._call(request)
             except RateLimitedError as error:
                 self._interest.record_rate_limit(error)
                 await asyncio.sleep(error.retry_after_s)
             except Exception as error:
-                # Guards against a watch that ends unseen: whatever was wrong with a call, it has failed.
-                pause_s = self._handle_failure(request, began, error)
+                # An unexpected error counts as a failed call, so that it cannot end the watch unnoticed.
+                pause_s = self._handle_failure(request, started_at, error)
                 if pause_s is None:
                     return
                 await asyncio.sleep(pause_s)
@@ -163,10 +163,10 @@
                 self._handle_update(update)
 
     async def _wait_for_first_request(self) -> None:
-        """Spread the first requests of balancers that start together, where all call one service."""
-        if self._has_begun:
+        """Delay the first request if lists are polled, to spread balancers that start together."""
+        if self._has_started:
             return
-        self._has_begun = True
+        self._has_started = True
         if self._is_polled:
             await asyncio.sleep(self._watch.first_request_delay_s())
 
@@ -190,21 +190,21 @@
             self._caller.close()
 
     def _handle_late_answer(self, request: ListRequest, response: UpstreamResponse) -> None:
-        """Hand on a late answer, but leave the watch where it is: the next answer says the same, and more."""
+        """Apply a late answer, but keep the watch at its version: the next answer covers this one, too."""
         update = read_answer(response, self._interest).update
         if self._watch.is_current(request, update.index):
             self._record_content(update, asyncio.get_running_loop().time())
             self._on_update(update)
 
-    def _handle_failure(self, request: ListRequest, began: float, error: Exception) -> float | None:
-        """Return the seconds until the next call; None if the watch has ended, and others subscribe again."""
+    def _handle_failure(self, request: ListRequest, started_at: float, error: Exception) -> float | None:
+        """Return the seconds until the next call; None if the watch ends until the next `subscribe`."""
         if isinstance(error, ResponseTimeoutError) and self._interest.accepts_late_answer(request):
             connection = self._caller.detach()
             if connection is not None:
                 self._late_answer.wait_for(connection, request)
-        self._interest.record_failure(request.address, began, error)
+        self._interest.record_failure(request.address, started_at, error)
         self._caller.close()
-        duration_s = asyncio.get_running_loop().time() - began
+        duration_s = asyncio.get_running_loop().time() - started_at
         self.on_request_failed(request, duration_s, error)
         pause_s = self._watch.record_failure(
             duration_s,
@@ -214,11 +214,11 @@
         return self._handle_list_failure(request, error) if pause_s is None else pause_s
 
     def _handle_list_failure(self, request: ListRequest, error: Exception) -> float | None:
-        """Return the seconds until the next call after the list has failed; None if others decide that.
+        """Return the seconds until the next call after the list has failed; None if the watch ends.
 
-        A watch that breaks is reopened at once, for what it misses counts as delivered; but not twice with no
-        answer between. Where lists are polled that is so only for one that timed out: after a reset all
-        balancers would call together, while the waits of watches end one by one.
+        A broken watch is reopened at once, since the updates that it misses count as delivered, but not twice
+        without an answer in between. If lists are polled this applies only to timeouts: after a reset all
+        balancers would call together, while long polls time out at different moments.
         """
         is_broken_watch = request.after_index >= 0 and (
             not self._is_polled or isinstance(error, ResponseTimeoutError)
@@ -228,12 +228,12 @@
         if not self._is_polled:
             return 0.0 if reopens_at_once else min(PUSH_RETRY_PAUSE_S, self._watch.retry_within_s)
         if not reopens_at_once:
-            self._watch_task = None  # the decision module subscribes again when it is time
+            self._watch_task = None  # the decision module subscribes again after its backoff
         self._on_failure()
         return 0.0 if reopens_at_once else None
 
     def _record_content(self, update: EndpointList, now: float) -> None:
-        """Note an answer, and what the list holds where it can be compared with another instance's."""
+        """Record the time of an answer, and the list content if it is cross-checked with other instances."""
         self._answered_at_s = now
         if self._registry is None:
             return
--- a/loadbalancer/net/discovery/connection.py
+++ b/loadbalancer/net/discovery/connection.py
@@ -1,4 +1,4 @@
-"""A connection to a list service, which carries one call at a time."""
+"""A connection to a list service, for one call at a time."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from loadbalancer.net.address import Address
 from loadbalancer.net.upstream_response import RESPONSE_ERRORS, ResponseReader, UpstreamResponse
 
-MAX_LIST_BYTES = 4 * 1024 * 1024  # of an answer: a service that sends more is broken, and memory is bounded
+MAX_LIST_BYTES = 4 * 1024 * 1024  # maximum response size; bounds memory if a service is broken
 
 
 class Connection(asyncio.Protocol):
-    """One connection: sends a request, and completes with its response."""
+    """Sends one request at a time and completes with its response."""
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
@@ -21,34 +21,34 @@
         self.is_closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Feed the response's reader; close if it is no response or too long."""
+        """Parse received data; close on a malformed or oversized response."""
         try:
             is_complete = self._reader.feed(data)
             if self._reader.buffered_bytes > MAX_LIST_BYTES:
-                raise ValueError(f"a response of over {MAX_LIST_BYTES} bytes")
+                raise ValueError(f"response exceeds {MAX_LIST_BYTES} bytes")
         except (*RESPONSE_ERRORS, ValueError) as error:
-            self._fail(ValueError(f"not a response: {error!r}"))
+            self._fail(ValueError(f"invalid response: {error!r}"))
             self.close()
             return
         if is_complete:
             self._complete()
 
     def eof_received(self) -> None:
-        """Complete a response that ends with the connection; the transport closes by itself."""
+        """Complete a response delimited by the end of the connection; the transport closes by itself."""
         if self._reader.feed_eof():
             self._complete()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the call that is in flight."""
+        """Fail the call in flight."""
         self.is_closed = True
-        self._fail(exc or ConnectionResetError("the connection ended"))
+        self._fail(exc or ConnectionResetError("connection closed before the response"))
 
     async def call(self, request: bytes) -> UpstreamResponse:
-        """Send a request and wait for its response; OSError or ValueError if there is none."""
+        """Send a request and return its response; OSError or ValueError if it fails."""
         assert self._transport is not None
         self._response = asyncio.get_running_loop().create_future()
         self._reader.reset()
@@ -56,12 +56,12 @@
         return await self._response
 
     async def wait_for_late_response(self) -> UpstreamResponse:
-        """Wait on for the response to a call that was given up."""
+        """Wait for the response to a call that has timed out."""
         self._response = asyncio.get_running_loop().create_future()
         return await self._response
 
     def close(self) -> None:
-        """Close at once."""
+        """Abort the connection."""
         self.is_closed = True
         if self._transport is not None:
             self._transport.abort()
--- a/loadbalancer/net/discovery/cross_check.py
+++ b/loadbalancer/net/discovery/cross_check.py
@@ -1,4 +1,4 @@
-"""The cross-check: another instance's list is read now and then, and compared with the watched one's."""
+"""Cross-checks: periodically compares the watched list with another instance's."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from loadbalancer.net.discovery.list_content import ListContent, listed_state
 from loadbalancer.net.interest_subscription import InterestSubscription
 
-CROSS_CHECK_TIMEOUT_S = 2.0  # for another instance's full list, with connecting
-CROSS_CHECK_POLL_INTERVAL_S = 1.0  # between questions whether a cross-check is due
+CROSS_CHECK_TIMEOUT_S = 2.0  # for reading another instance's full list, including connecting
+CROSS_CHECK_POLL_INTERVAL_S = 1.0  # between checks whether a cross-check is due
 
 
 class CrossChecker:
-    """Compares the watched list with another instance's whenever the watch says that it is due."""
+    """Compares the watched list with another instance's whenever the watch reports a cross-check as due."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         contradictions: ContradictionDetector,
         on_stale: Callable[[], None],
     ) -> None:
-        """`on_stale` is called when the watched instance is stale, and `watch` has switched to the other."""
+        """`on_stale` is called after `watch` has switched away from a stale instance."""
         self._watch = watch
         self._interest = interest
         self._content = content
@@ -43,12 +43,12 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin; a second call changes nothing."""
+        """Start; further calls have no effect."""
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
-        """End for good."""
+        """Stop permanently."""
         if self._task is not None:
             self._task.cancel()
 
@@ -67,7 +67,7 @@
 
 
 async def read_version(address: Address, interest: InterestSubscription) -> ListVersion | None:
-    """Return the list of the instance at `address`; None if it does not answer by one."""
+    """Return the list of the instance at `address`; None if it cannot be read."""
     connection: connections.Connection | None = None
     request = ListRequest(address, FULL_SNAPSHOT, 0.0, CROSS_CHECK_TIMEOUT_S)
     try:
--- a/loadbalancer/net/discovery/list_content.py
+++ b/loadbalancer/net/discovery/list_content.py
@@ -1,4 +1,4 @@
-"""What the watched instance's list holds, to be compared with another instance's."""
+"""Content of the watched instance's list, for comparison with another instance's."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ListedState(NamedTuple):
-    """A server's state as the list has it: what two instances have to agree on."""
+    """A server's state in the list, on which two instances must agree."""
 
     server: str
     readiness: Readiness
@@ -21,15 +21,15 @@
 
 
 class ListContent:
-    """Holds the listed servers' states, and when they last changed."""
+    """Tracks the states of the listed servers, and when they last changed."""
 
     def __init__(self) -> None:
         self._states: dict[str, ListedState] = {}
         self.changed_at_s = -math.inf
-        """On the loop's clock."""
+        """Time of the last change, on the event loop's clock."""
 
     def apply(self, update: EndpointList, now: float) -> None:
-        """Take over an update of the watched list."""
+        """Apply an update of the watched list."""
         before = dict(self._states)
         if update.is_full_snapshot:
             self._states.clear()
@@ -47,6 +47,6 @@
 
 
 def listed_state(entry: AddressedEndpoint) -> ListedState:
-    """Return the state that an entry of the list says."""
+    """Return the state in an entry of the list."""
     endpoint = entry.endpoint
     return ListedState(endpoint.server, endpoint.readiness, endpoint.started_at_ms, entry.address)
--- a/loadbalancer/net/discovery/status.py
+++ b/loadbalancer/net/discovery/status.py
@@ -1,4 +1,4 @@
-"""Where the endpoint list is from and how old it is, for operators."""
+"""Source and age of the endpoint list, for operators."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ListStatus:
-    """The state of the watch; ages in ms, None for never."""
+    """State of the watch; ages are in ms, or None if the event has not occurred."""
 
     address: Address
-    """The instance that is watched."""
+    """The instance currently watched."""
     index: int
-    """The version of the list at hand; -1 for none."""
+    """The version of the current list; -1 if there is none."""
     response_age_ms: int | None
     change_age_ms: int | None
     switch_count: int
-    """How often another instance was watched from then on."""
+    """Number of switches to another instance."""
     rewind_count: int
-    """How often a service went back to an older state."""
+    """Number of times a service went back to an older state."""
     stale_instance_count: int
-    """How often the watched instance was found stale."""
+    """Number of times the watched instance was found stale."""
     contradicting_servers: list[str]
-    """Listed servers that answer nothing."""
+    """Listed servers that answer no requests."""
 
 
 def age_ms(now_s: float, since_s: float) -> int | None:
-    """Return the time since a moment, rounded; None for a moment that never was (minus infinity)."""
+    """Return the rounded time since an event; None if it has not occurred (minus infinity)."""
     return round((now_s - since_s) * 1_000) if math.isfinite(since_s) else None
