--- a/loadbalancer/configuration/__init__.py
+++ b/loadbalancer/configuration/__init__.py
@@ -1,9 +1,9 @@
-"""The configuration for people: one typed model for the platform's JSON and for TOML with units.
+"""The operator's configuration: one typed model for the platform's JSON and for TOML with units.
 
-    config = read(Path("irondrum.toml"), on_unknown=print)           # as `net` takes it
-    for error in validation_errors(tables): print(error)             # all, with path and what is allowed
+    config = read(Path("irondrum.toml"), on_unknown=print)           # as used by `net`
+    for error in validation_errors(tables): print(error)             # all, with path and allowed values
 
-`python -m loadbalancer` reads the platform's JSON by itself, leniently, and loads none of this.
+`python -m loadbalancer` does not import this package: it reads the platform's JSON with a lenient reader.
 """
 
 from loadbalancer.configuration.model import Configuration, schema
--- a/loadbalancer/configuration/model.py
+++ b/loadbalancer/configuration/model.py
@@ -1,8 +1,8 @@
-"""The model of a configuration: its keys, with units, bounds and defaults.
+"""The configuration model: keys with types, bounds and defaults.
 
-The fields are named by the keys of the platform's JSON, since they are the keys; `net/config_reader.py` and
-`wire.py` map them to the field's terms. The doc comments of tables are part of the published JSON Schema.
-A duration is a number of milliseconds, or a text with a unit: "250ms", "1.5s", "2m".
+Fields are named after the keys of the platform's JSON; `net/config_reader.py` and `wire.py` map them to the
+names used in the program. The docstrings of tables are part of the published JSON Schema. A duration is a
+number of milliseconds, or a string with a unit: "250ms", "1.5s", "2m".
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 
     name: str
     target: Duration
-    """When an answer should be there."""
+    """The latency objective."""
     deadline: Duration
-    """When it must be."""
+    """The time by which an answer is required."""
     effect: Literal["retryable", "dedup", "fragile"]
-    """Safe to repeat, dropped by servers when repeated, or never to be repeated."""
+    """Idempotent, deduplicated by servers, or not to be repeated."""
     worth: Amount = 1.0
     lateShare: Fraction = 0.0
     keyScope: Literal["all", "zone", "cell"] = "all"
@@ -69,7 +69,7 @@
     connectTimeout: Duration = 250.0
     openCap: Any = None
     peers: bool = False
-    """Whether balancers may send one another notes."""
+    """Whether balancers may exchange gossip messages."""
     streamsPerConn: Any = None
     cpuUsPerRequest: Any = None
     cpuUsPerS: Any = None
@@ -101,7 +101,7 @@
     tick: Annotated[float, Meta(gt=0)] = 1.0
     limits: Limits = Limits()
     contract: Contract = Contract()
-    # The platform tells these too; no balancer uses them.
+    # Also sent by the platform, but not used by balancers.
     azs: Any = None
     family: Any = None
     familyInfo: Any = None
@@ -139,15 +139,15 @@
     """How a list service of one's own is asked (docs/registry.md)."""
 
     others: tuple[Address, ...] = ()
-    """Further instances that hold the same list."""
+    """Addresses of further instances with the same list."""
     tier: str = ""
-    """The tier that is asked for; empty for the service's first."""
+    """The requested tier; empty for the service's first."""
     doubt: Annotated[float, Meta(gt=0, le=1)] = DEFAULT_SUSPECT_STALE_FRACTION
-    """A whole list that leaves out more than this part of the ready servers is doubted."""
+    """A full list that omits more than this fraction of the ready servers is suspected stale."""
     services: tuple[ServiceName, ...] = ()
-    """What is asked for in place of a tier, where the service knows interests; several are one pool."""
+    """Services requested in place of a tier if the service supports interests; several form one pool."""
     part: Annotated[int, Meta(ge=0, le=MAX_SUBSET_SIZE)] = 0
-    """Servers of each service that are held in each zone at the least; 0 for all."""
+    """Minimum number of servers of each service held per zone; 0 for all."""
 
 
 class Machine(Table, frozen=True, forbid_unknown_fields=True):
@@ -162,29 +162,29 @@
     """All that a balancer is told at its start."""
 
     listen: Address
-    """Where clients come."""
+    """Listen address for clients."""
     discovery: Address
-    """Where the list of servers is asked for."""
+    """Address of the service that provides the endpoint list."""
     settings: Settings
     name: str = ""
     console: AddressOrNone = ""
-    """Where operators call; empty for nowhere."""
+    """Listen address of the console; empty to disable it."""
     seed: Annotated[str, Meta(pattern=r"^[0-9a-fA-F]+$")] = "0"
     limits: Machine = Machine()
     known: Known = Known()
     membership: bool = False
-    """Whether to tell the tier's other balancers who is there, where the settings allow notes."""
+    """Whether to gossip membership with the tier's other balancers, if the settings allow gossip."""
     peers: tuple[Address, ...] = ()
-    """One for each balancer of the tier, by their numbers."""
+    """The addresses of all balancers of the tier, in the order of their numbers."""
     peers_all: AddressOrNone = ""
     peer_listen: AddressOrNone = ""
     snapshots: str = ""
-    """A folder in which what was learned is kept over a restart; empty for none."""
+    """Folder in which learned state is stored across restarts; empty for none."""
     snapshotEvery: Duration = 10_000.0
     lists: ListService | None = None
-    """Where the list is a service of one's own; left out for the platform's."""
+    """Settings of a self-hosted list service; omitted for the platform's."""
 
 
 def schema() -> dict[str, Any]:
-    """The JSON Schema of a configuration."""
+    """Return the JSON Schema of a configuration."""
     return msgspec.json.schema(Configuration)
--- a/loadbalancer/configuration/model_types.py
+++ b/loadbalancer/configuration/model_types.py
@@ -1,4 +1,4 @@
-"""Questions about the types of the model's fields."""
+"""Introspection of the model's field types."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def bare_type(kind: Any) -> Any:
-    """Return a type without its bounds, and without the None that stands for a table left out."""
+    """Return a type without its bounds, and without the None of an optional table."""
     bare = get_args(kind)[0] if hasattr(kind, "__metadata__") else kind
     parts = [part for part in get_args(bare) if part is not type(None)]
     is_optional = isinstance(bare, UnionType) and len(parts) < len(get_args(bare)) == 2
@@ -17,5 +17,5 @@
 
 
 def is_table_type(kind: Any) -> TypeGuard[type[msgspec.Struct]]:
-    """Return whether values of this type are tables."""
+    """Return whether a type is a table."""
     return isinstance(kind, type) and issubclass(kind, msgspec.Struct)
--- a/loadbalancer/configuration/reader.py
+++ b/loadbalancer/configuration/reader.py
@@ -1,4 +1,4 @@
-"""Reads a configuration in TOML or JSON, and reports all its errors at once."""
+"""Reads a configuration from TOML or JSON, and reports all its errors at once."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class ConfigurationError(ValueError):
-    """A configuration that can't be used: all its errors, a line each."""
+    """A configuration is invalid; holds all its errors, one per line."""
 
     def __init__(self, lines: list[str]) -> None:
-        """Join the lines for the message, and keep them."""
+        """`lines` has one error each; the message joins them."""
         super().__init__("\n".join(lines))
         self.lines = lines
 
@@ -31,7 +31,7 @@
 def read(path: Path, on_unknown: Callable[[str], None]) -> Config:
     """Return the configuration in a file; ConfigurationError holds all its errors.
 
-    `on_unknown` gets a line on each setting that is passed over.
+    `on_unknown` receives a message for each setting that is ignored.
     """
     tables = load_tables(path)
     if errors := validation_errors(tables):
@@ -40,14 +40,14 @@
 
 
 def load_tables(path: Path) -> Tables:
-    """Return what a file holds: JSON if its name ends in `.json`, else TOML.
+    """Return the content of a file: JSON if its name ends in `.json`, else TOML.
 
     ConfigurationError if it can't be read.
     """
     try:
         text = path.read_text(encoding="utf-8")
         tables = json.loads(text) if path.suffix == ".json" else tomllib.loads(text)
-    except (OSError, ValueError) as error:  # of TOML and JSON, too
+    except (OSError, ValueError) as error:  # includes the decode errors of TOML and JSON
         raise ConfigurationError([f"{path}: can't be read: {' '.join(str(error).split())}"]) from error
     if not isinstance(tables, dict):
         raise ConfigurationError([f"{path}: must be a table, not {type(tables).__name__}"])
@@ -55,18 +55,18 @@
 
 
 def validation_errors(tables: Tables) -> list[str]:
-    """Return all errors, as `path: what is wrong; allowed: ...`; none if the configuration can be used."""
+    """Return all errors, as `path: problem; allowed: ...`; empty if the configuration is valid."""
     errors = list(find_errors(tables, Configuration))
     if not errors:
         try:
             parse(tables, lambda unknown: None)
-        except ConfigError as error:  # several keys together can't be used
+        except ConfigError as error:  # inconsistency across several keys
             errors.append(str(error))
     return errors
 
 
 def parse(tables: Tables, on_unknown: Callable[[str], None]) -> Config:
-    """Return the configuration in valid tables; ConfigError or msgspec.ValidationError on the first error."""
+    """Convert valid tables; ConfigError or msgspec.ValidationError on the first error."""
     configuration = msgspec.convert(tables, type=Configuration)
     plain = with_durations_in_ms(msgspec.to_builtins(configuration), Configuration)
     return read_config(json.dumps(plain), on_unknown)
--- a/loadbalancer/configuration/units.py
+++ b/loadbalancer/configuration/units.py
@@ -1,4 +1,4 @@
-"""Durations of a configuration, with units or in milliseconds."""
+"""Converts the durations of a configuration, with units or in milliseconds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def duration_ms(value: float | str) -> float:
-    """Return a duration in ms; a text has a unit. ValueError if it is none."""
+    """Return a duration in ms; a string has a unit. ValueError if it is not a duration."""
     if not isinstance(value, str):
         return float(value)
     unit = "ms" if value.endswith("ms") else value[-1]
@@ -19,7 +19,7 @@
 
 
 def with_durations_in_ms(value: Any, kind: Any) -> Any:
-    """Return a value of a model's type, with each duration in it as a number of ms."""
+    """Return a value of a model type with each of its durations converted to ms."""
     bare = bare_type(kind)
     if kind == model.Duration:
         return duration_ms(value)
--- a/loadbalancer/configuration/validation.py
+++ b/loadbalancer/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Finds all errors of a configuration at once, each with its path and what is allowed there."""
+"""Finds all errors of a configuration, each with its path and the allowed values."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 _BOUNDS = (("ge", "at least"), ("gt", "above"), ("le", "at most"))
 _SPECIAL_TYPES = (
-    (model.Duration, 'milliseconds, or a text such as "250ms", "1.5s" or "2m"'),
+    (model.Duration, 'milliseconds, or a string such as "250ms", "1.5s" or "2m"'),
     (model.Address, "an address such as 127.0.0.1:8080"),
     (model.AddressOrNone, 'an address such as 127.0.0.1:9901, or ""'),
 )
-_PLAIN_TYPES = {str: "a text", float: "a number", int: "a whole number", bool: "true or false"}
+_PLAIN_TYPES = {str: "a string", float: "a number", int: "an integer", bool: "true or false"}
 
 
 def find_errors(value: Any, kind: Any, path: str = "") -> Iterator[str]:
-    """Yield each error of a value as `path: what is wrong; allowed: ...`, one line each."""
+    """Yield each error of a value as a line `path: problem; allowed: ...`."""
     bare = bare_type(kind)
     if is_table_type(bare):
         yield from _find_table_errors(value, bare, path)
@@ -46,7 +46,7 @@
     hints = get_type_hints(kind, include_extras=True)
     for name in value:
         if name not in known:
-            yield f"{_join(path, name)}: no such key; allowed: {', '.join(known)}"
+            yield f"{_join(path, name)}: unknown key; allowed: {', '.join(known)}"
     for name, field in known.items():
         if name in value:
             yield from find_errors(value[name], hints[name], _join(path, name))
@@ -55,12 +55,14 @@
 
 
 def _join(path: str, name: str) -> str:
-    shown = name if name.isprintable() else repr(name)  # an error is one line, whatever a key holds
+    shown = (
+        name if name.isprintable() else repr(name)
+    )  # keeps the error on one line even if a key has line breaks
     return f"{path}.{shown}" if path else shown
 
 
 def _describe_type(kind: Any) -> str:
-    """Return in words what a value of this type may be."""
+    """Return a description of the values allowed for a type."""
     for special, text in _SPECIAL_TYPES:
         if kind == special:
             return text
--- a/loadbalancer/membership/__init__.py
+++ b/loadbalancer/membership/__init__.py
@@ -1,11 +1,11 @@
-"""Membership of a tier: failure detection by messages of at most 256 bytes, after SWIM.
+"""Tier membership: SWIM failure detection with messages of at most 256 bytes.
 
     member = Membership(number=0, count=12, fleet_tag=b"abcd", seed=7)
     for action in member.start(now=0.0): ...          # SendMessage(recipient, payload) and SetTimer(at_ms)
     for action in member.handle_message(sender=3, data=payload, now=12.0): ...
 
-A sans-I/O core: no clock, socket or randomness but what it is given. `net` hosts it on UDP, `simulation` in
-virtual time. What it is for and what it is not for stands in docs/membership.md: no rule rests on it.
+Sans-I/O: clock, datagrams and random seed come from the host. `net` hosts it on UDP, `simulation` in virtual
+time. docs/membership.md describes its purpose and limits: no rule depends on it.
 """
 
 from loadbalancer.membership.actions import Action, SendMessage, SetTimer
--- a/loadbalancer/membership/actions.py
+++ b/loadbalancer/membership/actions.py
@@ -1,4 +1,4 @@
-"""What a member asks its host to do."""
+"""Actions that a member returns for its host to execute."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Call `Membership.handle_timer` at a time (ms), in place of any earlier one."""
+    """Call `Membership.handle_timer` at a time (ms); replaces any earlier timer."""
 
     at_ms: float
 
--- a/loadbalancer/membership/awareness.py
+++ b/loadbalancer/membership/awareness.py
@@ -1,7 +1,7 @@
 """A member's awareness of its own health, after Lifeguard (Dadgar, Phillips, Currey, 2018).
 
-A member that is itself slow, was paused or has lost its link sees all others fail. So each suspicion that it
-raises, and each timer that comes late, stretches its timeouts, and each acknowledgement in time shrinks them.
+A member that is slow, was paused or has lost its link sees all others fail. Each suspicion that it raises and
+each late timer therefore extends its timeouts; each timely acknowledgement shortens them.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Awareness:
-    """A score from 0, healthy, to one below `MAX_TIME_MULTIPLIER`."""
+    """The local health score, from 0 (healthy) to `MAX_TIME_MULTIPLIER` - 1."""
 
     __slots__ = ("score",)
 
@@ -19,13 +19,13 @@
 
     @property
     def time_multiplier(self) -> float:
-        """The factor by which all timeouts are stretched."""
+        """The factor applied to all timeouts."""
         return 1.0 + self.score
 
     def worsen(self, points: int) -> None:
-        """Count a sign that we are the one that is slow."""
+        """Add points for an indication that this member itself is slow."""
         self.score = min(self.score + points, MAX_TIME_MULTIPLIER - 1)
 
     def improve(self) -> None:
-        """Count an acknowledgement in time."""
+        """Lower the score by one for a timely acknowledgement."""
         self.score = max(self.score - 1, 0)
--- a/loadbalancer/membership/messages.py
+++ b/loadbalancer/membership/messages.py
@@ -1,8 +1,8 @@
-"""The gossip message: MessagePack (https://msgpack.org) in at most 256 bytes, as PROTOCOL allows.
+"""The gossip message: MessagePack (https://msgpack.org), at most 256 bytes as PROTOCOL allows.
 
 An array: the fleet's tag, the kind, a sequence number, the sender's number and incarnation, the target of an
-indirect ping (or -1), and updates on members as (number, state, incarnation). The order is the wire's; the
-fields' names are our own.
+indirect ping (or -1), and updates about members as (number, state, incarnation). The field order is part of
+the wire format; the field names are not.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 import msgspec
 
 MAX_MESSAGE_BYTES = 256
-MAX_UPDATE_BYTES = 12  # the most that one update takes
-MAX_HEADER_BYTES = 40  # the most that all the rest takes
+MAX_UPDATE_BYTES = 12  # maximum encoded size of one update
+MAX_HEADER_BYTES = 40  # maximum encoded size of all other fields
 MAX_UPDATES = (MAX_MESSAGE_BYTES - MAX_HEADER_BYTES) // MAX_UPDATE_BYTES
 FLEET_TAG_BYTES = 4
 MAX_MEMBER_STATE = 3
-# Numbers from the wire are bounded, so that what is passed on stays within `MAX_UPDATE_BYTES`.
+# Bounds on received numbers, so that relayed updates stay within `MAX_UPDATE_BYTES`.
 _MEMBER_NUMBER_LIMIT = 1 << 20
 _COUNTER_LIMIT = 1 << 32
 
 
 class MessageKind(enum.IntEnum):
-    """What a message asks or answers, in SWIM's terms."""
+    """The message kinds of SWIM."""
 
     PING = 0
     ACK = 1
-    PING_REQUEST = 2  # ping the target for me
+    PING_REQUEST = 2  # asks the recipient to ping the target (SWIM's ping-req)
 
 
 class MemberUpdate(NamedTuple):
-    """One claim about a member's state; an array on the wire."""
+    """A claim about a member's state; encoded as an array."""
 
     number: int
     state: int
@@ -40,7 +40,7 @@
 
 
 class GossipMessage(msgspec.Struct, array_like=True, frozen=True):
-    """A message as it is sent."""
+    """A gossip message; encoded as an array."""
 
     fleet_tag: bytes
     kind: int
@@ -52,7 +52,7 @@
 
 
 class MessageDecodeError(ValueError):
-    """A message that is dropped; the text is the one word under which it is counted."""
+    """A received message is dropped; the text is the one-word reason under which it is counted."""
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -60,15 +60,15 @@
 
 
 def encode_message(message: GossipMessage) -> bytes:
-    """Return the bytes of a message; ValueError if they are too many, which no message of ours is."""
+    """Encode a message; ValueError if it is too long, which `MAX_UPDATES` rules out."""
     data = _encoder.encode(message)
     if len(data) > MAX_MESSAGE_BYTES:
-        raise ValueError(f"a message of {len(data)} bytes; {MAX_MESSAGE_BYTES} are allowed")
+        raise ValueError(f"message has {len(data)} bytes; at most {MAX_MESSAGE_BYTES} are allowed")
     return data
 
 
 def decode_message(data: bytes, fleet_tag: bytes, count: int) -> GossipMessage:
-    """Return a message of a fleet of `count` members; MessageDecodeError names why it is none."""
+    """Decode a message of a fleet of `count` members; MessageDecodeError names the reason."""
     if len(data) > MAX_MESSAGE_BYTES:
         raise MessageDecodeError("long")
     try:
--- a/loadbalancer/membership/swim.py
+++ b/loadbalancer/membership/swim.py
@@ -1,9 +1,9 @@
-"""Failure detection after SWIM (Das, Gupta, Motivala, 2002), with Lifeguard's awareness of oneself.
+"""Failure detection after SWIM (Das, Gupta, Motivala, 2002), with Lifeguard's local health awareness.
 
-Each period a member pings another, in an order shuffled anew each round. Who does not answer is pinged by way
-of three others. Who is still silent is suspected, and pinged again, directly and by way of fresh others, some
-times more; only who has failed all of these, at one and the same member, is declared dead. Updates travel
-with the messages; the member concerned refutes them by a higher incarnation.
+Each period a member pings another one, in an order reshuffled each round. If there is no answer, it asks
+three others to ping the target. A target that stays silent is suspected and probed some more times, directly
+and through newly chosen relays; it is declared dead only if all of these rounds by the same member fail.
+Updates are piggybacked on messages; the member concerned refutes a false one by a higher incarnation.
 """
 
 from __future__ import annotations
@@ -18,34 +18,36 @@
 from loadbalancer.membership.member_table import MemberState, MemberTable
 from loadbalancer.membership.messages import GossipMessage, MessageKind
 
-PROBE_PERIOD_MS = 250.0  # one probe of each member; 99 in 100 are probed by somebody within 4.6 of them
-ACK_TIMEOUT_MS = 100.0  # two ways of 35 ms at most, and a loop that is busy
-MAX_RELAYS_PER_PROBE = 3  # ping for us where a direct ping was not answered
-MAX_PROBE_ROUNDS = 3  # of direct and indirect pings, after which a silent member is dead
+PROBE_PERIOD_MS = (
+    250.0  # each member sends one probe; 99% of members are probed by some peer within 4.6 periods
+)
+ACK_TIMEOUT_MS = 100.0  # round trip of at most 2 x 35 ms, plus a busy event loop
+MAX_RELAYS_PER_PROBE = 3  # members asked for an indirect ping after a direct one failed
+MAX_PROBE_ROUNDS = 3  # rounds of direct and indirect pings before a silent member is declared dead
 ROUND_TIMEOUT_MS = 200.0
-PAUSE_DETECTION_MS = 500.0  # a timer that is this late says that we were paused
-DEAD_PROBE_INTERVAL_PERIODS = 4  # one of the dead is pinged, so that a healed partition is seen
-MAX_LEAVE_MESSAGES = 6  # members that hear of our leaving from us; gossip carries it on
-MAX_RELAYED_PINGS = 256  # pings that we carry for others at once
-SUSPICION_RECHECK_MS = 10_000.0  # a suspicion that nobody confirms or refutes is probed again
-PAUSE_PENALTY = 2  # points of awareness; a suspicion costs one
+PAUSE_DETECTION_MS = 500.0  # a timer this late means that the process was paused
+DEAD_PROBE_INTERVAL_PERIODS = 4  # a dead member is pinged this often, to detect a healed partition
+MAX_LEAVE_MESSAGES = 6  # members notified directly of a leave; gossip spreads it further
+MAX_RELAYED_PINGS = 256  # maximum concurrent pings on behalf of others
+SUSPICION_RECHECK_MS = 10_000.0  # a suspicion neither confirmed nor refuted is probed again
+PAUSE_PENALTY = 2  # awareness points; a suspicion adds one
 NO_TARGET = -1
 
 
 @dataclass(slots=True)
 class Probe:
-    """A member whose acknowledgement we wait for."""
+    """A probe that awaits its target's acknowledgement."""
 
     target: int
     sequence: int
     next_step_ms: float
-    is_relayed: bool = False  # whether others were asked to ping it
+    is_relayed: bool = False  # whether others were asked to ping the target
     failed_rounds: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedPing:
-    """A ping that we sent for another member: who asked, and under which sequence number."""
+    """A ping sent on behalf of another member: the requester, and its sequence number."""
 
     requester: int
     sequence: int
@@ -53,7 +55,7 @@
 
 @dataclass(slots=True)
 class MessageCounts:
-    """Messages sent, received, and dropped by cause."""
+    """Counts of messages sent, received, and dropped by reason."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -62,12 +64,14 @@
 
 
 class Membership:
-    """One member: feed it messages and timers, carry out the actions that it returns. Times are in ms."""
+    """One member: handles messages and timers, and returns actions to execute. Times are in ms."""
 
     def __init__(self, number: int, count: int, fleet_tag: bytes, seed: int, now: float = 0.0) -> None:
-        """`number` of `count` members; `fleet_tag` are four bytes that all of them share."""
+        """`number` is the index among `count` members; all share the four bytes of `fleet_tag`."""
         if not 0 <= number < count or len(fleet_tag) != messages.FLEET_TAG_BYTES:
-            raise ValueError(f"member {number} of {count}, with a tag of {len(fleet_tag)} bytes")
+            raise ValueError(
+                f"invalid member number {number} of {count}, or fleet tag of {len(fleet_tag)} bytes"
+            )
         self.table = MemberTable(number, count, now)
         self.counts = MessageCounts()
         self.awareness = Awareness()
@@ -76,7 +80,7 @@
         self._random = random.Random(seed)
         self._sequence = self._random.randrange(1 << 16)
         self._probes: dict[int, Probe] = {}
-        self._relayed: dict[int, RelayedPing] = {}  # by our sequence number
+        self._relayed: dict[int, RelayedPing] = {}  # by the sequence number of our ping
         self._probe_order: list[int] = []
         self._next_period_ms = now
         self._timer_at_ms = now
@@ -85,12 +89,12 @@
         self._actions: list[Action] = []
 
     def start(self, now: float) -> list[Action]:
-        """Begin, at a random moment of the first period."""
+        """Start probing at a random offset into the first period."""
         self._next_period_ms = now + self._random.random() * PROBE_PERIOD_MS
         return self._take_actions(now)
 
     def handle_timer(self, now: float) -> list[Action]:
-        """Handle the timer, on time or late."""
+        """Handle the timer, which may be late."""
         if self._is_stopped:
             return []
         if now - self._timer_at_ms > PAUSE_DETECTION_MS:
@@ -104,7 +108,7 @@
         return self._take_actions(now)
 
     def handle_message(self, sender: int, data: bytes, now: float) -> list[Action]:
-        """Handle a datagram from the address of a member; one that can't be used is counted and dropped."""
+        """Handle a datagram from a member's address; an unusable one is counted and dropped."""
         try:
             message = messages.decode_message(data, self._fleet_tag, self.table.count)
             if message.sender != sender or sender == self._number:
@@ -127,7 +131,7 @@
         return self._take_actions(now)
 
     def leave(self, now: float) -> list[Action]:
-        """Tell some members that we leave on purpose, and send nothing more from then on."""
+        """Notify some members of an intentional leave, and send nothing afterwards."""
         self.table.leave(now)
         for recipient in self._sample_members(MAX_LEAVE_MESSAGES):
             self._send(recipient, MessageKind.PING, self._next_sequence(), includes_own_update=True)
@@ -136,7 +140,7 @@
         return actions
 
     def _begin_period(self, now: float) -> None:
-        """Probe the next member, and now and then one of the dead."""
+        """Probe the next member, and in every few periods ping a dead one."""
         self._next_period_ms = now + PROBE_PERIOD_MS * self.awareness.time_multiplier
         self._period_count += 1
         self._relayed = dict(list(self._relayed.items())[-MAX_RELAYED_PINGS // 2 :])
@@ -159,7 +163,7 @@
         self._send(target, MessageKind.PING, sequence)
 
     def _advance_probe(self, probe: Probe, now: float) -> None:
-        """Take the next step of a probe that was not answered in time: relays, suspicion, death."""
+        """Advance an unanswered probe: indirect pings, then suspicion, then declaring the target dead."""
         target = probe.target
         if self.table.state(target) > MemberState.SUSPECTED:
             del self._probes[target]
@@ -183,19 +187,19 @@
         probe.next_step_ms = now + ROUND_TIMEOUT_MS * self.awareness.time_multiplier
 
     def _request_pings(self, probe: Probe) -> None:
-        """Ask random others to ping the target for us."""
+        """Ask random other members to ping the target."""
         for relay in self._sample_members(MAX_RELAYS_PER_PROBE, excluded=probe.target):
             self._send(relay, MessageKind.PING_REQUEST, probe.sequence, probe.target)
 
     def _other_members(self, excluded: int | None = None) -> list[int]:
         return [n for n in self.table.active_members if n not in (self._number, excluded)]
 
-    def _sample_members(self, most: int, excluded: int | None = None) -> list[int]:
+    def _sample_members(self, limit: int, excluded: int | None = None) -> list[int]:
         others = self._other_members(excluded)
-        return self._random.sample(others, min(most, len(others)))
+        return self._random.sample(others, min(limit, len(others)))
 
     def _handle_ack(self, message: GossipMessage) -> None:
-        """End the probe that was acknowledged, or pass the acknowledgement on to who asked us to ping."""
+        """End the acknowledged probe, or forward the acknowledgement to the requester of a relayed ping."""
         if relayed := self._relayed.pop(message.sequence, None):
             self._send(relayed.requester, MessageKind.ACK, relayed.sequence, message.sender)
             return
@@ -206,7 +210,7 @@
             self.awareness.improve()
 
     def _recheck_suspicions(self, now: float) -> None:
-        """Probe again who is long suspected, unconfirmed and unrefuted: who suspected it may be dead."""
+        """Probe long-suspected members again: the member that suspected them may be dead."""
         for number in self.table.members_in_state(MemberState.SUSPECTED):
             record = self.table.records[number]
             if now - record.state_since_ms > SUSPICION_RECHECK_MS and number not in self._probes:
@@ -214,13 +218,13 @@
                 self._begin_probe(number, now)
 
     def _recover_from_pause(self, now: float) -> None:
-        """Drop all probes: we were not there, and who did not answer meanwhile has not failed."""
+        """Discard all probes: acknowledgements may have been missed during the pause."""
         self._probes.clear()
         self._next_period_ms = now
         self.awareness.worsen(PAUSE_PENALTY)
 
     def _apply_updates(self, message: GossipMessage, now: float) -> None:
-        """Take the updates of a message; refute what is claimed of ourselves."""
+        """Apply the updates in a message; refute false claims about this member."""
         self.table.records[message.sender].last_message_at_ms = now
         self.table.apply_update(message.sender, MemberState.ALIVE, message.incarnation, now)
         for number, state, incarnation in message.updates:
@@ -256,7 +260,7 @@
         return self._sequence
 
     def _take_actions(self, now: float) -> list[Action]:
-        """Return the actions that have gathered, and when the timer is to come."""
+        """Return the pending actions, and the action that sets the next timer."""
         steps = [probe.next_step_ms for probe in self._probes.values()]
         self._timer_at_ms = min([self._next_period_ms, *steps])
         actions, self._actions = self._actions, []
--- a/loadbalancer/net/endpoint_list.py
+++ b/loadbalancer/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as this balancer has it: what was received, its revision, and where it is from."""
+"""The balancer's current endpoint list: the endpoints received, their revision, and their source."""
 
 from __future__ import annotations
 
@@ -18,12 +18,14 @@
 from loadbalancer.net.upstream_pool import UpstreamPools
 from loadbalancer.policy import Balancer
 
-MAX_REMEMBERED_SERVERS = 20_000  # that were ever listed: operators may cordon an ID that a list once named
-FIRST_RESPONSE_TIMEOUT_S = 1.5  # after a takeover; the list of the older process is used from then on
+MAX_REMEMBERED_SERVERS = (
+    20_000  # servers ever listed, because operators may cordon a server that is no longer listed
+)
+FIRST_RESPONSE_TIMEOUT_S = 1.5  # after a takeover; then the predecessor's list is used
 
 
 class EndpointListFollower:
-    """Owns the endpoints, and the watch that updates them."""
+    """Owns the endpoints and the discovery watch that updates them."""
 
     def __init__(
         self,
@@ -36,10 +38,10 @@
         needs_full_list: bool,
         snapshot_written_ms: float | None,
     ) -> None:
-        """Create an empty list.
+        """Start with an empty list.
 
-        `needs_full_list` has the watch begin with a full list, whatever the configuration holds;
-        `snapshot_written_ms` is the time of the snapshot that this process goes on from, if it does.
+        `needs_full_list` makes the watch begin with a full list even if the configuration has one;
+        `snapshot_written_ms` is when the snapshot from which this process resumes, if any, was written.
         """
         self._config = config
         self._balancer = balancer
@@ -49,8 +51,8 @@
         self._snapshot_written_ms = snapshot_written_ms
         self.endpoints: dict[str, AddressedEndpoint] = {}
         self.revision = 0
-        self._remembered_servers: dict[str, None] = {}  # that lists have named, the newest last
-        self._first_response = asyncio.Event()  # set once the watch has had a response, or failed
+        self._remembered_servers: dict[str, None] = {}  # servers ever listed, most recent last
+        self._first_response = asyncio.Event()  # set after the first response or failure of the watch
         self.discovery = DiscoveryClient(
             config,
             self.on_watch_update,
@@ -61,36 +63,36 @@
         self.discovery.on_request_failed = self.on_request_failed
 
     def start(self) -> None:
-        """Begin to watch the list, where it is pushed."""
+        """Start the watch if the list is pushed."""
         self.discovery.start()
 
     def watch(self) -> None:
-        """Begin to watch the list, or ask again after a failure."""
+        """Start the watch, or restart it after a failure."""
         self.discovery.subscribe()
 
     def apply_configuration(self, config: Config) -> None:
-        """Watch the list that a new configuration names."""
+        """Apply a new configuration to the watch."""
         self._config = config
         self.discovery.reconfigure(config.discovery, config.registry)
 
     async def wait_for_first_response(self) -> None:
-        """Wait until the watch has had a response or has failed, for a bounded time."""
+        """Wait for the first response or failure of the watch, for at most `FIRST_RESPONSE_TIMEOUT_S`."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FIRST_RESPONSE_TIMEOUT_S):
                 await self._first_response.wait()
 
     def on_watch_update(self, update: EndpointList) -> bool:
-        """Handle an update of the watch; return whether it was accepted as it is."""
+        """Handle an update from the watch; return False if it is suspected to be stale."""
         self._first_response.set()
         return self.apply(UpdateKind.FULL_SNAPSHOT if update.is_full_snapshot else UpdateKind.DELTA, update)
 
     def on_watch_failed(self) -> None:
-        """Handle that a request of the watch has failed."""
+        """Handle a failure of the watch."""
         self._first_response.set()
         self._dispatch(self.discovery.failure_update())
 
     def on_request_failed(self, request: ListRequest, duration_s: float, error: Exception) -> None:
-        """Log a request that failed: what it asked and how long it took tell a crowd from an outage."""
+        """Log a failed request with its kind and duration, which distinguish congestion from an outage."""
         self._log.event(
             "list_request_failed",
             "a request for the endpoint list failed",
@@ -100,12 +102,12 @@
         )
 
     def apply_cached(self, known: EndpointList) -> None:
-        """Go on from the list of another process or a snapshot, unless the configured one is newer."""
+        """Apply the list of another process or a snapshot, unless the configured list is newer."""
         if known.endpoints and known.index >= self._config.initial_list.index:
             self.apply(UpdateKind.CACHED, known)
 
     def apply(self, kind: UpdateKind, update: EndpointList) -> bool:
-        """Apply an update here, at the connection pools and in the decision module.
+        """Apply an update to this list, the connection pools and the decision module.
 
         Return False if it is suspected to be stale: the decision module then keeps servers that it omits.
         """
@@ -134,7 +136,7 @@
     def _with_addresses(
         self, event: interface.EndpointListUpdate, update: EndpointList
     ) -> tuple[AddressedEndpoint, ...]:
-        """Return the endpoints that the decision module made of an update, each with its address."""
+        """Return the endpoints of an event from the decision module, each with its address."""
         addresses = {
             endpoint.endpoint.server: endpoint.address
             for endpoint in (*self.endpoints.values(), *update.endpoints)
@@ -148,20 +150,20 @@
         self._remembered_servers[server] = None
 
     def was_ever_listed(self, server: str) -> bool:
-        """Return whether a list has named this server, as far back as is remembered."""
+        """Return whether any list named this server, among the last `MAX_REMEMBERED_SERVERS`."""
         return server in self._remembered_servers
 
     def current(self) -> EndpointList:
-        """Return the list as a full one."""
+        """Return the current list as a full snapshot."""
         return EndpointList(self.revision, True, tuple(self.endpoints.values()))
 
     def record_outcome(self, server: str, outcome: Outcome) -> None:
-        """Record the outcome of an attempt: it may contradict what the list says of the server."""
+        """Record the outcome of an attempt, which may contradict the listed state of the server."""
         if self._config.registry is not None:
             self.discovery.contradictions.record_outcome(server, outcome, asyncio.get_running_loop().time())
 
     def report(self) -> EndpointListReport:
-        """Return where the list is from, how old it is, and which servers it omits that are in use."""
+        """Return the list's source and age, and the servers in use that it omits."""
         watch = self.discovery.status()
         host, port = watch.address
         source = f"{host}:{port}"
--- a/loadbalancer/net/endpoint_list_codec.py
+++ b/loadbalancer/net/endpoint_list_codec.py
@@ -1,6 +1,6 @@
-"""The endpoint list in discovery's JSON form, which the hand-over and the configuration use too.
+"""Codec for the discovery JSON format of the endpoint list, also used by hot restarts and the configuration.
 
-The keys and words are the platform's; they differ from the fields' names.
+Keys and status values follow the platform's API and differ from the field names.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 
 
 def decode_endpoint_list(response: Mapping[str, Any]) -> EndpointList:
-    """Return the list in a response of discovery; ValueError if it holds none."""
+    """Decode the list in a discovery response; ValueError if it is invalid."""
     try:
         endpoints = tuple([_decode_endpoint(entry) for entry in response["endpoints"]])
         if len({endpoint.endpoint.server for endpoint in endpoints}) < len(endpoints):
-            raise ValueError("a server is listed twice")
+            raise ValueError("duplicate server in the endpoint list")
         return EndpointList(int(response["index"]), bool(response["snapshot"]), endpoints)
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise ValueError(f"not a server list: {type(error).__name__}: {error}") from error
+        raise ValueError(f"invalid endpoint list: {type(error).__name__}: {error}") from error
 
 
 def encode_endpoint_list(endpoint_list: EndpointList) -> dict[str, Any]:
-    """Return a list in discovery's form, as `decode_endpoint_list` takes it."""
+    """Encode a list in the format that `decode_endpoint_list` reads."""
     return {
         "index": endpoint_list.index,
         "snapshot": endpoint_list.is_full_snapshot,
@@ -44,11 +44,11 @@
 def _decode_endpoint(entry: Mapping[str, Any]) -> AddressedEndpoint:
     name = entry["name"]
     if not isinstance(name, str) or not name or name != "".join(name.split()):
-        raise ValueError(f"{name!r} names no server")
+        raise ValueError(f"{name!r} is not a valid server name")
     weight = float(entry.get("weight") or 1.0)
     started_at_ms = float(entry.get("since_ms") or 0.0)
     if not (math.isfinite(weight) and math.isfinite(started_at_ms)):
-        raise ValueError(f"entry {name!r} holds figures that are none")
+        raise ValueError(f"entry {name!r} has a weight or start time that is not finite")
     endpoint = Endpoint(
         server=name,
         readiness=_READINESS_BY_STATUS[entry["status"]],
--- a/loadbalancer/net/interest_subscription.py
+++ b/loadbalancer/net/interest_subscription.py
@@ -1,11 +1,11 @@
-"""What a balancer's calls for the list request, and what their answers hold of that.
+"""The interest part of list requests: query parameters of requests, and views in answers.
 
     interest = InterestSubscription(config, has_full_list=False, log=print)
-    interest.query_parameters(now)          # beside the version and the wait
-    view = interest.read_view(answer)       # ValueError if it answers something else
-    interest.record_answer(view)            # the answer has been taken
+    interest.query_parameters(now)          # in addition to version and wait
+    view = interest.read_view(answer)       # ValueError if it was not requested
+    interest.record_answer(view)            # after the answer was accepted
 
-Without services it requests the tier that is configured, if any, and reads nothing of the answers.
+Without services it requests the configured tier, if any, and ignores views in answers.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerView:
-    """What is held with an answer."""
+    """The view that results from an answer."""
 
     encoded_view: str
-    """As the service encodes it."""
+    """As encoded by the service."""
     supports_interests: bool
-    """Whether its service knows interests."""
+    """Whether the service supports interests."""
 
 
 NO_VIEW = AnswerView(encoded_view="", supports_interests=True)
-"""Where no services are requested."""
+"""The view if no services are requested by name."""
 
 
 class InterestSubscription:
     """One balancer's interest in the list."""
 
     def __init__(self, config: Config, has_full_list: bool, log: Callable[[str], None]) -> None:
-        """`has_full_list` if a list is at hand, for any interest; `log` takes unsupported requests."""
+        """`has_full_list` if a list is known for any interest; `log` reports unsupported requests."""
         self._tier = config.registry.tier if config.registry else ""
         self._subscription = _subscription(config, has_full_list)
         self._log = log
@@ -56,55 +56,55 @@
         return self._subscription is None or self._subscription.supports_interests
 
     def accepts_late_answer(self, request: ListRequest) -> bool:
-        """Return whether the answer of a call that was given up is of use.
+        """Return whether a late answer to a timed-out call can be used.
 
-        With interests it would depend on what was requested at that time.
+        With interests it cannot, because it depends on what was requested at that time.
         """
         return self._subscription is None and not request.is_long_poll
 
     def change_interest(self, registry: RegistryConfig | None) -> bool:
-        """Follow a configuration; return whether it requests other services, or another subset, by name."""
+        """Apply a configuration; return whether it changes the named services or the subset size."""
         if self._subscription is None or registry is None or not registry.services:
             return False
         return self._subscription.change_interest(registry.services, registry.subset_size)
 
     def query_parameters(self, now: float) -> list[str]:
-        """Return the query's parameters for what is requested and what is held."""
+        """Return the query parameters for the interest and the current view."""
         if self._subscription is not None:
             return self._subscription.query_parameters(now)
         return [f"tier={self._tier}"] if self._tier else []
 
     def raise_if_rate_limited(self, status: int, body: bytes) -> None:
-        """Raise RateLimitedError if an answer that is no list says when to retry."""
+        """Raise RateLimitedError if an error response says when to retry."""
         if self._subscription is not None:
             self._subscription.raise_if_rate_limited(status, body)
 
     def read_view(self, answer: Mapping[str, Any]) -> AnswerView:
-        """Return what is held with an answer; ValueError if it answers something else."""
+        """Return the view that results from an answer; ValueError if it was not requested."""
         if self._subscription is None:
             return NO_VIEW
         return AnswerView(self._subscription.read_view(answer), "services" in answer)
 
     def record_answer(self, view: AnswerView) -> None:
-        """Take over an answer's view."""
+        """Adopt an answer's view."""
         if self._subscription is not None:
             self._subscription.record_answer(view.encoded_view, view.supports_interests)
             self._log_once("" if view.supports_interests else INTERESTS_UNSUPPORTED)
 
     def record_rate_limit(self, error: RateLimitedError) -> None:
-        """Present the ticket with the next request."""
+        """Send the ticket with the next request."""
         if self._subscription is not None:
             self._subscription.record_rate_limit(error)
 
     def record_failure(self, address: Address, began: float, error: Exception) -> None:
-        """Record that a call to an instance, which `began` at that time, has failed."""
+        """Record the failure of a call to an instance that `began` at the given time."""
         if self._subscription is not None:
             self._subscription.record_failure(address, began)
             if isinstance(error, ValueError):
                 self._log_once(str(error))
 
     def _log_once(self, text: str) -> None:
-        """Log what is wrong with a service's answers, unless that was logged last; empty for nothing."""
+        """Log a problem with a service's answers unless it was logged last; empty if there is none."""
         if text and text != self._last_logged:
             self._log(text)
         self._last_logged = text
--- a/loadbalancer/net/membership.py
+++ b/loadbalancer/net/membership.py
@@ -1,6 +1,6 @@
-"""Membership on UDP: hosts the core of `loadbalancer.membership`, and decides nothing.
+"""Membership on UDP: hosts the sans-I/O core of `loadbalancer.membership`.
 
-Off unless the configuration says `membership` and the settings allow gossip; nothing is then bound or sent.
+Disabled, without a bound socket, unless the configuration sets `membership` and the settings allow gossip.
 """
 
 from __future__ import annotations
@@ -17,23 +17,23 @@
 from loadbalancer.net.config import Config
 from loadbalancer.net.reports import MembershipReport
 
-MAX_DATAGRAMS_PER_READ = 64  # then others on the loop have their turn
+MAX_DATAGRAMS_PER_READ = 64  # then yields to other handlers on the event loop
 
 
 def fleet_tag(config: Config) -> bytes:
-    """Return four bytes that all balancers of one tier share, and those of another kind do not."""
+    """Return four bytes that identify the tier by its index, size and request classes."""
     settings = config.settings
     text = f"{settings.tier}/{len(config.peers)}/{','.join(c.name for c in settings.classes)}"
     return zlib.crc32(text.encode()).to_bytes(4, "big")
 
 
 class MembershipHost:
-    """Our UDP socket, our timer, and the member behind them."""
+    """The UDP socket and the timer of one member."""
 
     def __init__(
         self, config: Config, listen: Address, loop: asyncio.AbstractEventLoop, now: Callable[[], float]
     ) -> None:
-        """`now` returns ms; the member knows nothing at each `start`."""
+        """`now` returns ms; each `start` begins with a new member without state."""
         self._config = config
         self._listen = listen
         self._loop = loop
@@ -42,11 +42,11 @@
         self._socket: socket.socket | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._start_count = 0
-        self.unknown_sender_count = 0  # datagrams from addresses that are no member's
+        self.unknown_sender_count = 0  # datagrams from addresses other than the members'
         self.member = self._new_member()
 
     def start(self) -> str:
-        """Take part from now on; return a line on what went wrong, if we can't."""
+        """Join the tier; return an error message if the address cannot be bound, else an empty string."""
         if self._socket is not None:
             return ""
         family = socket.AF_INET6 if ":" in self._listen[0] else socket.AF_INET
@@ -55,21 +55,21 @@
             sock.bind(self._listen)
         except OSError as error:
             sock.close()
-            return f"we take no part among the peers: {error}"
+            return f"cannot bind the gossip address: {error}"
         self._socket = sock
         self._loop.add_reader(sock, self._receive)
         self.member = self._new_member()
-        self._carry_out(self.member.start(self._now()))
+        self._execute(self.member.start(self._now()))
         return ""
 
     def leave(self) -> None:
-        """Tell the others that we leave on purpose, and stop."""
+        """Notify the other members of an intentional leave, and stop."""
         if self._socket is not None:
-            self._carry_out(self.member.leave(self._now()))
+            self._execute(self.member.leave(self._now()))
         self.stop()
 
     def stop(self) -> None:
-        """Send nothing more: another process speaks in our name, or we end."""
+        """Stop without a notification: a successor process takes over, or this one ends."""
         if self._timer is not None:
             self._timer.cancel()
         if self._socket is not None:
@@ -78,7 +78,7 @@
             self._socket = None
 
     def report(self) -> MembershipReport:
-        """Return what is known of each member, and the messages sent, received and dropped."""
+        """Return the view of each member, and the counts of messages sent, received and dropped."""
         return membership_report.report_membership(
             self.member,
             self._now(),
@@ -87,7 +87,7 @@
         )
 
     def count_by_state(self) -> dict[str, int]:
-        """Return how many members are in each state, by the words that operators read."""
+        """Return the number of members in each state, by state label."""
         return membership_report.count_by_state(self.member.table)
 
     def _new_member(self) -> Membership:
@@ -106,23 +106,23 @@
                 return
             try:
                 data, sender = self._socket.recvfrom(MAX_MESSAGE_BYTES + 1)
-            except OSError:  # nothing more is there, or a datagram of ours was refused
+            except OSError:  # nothing left to read, or an ICMP error for a datagram that we sent
                 return
             number = self._numbers.get((sender[0], sender[1]))
             if number is None:
                 self.unknown_sender_count += 1
             else:
-                self._carry_out(self.member.handle_message(number, data, self._now()))
+                self._execute(self.member.handle_message(number, data, self._now()))
 
     def _handle_timer(self) -> None:
-        self._carry_out(self.member.handle_timer(self._now()))
+        self._execute(self.member.handle_timer(self._now()))
 
-    def _carry_out(self, actions: Iterable[Action]) -> None:
+    def _execute(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
                 case SendMessage(recipient, payload):
                     if self._socket is not None:
-                        with contextlib.suppress(OSError):  # a datagram that can't be sent is a lost one
+                        with contextlib.suppress(OSError):  # an unsendable datagram counts as lost
                             self._socket.sendto(payload, self._config.peers[recipient])
                 case SetTimer(at_ms):
                     if self._timer is not None:
--- a/loadbalancer/net/membership_report.py
+++ b/loadbalancer/net/membership_report.py
@@ -1,4 +1,4 @@
-"""Membership as operators read it: the console's report, and the words for states in Prometheus' labels."""
+"""Membership for operators: the console report, and the state labels of Prometheus metrics."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
     MemberState.DEAD: "gone",
     MemberState.LEFT: "left",
 }
-"""The words for the states on the console, in Prometheus' labels and in drills."""
+"""State labels on the console, in Prometheus metrics and in drills."""
 
 
 def count_by_state(table: MemberTable) -> dict[str, int]:
-    """Return how many members are in each state, by the states' words."""
+    """Return the number of members in each state, by state label."""
     return {label: len(table.members_in_state(state)) for state, label in STATE_LABELS.items()}
 
 
 def report_membership(
     member: Membership, now: float, *, is_participating: bool, unknown_sender_count: int
 ) -> MembershipReport:
-    """Return what is known of each member, and the messages sent, received and dropped; `now` in ms."""
+    """Return the view of each member, and the message counts; `now` is in ms."""
     counts = member.counts
     return MembershipReport(
         own_index=member.table.number,
--- a/loadbalancer/net/snapshot_writer.py
+++ b/loadbalancer/net/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Saves what was learned at an interval and at the end, where the configuration names a folder."""
+"""Saves learned state periodically and at shutdown if the configuration names a folder."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SnapshotWriter:
-    """The snapshots of one balancer. A save that fails is logged once; it costs nothing but itself."""
+    """Writes one balancer's snapshots. A failed save is logged once and has no other effect."""
 
     def __init__(self, folder: Path, name: str, interval_ms: float, log: Log) -> None:
         self._store = SnapshotStore(folder, name)
@@ -23,22 +23,22 @@
         self._task: asyncio.Task[None] | None = None
 
     def load(self) -> Snapshot | None:
-        """Return the newest snapshot that can be read, if any; log each file that can't."""
+        """Return the newest readable snapshot, if any; log each unreadable file."""
         result = self._store.load()
         for error in result.errors:
             self._log.event("snapshot_unreadable", error)
         if result.snapshot is not None:
             age_s = max(time.time() - result.snapshot.written_at_ms / 1_000, 0.0)
-            self._log.event("snapshot_loaded", f"we go on from a snapshot, {age_s:.1f} s old")
+            self._log.event("snapshot_loaded", f"resuming from a snapshot, {age_s:.1f} s old")
         return result.snapshot
 
     def start(self, read_state: Callable[[], dict[str, object]]) -> None:
-        """Save what `read_state` returns from now on."""
+        """Start to save what `read_state` returns, at intervals."""
         self._read_state = read_state
         self._task = asyncio.get_running_loop().create_task(self._save_at_intervals())
 
     def close(self) -> None:
-        """Stop, and save for the last time."""
+        """Stop, and save a last time."""
         if self._task is not None:
             self._task.cancel()
             self._save(self._encode())
@@ -58,7 +58,7 @@
             self._store.save(data)
             self._logged_error = ""
         except OSError as error:
-            text = f"no snapshot is kept: {error}"
+            text = f"failed to save a snapshot: {error}"
             if text != self._logged_error:
                 self._log.event("snapshot_failed", text)
             self._logged_error = text
--- a/loadbalancer/snapshots/__init__.py
+++ b/loadbalancer/snapshots/__init__.py
@@ -1,11 +1,11 @@
-"""Snapshots of what a balancer has learned, which outlast its process: one serialization, two generations.
+"""Snapshots of a balancer's learned state, which persist across restarts in two generations.
 
     store = SnapshotStore(Path("/var/lib/irondrum"), "front-1")
     store.save(encode_snapshot(state, written_at_ms=now))
-    result = store.load()                 # the newest that can be read, of two generations
+    result = store.load()                 # the newest readable generation
     if result.snapshot: use(result.snapshot.state, age_ms=now - result.snapshot.written_at_ms)
 
-By the standard library alone, since every balancer may use it: JSON, and a digest by hashlib's BLAKE2.
+Uses only the standard library, since every balancer may load it: JSON, and a BLAKE2 digest from hashlib.
 """
 
 from loadbalancer.snapshots.codec import Snapshot, SnapshotDecodeError, decode_snapshot, encode_snapshot
--- a/loadbalancer/snapshots/codec.py
+++ b/loadbalancer/snapshots/codec.py
@@ -1,7 +1,7 @@
-"""The format of a snapshot: a header line that says what follows, then the state as JSON.
+"""The snapshot format: a header line that describes the body, then the state as JSON.
 
-The header holds the format's version (`form`), when the snapshot was written (`written_ms`, Unix ms), how
-many bytes follow and their digest. A later version may add fields to it; another number is for a format that
+The header holds the format version (`form`), the time of writing (`written_ms`, Unix ms), and the length and
+digest of the body. Later versions may add header fields; the version number changes only for a format that
 older programs must not read.
 """
 
@@ -19,12 +19,12 @@
 
 
 class SnapshotDecodeError(ValueError):
-    """Bytes that are no snapshot that we can use; one line says why."""
+    """The data is not a usable snapshot; the message is a single line."""
 
 
 @dataclass(frozen=True)
 class Snapshot:
-    """What was learned, and when that was written (Unix ms)."""
+    """The learned state, and when it was written (Unix ms)."""
 
     state: State
     written_at_ms: float
@@ -39,7 +39,7 @@
 
 
 def encode_snapshot(state: State, written_at_ms: float) -> bytes:
-    """Return the bytes of a snapshot."""
+    """Encode a snapshot."""
     body = json.dumps(state, separators=(",", ":")).encode()
     header = {
         "form": FORMAT_VERSION,
@@ -51,26 +51,26 @@
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """Return the snapshot in some bytes.
+    """Decode a snapshot.
 
-    SnapshotDecodeError if they are cut short, garbled, or of another format version.
+    SnapshotDecodeError if it is truncated, corrupted, or of another format version.
     """
     first_line, _, body = data.partition(b"\n")
     header = _decode_header(first_line)
     if header.format_version != FORMAT_VERSION:
         raise SnapshotDecodeError(
-            f"it is of form {header.format_version!r}; this program reads form {FORMAT_VERSION}"
+            f"unsupported format version {header.format_version!r}; expected {FORMAT_VERSION}"
         )
     if len(body) != header.body_bytes:
-        raise SnapshotDecodeError(f"it holds {len(body)} of {header.body_bytes} bytes")
+        raise SnapshotDecodeError(f"body has {len(body)} of {header.body_bytes} bytes")
     if _digest(body) != header.digest:
-        raise SnapshotDecodeError("its digest is another")
+        raise SnapshotDecodeError("body does not match its digest")
     try:
         state = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise SnapshotDecodeError("it is no JSON") from error
+        raise SnapshotDecodeError("body is not valid JSON") from error
     if not isinstance(state, dict):
-        raise SnapshotDecodeError("it is no object")
+        raise SnapshotDecodeError("body is not a JSON object")
     return Snapshot(state, header.written_at_ms)
 
 
@@ -79,7 +79,7 @@
         raw = json.loads(line)
         return _Header(raw["form"], float(raw["written_ms"]), raw["bytes"], raw["digest"])
     except (ValueError, KeyError, TypeError, RecursionError) as error:
-        raise SnapshotDecodeError("its first line is none of ours") from error
+        raise SnapshotDecodeError("invalid header line") from error
 
 
 def _digest(body: bytes) -> str:
--- a/loadbalancer/snapshots/store.py
+++ b/loadbalancer/snapshots/store.py
@@ -1,7 +1,7 @@
-"""A snapshot's files: written aside, synced, then put in place, with the one before it kept.
+"""Snapshot files: written to a draft, synced, then renamed into place, keeping the previous generation.
 
-At any moment one of the two generations is complete: a process that dies in the middle of a save leaves a
-draft, which the next save overwrites, or one generation less.
+At least one of the two generations is complete at any time: a process that dies during a save leaves a draft,
+which the next save overwrites, or one generation less.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 @dataclass(frozen=True)
 class LoadResult:
-    """The newest snapshot that can be read, and a line on each file that can't."""
+    """The newest readable snapshot, and an error line for each unreadable file."""
 
     snapshot: Snapshot | None
     errors: tuple[str, ...]
 
 
 class SnapshotStore:
-    """The snapshots of one balancer in a folder."""
+    """Stores the snapshots of one balancer in a folder."""
 
     def __init__(self, folder: Path, name: str) -> None:
-        """`name` may be any text; what no file name can hold is replaced."""
+        """`name` may be any text; characters unsafe in file names are replaced."""
         file_name = "".join(c if c.isalnum() or c in "-_." else "_" for c in name) or "balancer"
         self._folder = folder
         self._newest = folder / f"{file_name}.snapshot"
@@ -34,7 +34,7 @@
         self._draft = folder / f"{file_name}.snapshot.draft"
 
     def save(self, data: bytes) -> None:
-        """Make this the newest generation; OSError if it can't be, and both older ones stand."""
+        """Store data as the newest generation; OSError if writing fails, which keeps both older ones."""
         self._write_draft(data)
         with suppress(FileNotFoundError):
             os.replace(self._newest, self._previous)
@@ -42,17 +42,17 @@
         self._sync_folder()
 
     def load(self) -> LoadResult:
-        """Return the newest generation that can be read. Nothing raises: a start must not fail by it."""
+        """Return the newest readable generation; never raises, since errors must not prevent a start."""
         errors: list[str] = []
         for path in (self._newest, self._previous):
             try:
                 if path.stat().st_size > MAX_SNAPSHOT_BYTES:
-                    raise SnapshotDecodeError("it is too large")
+                    raise SnapshotDecodeError("file is too large")
                 return LoadResult(decode_snapshot(path.read_bytes()), tuple(errors))
             except FileNotFoundError:
                 continue
             except (OSError, SnapshotDecodeError) as error:
-                errors.append(f"{path.name} is passed over: {error}")
+                errors.append(f"{path.name} skipped: {error}")
         return LoadResult(None, tuple(errors))
 
     def _write_draft(self, data: bytes) -> None:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration for people: all errors at once, units, the schema, and the annotated example."""
+"""Configuration: complete error reports, units, the JSON Schema, and the annotated example."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_annotated_example_is_valid_and_means_what_it_says() -> None:
+def test_annotated_example_is_valid_and_has_the_documented_values() -> None:
     config = configuration.read(ROOT / "docs" / "irondrum.toml", pytest.fail)
-    unlock = config.settings.classes[1]
-    assert (unlock.latency_objective_ms, unlock.deadline_ms, unlock.priority_weight) == (
+    unlock_class = config.settings.classes[1]
+    assert (unlock_class.latency_objective_ms, unlock_class.deadline_ms, unlock_class.priority_weight) == (
         1_200.0,
         4_000.0,
         10.0,
@@ -31,16 +31,16 @@
     assert [e.endpoint.server for e in config.initial_list.endpoints] == ["s-1"]
 
 
-def test_schema_in_the_documents_is_the_generated_one() -> None:
+def test_published_schema_equals_the_generated_one() -> None:
     written = json.loads((ROOT / "docs" / "irondrum.schema.json").read_text(encoding="utf-8"))
     assert written == json.loads(json.dumps(configuration.schema()))
 
 
-def test_platform_json_means_the_same_as_to_the_program() -> None:
+def test_platform_json_is_parsed_as_by_the_lenient_reader() -> None:
     text = config_text("127.0.0.1:9", [endpoint_entry("s0", "127.0.0.1:5000")])
     assert configuration.validation_errors(json.loads(text)) == []
-    ours = configuration.parse(json.loads(text), pytest.fail)
-    assert ours == replace(read_config(text, pytest.fail))
+    parsed = configuration.parse(json.loads(text), pytest.fail)
+    assert parsed == replace(read_config(text, pytest.fail))
 
 
 def test_all_validation_errors_are_reported_with_path_and_allowed_values() -> None:
@@ -53,19 +53,19 @@
         },
         "known": {"endpoints": [{"name": "s", "address": "127.0.0.1:1", "weight": 0}]},
     }
-    found = configuration.validation_errors(tables)
-    for start in (
+    errors = configuration.validation_errors(tables)
+    for prefix in (
         'listen: "localhost"; allowed: an address such as',
-        "nme: no such key; allowed: listen, discovery, settings",
+        "nme: unknown key; allowed: listen, discovery, settings",
         "discovery: is missing",
-        'settings.classes[0].target: "5 s"; allowed: milliseconds, or a text such as "250ms"',
+        'settings.classes[0].target: "5 s"; allowed: milliseconds, or a string such as "250ms"',
         'settings.classes[0].effect: "safe"; allowed: "retryable", "dedup", "fragile"',
         "settings.classes[1]: must be a table",
-        "settings.limits.attemptsCap: 0; allowed: a whole number at least 1",
+        "settings.limits.attemptsCap: 0; allowed: an integer at least 1",
         "known.endpoints[0].weight: 0; allowed: a number above 0",
     ):
-        assert [f for f in found if f.startswith(start)], (start, found)
-    assert len(found) == 8 and not [f for f in found if "\n" in f]
+        assert [error for error in errors if error.startswith(prefix)], (prefix, errors)
+    assert len(errors) == 8 and not [error for error in errors if "\n" in error]
 
 
 def test_error_across_several_keys_is_reported() -> None:
@@ -98,5 +98,5 @@
 @example({"\n": None})
 def test_errors_of_any_content_are_single_lines(value: object) -> None:
     tables = value if isinstance(value, dict) else {"settings": value}
-    found = configuration.validation_errors(tables)
-    assert found and not [line for line in found if "\n" in line]
+    errors = configuration.validation_errors(tables)
+    assert errors and not [line for line in errors if "\n" in line]
--- a/tests/test_membership_udp.py
+++ b/tests/test_membership_udp.py
@@ -98,7 +98,7 @@
         (config,) = tier_configs(1)
         first, second = hosts([config, config])
         assert first.start() == "" and first.start() == ""
-        assert "we take no part" in second.start()
+        assert "cannot bind the gossip address" in second.start()
         first.stop()
 
     run_scenario(scenario())
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -55,7 +55,7 @@
     (tmp_path / "front_1.snapshot").write_bytes(b"garbled")
     older = store.load()
     assert older.snapshot is not None and older.snapshot.state == {"save": 1}
-    assert older.errors == ("front_1.snapshot is passed over: its first line is none of ours",)
+    assert older.errors == ("front_1.snapshot skipped: invalid header line",)
 
 
 @pytest.mark.parametrize("step", range(1, 8))
@@ -92,7 +92,7 @@
     head = json.loads(first)
     assert decode_snapshot(json.dumps(head | {"more": 1}).encode() + b"\n" + body).state == STATE
     with pytest.raises(
-        SnapshotDecodeError, match=f"form {FORMAT_VERSION + 1}; this program reads form {FORMAT_VERSION}"
+        SnapshotDecodeError, match=f"format version {FORMAT_VERSION + 1}; expected {FORMAT_VERSION}"
     ):
         decode_snapshot(json.dumps(head | {"form": FORMAT_VERSION + 1}).encode() + b"\n" + body)
 
@@ -116,7 +116,7 @@
         writer.close()
 
     run_scenario(scenario())
-    assert capsys.readouterr().err.count("no snapshot is kept") == 1
+    assert capsys.readouterr().err.count("failed to save a snapshot") == 1
 
 
 def test_failed_save_keeps_the_earlier_generations(tmp_path: Path) -> None:
