--- a/tests/list_service_faults.py
+++ b/tests/list_service_faults.py
@@ -1,4 +1,4 @@
-"""Helpers: list services that fail in given ways, in virtual time and on sockets, and their watches."""
+"""Helpers: list services with injected faults, in virtual time and on sockets, and watches of them."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 HERE = endpoint_entry("s0", "127.0.0.1:5000")
 INITIAL_INDEX, CHANGED_INDEX = 7, 1_000
 FAILURE_MODES = ("refused", "reset", "503", "silent", "half", "garbage", "no dial")
-SLOW_START_MODES = ("silent", "half")  # a connection comes up late, or too late
-MAX_UNCONGESTED_TIER = 73  # balancers: a larger tier can congest a polled list of the platform's
+SLOW_START_MODES = ("silent", "half")  # modes in which connecting is delayed, possibly beyond its timeout
+MAX_UNCONGESTED_TIER = 73  # balancers; a larger tier can congest the platform's polled list service
 ONE_INSTANCE: tuple[Address, ...] = (("127.0.0.1", 1),)
 
 
@@ -42,7 +42,7 @@
     seed: int = 1,
     index: int = FULL_SNAPSHOT,
 ) -> Watch:
-    """Return a watch; what a test does not name has no part in it."""
+    """Return a watch with defaults for the parameters that a test does not vary."""
     return Watch(
         addresses,
         balancer_index=balancer_index,
@@ -55,7 +55,7 @@
 
 
 def list_body(index: int) -> bytes:
-    """Return the full list of one server as a list service sends it."""
+    """Return the body of a list service's response: a full list of one server."""
     return json.dumps({"index": index, "snapshot": True, "endpoints": [HERE]}).encode()
 
 
@@ -63,12 +63,12 @@
 
 
 class VirtualTimeSelector(selectors.DefaultSelector):
-    """Time passes where the loop would wait for it."""
+    """Advances the virtual time instead of waiting."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Return what is ready; if nothing is, let the timeout pass."""
+        """Return ready events; if there are none, advance the time by the timeout."""
         ready = super().select(0)
         if not ready and timeout:
             self.now += timeout
@@ -76,7 +76,7 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop on the clock of its selector."""
+    """An event loop that uses its selector's virtual clock."""
 
     def __init__(self) -> None:
         self.selector = VirtualTimeSelector()
@@ -88,7 +88,7 @@
 
 
 class FailurePhase(NamedTuple):
-    """One instance for some time: how calls that reach it end, and how long that takes."""
+    """A period of one instance: how calls that reach it end, and after what delay."""
 
     mode: str
     duration_s: float
@@ -96,7 +96,7 @@
 
 
 class FailingInstance:
-    """Calls end as the phase says in which they begin; from `recovery_s` on the change is answered."""
+    """Calls end according to the phase in which they start; from `recovery_s` on they get the change."""
 
     def __init__(self, phases: list[FailurePhase], recovery_s: float, answer_delay_s: float) -> None:
         self._phases = phases
@@ -105,14 +105,14 @@
         self._phase_ends = [sum(p.duration_s for p in phases[: n + 1]) for n in range(len(phases))]
 
     def current_phase(self) -> FailurePhase:
-        """Return how a call ends that comes now."""
+        """Return the phase for a call that starts now."""
         now = asyncio.get_running_loop().time()
         if now >= self._recovery_s:
             return FailurePhase("up", math.inf, self._answer_delay_s)
         return self._phases[bisect_right(self._phase_ends, now) % len(self._phases)]
 
     async def connect(self) -> FakeConnection:
-        """Accept a connection, as the phase says."""
+        """Accept, delay or refuse a connection, depending on the phase."""
         phase = self.current_phase()
         if phase.mode == "no dial":
             await asyncio.Event().wait()
@@ -124,7 +124,7 @@
 
 
 class FakeConnection:
-    """In place of `loadbalancer.net.discovery.connection.Connection`."""
+    """Replaces `loadbalancer.net.discovery.connection.Connection`."""
 
     is_closed = False
 
@@ -132,7 +132,7 @@
         self._instance = instance
 
     async def call(self, request: bytes) -> UpstreamResponse:
-        """Answer as the instance's phase says; a watch of the changed list gets no answer."""
+        """Answer depending on the instance's phase; a watch of the changed list gets no answer."""
         phase = self._instance.current_phase()
         if phase.mode in (*SLOW_START_MODES, "no dial"):
             await asyncio.Event().wait()
@@ -146,20 +146,20 @@
         return UpstreamResponse(200, [], None, list_body(CHANGED_INDEX))
 
     async def wait_for_late_response(self) -> UpstreamResponse:
-        """Wait for ever."""
+        """Wait forever."""
         never: asyncio.Future[UpstreamResponse] = asyncio.get_running_loop().create_future()
         return await never
 
     def close(self) -> None:
-        """Note that it is closed."""
+        """Mark the connection as closed."""
         self.is_closed = True
 
 
 class Deployment(NamedTuple):
-    """What a balancer's configuration says of where it stands."""
+    """The parts of a balancer's configuration that determine its watch."""
 
     list_mode: str
-    instance_count: int  # of a service of one's own; 0 for the platform's
+    instance_count: int  # of a self-hosted service; 0 for the platform's
     balancer_count: int
     poll_interval_ms: float
     drain_grace_ms: float
@@ -167,7 +167,7 @@
 
 
 class WatchHost:
-    """A balancer's list and nothing else: the real watch on failing instances, with the real pauses."""
+    """Hosts only a balancer's endpoint list: the real watch and backoff against failing instances."""
 
     def __init__(self, deployment: Deployment, instances: list[FailingInstance]) -> None:
         self._loop = asyncio.get_running_loop()
@@ -189,16 +189,16 @@
         self._client = DiscoveryClient(config, self._handle_update, self._handle_failure)
 
     async def notification_delay_s(self, recovery_s: float) -> float:
-        """Return how long after its recovery, or after the first failed call, the change is known."""
+        """Return the time from the recovery, or a later first failed call, until the change is received."""
         record_failure = Watch.record_failure
 
-        def note_failure(watch: Watch, *args: Any, **more: Any) -> float | None:
+        def record_first_failure(watch: Watch, *args: Any, **options: Any) -> float | None:
             self._first_failure_s = min(self._first_failure_s, self._loop.time())
-            return record_failure(watch, *args, **more)
+            return record_failure(watch, *args, **options)
 
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(connection, "connect", self._connect)
-            patch.setattr(Watch, "record_failure", note_failure)
+            patch.setattr(Watch, "record_failure", record_first_failure)
             self._client.start()
             self._handle(interface.EndpointListUpdate(UpdateKind.CACHED))
             await self._is_notified.wait()
@@ -237,7 +237,7 @@
     recovered_instance: int,
     answer_delay_s: float,
 ) -> float:
-    """Return how late a change is that one instance has from its recovery on; the others go on failing."""
+    """Return the notification delay of a change if one instance recovers and the others keep failing."""
 
     async def run() -> float:
         count = max(deployment.instance_count, 1)
@@ -259,7 +259,7 @@
 
 
 class FailingListService:
-    """A list service on a socket whose calls end in one way until it recovers."""
+    """A list service on a socket whose calls fail in one mode until it recovers."""
 
     def __init__(self, mode: str) -> None:
         self._mode = mode
@@ -267,7 +267,7 @@
         self.call_has_failed = asyncio.Event()
         self.writers: list[asyncio.StreamWriter] = []
         self._socket = socket.socket()
-        self._socket.bind(("127.0.0.1", 0))  # nobody listens yet: connections are refused
+        self._socket.bind(("127.0.0.1", 0))  # not listening yet: connections are refused
 
     async def start(self) -> str:
         """Listen, unless connections are to be refused; return the address."""
@@ -316,7 +316,7 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition, for as long as it takes."""
+    """Wait for a condition without a timeout."""
     while not condition():
         await asyncio.sleep(0.01)
 
--- a/tests/test_change_notification_sockets.py
+++ b/tests/test_change_notification_sockets.py
@@ -1,4 +1,4 @@
-"""Over sockets: a change is known in time after failures, and late answers are taken."""
+"""Over sockets: changes are received in time after failures, and late answers are accepted."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 async def notification_delay_s(mode: str, list_mode: str, instance_count: int) -> float:
-    """Return the seconds from a recovery just after a failed call until the change is known."""
+    """Return the seconds from a recovery just after a failed call until the change is received."""
     services = [FailingListService(mode) for _ in range(max(instance_count, 1))]
     addresses = [await service.start() for service in services]
     text = config_text(
@@ -50,18 +50,18 @@
     )
     proxy = Proxy(read_config(text, lambda note: None), asyncio.get_running_loop())
     watch = proxy.endpoint_list.discovery._watch
-    watch.index = FULL_SNAPSHOT  # the first call does not wait, whatever is known
-    is_refused = asyncio.Event()
+    watch.index = FULL_SNAPSHOT  # the first call is not a long poll even if a list is known
+    failure_recorded = asyncio.Event()
     record_failure = watch.record_failure
 
-    def note_failure(duration_s: float, **more: Any) -> float | None:
-        is_refused.set()
-        return record_failure(duration_s, **more)
+    def signal_failure(duration_s: float, **options: Any) -> float | None:
+        failure_recorded.set()
+        return record_failure(duration_s, **options)
 
-    watch.record_failure = note_failure  # type: ignore[method-assign, assignment]
+    watch.record_failure = signal_failure  # type: ignore[method-assign, assignment]
     proxy.start()
-    failures = [is_refused] if mode == "refused" else [service.call_has_failed for service in services]
-    for _ in range(2):  # the second failure in a row is past what is done at once
+    failures = [failure_recorded] if mode == "refused" else [service.call_has_failed for service in services]
+    for _ in range(2):  # the second consecutive failure is past any immediate retry
         for failure in failures:
             await failure.wait()
             failure.clear()
@@ -77,7 +77,7 @@
 
 
 def test_over_sockets_a_change_is_known_within_six_seconds_of_a_recovery() -> None:
-    """All side by side, for each takes some seconds: every failure mode, polled, pushed and one's own."""
+    """Runs all failure modes for polled, pushed and self-hosted lists concurrently, as each takes seconds."""
 
     async def scenario() -> None:
         kinds = [("ask", 0), ("push", 0), ("ask", 1), ("ask", 2), ("ask", 3)]
@@ -101,11 +101,11 @@
             connect_times_s: list[float] = []
             connect = connection.connect
 
-            async def counted(to: Address) -> connection.Connection:
+            async def recorded_connect(to: Address) -> connection.Connection:
                 connect_times_s.append(time.monotonic())
                 return await connect(to)
 
-            stack.enter_context(pytest.MonkeyPatch.context()).setattr(connection, "connect", counted)
+            stack.enter_context(pytest.MonkeyPatch.context()).setattr(connection, "connect", recorded_connect)
             proxy = Proxy(read_config(text, lambda note: None), asyncio.get_running_loop())
             proxy.start()
             await wait_until(lambda: len(connect_times_s) == 2)
@@ -119,7 +119,7 @@
 
 
 class SlowListService(FailingListService):
-    """Answers each call when the test does so."""
+    """Queues calls for the test to answer."""
 
     def __init__(self) -> None:
         super().__init__("slow")
@@ -132,7 +132,7 @@
 def run_with_late_call(
     check: Callable[[Proxy, asyncio.StreamWriter, SlowListService], Coroutine[Any, Any, None]],
 ) -> None:
-    """Run a check while one call has timed out and the next one is in flight; neither has an answer yet."""
+    """Run a check while one call has timed out and the next one is in flight, both unanswered."""
 
     async def scenario() -> None:
         service = SlowListService()
@@ -151,18 +151,18 @@
     run_within(scenario(), MAX_PLAY_S)
 
 
-def test_the_answer_to_a_call_that_timed_out_is_taken_while_the_next_one_is_in_flight() -> None:
-    """Over a slow link each call was given up just before its answer came, and what is sent counts."""
+def test_the_answer_to_a_call_that_timed_out_is_accepted_while_the_next_one_is_in_flight() -> None:
+    """Over a slow link each call timed out just before its answer, which counts as delivered once sent."""
 
     async def check(proxy: Proxy, timed_out: asyncio.StreamWriter, service: SlowListService) -> None:
         timed_out.write(http_response(200, list_body(INITIAL_INDEX + 2)))
         await wait_until(lambda: proxy.endpoint_list.revision == INITIAL_INDEX + 2)
-        assert proxy.endpoint_list.discovery._watch.index == FULL_SNAPSHOT, "the watch stays where it was"
+        assert proxy.endpoint_list.discovery._watch.index == FULL_SNAPSHOT, "the watch keeps its version"
 
     run_with_late_call(check)
 
 
-def test_after_a_newer_answer_no_late_one_is_taken() -> None:
+def test_after_a_newer_answer_no_late_one_is_accepted() -> None:
     async def check(proxy: Proxy, timed_out: asyncio.StreamWriter, service: SlowListService) -> None:
         service.writers[1].write(http_response(200, list_body(INITIAL_INDEX + 3)))
         await wait_until(lambda: proxy.endpoint_list.revision == INITIAL_INDEX + 3)
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list is watched, validated and followed on sockets."""
+"""The proxy watches, validates and applies the endpoint list over sockets."""
 
 from __future__ import annotations
 
@@ -36,12 +36,14 @@
             assert line.startswith("GET /v1/servers?after=7&wait_ms=")
             address = harness.entries[0]["address"]
             harness.discovery.publish(8, endpoint_entry("s0", address, since_ms=5))
-            assert "after=8&" in await harness.discovery.request_lines.get()  # the watch goes on at once
+            assert (
+                "after=8&" in await harness.discovery.request_lines.get()
+            )  # the next long poll follows at once
             await upstream.connection_ended.wait()
             harness.discovery.publish(9, endpoint_entry("s0", address, since_ms=5), snapshot=True)
             await harness.discovery.request_lines.get()
             harness.discovery.responses.put_nowait(http_response(503, b""))
-            await harness.discovery.request_lines.get()  # asked again when the module's timer says so
+            await harness.discovery.request_lines.get()  # retried after the decision module's backoff timer
             kinds = [e.kind for e in events if isinstance(e, interface.EndpointListUpdate)]
             assert kinds == [UpdateKind.DELTA, UpdateKind.FULL_SNAPSHOT, UpdateKind.FAILED]
 
@@ -57,15 +59,15 @@
             harness.discovery.publish(
                 8, endpoint_entry("s0", harness.entries[0]["address"], status="terminating")
             )
-            await upstream.connection_ended.wait()  # the idle connection goes
+            await upstream.connection_ended.wait()  # the idle connection is closed
             assert status_of(await harness.request("/pay/x", b"debit")) == 503
             assert len(upstream.requests) == 1
 
     run_scenario(scenario())
 
 
-def test_reload_redirects_the_watch_and_the_process_goes_on(tmp_path: Any) -> None:
-    """SIGHUP ended the balancer, as it does a program that does not handle it."""
+def test_reload_redirects_the_watch_and_the_process_keeps_running(tmp_path: Any) -> None:
+    """Guards against SIGHUP terminating the balancer, which is the default without a handler."""
 
     async def scenario() -> None:
         old, new, path = ListServer(), ListServer(), tmp_path / "config.json"
@@ -85,7 +87,7 @@
 def test_unanswered_watch_fails_before_its_updates_count_as_delivered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All changes count as told 2 s after a watch's wait, and a silent one was kept for 5 s."""
+    """Updates count as delivered 2 s after a watch's wait; a silent watch was kept for 5 s."""
     assert request_schedule.RESPONSE_MARGIN_S < 2.0
     monkeypatch.setattr(request_schedule, "MAX_WAIT_MS", 10)
     monkeypatch.setattr(request_schedule, "RESPONSE_MARGIN_S", 0.01)
@@ -94,7 +96,7 @@
         async with ProxyHarness(Upstream()) as harness:
             events = record_events(harness)
             await harness.discovery.request_lines.get()
-            assert "after=7" in await harness.discovery.request_lines.get(), "asked anew"
+            assert "after=7" in await harness.discovery.request_lines.get(), "requested again"
             assert any(
                 e.kind is UpdateKind.FAILED for e in events if isinstance(e, interface.EndpointListUpdate)
             )
@@ -104,15 +106,15 @@
 
 @pytest.mark.parametrize("balancers", [2, 40, 400])
 def test_watch_waits_no_longer_than_drain_grace_and_fleet_size_allow(balancers: int) -> None:
-    """A watch that fell silent kept its balancer on the old list for half a minute: a whole release."""
+    """A silent watch left its balancer with the old list for 30 s, the duration of a whole release."""
     contract = {"drainGrace": 3_000.0, "askWithin": 10_000.0}
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream(), balancers=balancers, contract=contract) as harness:
             line = await harness.discovery.request_lines.get()
-            waits = float(line.partition("wait_ms=")[2].split()[0])
-            assert waits <= max(3_000, WAIT_PER_BALANCER_MS * balancers)
-            assert balancers / waits < 1.3 / WAIT_PER_BALANCER_MS, "all together call too often"
+            wait_ms = float(line.partition("wait_ms=")[2].split()[0])
+            assert wait_ms <= max(3_000, WAIT_PER_BALANCER_MS * balancers)
+            assert balancers / wait_ms < 1.3 / WAIT_PER_BALANCER_MS, "the tier as a whole polls too often"
 
     run_scenario(scenario())
 
@@ -120,29 +122,29 @@
 def test_outdated_or_malformed_list_does_not_replace_the_last_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Any name and address was taken, a name twice as well, and an older list in place of a newer one."""
+    """Invalid names and addresses, duplicate names and outdated lists used to be accepted."""
     monkeypatch.setattr(list_backoff, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as harness:
             events = record_events(harness)
-            good = harness.entries[0]["address"]
-            nameless = endpoint_entry("s9", good) | {"name": 7}
-            bad = [
-                endpoint_entry("", good),
-                endpoint_entry("a b", good),
+            valid_address = harness.entries[0]["address"]
+            non_string_name = endpoint_entry("s9", valid_address) | {"name": 7}
+            invalid_entries = [
+                endpoint_entry("", valid_address),
+                endpoint_entry("a b", valid_address),
                 endpoint_entry("s9", "no-such.host:1"),
-                nameless,
+                non_string_name,
             ]
-            for odd in bad:
+            for entry in invalid_entries:
                 await harness.discovery.request_lines.get()
-                harness.discovery.publish(9, odd, snapshot=True)
+                harness.discovery.publish(9, entry, snapshot=True)
             await harness.discovery.request_lines.get()
             harness.discovery.publish(
-                9, endpoint_entry("s9", good), endpoint_entry("s9", good), snapshot=True
+                9, endpoint_entry("s9", valid_address), endpoint_entry("s9", valid_address), snapshot=True
             )
             await harness.discovery.request_lines.get()
-            harness.discovery.publish(6, snapshot=True)  # older than the one the configuration brought
+            harness.discovery.publish(6, snapshot=True)  # older than the configured list
             line = await harness.discovery.request_lines.get()
             assert "after=7&" in line
             kinds = [e.kind for e in events if isinstance(e, interface.EndpointListUpdate)]
@@ -153,7 +155,7 @@
 
 
 def test_watch_survives_any_response() -> None:
-    """An answer that broke the reader in an unforeseen way ended the watch, and nobody asked again."""
+    """An unexpected exception while decoding an answer ended the watch for good."""
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as harness:
@@ -169,10 +171,10 @@
     run_scenario(scenario())
 
 
-def test_a_failed_request_for_the_list_is_logged_with_what_it_asked_and_how_long_it_took(
+def test_a_failed_request_for_the_list_is_logged_with_its_kind_and_duration(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    """Without these the logs of a herd day did not tell who called when, and how long each call waited."""
+    """Kind and duration make it possible to trace a thundering herd of list requests in the logs."""
 
     async def scenario() -> None:
         async with ProxyHarness(Upstream()) as harness:
--- a/tests/test_instance_selection.py
+++ b/tests/test_instance_selection.py
@@ -1,4 +1,4 @@
-"""A list service of several instances: failover, return, rewound, emptied and stale lists."""
+"""A list service with several instances: failover, failback, and rewound, emptied and stale lists."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def version_of(address: tuple[str, int], index: int, *names: str) -> ListVersion:
-    """Return a list of these servers."""
+    """Return a list version with the named servers."""
     return ListVersion(address, index, frozenset((name,) for name in names))
 
 
@@ -56,7 +56,7 @@
 
 
 def test_instances_that_answer_full_lists_and_fail_each_watch_have_failed() -> None:
-    """Two that did so were called in turn without a pause, fifty times a second."""
+    """Two such instances were called alternately without a pause, 50 times a second."""
     selector = new_selector()
     results = []
     for _ in range(6):
@@ -68,7 +68,7 @@
 def test_after_a_failover_the_preferred_instance_is_tried_again_after_a_while() -> None:
     selector = new_selector()
     selector.record_answer(5, 0.0, True)
-    assert not selector.return_to_preferred(1e9), "it is the preferred one"
+    assert not selector.return_to_preferred(1e9), "already the preferred instance"
     selector.record_failure()
     selector.record_answer(3, 100.0, True)
     assert not selector.return_to_preferred(100.0 + PREFERRED_INSTANCE_RETRY_S / 2)
@@ -80,7 +80,7 @@
     selector = new_selector()
     assert not selector.record_answer(5, 0.0, True)
     selector.record_failure()
-    assert not selector.record_answer(2, 0.0, True), "versions of instances do not compare"
+    assert not selector.record_answer(2, 0.0, True), "versions of instances are not comparable"
     assert selector.record_answer(1, 0.0, True)
 
 
@@ -91,7 +91,7 @@
         "one cross-check is not enough"
     )
     assert not selector.switch_if_stale(ours, version_of(B, 50, "s0"), is_contradicted=False), (
-        "both are unchanged"
+        "both versions are unchanged"
     )
     assert not selector.switch_if_stale(
         version_of(A, 8, "s0", "s1"), version_of(B, 51, "s0"), is_contradicted=False
@@ -123,23 +123,23 @@
     assert detector.silent_servers(100.0) == []
 
 
-def test_the_lists_table_configures_instances_and_its_faults_are_reported() -> None:
+def test_the_lists_table_configures_instances_and_its_errors_are_reported() -> None:
     entries = [endpoint_entry("s0", "127.0.0.1:5000")]
     assert read_config(config_text("127.0.0.1:9", entries), pytest.fail).registry is None
-    good: dict[str, Any] = {"others": ["127.0.0.1:10"], "tier": "second"}
-    config = configuration.parse(json.loads(config_text("127.0.0.1:9", entries, lists=good)), pytest.fail)
+    valid: dict[str, Any] = {"others": ["127.0.0.1:10"], "tier": "second"}
+    config = configuration.parse(json.loads(config_text("127.0.0.1:9", entries, lists=valid)), pytest.fail)
     assert config.registry is not None
     assert (config.registry.tier, config.settings.suspect_stale_fraction) == ("second", 0.3)
-    bad = json.loads(config_text("127.0.0.1:9", entries, lists={"others": ["here"], "doubt": 2, "x": 1}))
-    assert len(configuration.validation_errors(bad)) == 3
-    twice = json.loads(config_text("127.0.0.1:9", entries, lists={"others": ["127.0.0.1:9"]}))
-    assert configuration.validation_errors(twice) == [
+    invalid = json.loads(config_text("127.0.0.1:9", entries, lists={"others": ["here"], "doubt": 2, "x": 1}))
+    assert len(configuration.validation_errors(invalid)) == 3
+    duplicate = json.loads(config_text("127.0.0.1:9", entries, lists={"others": ["127.0.0.1:9"]}))
+    assert configuration.validation_errors(duplicate) == [
         "lists.others: an instance stands twice, or is the one in `discovery`"
     ]
 
 
 def test_a_server_that_is_silent_for_long_costs_ever_fewer_cross_checks() -> None:
-    """Each of its balancers read another instance's full list every second or two."""
+    """Each balancer used to read another instance's full list every second or two."""
     watch = Watch(
         (A, B), balancer_index=0, balancer_count=2, drain_grace_ms=3_000, is_self_hosted=True, seed=1, index=7
     )
@@ -149,14 +149,14 @@
             watch.next_cross_check(float(s), is_contradicted) is not None for s in range(first_s, last_s)
         )
 
-    assert count_cross_checks(1, 2, True) == 1, "the first comes at once"
+    assert count_cross_checks(1, 2, True) == 1, "the first one is immediate"
     assert count_cross_checks(2, 61, True) <= 7
     assert count_cross_checks(61, 62, False) == 0
-    assert count_cross_checks(62, 63, True) == 1, "and again at once for another one"
+    assert count_cross_checks(62, 63, True) == 1, "immediate again for a new contradiction"
 
 
 class TwoInstances:
-    """Two scripted instances, and a balancer that knows both."""
+    """Two scripted list service instances and a balancer configured with both."""
 
     def __init__(self, upstream_count: int = 1) -> None:
         self.first = ListServer()
@@ -182,20 +182,22 @@
     monkeypatch.setattr(list_backoff, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
 
     async def scenario() -> None:
-        two = TwoInstances()
-        async with await two.harness() as harness:
+        instances = TwoInstances()
+        async with await instances.harness() as harness:
             events = record_events(harness)
-            assert "after=7&" in await two.first.request_lines.get()
-            two.first.responses.put_nowait(http_response(503, b""))
-            assert await two.second.request_lines.get() == "GET /v1/servers HTTP/1.1"
-            two.second.publish(3, *harness.entries, snapshot=True)
-            assert "after=3&" in await two.second.request_lines.get(), "versions of instances do not compare"
+            assert "after=7&" in await instances.first.request_lines.get()
+            instances.first.responses.put_nowait(http_response(503, b""))
+            assert await instances.second.request_lines.get() == "GET /v1/servers HTTP/1.1"
+            instances.second.publish(3, *harness.entries, snapshot=True)
+            assert "after=3&" in await instances.second.request_lines.get(), (
+                "versions of instances are not comparable"
+            )
             assert updates_of(events) == [(UpdateKind.FULL_SNAPSHOT, 1)]
-            two.second.responses.put_nowait(http_response(503, b""))
-            await two.first.request_lines.get()
-            two.first.responses.put_nowait(http_response(503, b""))
-            await two.second.request_lines.get()
-            assert updates_of(events)[1:] == [(UpdateKind.FAILED, 0)], "now all have failed in turn"
+            instances.second.responses.put_nowait(http_response(503, b""))
+            await instances.first.request_lines.get()
+            instances.first.responses.put_nowait(http_response(503, b""))
+            await instances.second.request_lines.get()
+            assert updates_of(events)[1:] == [(UpdateKind.FAILED, 0)], "all instances have failed in turn"
 
     run_scenario(scenario())
 
@@ -217,11 +219,11 @@
             draining = harness.entries[0] | {"status": "terminating"}
             harness.discovery.publish(9, draining)
             await harness.discovery.request_lines.get()
-            harness.discovery.publish(4, *harness.entries, snapshot=True)  # to a watch: refused
+            harness.discovery.publish(4, *harness.entries, snapshot=True)  # rejected as an answer to a watch
             assert "after" not in await harness.discovery.request_lines.get()
             harness.discovery.publish(
                 4, *harness.entries, snapshot=True
-            )  # to a request for the full list: a new beginning
+            )  # accepted as an answer to a request for the full list
             assert "after=4&" in await harness.discovery.request_lines.get()
             assert sorted(harness.proxy.balancer._endpoints.ready) == ["s1"]
             assert harness.proxy.endpoint_list_report().rewinds == 1
@@ -254,17 +256,17 @@
 def test_a_suspect_list_is_requested_again_in_full_of_another_instance(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Updates after a halved list's version do not mention what that had left out."""
+    """Updates after the version of a truncated list do not mention the servers that it omitted."""
     monkeypatch.setattr(request_schedule, "FULL_SNAPSHOT_DELAY_S", 0.01)
 
     async def scenario() -> None:
-        two = TwoInstances(upstream_count=4)
-        async with await two.harness() as harness:
-            await two.first.request_lines.get()
-            two.first.publish(8, *harness.entries[:1], snapshot=True)
-            assert await two.second.request_lines.get() == "GET /v1/servers HTTP/1.1"
-            two.second.publish(3, *harness.entries, snapshot=True)
-            assert "after=3&" in await two.second.request_lines.get()
+        instances = TwoInstances(upstream_count=4)
+        async with await instances.harness() as harness:
+            await instances.first.request_lines.get()
+            instances.first.publish(8, *harness.entries[:1], snapshot=True)
+            assert await instances.second.request_lines.get() == "GET /v1/servers HTTP/1.1"
+            instances.second.publish(3, *harness.entries, snapshot=True)
+            assert "after=3&" in await instances.second.request_lines.get()
             assert harness.proxy.endpoint_list_report().suspected_servers == []
             assert len(harness.proxy.balancer._endpoints.ready) == 4
 
@@ -279,16 +281,16 @@
     monkeypatch.setattr(list_cross_check, "CROSS_CHECK_POLL_INTERVAL_S", 0.01)
 
     async def scenario() -> None:
-        two = TwoInstances(upstream_count=2)
-        async with await two.harness() as harness:
-            await two.first.request_lines.get()
-            two.first.publish(8, *harness.entries, snapshot=True)
-            await two.first.request_lines.get()  # a watch that nothing ends
+        instances = TwoInstances(upstream_count=2)
+        async with await instances.harness() as harness:
+            await instances.first.request_lines.get()
+            instances.first.publish(8, *harness.entries, snapshot=True)
+            await instances.first.request_lines.get()  # a long poll that never gets an update
             for index in (50, 51):
-                await two.second.request_lines.get()
-                two.second.publish(index, harness.entries[0], snapshot=True)
-            assert await two.second.request_lines.get() == "GET /v1/servers HTTP/1.1"
-            two.second.publish(51, harness.entries[0], snapshot=True)
+                await instances.second.request_lines.get()
+                instances.second.publish(index, harness.entries[0], snapshot=True)
+            assert await instances.second.request_lines.get() == "GET /v1/servers HTTP/1.1"
+            instances.second.publish(51, harness.entries[0], snapshot=True)
             while not harness.proxy.endpoint_list_report().stalls:
                 await asyncio.sleep(0.01)
 
--- a/tests/test_list_watch_interruptions.py
+++ b/tests/test_list_watch_interruptions.py
@@ -1,4 +1,4 @@
-"""A watch of the list that breaks, or whose service moves: no change that counts as delivered is missed."""
+"""Interrupted or redirected list watches: no update that counts as delivered is missed."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("list_mode", ["ask", "push"])
 def test_a_watch_that_timed_out_is_reopened_at_once(list_mode: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """What it missed counts as delivered 2 s after its wait; a large tier paused up to 5 s more."""
+    """Missed updates count as delivered 2 s after the wait; a large tier paused up to 5 s more."""
     monkeypatch.setattr(list_backoff, "LIST_RETRY_INITIAL_BACKOFF_MS", NEVER * 1_000)
     monkeypatch.setattr(client, "PUSH_RETRY_PAUSE_S", NEVER)
     monkeypatch.setattr(request_schedule, "MAX_WAIT_MS", 10)
@@ -47,11 +47,11 @@
         async with ProxyHarness(upstream, discovery=list_mode, contract=contract) as harness:
             assert status_of(await harness.request()) == 200
             events = record_events(harness)
-            await harness.discovery.request_lines.get()  # it stays silent
+            await harness.discovery.request_lines.get()  # left unanswered
             assert "after=7&" in await harness.discovery.request_lines.get()
-            drains = endpoint_entry("s0", harness.entries[0]["address"], status="terminating")
-            harness.discovery.publish(8, drains)  # for the call that timed out: nobody reads it any more
-            harness.discovery.publish(8, drains)
+            draining = endpoint_entry("s0", harness.entries[0]["address"], status="terminating")
+            harness.discovery.publish(8, draining)  # for the call that timed out; no longer read
+            harness.discovery.publish(8, draining)
             await upstream.connection_ended.wait()
             assert status_of(await harness.request("/pay/x", b"debit")) == 503
             assert list_kinds(events) == [UpdateKind.FAILED] * (list_mode == "ask") + [UpdateKind.DELTA]
@@ -59,10 +59,10 @@
     run_scenario(scenario())
 
 
-def test_a_pushed_watch_that_is_reset_is_reopened_at_once_but_not_again_and_again(
+def test_a_pushed_watch_that_is_reset_is_reopened_at_once_but_not_repeatedly(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What the agent has counts as delivered, watch or not: half a second of pause came out of the grace."""
+    """Updates at the agent count as delivered, so a pause of 0.5 s shortened the drain grace period."""
     monkeypatch.setattr(client, "PUSH_RETRY_PAUSE_S", NEVER)
 
     async def scenario() -> None:
@@ -81,7 +81,7 @@
         discovery.start()
         await wait_until(lambda: len(calls) == 2)
         await wait_at_least(0.05)
-        assert len(calls) == 2, "the second failure in a row waits"
+        assert len(calls) == 2, "the second consecutive failure is followed by a pause"
         assert discovery._watch_task is not None and not discovery._watch_task.done()
         discovery._watch_task.cancel()
 
@@ -92,7 +92,7 @@
 def test_connecting_to_the_list_service_has_a_timeout_of_its_own(
     list_mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was bounded by the wait of the call, in which all updates count as delivered."""
+    """Connecting was bounded only by the call's wait, within which all updates count as delivered."""
     monkeypatch.setattr(call, "CONNECT_TIMEOUT_S", 0.02)
     monkeypatch.setattr(client, "PUSH_RETRY_PAUSE_S", 0.0)
 
@@ -124,7 +124,7 @@
 
 
 def test_an_answer_of_the_old_address_is_not_taken_after_a_reconfiguration() -> None:
-    """SIGHUP came in the middle of a call; its answer, on the way already, would empty the list."""
+    """Guards against an in-flight answer from the old address that empties the list after SIGHUP."""
 
     async def scenario() -> None:
         upstream, elsewhere = Upstream(), ListServer()
@@ -132,11 +132,11 @@
             await harness.discovery.request_lines.get()
             events = record_events(harness)
             text = config_text(await elsewhere.start(), harness.entries)
-            harness.discovery.publish(99, snapshot=True)  # its answer and the signal cross
+            harness.discovery.publish(99, snapshot=True)  # in flight when the configuration changes
             harness.proxy.apply_configuration(read_config(text, lambda note: None))
             assert "after" not in await elsewhere.request_lines.get()
-            drains = endpoint_entry("s0", harness.entries[0]["address"], status="terminating")
-            elsewhere.publish(8, drains, snapshot=True)
+            draining = endpoint_entry("s0", harness.entries[0]["address"], status="terminating")
+            elsewhere.publish(8, draining, snapshot=True)
             assert "after=8&" in await elsewhere.request_lines.get()
             assert list_kinds(events) == [UpdateKind.FULL_SNAPSHOT]
             assert status_of(await harness.request("/pay/x", b"debit")) == 503
@@ -149,25 +149,25 @@
     first: str,
 ) -> None:
     async def scenario() -> None:
-        going, staying = Upstream(), Upstream()
-        async with ProxyHarness(going, staying) as harness:
-            drains = endpoint_entry("s0", harness.entries[0]["address"], status="terminating")
-            whole = harness.entries[1]
+        draining_upstream, remaining_upstream = Upstream(), Upstream()
+        async with ProxyHarness(draining_upstream, remaining_upstream) as harness:
+            draining = endpoint_entry("s0", harness.entries[0]["address"], status="terminating")
+            remaining = harness.entries[1]
             await harness.discovery.request_lines.get()
             for index, what in enumerate(("drain", "loss") if first == "drain" else ("loss", "drain"), 8):
                 if what == "drain":
-                    harness.discovery.publish(index, drains)
+                    harness.discovery.publish(index, draining)
                 else:
-                    harness.discovery.publish(index, whole, snapshot=True)
+                    harness.discovery.publish(index, remaining, snapshot=True)
                 await harness.discovery.request_lines.get()
             for _ in range(10):
                 assert status_of(await harness.request()) == 200
-            assert not going.requests and len(staying.requests) == 10
+            assert not draining_upstream.requests and len(remaining_upstream.requests) == 10
 
     run_scenario(scenario())
 
 
-def test_a_drain_in_the_first_answer_after_an_outage_is_followed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_drain_in_the_first_answer_after_an_outage_is_applied(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(list_backoff, "LIST_RETRY_INITIAL_BACKOFF_MS", 1.0)
     monkeypatch.setattr(list_backoff, "LIST_RETRY_MEAN_BACKOFF_MS", 0.0)
 
--- a/tests/test_start_spread.py
+++ b/tests/test_start_spread.py
@@ -1,12 +1,11 @@
-"""New processes of a tier do not all call the platform's discovery in the same instant.
-
-On a herd day discovery was down for 8 s into a release, and drains were broken in 10 of 18 plays of ten
-seeds. It answers 40 calls a second and takes calls in turn; those that waited 2 s are ended and cost it as
-much. The calls of all balancers, logged, showed who lost the list six seconds after discovery was back: new
-processes. A release starts 25 balancers beside their upstreams within 0.3 s, every two seconds, and each
-called at once: of 85 such first calls 52 were ended after 2 s. Between bursts the balancers that came back
-took all that discovery has, so that a burst brought the wait over 2 s, and nobody new was answered any more.
-Watches that stood cost nothing: none of 802 requests that followed an answer at once was ended.
+"""New processes of a tier spread their first calls to the platform's discovery service.
+
+Discovery answers 40 calls a second in turn, and calls aborted after a wait of 2 s cost it as much. After an
+outage of 8 s during a release, drains were broken in 10 of 18 plays of ten seeds: a release starts 25
+balancers within 0.3 s, every two seconds, and each called at once, so that 52 of 85 such first calls were
+aborted after 2 s. Between these bursts reconnecting balancers used all capacity, so six seconds after the
+recovery the queue exceeded 2 s and new processes got no answer. Open watches cost nothing: none of the 802
+requests that directly followed an answer was aborted.
 """
 
 from __future__ import annotations
@@ -59,16 +58,16 @@
     assert longest_s <= CHANGE_DEADLINE_S - SCHEDULING_SLACK_S
 
 
-def test_a_new_process_without_a_list_asks_for_it_at_once() -> None:
+def test_a_new_process_without_a_list_requests_it_at_once() -> None:
     assert set(first_delays_s(TIER, index=-1)) == {0.0}
 
 
-def test_a_service_of_ones_own_is_asked_at_once() -> None:
+def test_a_self_hosted_service_is_called_at_once() -> None:
     assert set(first_delays_s(TIER, is_self_hosted=True)) == {0.0}
 
 
 class FirstCall:
-    """A balancer's client on a discovery that answers, in virtual time."""
+    """A discovery client whose service answers, in virtual time."""
 
     def __init__(self, list_mode: str, seed: int, *, has_list: bool = True) -> None:
         entries = [HERE] if has_list else []
@@ -87,7 +86,7 @@
         return True
 
     async def begin(self, monkeypatch: pytest.MonkeyPatch, *, needs_full_snapshot: bool = False) -> float:
-        """Return when the first call was made."""
+        """Return the time of the first call."""
         monkeypatch.setattr(connection, "connect", self._connect)
         client = DiscoveryClient(self._config, self._on_update, lambda: None, needs_full_snapshot)
         client.start()
@@ -126,6 +125,6 @@
     assert [first_call_s(monkeypatch, "push", seed) for seed in range(10)] == [0.0] * 10
 
 
-def test_a_process_that_takes_over_or_has_no_list_asks_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_process_that_takes_over_or_has_no_list_calls_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     assert [first_call_s(monkeypatch, "ask", seed, takes_over=True) for seed in range(10)] == [0.0] * 10
     assert [first_call_s(monkeypatch, "ask", seed, has_list=False) for seed in range(10)] == [0.0] * 10
