--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -1,4 +1,4 @@
-"""What d282128 stored, sent to its successor or to its tier is read, and written again byte for byte."""
+"""State stored or sent by version d282128 is read, and encoded again byte for byte."""
 
 from __future__ import annotations
 
@@ -86,8 +86,8 @@
     file = CordonFile(tmp_path)
     assert file.refresh()
     assert json.dumps(file.encode()).encode() == data
-    (tmp_path / "cordons.json").write_bytes(b"{}")  # unreadable: what is in memory is written in its place
-    assert file.set_cordon("s2", is_cordoned=True) == ""  # cordoned already
+    (tmp_path / "cordons.json").write_bytes(b"{}")  # unreadable: replaced by the cordons in memory
+    assert file.set_cordon("s2", is_cordoned=True) == ""  # already cordoned
     assert (tmp_path / "cordons.json").read_bytes() == data
 
 
@@ -99,7 +99,7 @@
 
 
 def test_successor_of_a_recorded_process_takes_over_all_that_it_sent(tmp_path: Path) -> None:
-    """The recorded process is older, this one its successor, and a third one succeeds to this one."""
+    """This process succeeds the recorded one, and hands over to a third one in turn."""
     then: dict[str, Any] = {}
     said = replay.hand_over(PROGRAM, tmp_path, STATE, COUNTS, then)
     assert said == (GOLDEN / "hot-restart-ready.txt").read_bytes()
@@ -109,10 +109,12 @@
     assert list(state) == list(recorded)
     learned, recorded_learned = state["learned"], recorded["learned"]
     assert list(learned) == list(recorded_learned)
-    for key in ("work", "easy", "pressure", "median", "usual", "asked_then"):  # these do not fade
+    for key in ("work", "easy", "pressure", "median", "usual", "asked_then"):  # these do not decay
         assert json.dumps(learned[key]) == json.dumps(recorded_learned[key])
     assert list(learned["servers"]) == list(recorded_learned["servers"])
-    for name, figures in learned["servers"].items():  # start, calls served, time in flight: the latter fade
+    for name, figures in learned[
+        "servers"
+    ].items():  # start, calls served, time in flight: the last two decay
         before = recorded_learned["servers"][name]
         assert figures[0] == before[0]
         assert all(0 <= now <= then for now, then in zip(figures[1:], before[1:], strict=True))
@@ -123,7 +125,7 @@
 
 
 def test_process_sends_its_successor_the_recorded_messages(tmp_path: Path) -> None:
-    """This process is older, its successor speaks as the recorded one: same lines, same keys, same form."""
+    """Messages to a successor have the same lines, keys and types as those recorded."""
     session = replay.play_balancer(PROGRAM, tmp_path)
     assert session.ready == (GOLDEN / "hot-restart-ready.txt").read_bytes()
     assert session.counts == COUNTS
@@ -138,7 +140,7 @@
 
 
 def _form(value: Any) -> Any:
-    """Return the keys in their order and the types of a JSON value, without its figures and ports."""
+    """Return the ordered keys and the types of a JSON value, without numbers and ports."""
     if isinstance(value, dict):
         return [(key, _form(item)) for key, item in value.items()]
     if isinstance(value, list):
@@ -156,7 +158,7 @@
 
 
 def test_member_sends_the_recorded_messages(tmp_path: Path) -> None:
-    """Only the sequence number is masked: it is drawn from the seed, then counts on with each ping."""
+    """Only the sequence number is masked: it starts at a seeded random value and grows with each ping."""
     session = replay.play_gossip(PROGRAM, tmp_path)
     recorded = {kind: (GOLDEN / f"gossip-{kind}.msgpack").read_bytes() for kind in replay.MESSAGE_KINDS}
     assert session.datagrams["ack"] == recorded["ack"]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: unusable messages, deaths, returns, partitions, pauses, and views that converge again."""
+"""Membership: invalid messages, deaths, rejoins, partitions, pauses, and convergence of the views."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from loadbalancer.membership.messages import GossipMessage, MessageKind, encode_message
 from loadbalancer.simulation.gossip import FLEET_TAG, SimulatedTier
 
-CONVERGENCE_MS = 20_000.0  # within which all views agree when nothing fails any more
+CONVERGENCE_MS = 20_000.0  # time within which all views agree after the last fault
 
 
-def member(count: int = 4, **more: Any) -> Membership:
-    return Membership(0, count, FLEET_TAG, seed=1, **more)
+def member(count: int = 4, **options: Any) -> Membership:
+    return Membership(0, count, FLEET_TAG, seed=1, **options)
 
 
-def message(sender: int = 1, **more: Any) -> bytes:
+def message(sender: int = 1, **fields: Any) -> bytes:
     base: dict[str, Any] = {
         "fleet_tag": FLEET_TAG,
         "kind": MessageKind.PING,
@@ -29,7 +29,7 @@
         "sender": sender,
         "incarnation": 0,
     }
-    return encode_message(GossipMessage(**(base | {"target": -1, "updates": ()} | more)))
+    return encode_message(GossipMessage(**(base | {"target": -1, "updates": ()} | fields)))
 
 
 def test_ping_is_acknowledged_and_nothing_else_is_sent() -> None:
@@ -49,10 +49,10 @@
 )  # fmt: skip
 def test_unusable_messages_are_counted_and_change_nothing(sender: int, data: bytes, reason: str) -> None:
     subject = member()
-    before = [(b.state, b.incarnation) for b in subject.table.records]
+    before = [(record.state, record.incarnation) for record in subject.table.records]
     assert subject.handle_message(sender, data, now=1.0) == []
     assert subject.counts.dropped == {reason: 1}
-    assert [(b.state, b.incarnation) for b in subject.table.records] == before
+    assert [(record.state, record.incarnation) for record in subject.table.records] == before
 
 
 @given(st.binary(max_size=300), st.integers(0, 3))
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("count", [2, 3, 10, 200])
-def test_death_and_return_become_known_to_all(count: int) -> None:
+def test_death_and_rejoin_are_detected_by_all(count: int) -> None:
     tier = SimulatedTier(count, seed=1, loss_rate=0.05)
     tier.run(3_000)
     assert tier.death_reports == []
@@ -91,7 +91,7 @@
     tier.run(6_000)
     assert tier.fraction_aware_of_death(1) == 1.0
     tier.start(1)
-    tier.loss_rate = 0.0  # with loss there is always somebody who is suspected for a moment
+    tier.loss_rate = 0.0  # with packet loss some member is always briefly suspected
     tier.run(CONVERGENCE_MS)
     assert tier.has_converged()
 
@@ -105,7 +105,7 @@
     assert tier.death_reports == []
 
 
-def test_seven_in_ten_killed_at_once_become_known_and_return() -> None:
+def test_simultaneous_death_and_rejoin_of_seventy_percent_is_detected() -> None:
     tier = SimulatedTier(30, seed=3, loss_rate=0.02)
     tier.run(2_000)
     dead = list(range(21))
@@ -119,7 +119,7 @@
     assert tier.has_converged()
 
 
-def test_paused_member_is_missed_and_accuses_nobody_when_it_resumes() -> None:
+def test_paused_member_is_declared_dead_and_suspects_nobody_when_it_resumes() -> None:
     tier = SimulatedTier(12, seed=4)
     tier.run(2_000)
     tier.pause(5, 3_000)
@@ -130,7 +130,7 @@
     assert {report.member for report in tier.death_reports} == {5}
 
 
-def test_one_way_partition_is_no_death_while_others_reach_the_member() -> None:
+def test_one_way_partition_causes_no_death_while_others_reach_the_member() -> None:
     tier = SimulatedTier(12, seed=5)
     tier.is_link_cut = lambda sender, recipient: (sender, recipient) == (0, 1)
     tier.run(60_000)
@@ -163,7 +163,7 @@
 
 
 class MembershipViews(RuleBasedStateMachine):
-    """Whatever has happened: without further faults, all views converge."""
+    """All views converge after any sequence of faults."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -190,8 +190,8 @@
 
     @rule(seed=st.integers(0, 1 << 20))
     def cut_some_links(self, seed: int) -> None:
-        chance = random.Random(seed)
-        cut_links = {(a, b) for a in range(5) for b in range(5) if chance.random() < 0.4}
+        rng = random.Random(seed)
+        cut_links = {(a, b) for a in range(5) for b in range(5) if rng.random() < 0.4}
         self.tier.is_link_cut = lambda sender, recipient: (sender, recipient) in cut_links
 
     @rule(span=st.integers(1, 8_000))
@@ -199,7 +199,7 @@
         self.tier.run(span)
 
     @invariant()
-    def nobody_considers_itself_dead(self) -> None:
+    def no_member_considers_itself_dead(self) -> None:
         for number in self.tier.running_members():
             assert self.tier.view(number)[number] is MemberState.ALIVE
 
--- a/tests/test_membership_udp.py
+++ b/tests/test_membership_udp.py
@@ -28,7 +28,7 @@
 
 
 def tier_configs(count: int) -> list[Config]:
-    """Return the configurations of so many members on free ports."""
+    """Return the configurations of `count` members on free ports."""
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for sock in sockets:
         sock.bind((HOST, 0))
@@ -45,22 +45,22 @@
 
 def hosts(configs: list[Config]) -> list[MembershipHost]:
     loop = asyncio.get_running_loop()
-    found = []
+    members = []
     for config in configs:
         assert config.peer_listen is not None
-        found.append(MembershipHost(config, config.peer_listen, loop, lambda: loop.time() * 1_000))
-    return found
+        members.append(MembershipHost(config, config.peer_listen, loop, lambda: loop.time() * 1_000))
+    return members
 
 
 async def wait_until_all_see(tier: list[MembershipHost], number: int, state: MemberState) -> None:
-    while any(p.member.table.state(number) is not state for p in tier):
+    while any(host.member.table.state(number) is not state for host in tier):
         await asyncio.sleep(0.01)
 
 
-def test_members_detect_a_death_a_return_and_a_leave() -> None:
+def test_members_detect_a_death_a_rejoin_and_a_leave() -> None:
     async def scenario() -> None:
         tier = hosts(tier_configs(4))
-        assert [p.start() for p in tier] == [""] * 4
+        assert [host.start() for host in tier] == [""] * 4
         tier[1].stop()
         others = [tier[0], *tier[2:]]
         await wait_until_all_see(others, 1, MemberState.DEAD)
@@ -68,19 +68,19 @@
         await wait_until_all_see(others, 1, MemberState.ALIVE)
         tier[3].leave()
         await wait_until_all_see(tier[:3], 3, MemberState.LEFT)
-        for peers in tier:
-            peers.stop()
+        for host in tier:
+            host.stop()
 
     run_scenario(scenario())
 
 
-def test_unknown_senders_and_garbage_are_counted_and_change_nothing() -> None:
+def test_unknown_senders_and_invalid_datagrams_are_counted_and_change_nothing() -> None:
     async def scenario() -> None:
         one, other = hosts(tier_configs(2))
         assert one.start() == ""
         before = one.count_by_state()
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-            stranger.sendto(b"noise", one._listen)
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender:
+            unknown_sender.sendto(b"noise", one._listen)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as member:
             member.bind(other._listen)
             member.sendto(b"noise", one._listen)
@@ -93,7 +93,7 @@
     run_scenario(scenario())
 
 
-def test_address_in_use_is_an_error_line_and_no_exception() -> None:
+def test_address_in_use_is_reported_as_an_error_message_and_not_raised() -> None:
     async def scenario() -> None:
         (config,) = tier_configs(1)
         first, second = hosts([config, config])
@@ -127,23 +127,27 @@
 
 def test_console_shows_the_members_and_404_where_membership_is_off() -> None:
     async def scenario() -> None:
-        async with ProxyHarness(Upstream()) as rig:
-            assert status_of(await call_console(rig, "GET", "/admin/peers")) == 404
+        async with ProxyHarness(Upstream()) as harness:
+            assert status_of(await call_console(harness, "GET", "/admin/peers")) == 404
             (config,) = tier_configs(1)
             assert config.peer_listen is not None
             loop = asyncio.get_running_loop()
-            rig.proxy.membership = MembershipHost(config, config.peer_listen, loop, rig.proxy.clock.now)
-            assert not rig.proxy.membership.start()
-            told = json.loads((await call_console(rig, "GET", "/admin/peers")).body)
-            assert (told["me"], told["present"], told["takes_part"]) == (0, 1, True)
-            assert b'irondrum_peers{state="alive"} 1' in (await call_console(rig, "GET", "/metrics")).body
-            rig.proxy.announce_shutdown()
-            assert json.loads((await call_console(rig, "GET", "/admin/peers")).body)["takes_part"] is False
+            harness.proxy.membership = MembershipHost(
+                config, config.peer_listen, loop, harness.proxy.clock.now
+            )
+            assert not harness.proxy.membership.start()
+            report = json.loads((await call_console(harness, "GET", "/admin/peers")).body)
+            assert (report["me"], report["present"], report["takes_part"]) == (0, 1, True)
+            assert b'irondrum_peers{state="alive"} 1' in (await call_console(harness, "GET", "/metrics")).body
+            harness.proxy.announce_shutdown()
+            assert (
+                json.loads((await call_console(harness, "GET", "/admin/peers")).body)["takes_part"] is False
+            )
 
     run_scenario(scenario())
 
 
-def test_differing_views_are_no_agreement() -> None:
+def test_differing_views_are_reported_as_disagreement() -> None:
     alive, gone = ({"members": [{"state": s, "incarnation": 0}]} for s in ("alive", "gone"))
     assert membership_table({"a": alive, "b": alive})[1]
     assert not membership_table({"a": alive, "b": gone})[1]
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: whatever happens to a save or a file, a start goes on from what can be read, or from nothing."""
+"""Snapshots: a start resumes from the newest readable file or from nothing, after any failed save."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 from tests.loopback import run_scenario
 
 STATE = {"list": {"index": 3}, "learned": {"median": 1.5}}
-# In a child: save twice, and die at the nth call that touches the disk in the second save.
-DYING_SAVE = """
+# Run in a child process: saves twice, then exits at the nth disk operation of a third save.
+INTERRUPTED_SAVE = """
 import os, sys
 from pathlib import Path
 from loadbalancer.snapshots import SnapshotStore, encode_snapshot
-store, dies_at, calls = SnapshotStore(Path(sys.argv[1]), "b"), int(sys.argv[2]), 0
+store, exits_at, calls = SnapshotStore(Path(sys.argv[1]), "b"), int(sys.argv[2]), 0
 store.save(encode_snapshot({"save": 0}, 0.0))
 store.save(encode_snapshot({"save": 1}, 1.0))
-def dying(real):
-    def call(*args, **more):
+def exiting(real):
+    def call(*args, **options):
         global calls
         calls += 1
-        if calls == dies_at:
+        if calls == exits_at:
             os._exit(9)
-        return real(*args, **more)
+        return real(*args, **options)
     return call
 for name in ("fsync", "replace", "open", "close"):
-    setattr(os, name, dying(getattr(os, name)))
+    setattr(os, name, exiting(getattr(os, name)))
 store.save(encode_snapshot({"save": 2}, 2.0))
 """
 
@@ -49,26 +49,26 @@
     assert store.load().snapshot is None
     for number in (1, 2):
         store.save(encode_snapshot({"save": number}, float(number)))
-    found = store.load()
-    assert found.snapshot is not None and found.errors == ()
-    assert (found.snapshot.state, found.snapshot.written_at_ms) == ({"save": 2}, 2.0)
+    newest = store.load()
+    assert newest.snapshot is not None and newest.errors == ()
+    assert (newest.snapshot.state, newest.snapshot.written_at_ms) == ({"save": 2}, 2.0)
     (tmp_path / "front_1.snapshot").write_bytes(b"garbled")
-    older = store.load()
-    assert older.snapshot is not None and older.snapshot.state == {"save": 1}
-    assert older.errors == ("front_1.snapshot skipped: invalid header line",)
+    previous = store.load()
+    assert previous.snapshot is not None and previous.snapshot.state == {"save": 1}
+    assert previous.errors == ("front_1.snapshot skipped: invalid header line",)
 
 
 @pytest.mark.parametrize("step", range(1, 8))
-def test_process_that_dies_at_any_step_of_a_save_leaves_a_complete_snapshot(
+def test_process_that_exits_at_any_step_of_a_save_leaves_a_complete_snapshot(
     tmp_path: Path, step: int
 ) -> None:
-    done = subprocess.run([sys.executable, "-c", DYING_SAVE, str(tmp_path), str(step)], check=False)
-    assert done.returncode in (0, 9)
+    process = subprocess.run([sys.executable, "-c", INTERRUPTED_SAVE, str(tmp_path), str(step)], check=False)
+    assert process.returncode in (0, 9)
     found = SnapshotStore(tmp_path, "b").load()
     assert found.snapshot is not None and found.errors == ()
     assert found.snapshot.state["save"] in (1, 2)
-    if done.returncode == 0:
-        assert found.snapshot.state["save"] == 2 and step > 6  # it had no such step
+    if process.returncode == 0:
+        assert found.snapshot.state["save"] == 2 and step > 6  # the save has fewer steps
     SnapshotStore(tmp_path, "b").save(encode_snapshot({"save": 3}, 3.0))
     after = SnapshotStore(tmp_path, "b").load().snapshot
     assert after is not None and after.state == {"save": 3}
@@ -89,15 +89,15 @@
 
 def test_newer_format_version_is_rejected_and_an_unknown_header_field_is_not() -> None:
     first, _, body = encode_snapshot(STATE, 7.0).partition(b"\n")
-    head = json.loads(first)
-    assert decode_snapshot(json.dumps(head | {"more": 1}).encode() + b"\n" + body).state == STATE
+    header = json.loads(first)
+    assert decode_snapshot(json.dumps(header | {"more": 1}).encode() + b"\n" + body).state == STATE
     with pytest.raises(
         SnapshotDecodeError, match=f"format version {FORMAT_VERSION + 1}; expected {FORMAT_VERSION}"
     ):
-        decode_snapshot(json.dumps(head | {"form": FORMAT_VERSION + 1}).encode() + b"\n" + body)
+        decode_snapshot(json.dumps(header | {"form": FORMAT_VERSION + 1}).encode() + b"\n" + body)
 
 
-def test_unwritable_folder_is_logged_once_and_stops_nothing(
+def test_unwritable_folder_is_logged_once_and_has_no_other_effect(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario() -> None:
@@ -122,7 +122,7 @@
 def test_failed_save_keeps_the_earlier_generations(tmp_path: Path) -> None:
     store = SnapshotStore(tmp_path, "b")
     store.save(encode_snapshot({"save": 1}, 1.0))
-    (tmp_path / "b.snapshot.draft").mkdir()  # nothing can be written there
+    (tmp_path / "b.snapshot.draft").mkdir()  # makes writing the draft fail
     with pytest.raises(OSError, match="directory"):
         store.save(encode_snapshot({"save": 2}, 2.0))
     found = store.load().snapshot
