--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -112,9 +112,7 @@
     for key in ("work", "easy", "pressure", "median", "usual", "asked_then"):  # these do not decay
         assert json.dumps(learned[key]) == json.dumps(recorded_learned[key])
     assert list(learned["servers"]) == list(recorded_learned["servers"])
-    for name, figures in learned[
-        "servers"
-    ].items():  # start, calls served, time in flight: the last two decay
+    for name, figures in learned["servers"].items():  # start, served calls, in-flight time: last two decay
         before = recorded_learned["servers"][name]
         assert figures[0] == before[0]
         assert all(0 <= now <= then for now, then in zip(figures[1:], before[1:], strict=True))
--- a/tests/test_membership_udp.py
+++ b/tests/test_membership_udp.py
@@ -68,8 +68,8 @@
         await wait_until_all_see(others, 1, MemberState.ALIVE)
         tier[3].leave()
         await wait_until_all_see(tier[:3], 3, MemberState.LEFT)
-        for host in tier:
-            host.stop()
+        for membership_host in tier:
+            membership_host.stop()
 
     run_scenario(scenario())
 
@@ -136,8 +136,8 @@
                 config, config.peer_listen, loop, harness.proxy.clock.now
             )
             assert not harness.proxy.membership.start()
-            report = json.loads((await call_console(harness, "GET", "/admin/peers")).body)
-            assert (report["me"], report["present"], report["takes_part"]) == (0, 1, True)
+            answer = json.loads((await call_console(harness, "GET", "/admin/peers")).body)
+            assert (answer["me"], answer["present"], answer["takes_part"]) == (0, 1, True)
             assert b'irondrum_peers{state="alive"} 1' in (await call_console(harness, "GET", "/metrics")).body
             harness.proxy.announce_shutdown()
             assert (
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("step", range(1, 8))
-def test_process_that_exits_at_any_step_of_a_save_leaves_a_complete_snapshot(
+def test_process_that_dies_at_any_step_of_a_save_leaves_a_complete_snapshot(
     tmp_path: Path, step: int
 ) -> None:
     process = subprocess.run([sys.executable, "-c", INTERRUPTED_SAVE, str(tmp_path), str(step)], check=False)
