--- a/loadbalancer/registry/anti_entropy.py
+++ b/loadbalancer/registry/anti_entropy.py
@@ -1,14 +1,14 @@
-"""How instances of the registry keep one another up to date: given the time and what arrives, without I/O.
+"""Synchronization between instances of the registry, sans-I/O: driven by the time and what arrives.
 
     anti_entropy = AntiEntropy(catalog, number=0, count=3, incarnation=1)
     request = anti_entropy.make_request(2)                # to instance 2, regularly and after a change
     answer, changes = other.handle_request(request, now)  # there; `changes` are stored before the answer
-    changes = anti_entropy.handle_response(2, answer, requested_ms, now)  # here, before anybody sees them
+    changes = anti_entropy.handle_response(2, answer, requested_ms, now)  # here, before anyone sees them
 
 Anti-entropy after Demers et al. (1987): each message has what was updated since the peer's last
 acknowledgement, renewals as bare counts, and a fingerprint of all else. Where two instances have nothing else
-to send and their fingerprints differ, all is sent again. Nothing is ordered by clocks; `requested_ms` and
-`now` are this instance's own, in ms.
+to send and their fingerprints differ, all is sent again. Clocks order nothing; `requested_ms` and `now` are
+this instance's own, in ms.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 MAX_INSTANCES = 8
 MAX_ENTRIES_PER_MESSAGE = 2_000  # the rest follows in the next message
-# Messages in a row with nothing to send and another fingerprint, after which all is sent again: one or two
-# differ while an update is on its way.
+# Consecutive messages without changes but with differing fingerprints, after which all is sent again: one or
+# two differ while an update is in flight.
 MAX_FINGERPRINT_MISMATCHES = 3
-UNREACHABLE_AFTER_MS = 5_000.0  # without an answer, as operators see it
+UNREACHABLE_AFTER_MS = 5_000.0  # without an answer, in the report to operators
 
 
 class RenewalCount(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
@@ -44,7 +44,7 @@
         return Generation(self.since_ms, self.incarnation)
 
 
-# The keys of messages on the wire, by the fields' names.
+# Keys of messages on the wire, by field name.
 MESSAGE_KEYS = {
     "incarnation": "life",
     "after_sequence": "after",
@@ -60,10 +60,10 @@
 
     sender: int
     incarnation: int
-    """Drawn at the sender's start: its sequence numbers begin anew with it."""
+    """Random, new at each start of the sender, which restarts its sequence numbers."""
     after_sequence: int
     sequence: int
-    """The message has all updates of the sender after the one and up to the other."""
+    """The message has all updates of the sender after `after_sequence` and up to this one."""
     known_incarnation: int = 0
     known_sequence: int = 0
     """The receiver's incarnation and sequence number up to which the sender knows its updates."""
@@ -73,7 +73,7 @@
 
 
 class InstanceMismatchError(RegistryError, ValueError):
-    """A message from a sender that is no other instance of this registry: one line."""
+    """A message that is not from another instance of this registry; its text is one line."""
 
 
 @dataclass
@@ -81,21 +81,21 @@
     """What we know of another instance, and what it knows of us."""
 
     incarnation: int = 0
-    known_sequence: int = 0  # its number up to which we know its updates
-    acknowledged_sequence: int = 0  # our number up to which it knows ours
+    known_sequence: int = 0  # its sequence number up to which we know its updates
+    acknowledged_sequence: int = 0  # our sequence number up to which it knows ours
     last_request_ms: float = -math.inf  # when the last request that it answered was made
-    complete_as_of_ms: float = -math.inf  # the same, of one whose answer had all that it knew
+    complete_as_of_ms: float = -math.inf  # the same, of one whose answer was complete
     mismatch_count: int = 0
     repair_count: int = 0
 
 
 class AntiEntropy:
-    """One instance's side of it, towards all peers."""
+    """One instance's side of the synchronization with all peers."""
 
     def __init__(self, catalog: Catalog, number: int, count: int, incarnation: int) -> None:
         """`incarnation` is new with each start; ValueError if there are too many instances."""
         if not 0 <= number < count <= MAX_INSTANCES:
-            raise ValueError(f"instance {number} of {count}: at most {MAX_INSTANCES}, from 0")
+            raise ValueError(f"instance {number} of {count}: numbered from 0, at most {MAX_INSTANCES}")
         self.number = number
         self.peers = {peer: PeerState() for peer in range(count) if peer != number}
         self._catalog = catalog
@@ -108,7 +108,7 @@
         return min((peer.complete_as_of_ms for peer in self.peers.values()), default=math.inf)
 
     def make_request(self, to: int) -> SyncMessage:
-        """Return the message for a peer; it answers with one of its own."""
+        """Return the request for a peer; it answers with a message of its own."""
         return self._make_message(self.peers[to])
 
     def _make_message(self, peer: PeerState) -> SyncMessage:
@@ -147,7 +147,7 @@
     def handle_response(
         self, sender: int, answer: SyncMessage, requested_ms: float, now: float
     ) -> list[Change]:
-        """Take a peer's answer to the request made at `requested_ms`; return the changes to store."""
+        """Merge a peer's answer to the request made at `requested_ms`; return the changes to store."""
         if answer.sender != sender:
             raise InstanceMismatchError(f"instance {sender} answers as {answer.sender}")
         peer = self.peers[sender]
@@ -163,19 +163,19 @@
         return self.peers[number]
 
     def _merge_message(self, peer: PeerState, message: SyncMessage, now: float) -> list[Change]:
-        """Merge what a peer sends, and note up to where each knows the other."""
+        """Merge a peer's message, and record up to where each knows the other's updates."""
         if message.incarnation != peer.incarnation:
             peer.incarnation = message.incarnation
             peer.known_sequence = 0
-        knows_this_start = message.known_incarnation == self._incarnation
-        peer.acknowledged_sequence = message.known_sequence if knows_this_start else 0
-        who = f"instance {message.sender}"
-        changes = [self._catalog.merge(entry, now, who) for entry in message.entries]
+        knows_this_incarnation = message.known_incarnation == self._incarnation
+        peer.acknowledged_sequence = message.known_sequence if knows_this_incarnation else 0
+        source = f"instance {message.sender}"
+        changes = [self._catalog.merge(entry, now, source) for entry in message.entries]
         changes += [
             self._catalog.merge_renewals(renewal.name, renewal.generation, renewal.renewal_count, now)
             for renewal in message.renewals
         ]
-        if message.after_sequence <= peer.known_sequence:  # else what is between is missing: it comes again
+        if message.after_sequence <= peer.known_sequence:  # else updates are missing between: they come again
             peer.known_sequence = max(peer.known_sequence, message.sequence)
         self._check_fingerprint(peer, message)
         return [change for change in changes if change is not None]
@@ -186,7 +186,7 @@
         peer.mismatch_count = peer.mismatch_count + 1 if is_mismatch else 0
         if peer.mismatch_count >= MAX_FINGERPRINT_MISMATCHES:
             peer.mismatch_count = 0
-            peer.known_sequence = 0  # all is sent again, both ways
+            peer.known_sequence = 0  # all is sent again, in both directions
             peer.acknowledged_sequence = 0
             peer.repair_count += 1
 
--- a/loadbalancer/registry/change_index.py
+++ b/loadbalancer/registry/change_index.py
@@ -1,7 +1,7 @@
-"""Which servers each service has, and has had, in the order in which its watchers must hear of them.
+"""The current and former servers of each service, in the order in which watchers must learn of them.
 
     change_index = ChangeIndex()
-    change_index.put(entry)      # after each change; also where it has left one service for another
+    change_index.put(entry)      # after each change, also a move to another service
     for name, revision in change_index.latest_changes("orders"): ...
 
 A service is what a registration calls its `tier`. A change of one service costs the others nothing.
@@ -13,12 +13,12 @@
 
 from loadbalancer.registry.entries import Entry
 
-# Services that a server is remembered to have left; a watcher that saw it in others gets a full snapshot.
+# Former services remembered of a server; a watcher that saw it in others gets a full snapshot.
 MAX_FORMER_SERVICES = 8
 
 
 class ChangeIndex:
-    """By service: its servers' names, with the revision at which each changed there last."""
+    """By service: its servers' names, with the revision of each one's last change there."""
 
     def __init__(self) -> None:
         self._revisions_by_service: dict[str, dict[str, int]] = {}
@@ -26,7 +26,7 @@
         self.change_counts: dict[str, int] = {}  # by service
 
     def put(self, entry: Entry) -> None:
-        """Record that a server has changed; the oldest of too many services that it left are forgotten."""
+        """Record a server's change; its oldest former services above the maximum are forgotten."""
         while len(entry.former_zones) > MAX_FORMER_SERVICES:
             service = min(entry.former_zones, key=lambda former: max(entry.former_zones[former].values()))
             self._compact_up_to(service, max(entry.former_zones.pop(service).values()))
@@ -61,7 +61,7 @@
                 self._revisions_by_service.pop(service, None)
 
     def restore_order(self) -> None:
-        """Put all in the order of revisions again, after some have got earlier ones back."""
+        """Sort all by revision again after some were reverted to earlier ones."""
         for service, revisions in self._revisions_by_service.items():
             self._revisions_by_service[service] = dict(sorted(revisions.items(), key=lambda item: item[1]))
 
@@ -70,7 +70,7 @@
         return reversed(self._revisions_by_service.get(service, {}).items())
 
     def server_names(self, service: str) -> Iterator[str]:
-        """Yield the names of all servers that a service has or has had and that are remembered."""
+        """Yield the names of all current and remembered former servers of a service."""
         return iter(self._revisions_by_service.get(service, ()))
 
     def compaction_revision(self, services: tuple[str, ...] | None) -> int:
@@ -92,7 +92,7 @@
     if (old_service, old_zone) == (new_service, new_zone):
         return before.former_zones
     former = {service: dict(zones) for service, zones in before.former_zones.items()}
-    # One that had ended there was told as ended at its own revision.
+    # One that was already off the list there was announced as terminated at its own revision.
     former.setdefault(old_service, {})[old_zone] = entry.revision if before.is_listed else before.revision
     former.get(new_service, {}).pop(new_zone, None)
     return {service: zones for service, zones in former.items() if zones}
--- a/loadbalancer/registry/interest_changes.py
+++ b/loadbalancer/registry/interest_changes.py
@@ -11,9 +11,9 @@
 
 
 def changes_for(catalog: Catalog, previous: SubsetView, view: SubsetView, after: int) -> list[Entry]:
-    """Return the delta for a watcher that has held `previous` at a revision, and holds `view` from now on.
+    """Return the delta for a watcher that held `previous` at a revision and holds `view` from now on.
 
-    Its history must be complete since that revision. A server that is not held any more is terminated.
+    The history must be complete since that revision. A server that is no longer held is sent as terminated.
     """
     changes: dict[str, Entry] = {}
     for service in dict.fromkeys((*previous.levels, *view.levels)):
--- a/loadbalancer/registry/list_query.py
+++ b/loadbalancer/registry/list_query.py
@@ -1,4 +1,4 @@
-"""What a call for the list asks, read from its query string; a bad one is rejected with one line and 400."""
+"""Parsing of a list call's query string; an invalid one is rejected with 400 and a one-line error."""
 
 from __future__ import annotations
 
@@ -13,40 +13,40 @@
 from loadbalancer.registry.interest import Interest, Levels, SubsetSpec, decode_levels, watcher_position
 
 MAX_WAIT_MS = 60_000.0
-MAX_SERVICES = 32  # of one watch
+MAX_SERVICES = 32  # per watch
 MAX_SUBSET_SERVERS = 100_000
 MAX_BALANCERS = 1_000_000
 MAX_TEXT_LENGTH = 200
-NO_REVISION = -1  # in place of a revision that was seen: the answer is a full snapshot
+NO_REVISION = -1  # the watcher has seen no revision: the answer is a full snapshot
 DEFAULT_TIER = "first"
 INTEREST_KEYS = ("part", "of", "zone", "balancers", "held", "ticket", "waited_ms")  # only with `services`
 
 
 @dataclass(frozen=True, slots=True)
 class ListQuery:
-    """One call for the list."""
+    """A parsed list call."""
 
     interest: Interest
     after_revision: int
     """The revision that the watcher has seen, or `NO_REVISION`."""
     wait_ms: float
     known_levels: Levels | None = None
-    """What the watcher says it holds at its revision; None if it does not say."""
+    """What the watcher reports to hold at its revision; None if it reports nothing."""
     is_single_tier: bool = False
-    """It is the platform's call, for one tier, that knows of no interests."""
+    """It is the platform's call, which is for one tier and without an interest."""
     ticket: int | None = None
-    """Of an earlier answer that told it to come again."""
+    """From an earlier answer that told it to retry later."""
     waited_ms: float = 0.0
-    """How long the watcher has tried already, after a failed call."""
+    """How long the watcher has been retrying since a failed call."""
 
     @property
-    def knows_levels(self) -> bool:
+    def has_known_levels(self) -> bool:
         """Whether it is known what the watcher holds at its revision."""
         return self.is_single_tier or self.known_levels is not None
 
 
 def parse_list_query(query: Mapping[str, str]) -> ListQuery:
-    """Return what a query string asks; rejected with 400 if it is wrong."""
+    """Parse a list call's query string; an invalid one is rejected with 400."""
     after = int(read_number(query, "after", NO_REVISION))
     wait_ms = min(read_number(query, "wait_ms", 0.0), MAX_WAIT_MS)
     if "services" not in query:
@@ -70,7 +70,7 @@
 
 
 def read_number(query: Mapping[str, str], key: str, default: float) -> float:
-    """Return a number of a query string; rejected with 400 if it is none."""
+    """Return a query parameter as a number; an invalid one is rejected with 400."""
     text = query.get(key)
     try:
         value = float(text) if text is not None else default
--- a/loadbalancer/registry/merge.py
+++ b/loadbalancer/registry/merge.py
@@ -1,13 +1,13 @@
-"""What instances tell one another of a server, and how two accounts of it become one.
+"""The record of a server that instances exchange, and the join of two such records.
 
     ours, theirs = to_shared(entry), SharedEntry(...)
-    joined = join(ours, theirs)          # the same whatever the order, and however often
+    joined = join(ours, theirs)          # commutative, associative and idempotent
 
-Neither clock decides. A later start of the server goes before an earlier one, and a registration after a
-removal (`incarnation`) before that removal. Within one generation each field joins by itself: the reported
-status only goes on from serving to draining to removed; of two registrations the one of the entry that was
-changed more often stands; renewals are counted, and expiry takes off the list only a server whose lease
-nobody has renewed since.
+No instance's clock decides. A later start of the server wins over an earlier one, and a registration after a
+removal (`incarnation`) over that removal. Within one generation each field joins by itself: the reported
+status only advances from serving to draining to removed; of two registrations, that of the entry with more
+changes wins; renewals are counted, and expiry takes a server off the list only if no instance has had its
+lease renewed since.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 from loadbalancer.registry.entries import Entry, Registration, Status
 
-# In the order in which they replace one another.
+# Each supersedes those before it.
 STATUS_ORDER = (Status.IN_SERVICE, Status.TERMINATING, Status.TERMINATED)
 
 
 class Generation(NamedTuple):
-    """What orders two accounts of a server: the later one stands, whatever the earlier one says."""
+    """The order of two records of a server: the later one wins, whatever the earlier one says."""
 
     since_ms: float
     incarnation: int
 
 
 class SharedEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One server as instances tell it; leases, marks and revisions are each instance's own."""
+    """One server as instances exchange it; leases, marks and revisions are local to each instance."""
 
     name: str
     registration: Registration
@@ -43,12 +43,12 @@
 
     @property
     def generation(self) -> Generation:
-        """The start and the incarnation that this is an account of."""
+        """The start and the incarnation that this is a record of."""
         return Generation(self.registration.since_ms, self.incarnation)
 
 
 def to_shared(entry: Entry) -> SharedEntry:
-    """Return what other instances are told of an entry."""
+    """Return the record of an entry for other instances."""
     return SharedEntry(
         entry.name,
         entry.registration,
@@ -61,15 +61,15 @@
     )
 
 
-def _order(account: SharedEntry) -> tuple[int, bytes]:
-    return account.change_count, msgspec.json.encode((account.registration, account.is_pinned))
+def _precedence(record: SharedEntry) -> tuple[int, bytes]:
+    return record.change_count, msgspec.json.encode((record.registration, record.is_pinned))
 
 
 def join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
-    """Return both accounts of a server as one."""
+    """Join two records of a server."""
     if one.generation != other.generation:
-        return max(one, other, key=lambda account: account.generation)
-    later = max(one, other, key=_order)
+        return max(one, other, key=lambda record: record.generation)
+    later = max(one, other, key=_precedence)
     return SharedEntry(
         one.name,
         later.registration,
@@ -83,6 +83,6 @@
 
 
 def is_conflict(one: SharedEntry, other: SharedEntry) -> bool:
-    """Return whether two accounts were made without knowing of one another: a join loses one of them."""
-    is_same_age = one.generation == other.generation and one.change_count == other.change_count
-    return is_same_age and _order(one) != _order(other)
+    """Return whether two records come from concurrent changes, of which a join loses one."""
+    is_same_version = one.generation == other.generation and one.change_count == other.change_count
+    return is_same_version and _precedence(one) != _precedence(other)
--- a/loadbalancer/registry/peer_sync.py
+++ b/loadbalancer/registry/peer_sync.py
@@ -1,4 +1,4 @@
-"""Calls between instances: updates are sent to the peers at once, renewals every quarter of a second."""
+"""Calls between instances: changes are sent to the peers at once, renewals every quarter of a second."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 EXCHANGE_INTERVAL_S = 0.25  # between requests to one peer, if nothing has changed
 EXCHANGE_TIMEOUT_S = 2.0
-MAX_INITIAL_SYNC_MS = 3_000.0  # after a start, until the peers have answered
+MAX_INITIAL_SYNC_MS = 3_000.0  # wait after a start for the peers' answers
 
 
 def unix_ms() -> float:
@@ -26,7 +26,7 @@
 
 
 class PeerSync:
-    """Keeps one instance and its peers up to date, over HTTP."""
+    """Synchronizes one instance with its peers over HTTP."""
 
     def __init__(self, anti_entropy: AntiEntropy, addresses: Sequence[str], writes: WriteQueue) -> None:
         """`addresses` are those of all instances, by their numbers."""
@@ -37,13 +37,13 @@
         self.is_synchronized = not anti_entropy.peers
 
     def notify(self) -> None:
-        """Send what was updated to the peers at once."""
+        """Send updates to the peers at once."""
         self._has_updates.set()
 
     def handle_request(self, data: bytes | bytearray) -> bytes:
-        """Return the answer to a peer's message; rejected with 400 if it is none.
+        """Return the answer to a peer's message; an invalid one is rejected with 400.
 
-        `CatalogStoreError` if what it told can't be stored.
+        Raises `CatalogStoreError` if its changes can't be stored.
         """
         try:
             message = msgspec.json.decode(data, type=SyncMessage)
@@ -59,7 +59,7 @@
         try:
             self._writes.commit(changes)
         except CatalogStoreError:
-            self._anti_entropy.peers[sender].known_sequence = 0  # all is to be sent again
+            self._anti_entropy.peers[sender].known_sequence = 0  # so that the peer sends all again
             raise
 
     @asynccontextmanager
@@ -77,7 +77,7 @@
                 await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _wait_for_peers(self) -> None:
-        """Set `is_synchronized` when the peers have answered, or are seen to be out of reach."""
+        """Set `is_synchronized` when the peers have answered, or after `MAX_INITIAL_SYNC_MS`."""
         started_ms = unix_ms()
         while not self.is_synchronized and unix_ms() < started_ms + MAX_INITIAL_SYNC_MS:
             await asyncio.sleep(EXCHANGE_INTERVAL_S / 10)
--- a/loadbalancer/registry/query_evaluation.py
+++ b/loadbalancer/registry/query_evaluation.py
@@ -1,8 +1,8 @@
-"""What watches are answered, and when: found and encoded once for all that ask the same.
+"""Answers to list queries, evaluated and encoded once for all watchers with the same query.
 
 evaluator = QueryEvaluator(catalog, store)
-body = await evaluator.answer(query)   # a full snapshot, or what changed since, as soon as something has
-evaluator.notify_watchers()            # after changes that were stored; at a limited rate
+body = await evaluator.answer(query)   # a full snapshot, or a delta as soon as something has changed
+evaluator.notify_watchers()            # after changes were stored; rate-limited
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 from loadbalancer.registry.subset_cache import SubsetCache
 from loadbalancer.registry.watcher_index import AffectedWatchers, WatcherIndex
 
-MAX_CACHED_ANSWERS = 64  # that watchers share
+MAX_CACHED_ANSWERS = 64  # shared by watchers
 
 
 class AnswerKey(NamedTuple):
-    """All that an answer depends on: watchers share one if they agree in this."""
+    """Everything that an answer depends on: watchers with equal keys share one."""
 
     services: tuple[str, ...]
-    """Those asked for, which may be fewer than those held: a full snapshot drops nothing that is held."""
+    """The requested ones, which may be fewer than those held: a full snapshot drops none that is held."""
     is_single_tier: bool
-    knows_levels: bool
-    """Whether the watcher says what it holds; else it gets a full snapshot."""
+    has_known_levels: bool
+    """Whether the watcher reports what it holds; otherwise it gets a full snapshot."""
     previous: Hashable
     view: Hashable
     after_revision: int
@@ -51,13 +51,13 @@
     """Answers the list queries of one instance."""
 
     def __init__(self, catalog: Catalog, store: CatalogStore) -> None:
-        """`store` records the jumps of the revision that a watcher from elsewhere may bring about."""
+        """`store` records jumps of the revision, which a watcher from another instance may cause."""
         self._catalog = catalog
         self._store = store
         self._subsets = SubsetCache(catalog)
         self.watcher_index = WatcherIndex(self._subsets)
         self._wake_timer: asyncio.TimerHandle | None = None
-        self._notified_revision = catalog.revision  # when watchers were woken last
+        self._notified_revision = catalog.revision  # as of the last wake
         self.wake_rate_limiter = WakeRateLimiter()
         self.admission_queue = AdmissionQueue()
         self._answers: dict[AnswerKey, bytes | None] = {}
@@ -66,13 +66,13 @@
         self.waiting_count = 0
 
     def has_history_for(self, query: ListQuery) -> bool:
-        """Return whether all since the revision that a watcher has seen is remembered here."""
+        """Return whether the history since the revision that a watcher has seen is complete here."""
         return self._catalog.has_history_since(query.after_revision, _services_of(query))
 
     def schedule_retry(self, query: ListQuery) -> ScheduledRetry | None:
-        """Return when a call is to come again that is one too many now; None for one that is admitted.
+        """Return when a call above the admitted rate is to be retried; None for one that is admitted.
 
-        It limits watchers that return after a failed call, and snapshots by interest.
+        Only watchers that return after a failed call and full snapshots by interest are limited.
         """
         if query.is_single_tier or (query.after_revision >= 0 and not query.waited_ms):
             return None
@@ -84,7 +84,7 @@
         return self.admission_queue.schedule_retry(now, cost_s, query.waited_ms / 1_000, query.ticket)
 
     async def answer(self, query: ListQuery) -> bytes:
-        """Return a full snapshot, or what changed since a revision, as soon as something has."""
+        """Return a full snapshot, or a delta as soon as something has changed."""
         self.waiting_count += 1
         try:
             body = await self._wait_for_answer(query)
@@ -105,7 +105,7 @@
                 await asyncio.wait((woken,), timeout=remaining_s)
 
     def evaluate(self, query: ListQuery, *, may_wait: bool) -> tuple[bytes | None, SubsetView]:
-        """Return the answer as it is now, and what is held with it; no body if it may wait for a change."""
+        """Return the current answer and the view held with it; no body if it may wait for a change."""
         previous, view = self._views(query, is_snapshot=False)
         waits = may_wait and previous.key == view.key and self._is_up_to_date(query)
         body = None if waits else self._cached_changes(query, previous, view)
@@ -116,7 +116,7 @@
     def _views(self, query: ListQuery, *, is_snapshot: bool) -> tuple[SubsetView, SubsetView]:
         """Return what a watcher holds at its revision, and what it is to hold from now on.
 
-        A plain tuple, as of `evaluate`: both are made for each call and each wake.
+        A plain tuple, like that of `evaluate`, as both are made for each call and each wake.
         """
         interest = query.interest
         known_levels = complete_levels(interest.services) if query.is_single_tier else query.known_levels
@@ -126,15 +126,15 @@
         return previous, view
 
     def _is_up_to_date(self, query: ListQuery) -> bool:
-        """Return whether a watcher knows all that was announced at the last wake.
+        """Return whether a watcher has seen all that was announced at the last wake.
 
-        What came since is announced at the next one: else each watch would call again for each change.
+        Later changes are announced at the next one: otherwise each would cause a call by each watch.
         """
         is_current = self._notified_revision <= query.after_revision <= self._catalog.revision
-        return is_current and query.knows_levels and self.has_history_for(query)
+        return is_current and query.has_known_levels and self.has_history_for(query)
 
     def _cached_changes(self, query: ListQuery, previous: SubsetView, view: SubsetView) -> bytes | None:
-        """Return what all get that have seen a revision of the same; None if nothing has changed."""
+        """Return the answer that watchers with an equal key share; None if nothing has changed."""
         key = self._answer_key(query, previous, view, query.after_revision)
         if query.after_revision >= 0 and key in self._answers:
             return self._answers[key]
@@ -148,8 +148,8 @@
         return AnswerKey(
             query.interest.services,
             query.is_single_tier,
-            # A snapshot is the same for those that say what they hold and those that do not.
-            after >= 0 and query.knows_levels,
+            # A snapshot is the same whether or not a watcher reports what it holds.
+            after >= 0 and query.has_known_levels,
             previous.key,
             view.key,
             after,
@@ -157,7 +157,7 @@
         )
 
     def _encode_changes(self, query: ListQuery, previous: SubsetView, view: SubsetView) -> bytes | None:
-        if query.after_revision < 0 or not query.knows_levels or not self._can_resume(query):
+        if query.after_revision < 0 or not query.has_known_levels or not self._can_resume(query):
             return self._encode_snapshot(query)
         changes = changes_for(self._catalog, previous, view, query.after_revision)
         if not changes and previous.key == view.key:
@@ -174,7 +174,7 @@
         return can_resume
 
     def _encode_snapshot(self, query: ListQuery) -> bytes:
-        """Return the full snapshot, encoded once for all that hold the same."""
+        """Return the full snapshot, encoded once for all watchers with an equal key."""
         _, view = self._views(query, is_snapshot=True)
         key = self._answer_key(query, view, view, NO_REVISION)
         body = self._answers.get(key)
@@ -199,7 +199,7 @@
     # ---- wakes ----------------------------------------------------------------------------------
 
     def notify_watchers(self) -> None:
-        """Wake those whose interest includes what has changed, now or as soon as the rate allows."""
+        """Wake watchers whose interest includes a change, now or as soon as the rate limit allows."""
         if self._wake_timer is not None:
             return
         loop = asyncio.get_running_loop()
@@ -224,11 +224,11 @@
         self.wake_rate_limiter.record_wake(asyncio.get_running_loop().time(), woken_count)
 
     def close(self) -> None:
-        """Wake nobody from now on."""
+        """Cancel a delayed wake."""
         if self._wake_timer is not None:
             self._wake_timer.cancel()
 
 
 def _services_of(query: ListQuery) -> tuple[str, ...]:
-    """Return all services that a watcher must have heard of: what it wants and what it says it holds."""
+    """Return all services whose changes concern a watcher: those requested and those reported held."""
     return tuple(dict.fromkeys((*query.interest.services, *(query.known_levels or ()))))
--- a/loadbalancer/registry/revisions.py
+++ b/loadbalancer/registry/revisions.py
@@ -1,7 +1,7 @@
-"""The revisions that an instance issues, and those that earlier incarnations of it have issued.
+"""The revisions that an instance issues, and those that its earlier incarnations have issued.
 
-One revision grows with each change and never goes back. After a start it is above all that any watcher can
-have seen (`first_revision`). Where several instances hold the registry, each counts for itself: a revision
+The revision grows with each change and never decreases. After a start it is above all that any watcher can
+have seen (`first_revision`). Where several instances hold the registry, each issues its own: a revision
 modulo `stride` is the number of the instance that issued it, so that a watch that comes from another instance
 is recognized by its revision.
 """
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-# By how much a clock may have been set back between two incarnations: a day.
+# By how much a clock may be set back between two incarnations: a day.
 MAX_CLOCK_STEP_BACK_MS = 86_400_000.0
 
 
@@ -23,12 +23,12 @@
 
 
 def first_revision(stored: int, now_ms: float, number: int = 0, stride: int = 1) -> int:
-    """Return a revision above all that were issued, where changes come at less than one a ms on average."""
+    """Return a revision above all issued ones, as long as changes average less than one per ms."""
     return _next_own(max(stored, int(now_ms) * stride - 1), number, stride)
 
 
 def _next_own(revision: int, number: int, stride: int) -> int:
-    """Return the first revision above another one that belongs to an instance."""
+    """Return the first revision above another one that the instance `number` may issue."""
     return revision + 1 + (number - revision - 1) % stride
 
 
@@ -47,7 +47,7 @@
         self.past_incarnations: list[RevisionRange] = []  # the oldest first
 
     def restore(self, incarnations: Sequence[RevisionRange], compaction_revision: int) -> None:
-        """Go on from earlier incarnations, whose removals up to `compaction_revision` are forgotten."""
+        """Continue from earlier incarnations, whose removals up to `compaction_revision` are forgotten."""
         self.past_incarnations = list(incarnations)
         self.oldest = max(compaction_revision, incarnations[0].first) if incarnations else self.start
 
@@ -61,20 +61,20 @@
         return revision % self._stride == self._number
 
     def was_issued(self, revision: int) -> bool:
-        """Return whether an incarnation that is remembered has issued a revision."""
+        """Return whether a remembered incarnation has issued a revision."""
         if self.start <= revision <= self.current:
             return True
-        return any(known.first <= revision <= known.last for known in self.past_incarnations)
+        return any(issued.first <= revision <= issued.last for issued in self.past_incarnations)
 
     def advance_past(self, revision: int, now: float) -> None:
-        """Go above a revision that a watcher has seen and that is higher than the current one.
+        """Advance above a revision that a watcher has seen and that is higher than the current one.
 
-        It comes from another instance, or from before the database was lost and the clock set back. One that
-        is higher than any clock could have made it is ignored.
+        It was issued by another instance, or before the database was lost and the clock set back. One too
+        high for any clock to have produced is ignored.
         """
         if revision > (now + MAX_CLOCK_STEP_BACK_MS) * self._stride:
             return
         self.current = _next_own(revision, self._number, self._stride)
-        if self.is_own(revision):  # what is between was issued by an incarnation that is not remembered
+        if self.is_own(revision):  # those between were issued by an incarnation that is not remembered
             self.start = self.current
             self.oldest = self.current
--- a/loadbalancer/registry/subset_cache.py
+++ b/loadbalancer/registry/subset_cache.py
@@ -1,4 +1,4 @@
-"""The levels and the contents of subsets, worked out once for all watchers that want the same."""
+"""The levels and contents of subsets, computed once for all watchers that want the same."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     server_positions,
 )
 
-BALANCERS_PER_SERVER = 30  # that hold each server, where they say how many they are
-LEVEL_HYSTERESIS = 1  # levels by which a subset may be coarser than it need be before it is refined
+BALANCERS_PER_SERVER = 30  # to hold each server, where balancers report how many they are
+LEVEL_HYSTERESIS = 1  # levels by which a subset may be coarser than necessary before it is refined
 MAX_CACHED_SUBSETS = 65_536  # pairs of a service and a `SubsetSpec`
 MAX_CACHED_SERVICES = 1_024
 
@@ -29,14 +29,14 @@
 
     def __init__(self, names: list[str]) -> None:
         self.names = names
-        self._finest: dict[int, int] = {}  # by the smallest number of servers
+        self._finest: dict[int, int] = {}  # by minimum number of servers
         self._slices: dict[int, dict[int, list[str]]] = {}  # by level and position
 
     def finest_level(self, min_servers: int, balancer_count: int) -> int:
         """Return the finest level whose smallest slice has enough servers, each held by enough balancers."""
         if balancer_count:
-            covering = math.ceil(len(self.names) * BALANCERS_PER_SERVER / balancer_count)
-            min_servers = max(min_servers, covering)
+            min_for_coverage = math.ceil(len(self.names) * BALANCERS_PER_SERVER / balancer_count)
+            min_servers = max(min_servers, min_for_coverage)
         if min_servers not in self._finest:
             self._finest[min_servers] = self._find_level(min_servers)
         return self._finest[min_servers]
@@ -55,32 +55,32 @@
         return self._slices_at(level).get(position & ((1 << level) - 1), []) if level else self.names
 
     def _slices_at(self, level: int) -> dict[int, list[str]]:
-        """Return all slices of a level, found once for all watchers."""
+        """Return all slices of a level, computed once for all watchers."""
         if level not in self._slices:
             mask = (1 << level) - 1
             slices = self._slices.setdefault(level, {})
             for name in self.names:
-                for position in {own & mask for own in server_positions(name)}:
+                for position in {server_position & mask for server_position in server_positions(name)}:
                     slices.setdefault(position, []).append(name)
         return self._slices[level]
 
 
 class _CachedZones(NamedTuple):
-    """The zones of a service, at a count of its changes."""
+    """The zones of a service as of a count of its changes."""
 
     change_count: int
     zones: dict[str, ZoneSlices]
 
 
 class _CachedLevels(NamedTuple):
-    """The finest levels by zone, as long as the service's zones are the same object."""
+    """The finest levels by zone, valid while the service's zones are the same object."""
 
     zones: dict[str, ZoneSlices]
     levels: dict[str, int]
 
 
 class SubsetCache:
-    """The levels and contents of subsets of one catalog, until the service changes."""
+    """The levels and contents of subsets of one catalog, cached until the service changes."""
 
     def __init__(self, catalog: Catalog) -> None:
         self._catalog = catalog
@@ -88,7 +88,7 @@
         self._finest_levels: dict[tuple[str, SubsetSpec], _CachedLevels] = {}
 
     def finest_levels(self, service: str, subset: SubsetSpec) -> dict[str, int]:
-        """Return, by zone, the finest level whose smallest slice has the servers that are asked for."""
+        """Return, by zone, the finest level whose smallest slice has the requested number of servers."""
         zones = self._zones_of(service)
         cached = self._finest_levels.get((service, subset))
         if cached is None or cached.zones is not zones:
@@ -108,7 +108,7 @@
         return cached.levels
 
     def estimate_size(self, view: SubsetView) -> int:
-        """Return about how many servers a view holds."""
+        """Estimate how many servers a view holds."""
         return sum(
             math.ceil(len(zone.names) * min(SLICES_PER_SERVER / 2 ** levels.get(name, 0), 1))
             for service, levels in view.levels.items()
@@ -116,7 +116,7 @@
         )
 
     def entries_in(self, view: SubsetView) -> list[Entry]:
-        """Return all that a view holds: it costs what is held, and not what the services have."""
+        """Return all entries that a view holds; the cost grows with these, not with the services' size."""
         names: list[str] = []
         for service, levels in view.levels.items():
             if not levels:
@@ -128,12 +128,11 @@
         return [entry for entry in entries if view.includes_entry(entry)]
 
     def choose_levels(self, interest: Interest, known_levels: Levels | None, *, is_snapshot: bool) -> Levels:
-        """Return what a watcher is to hold from now on; `known_levels` are those that it holds, None
-        if it does not say.
+        """Return what a watcher is to hold from now on; `known_levels` is what it holds, None if unknown.
 
         A subset stays as it is while it is fine enough, so that a service at the edge of a level does not
-        move it to and fro. A full snapshot does not name what it leaves out: it is never finer than what is
-        held, and services that are wanted no more stay, too.
+        make it flap. A full snapshot does not list what it leaves out: it is never finer than what is held,
+        and keeps services that are no longer wanted.
         """
         levels: dict[str, dict[str, int]] = {}
         for service in interest.services:
@@ -147,7 +146,7 @@
         return levels
 
     def _zones_of(self, service: str) -> dict[str, ZoneSlices]:
-        """Return the same object while no server has come or gone: a drain, or another weight, moves none."""
+        """Return slices by zone, the same object until servers come or go: drains or weights move none."""
         change_count = self._catalog.change_index.change_counts.get(service, 0)
         cached = self._zones.get(service)
         if cached is not None and cached.change_count == change_count:
--- a/loadbalancer/registry/update_log.py
+++ b/loadbalancer/registry/update_log.py
@@ -1,6 +1,6 @@
-"""The order in which entries were updated, for instances that bring one another up to date.
+"""The order in which entries were updated, for anti-entropy between instances.
 
-An update is a change or a renewal of a lease. Each has a sequence number, which is this incarnation's own.
+An update is a change or a renewal of a lease. Each has a sequence number, valid for this incarnation only.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
         self.record_renewal(entry.name)
         self._changes.pop(entry.name, None)
         self._changes[entry.name] = self.sequence
-        plain = msgspec.structs.replace(to_shared(entry), renewal_count=entry.is_expired)
-        new = xxhash.xxh3_64_intdigest(msgspec.json.encode(plain))
-        self.fingerprint ^= self._hashes.get(entry.name, 0) ^ new
-        self._hashes[entry.name] = new
+        without_renewals = msgspec.structs.replace(to_shared(entry), renewal_count=entry.is_expired)
+        new_hash = xxhash.xxh3_64_intdigest(msgspec.json.encode(without_renewals))
+        self.fingerprint ^= self._hashes.get(entry.name, 0) ^ new_hash
+        self._hashes[entry.name] = new_hash
 
     def discard(self, name: str) -> None:
         """Forget an entry."""
@@ -47,7 +47,7 @@
         self.fingerprint ^= self._hashes.pop(name)
 
     def restore_order(self, entries: dict[str, Entry]) -> None:
-        """Put the changes in the order of revisions again, after some entries have got earlier ones back."""
+        """Sort the changes by revision again after some entries were reverted to earlier ones."""
         by_revision = sorted(self._changes, key=lambda name: entries[name].revision)
         self._changes = {name: self._changes[name] for name in by_revision}
 
--- a/loadbalancer/registry/watcher_index.py
+++ b/loadbalancer/registry/watcher_index.py
@@ -1,10 +1,10 @@
-"""The watches that wait, found by what they hold: a change costs those whose interest includes it.
+"""An index of waiting watches by what they hold: a change costs only those whose interest includes it.
 
     watchers = WatcherIndex(subsets)
     with watchers.subscribe(view, subset) as woken: await woken        # a future of the running loop
     count = watchers.wake_affected(catalog.changed_since(revision), revision)
 
-State grows with the watches that wait, and ends with them.
+Its state grows with the waiting watches, and is dropped with them.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 
 
 class AffectedWatchers(NamedTuple):
-    """Those to wake, and the services that have changed."""
+    """Watchers to wake, and the services that have changed."""
 
     futures: set[WakeFuture]
     services: set[str]
 
 
 class WatcherIndex:
-    """Which watch waits for what, by services, slices and specifications of subsets."""
+    """The waiting watches by service, slice and subset specification."""
 
     def __init__(self, subsets: SubsetCache) -> None:
         self._subsets = subsets
         self._futures: dict[Hashable, set[WakeFuture]] = {}
-        # By service: the subsets that are waited for, with their levels at the last wake.
+        # By service: the subsets that watches wait for, with their levels at the last wake.
         self._watched_levels: dict[str, dict[SubsetSpec, dict[str, int]]] = {}
 
     def __len__(self) -> int:
@@ -43,7 +43,7 @@
 
     @contextmanager
     def subscribe(self, view: SubsetView, subset: SubsetSpec | None) -> Iterator[WakeFuture]:
-        """Wait for changes of what a view holds, and of the levels of its subsets, until the block ends."""
+        """Register, until the block ends, a future set on changes of what a view holds or of its levels."""
         woken: WakeFuture = asyncio.get_running_loop().create_future()
         keys = list(self._subscription_keys(view, subset))
         for key in keys:
@@ -78,11 +78,11 @@
                     del self._watched_levels[service]
 
     def wake_affected(self, changed: Iterable[Entry], after: int) -> int:
-        """Wake those that wait for a server that has changed since a revision; return how many."""
+        """Wake watchers of servers that have changed since a revision; return how many."""
         return self.wake(self.find_affected(changed, after))
 
     def wake(self, affected: AffectedWatchers) -> int:
-        """Wake those that were found at this very moment; return how many."""
+        """Wake affected watchers, with no change since they were found; return how many."""
         for future in affected.futures:
             if not future.done():
                 future.set_result(None)
@@ -92,7 +92,7 @@
         return len(affected.futures)
 
     def find_affected(self, changed: Iterable[Entry], after: int) -> AffectedWatchers:
-        """Return those whom the servers that have changed since a revision would wake."""
+        """Return the watchers to wake for servers that have changed since a revision."""
         futures: set[WakeFuture] = set()
         services: set[str] = set()
         for entry in changed:
@@ -114,5 +114,5 @@
     """Yield the keys of all slices that a server is in."""
     for level in range(MAX_LEVEL + 1):
         mask = (1 << level) - 1
-        for position in {own & mask for own in server_positions(name)}:
+        for position in {server_position & mask for server_position in server_positions(name)}:
             yield service, zone, level, position
