--- a/loadbalancer/registry/anti_entropy.py
+++ b/loadbalancer/registry/anti_entropy.py
@@ -95,7 +95,7 @@
     def __init__(self, catalog: Catalog, number: int, count: int, incarnation: int) -> None:
         """`incarnation` is new with each start; ValueError if there are too many instances."""
         if not 0 <= number < count <= MAX_INSTANCES:
-            raise ValueError(f"instance {number} of {count}: numbered from 0, at most {MAX_INSTANCES}")
+            raise ValueError(f"instance {number} of {count}: at most {MAX_INSTANCES}, numbered from 0")
         self.number = number
         self.peers = {peer: PeerState() for peer in range(count) if peer != number}
         self._catalog = catalog
