--- a/tests/test_registry_instances.py
+++ b/tests/test_registry_instances.py
@@ -1,4 +1,4 @@
-"""Several instances of the list: accounts join, cuts drop nobody, and all agree again by themselves."""
+"""Several registry instances: records join, partitions drop no live server, and all instances converge."""
 
 from __future__ import annotations
 
@@ -35,74 +35,78 @@
 
 
 class Instances:
-    """So many instances whose messages arrive at once, or not at all."""
+    """Instances whose messages arrive at once, or not at all on a cut link."""
 
     def __init__(self, count: int = 2) -> None:
         self.now = 0.0
-        self.cut: set[tuple[int, int]] = set()
+        self.cut_links: set[tuple[int, int]] = set()
         self.catalogs: list[Catalog] = []
-        self.exchanges: list[AntiEntropy] = []
+        self.anti_entropies: list[AntiEntropy] = []
         for number in range(count):
-            self.catalogs.append(self.catalog(number))
-            self.exchanges.append(AntiEntropy(self.catalogs[number], number, count, incarnation=number + 1))
+            self.catalogs.append(self.make_catalog(number))
+            self.anti_entropies.append(
+                AntiEntropy(self.catalogs[number], number, count, incarnation=number + 1)
+            )
 
-    def catalog(self, number: int) -> Catalog:
+    def make_catalog(self, number: int) -> Catalog:
         first = first_revision(0, 1_000.0 + number, number, MAX_INSTANCES)
         return Catalog(RULES, first, number, MAX_INSTANCES)
 
     def restart(self, number: int) -> None:
-        """It comes back without its memory."""
-        self.catalogs[number] = self.catalog(number)
-        life = 100 + int(self.now) + number
-        self.exchanges[number] = AntiEntropy(self.catalogs[number], number, len(self.catalogs), life)
+        """Restart an instance without its database."""
+        self.catalogs[number] = self.make_catalog(number)
+        new_incarnation = 100 + int(self.now) + number
+        self.anti_entropies[number] = AntiEntropy(
+            self.catalogs[number], number, len(self.catalogs), new_incarnation
+        )
 
-    def ask(self, one: int, other: int) -> None:
-        if (one, other) in self.cut:
+    def synchronize(self, one: int, other: int) -> None:
+        if (one, other) in self.cut_links:
             return
-        question = self.exchanges[one].make_request(other)
-        answer, _ = self.exchanges[other].handle_request(passed_on(question), self.now)
-        if (other, one) not in self.cut:
-            self.exchanges[one].handle_response(other, passed_on(answer), self.now, self.now)
+        request = self.anti_entropies[one].make_request(other)
+        answer, _ = self.anti_entropies[other].handle_request(round_trip(request), self.now)
+        if (other, one) not in self.cut_links:
+            self.anti_entropies[one].handle_response(other, round_trip(answer), self.now, self.now)
 
-    def ask_all(self) -> None:
+    def synchronize_all(self) -> None:
         for one in range(len(self.catalogs)):
-            for other in self.exchanges[one].peers:
-                self.ask(one, other)
+            for other in self.anti_entropies[one].peers:
+                self.synchronize(one, other)
 
-    def pass_by(self, span_ms: float, *renewing: tuple[int, str]) -> None:
-        """Time passes; servers renew at an instance, all lapse what they may."""
-        for _ in range(round(span_ms / 100)):
+    def advance(self, duration_ms: float, *renewing: tuple[int, str]) -> None:
+        """Advance the time; servers renew at an instance, and all instances expire leases."""
+        for _ in range(round(duration_ms / 100)):
             self.now += 100.0
             for number, name in renewing:
                 self.catalogs[number].renew(name, 0.0, self.now)
-            self.ask_all()
-            for catalog, exchange in zip(self.catalogs, self.exchanges, strict=True):
-                catalog.expire_leases(self.now, exchange.complete_as_of_ms)
+            self.synchronize_all()
+            for catalog, anti_entropy in zip(self.catalogs, self.anti_entropies, strict=True):
+                catalog.expire_leases(self.now, anti_entropy.complete_as_of_ms)
 
-    def split(self) -> None:
-        self.cut = {(0, 1), (1, 0)}
+    def partition(self) -> None:
+        self.cut_links = {(0, 1), (1, 0)}
 
     def listed(self, number: int) -> dict[str, str]:
         return {e.name: e.status.value for e in self.catalogs[number].listed_entries("first")}
 
 
-def passed_on(message: Any) -> Any:
-    """As it arrives on the wire."""
+def round_trip(message: Any) -> Any:
+    """Return a message as decoded from the wire."""
     return msgspec.json.decode(msgspec.json.encode(message), type=type(message))
 
 
-def two(*names: str) -> Instances:
-    made = Instances()
+def make_pair(*names: str) -> Instances:
+    instances = Instances()
     for name in names:
-        made.catalogs[0].register(name, make_registration(), 0.0)
-    made.ask_all()
-    return made
+        instances.catalogs[0].register(name, make_registration(), 0.0)
+    instances.synchronize_all()
+    return instances
 
 
-# ---- two accounts of a server --------------------------------------------------------------------
+# ---- two records of a server ---------------------------------------------------------------------
 
 
-accounts = st.builds(
+records = st.builds(
     SharedEntry,
     st.just("s0"),
     st.builds(make_registration, since_ms=st.sampled_from([0.0, 5.0]), weight=st.sampled_from([1.0, 2.0])),
@@ -115,7 +119,7 @@
 )
 
 
-@given(accounts, accounts, accounts)
+@given(records, records, records)
 def test_join_is_commutative_associative_and_idempotent(
     one: SharedEntry, two: SharedEntry, three: SharedEntry
 ) -> None:
@@ -125,125 +129,125 @@
     assert is_conflict(one, two) == is_conflict(two, one)
 
 
-@given(accounts, accounts)
-def test_a_drain_is_never_lost_but_to_a_later_server(one: SharedEntry, two: SharedEntry) -> None:
+@given(records, records)
+def test_a_drain_is_never_lost_except_to_a_later_generation(one: SharedEntry, two: SharedEntry) -> None:
     joined = join(one, two)
-    for account in (one, two):
-        if account.generation == joined.generation:
-            assert STATUS_ORDER.index(joined.reported_status) >= STATUS_ORDER.index(account.reported_status)
+    for record in (one, two):
+        if record.generation == joined.generation:
+            assert STATUS_ORDER.index(joined.reported_status) >= STATUS_ORDER.index(record.reported_status)
         else:
-            assert account.generation < joined.generation
+            assert record.generation < joined.generation
 
 
 # ---- instances -----------------------------------------------------------------------------------
 
 
 def test_write_at_any_instance_reaches_all_and_an_echo_changes_nothing() -> None:
-    made = two("s0", "s1")
-    made.catalogs[1].drain("s0", 1.0)
-    made.ask_all()
-    assert made.listed(0) == made.listed(1) == {"s0": "terminating", "s1": "in_service"}
-    before = [catalog.revision for catalog in made.catalogs]
-    made.ask_all()
-    assert [catalog.revision for catalog in made.catalogs] == before
-    assert made.exchanges[0].make_request(1).entries == ()
+    instances = make_pair("s0", "s1")
+    instances.catalogs[1].drain("s0", 1.0)
+    instances.synchronize_all()
+    assert instances.listed(0) == instances.listed(1) == {"s0": "terminating", "s1": "in_service"}
+    before = [catalog.revision for catalog in instances.catalogs]
+    instances.synchronize_all()
+    assert [catalog.revision for catalog in instances.catalogs] == before
+    assert instances.anti_entropies[0].make_request(1).entries == ()
 
 
 def test_partition_drops_no_server_that_renews_at_either_side() -> None:
-    made = two("s0", "s1")
-    made.split()
-    made.pass_by(20 * LEASE_MS, (0, "s0"), (1, "s1"))
-    assert made.listed(0) == made.listed(1) == {"s0": "in_service", "s1": "in_service"}
-    assert [made.catalogs[0].entries[name].is_preserved for name in ("s0", "s1")] == [False, True]
-    made.cut = set()
-    made.pass_by(3 * LEASE_MS, (0, "s0"), (1, "s1"))
-    assert made.listed(0) == made.listed(1) == {"s0": "in_service", "s1": "in_service"}
+    instances = make_pair("s0", "s1")
+    instances.partition()
+    instances.advance(20 * LEASE_MS, (0, "s0"), (1, "s1"))
+    assert instances.listed(0) == instances.listed(1) == {"s0": "in_service", "s1": "in_service"}
+    assert [instances.catalogs[0].entries[name].is_preserved for name in ("s0", "s1")] == [False, True]
+    instances.cut_links = set()
+    instances.advance(3 * LEASE_MS, (0, "s0"), (1, "s1"))
+    assert instances.listed(0) == instances.listed(1) == {"s0": "in_service", "s1": "in_service"}
 
 
 def test_server_that_died_in_a_partition_expires_when_it_is_healed() -> None:
-    made = two("s0", "s1")
-    made.split()
-    made.pass_by(5 * LEASE_MS, (0, "s0"))
-    assert "s1" in made.listed(0), "it may be renewing at the other side"
-    made.cut = set()
-    made.pass_by(LEASE_MS, (0, "s0"))
-    assert made.listed(0) == made.listed(1) == {"s0": "in_service"}
+    instances = make_pair("s0", "s1")
+    instances.partition()
+    instances.advance(5 * LEASE_MS, (0, "s0"))
+    assert "s1" in instances.listed(0), "it may be renewing at the other instance"
+    instances.cut_links = set()
+    instances.advance(LEASE_MS, (0, "s0"))
+    assert instances.listed(0) == instances.listed(1) == {"s0": "in_service"}
 
 
 def test_unpinned_server_gets_a_new_lease_at_every_instance() -> None:
-    """Only the instance that was told let its lease run anew; the others took the server off at once."""
-    made = two("s0")
-    made.catalogs[0].set_pinned("s0", 0.0, is_pinned=True)
-    made.pass_by(5 * LEASE_MS)
-    made.catalogs[0].set_pinned("s0", made.now, is_pinned=False)
-    made.pass_by(LEASE_MS / 2)
-    assert made.listed(0) == made.listed(1) == {"s0": "in_service"}
-    made.pass_by(LEASE_MS)
-    assert made.listed(0) == made.listed(1) == {}
+    """Only the instance that handled the unpin renewed the lease; the others removed the server at once."""
+    instances = make_pair("s0")
+    instances.catalogs[0].set_pinned("s0", 0.0, is_pinned=True)
+    instances.advance(5 * LEASE_MS)
+    instances.catalogs[0].set_pinned("s0", instances.now, is_pinned=False)
+    instances.advance(LEASE_MS / 2)
+    assert instances.listed(0) == instances.listed(1) == {"s0": "in_service"}
+    instances.advance(LEASE_MS)
+    assert instances.listed(0) == instances.listed(1) == {}
 
 
 def test_renewal_at_another_instance_overrules_an_expiry_that_did_not_know_it() -> None:
-    made = two("s0")
-    made.now = 2 * LEASE_MS
-    made.catalogs[1].renew("s0", 0.0, made.now)
-    assert [c.what for c in made.catalogs[0].expire_leases(made.now)] == ["lapsed"]  # as one that is alone
-    made.ask_all()
-    assert made.listed(0) == made.listed(1) == {"s0": "in_service"}
+    instances = make_pair("s0")
+    instances.now = 2 * LEASE_MS
+    instances.catalogs[1].renew("s0", 0.0, instances.now)
+    assert [c.what for c in instances.catalogs[0].expire_leases(instances.now)] == ["lapsed"]  # without peers
+    instances.synchronize_all()
+    assert instances.listed(0) == instances.listed(1) == {"s0": "in_service"}
 
 
 def test_both_sides_of_a_partition_may_write_and_conflicts_are_counted() -> None:
-    made = two("s0", "s1")
-    made.split()
-    made.catalogs[0].register("s0", make_registration(weight=2.0), 1.0)
-    made.catalogs[1].register("s0", make_registration(weight=3.0), 1.0)
-    made.catalogs[0].drain("s1", 1.0)
-    made.catalogs[1].register("s1", make_registration(weight=4.0), 1.0)
-    made.cut = set()
+    instances = make_pair("s0", "s1")
+    instances.partition()
+    instances.catalogs[0].register("s0", make_registration(weight=2.0), 1.0)
+    instances.catalogs[1].register("s0", make_registration(weight=3.0), 1.0)
+    instances.catalogs[0].drain("s1", 1.0)
+    instances.catalogs[1].register("s1", make_registration(weight=4.0), 1.0)
+    instances.cut_links = set()
     for _ in range(2):
-        made.ask_all()
-    weights = {c.entries["s0"].registration.weight for c in made.catalogs}
+        instances.synchronize_all()
+    weights = {c.entries["s0"].registration.weight for c in instances.catalogs}
     assert len(weights) == 1 and weights <= {2.0, 3.0}
-    assert made.listed(0)["s1"] == made.listed(1)["s1"] == "terminating"
-    assert sum(c.conflict_counts["s0"] for c in made.catalogs) >= 1
-    assert made.catalogs[0].updates.fingerprint == made.catalogs[1].updates.fingerprint
+    assert instances.listed(0)["s1"] == instances.listed(1)["s1"] == "terminating"
+    assert sum(c.conflict_counts["s0"] for c in instances.catalogs) >= 1
+    assert instances.catalogs[0].updates.fingerprint == instances.catalogs[1].updates.fingerprint
 
 
 def test_instance_that_lost_its_database_gets_the_entries_from_its_peers() -> None:
-    made = two("s0", "s1")
-    made.catalogs[0].drain("s0", 1.0)
-    made.ask_all()
-    made.restart(1)
-    made.ask_all()
-    assert made.listed(1) == {"s0": "terminating", "s1": "in_service"}
+    instances = make_pair("s0", "s1")
+    instances.catalogs[0].drain("s0", 1.0)
+    instances.synchronize_all()
+    instances.restart(1)
+    instances.synchronize_all()
+    assert instances.listed(1) == {"s0": "terminating", "s1": "in_service"}
 
 
 def test_entry_altered_by_a_fault_is_repaired_by_fingerprint() -> None:
-    made = two("s0", "s1")
-    catalog = made.catalogs[1]
+    instances = make_pair("s0", "s1")
+    catalog = instances.catalogs[1]
     catalog.entries["s0"].reported_status = Status.TERMINATING
     catalog._record_change(catalog.entries["s0"])
-    catalog.updates._changes["s0"] = catalog.updates._updates["s0"] = 1  # and nobody knows that it moved
+    catalog.updates._changes["s0"] = catalog.updates._updates["s0"] = 1  # no peer learns of the change
     for _ in range(2 * MAX_FINGERPRINT_MISMATCHES + 2):
-        made.ask_all()
-    assert made.listed(0) == made.listed(1) == {"s0": "terminating", "s1": "in_service"}
-    assert sum(o.repair_count for e in made.exchanges for o in e.peers.values()) >= 1
+        instances.synchronize_all()
+    assert instances.listed(0) == instances.listed(1) == {"s0": "terminating", "s1": "in_service"}
+    assert sum(o.repair_count for e in instances.anti_entropies for o in e.peers.values()) >= 1
 
 
 def test_large_list_is_sent_in_several_messages(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("loadbalancer.registry.anti_entropy.MAX_ENTRIES_PER_MESSAGE", 3)
-    made = Instances()
+    instances = Instances()
     for number in range(10):
-        made.catalogs[0].register(f"s{number}", make_registration(), 0.0)
-    assert made.exchanges[1].complete_as_of_ms == float("-inf")
+        instances.catalogs[0].register(f"s{number}", make_registration(), 0.0)
+    assert instances.anti_entropies[1].complete_as_of_ms == float("-inf")
     for _ in range(5):
-        made.ask(1, 0)
-    assert len(made.listed(1)) == 10
-    assert made.exchanges[1].complete_as_of_ms == 0.0
+        instances.synchronize(1, 0)
+    assert len(instances.listed(1)) == 10
+    assert instances.anti_entropies[1].complete_as_of_ms == 0.0
 
 
 def test_watch_from_another_instance_gets_a_full_snapshot_at_a_higher_revision() -> None:
-    made = two("s0", "s1")
-    one, other = made.catalogs
+    instances = make_pair("s0", "s1")
+    one, other = instances.catalogs
     for _ in range(20):
         one.set_pinned("s0", 1.0, is_pinned=True)
     seen = one.revision
@@ -252,144 +256,148 @@
     assert other.changes_since("first", seen, 1_000.0) is None
     assert other.revision > seen and other.revision % MAX_INSTANCES == 1
     changes = other.changes_since("first", stayed, 1_000.0)
-    assert changes == [], "whoever stayed goes on from where it was"
+    assert changes == [], "a watch that stayed resumes from its revision"
 
 
 def test_message_from_an_unknown_instance_is_rejected_and_changes_nothing() -> None:
-    made = two("s0")
-    question = made.exchanges[0].make_request(1)
+    instances = make_pair("s0")
+    request = instances.anti_entropies[0].make_request(1)
     for sender in (1, 5):
         with pytest.raises(InstanceMismatchError):
-            made.exchanges[1].handle_request(msgspec.structs.replace(question, sender=sender), 0.0)
+            instances.anti_entropies[1].handle_request(msgspec.structs.replace(request, sender=sender), 0.0)
     with pytest.raises(InstanceMismatchError):
-        made.exchanges[1].handle_response(0, msgspec.structs.replace(question, sender=1), 0.0, 0.0)
+        instances.anti_entropies[1].handle_response(0, msgspec.structs.replace(request, sender=1), 0.0, 0.0)
 
 
-class Anything(RuleBasedStateMachine):
-    """Writes, renewals, cuts, restarts and lapses in any order at three instances."""
+class InstanceMachine(RuleBasedStateMachine):
+    """Writes, renewals, cut links, restarts and expiries in random order at three instances."""
 
     names = st.sampled_from(["s0", "s1", "s2"])
     numbers = st.integers(0, 2)
 
     @initialize()
     def begin(self) -> None:
-        self.made = Instances(3)
+        self.instances = Instances(3)
 
     @rule(number=numbers, name=names, since=st.sampled_from([0.0, 0.0, 7.0]), weight=st.integers(1, 3))
     def register(self, number: int, name: str, since: float, weight: int) -> None:
         self._try(
             lambda c: c.register(
-                name, make_registration(since_ms=since, weight=float(weight)), self.made.now
+                name, make_registration(since_ms=since, weight=float(weight)), self.instances.now
             ),
             number,
         )
 
     @rule(number=numbers, name=names)
     def renew(self, number: int, name: str) -> None:
-        entry = self.made.catalogs[number].entries.get(name)
+        entry = self.instances.catalogs[number].entries.get(name)
         since = entry.registration.since_ms if entry else 0.0
-        self._try(lambda c: c.renew(name, since, self.made.now), number)
+        self._try(lambda c: c.renew(name, since, self.instances.now), number)
 
     @rule(number=numbers, name=names, remove=st.booleans())
     def drain_or_remove(self, number: int, name: str, remove: bool) -> None:
-        self._try(lambda c: (c.remove if remove else c.drain)(name, self.made.now), number)
+        self._try(lambda c: (c.remove if remove else c.drain)(name, self.instances.now), number)
 
     @rule(one=numbers, other=numbers)
-    def ask(self, one: int, other: int) -> None:
+    def synchronize(self, one: int, other: int) -> None:
         if one != other:
-            self.made.ask(one, other)
+            self.instances.synchronize(one, other)
 
     @rule(one=numbers, other=numbers)
-    def cut(self, one: int, other: int) -> None:
-        self.made.cut ^= {(one, other)}
+    def toggle_link(self, one: int, other: int) -> None:
+        self.instances.cut_links ^= {(one, other)}
 
     @rule(number=numbers)
     def restart(self, number: int) -> None:
-        self.made.restart(number)
+        self.instances.restart(number)
 
     @rule(number=numbers, span=st.sampled_from([100.0, 2 * LEASE_MS]))
-    def lapse(self, number: int, span: float) -> None:
-        self.made.now += span
-        self.made.catalogs[number].expire_leases(self.made.now, self.made.exchanges[number].complete_as_of_ms)
+    def expire_due_leases(self, number: int, span: float) -> None:
+        self.instances.now += span
+        self.instances.catalogs[number].expire_leases(
+            self.instances.now, self.instances.anti_entropies[number].complete_as_of_ms
+        )
 
     @invariant()
-    def versions_are_the_instances_own(self) -> None:
-        for number, catalog in enumerate(getattr(self, "made", Instances(0)).catalogs):
+    def each_instance_issues_its_own_revisions(self) -> None:
+        for number, catalog in enumerate(getattr(self, "instances", Instances(0)).catalogs):
             assert catalog.revision % MAX_INSTANCES == number
 
     def teardown(self) -> None:
-        """Without further faults all agree within a few rounds."""
-        if not hasattr(self, "made"):
+        """Check that, without further faults, all agree within a few rounds."""
+        if not hasattr(self, "instances"):
             return
-        self.made.cut = set()
+        self.instances.cut_links = set()
         for _ in range(3 * MAX_FINGERPRINT_MISMATCHES + 4):
-            self.made.ask_all()
-        lists = [self.made.listed(number) for number in range(3)]
+            self.instances.synchronize_all()
+        lists = [self.instances.listed(number) for number in range(3)]
         assert lists[0] == lists[1] == lists[2]
-        assert len({catalog.updates.fingerprint for catalog in self.made.catalogs}) == 1
+        assert len({catalog.updates.fingerprint for catalog in self.instances.catalogs}) == 1
 
     def _try(self, write: Any, number: int) -> None:
         with suppress(WriteRejectedError):
-            write(self.made.catalogs[number])
+            write(self.instances.catalogs[number])
 
 
-Anything.TestCase.settings = settings(
+InstanceMachine.TestCase.settings = settings(
     max_examples=60, stateful_step_count=40, deadline=None, derandomize=True
 )
-TestAnything = Anything.TestCase
+TestInstanceMachine = InstanceMachine.TestCase
 
 
-# ---- files ---------------------------------------------------------------------------------------
+# ---- databases -----------------------------------------------------------------------------------
 
 
 def test_reverted_change_takes_back_no_renewal() -> None:
-    """A drain that met a full disk left the lease as it was at the change before, and the server lapsed."""
-    made = two("s0", "s1")
-    one = made.catalogs[0]
-    one.renew("s0", 0.0, 900.0)
-    change = one.drain("s0", 950.0)
+    """A drain reverted on a full disk reset the lease to the previous change, and the server expired."""
+    instances = make_pair("s0", "s1")
+    first_catalog = instances.catalogs[0]
+    first_catalog.renew("s0", 0.0, 900.0)
+    change = first_catalog.drain("s0", 950.0)
     assert change is not None
-    one.revert([change])
-    assert made.listed(0)["s0"] == "in_service"
-    assert not one.expire_leases(1_500.0) or "s0" in made.listed(0)
-    assert "s0" in made.listed(0)
+    first_catalog.revert([change])
+    assert instances.listed(0)["s0"] == "in_service"
+    assert not first_catalog.expire_leases(1_500.0) or "s0" in instances.listed(0)
+    assert "s0" in instances.listed(0)
 
 
-def test_file_of_the_schema_before_is_upgraded_and_sound(tmp_path: Path) -> None:
+def test_database_of_the_previous_schema_is_upgraded_and_sound(tmp_path: Path) -> None:
     path = tmp_path / "list.sqlite"
     store = CatalogStore(path)
-    one = Catalog(RULES, 100)
-    store.commit([c for name in ("s0", "s1", "s2") if (c := one.register(name, make_registration(), 0.0))])
-    store.commit([c for c in [one.drain("s1", 1.0), one.remove("s2", 1.0)] if c])
-    store.commit(one.expire_leases(5_000.0))
+    old_catalog = Catalog(RULES, 100)
+    store.commit(
+        [c for name in ("s0", "s1", "s2") if (c := old_catalog.register(name, make_registration(), 0.0))]
+    )
+    store.commit([c for c in [old_catalog.drain("s1", 1.0), old_catalog.remove("s2", 1.0)] if c])
+    store.commit(old_catalog.expire_leases(5_000.0))
     store.close()
-    with sqlite3.connect(path) as old:  # as the program before this one wrote it
+    with sqlite3.connect(path) as database:  # as the previous version wrote it
         for table, key in (("entries", "name"), ("history", "version")):
-            for row, data in old.execute(f"select {key}, entry from {table}").fetchall():
+            for row, data in database.execute(f"select {key}, entry from {table}").fetchall():
                 entry = json.loads(data)
                 lapsed = entry["lapsed_at"] >= entry["beats"]
                 said = "terminated" if lapsed else entry["said"]
                 entry |= {"status": said, "by_lapse": lapsed}
                 for new in ("said", "life", "rev", "beats", "lapsed_at"):
                     del entry[new]
-                old.execute(f"update {table} set entry = ? where {key} = ?", (json.dumps(entry), row))
-        old.execute("update meta set value = 1 where key = 'form'")
-    again = CatalogStore(path)
-    assert list(again.verify()) == []
-    found = {e.name: (e.is_expired, e.is_listed) for e in again.entries()}
+                database.execute(f"update {table} set entry = ? where {key} = ?", (json.dumps(entry), row))
+        database.execute("update meta set value = 1 where key = 'form'")
+    reopened = CatalogStore(path)
+    assert list(reopened.verify()) == []
+    found = {e.name: (e.is_expired, e.is_listed) for e in reopened.entries()}
     assert found == {"s0": (True, False), "s1": (True, False), "s2": (False, False)}
 
 
 @pytest.mark.parametrize(
-    ("line", "fault"),
+    ("line", "error_line"),
     [
         ('instances = ["127.0.0.1:1", "127.0.0.1:1"]', "instances: 2; allowed: 8 at most, each once"),
         ('instances = ["127.0.0.1:1"]\ninstance = 1', "instance: 1; allowed: 0 to 0"),
         ('instances = ["nowhere"]', "matching regex"),
     ],
 )
-def test_wrong_instances_are_one_line_of_error(tmp_path: Path, line: str, fault: str) -> None:
+def test_invalid_instances_are_a_one_line_error(tmp_path: Path, line: str, error_line: str) -> None:
     path = tmp_path / "directory.toml"
     path.write_text(f'listen = "127.0.0.1:1"\ndatabase = "x"\n{line}\n')
-    with pytest.raises(RegistryServerError, match=fault):
+    with pytest.raises(RegistryServerError, match=error_line):
         read_configuration(path)
