--- a/loadbalancer/drill/execution/link_faults.py
+++ b/loadbalancer/drill/execution/link_faults.py
@@ -33,7 +33,7 @@
         links = self._faulty_links.pop(name, [])
         self._record(name, links, on=False)
         for link in links:
-            link.lift(name)
+            link.clear(name)
 
     def _record(self, name: str, links: list[TcpLink | DatagramLink], *, on: bool) -> None:
         self._history.write("fault", kind=name, on=on, targets=[link.name for link in links])
--- a/loadbalancer/drill/links/faults.py
+++ b/loadbalancer/drill/links/faults.py
@@ -56,7 +56,7 @@
         self._faults[name] = fault
         self._notify()
 
-    def lift(self, name: str) -> None:
+    def clear(self, name: str) -> None:
         """Remove a fault; nothing happens if there is none of the name."""
         if self._faults.pop(name, None) is not None:
             self._notify()
--- a/loadbalancer/drill/links/tcp.py
+++ b/loadbalancer/drill/links/tcp.py
@@ -3,7 +3,7 @@
     link = TcpLink("b0>s1", "127.9.0.1", "127.9.3.1", ("127.9.1.1", 4000), random.Random(1))
     link.start()
     link.set("slow", LinkFault(delay_ms=50, jitter_ms=10), "back")
-    link.lift("slow")
+    link.clear("slow")
 
 A link leads from one process to another; `there` is the direction of its requests, `back` that of its
 answers, and each has faults of its own. What a fault means to TCP is what its peers would see: bytes stay in
@@ -67,10 +67,10 @@
             each.set(name, fault)
         self._apply_faults()
 
-    def lift(self, name: str) -> None:
+    def clear(self, name: str) -> None:
         """Clear a fault in both directions."""
         for direction in self.directions.values():
-            direction.lift(name)
+            direction.clear(name)
         self._apply_faults()
 
     def update_target(
--- a/loadbalancer/drill/links/udp.py
+++ b/loadbalancer/drill/links/udp.py
@@ -56,9 +56,9 @@
         """Set a fault; `direction` is that of a TCP link, and this one has a single one."""
         self.direction.set(name, fault)
 
-    def lift(self, name: str) -> None:
+    def clear(self, name: str) -> None:
         """Clear a fault."""
-        self.direction.lift(name)
+        self.direction.clear(name)
 
     def close(self) -> None:
         """Stop listening."""
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -165,7 +165,7 @@
         def set(self, *args: object) -> None:
             pass
 
-        lift = set
+        clear = set
 
     recorded: list[dict[str, Any]] = []
     topology: Any = SimpleNamespace(matching=lambda pattern: [Link()])
--- a/tests/test_drill_links.py
+++ b/tests/test_drill_links.py
@@ -71,7 +71,7 @@
                 await asyncio.sleep(0)
             assert await reader.readexactly(10) == b"0123456789"
             assert loop.time() - began >= 0.04
-            link.lift("slow")
+            link.clear("slow")
             assert not list(link.directions["back"].faults)
             writer.close()
 
@@ -90,7 +90,7 @@
                 await asyncio.wait_for(reader.readexactly(1), 0.2)
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(asyncio.open_connection(*link.address), 0.2)
-            link.lift("cut")
+            link.clear("cut")
             assert await reader.readexactly(1) == b"b"
             assert await echoed(link, b"again") == b"again"
             writer.close()
@@ -104,14 +104,14 @@
             link.set("no", LinkFault(refuse=True))
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*link.address)
-            link.lift("no")
+            link.clear("no")
             link.set("reset", LinkFault(reset_after=3), "back")
             with pytest.raises(ConnectionResetError):
                 reader, writer = await asyncio.open_connection(*link.address)
                 writer.write(b"abcdef")
                 await reader.read(-1)
                 raise AssertionError("an end in place of a reset")
-            link.lift("reset")
+            link.clear("reset")
             link.set("short", LinkFault(short_after=3), "back")
             reader, writer = await asyncio.open_connection(*link.address)
             writer.write(b"abcdef")
@@ -153,7 +153,7 @@
                     transport.abort()
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(reader.read(1), 0.2)
-            link.lift("cut")
+            link.clear("cut")
             with pytest.raises(ConnectionResetError):
                 await reader.read(1)
 
