--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -82,7 +82,7 @@
     done = Play(
         scenario, seed, served, parts, began, ended, result.utility.figure,
         result.attempts / max(len(world.ledger.requested_values), 1),
-        breaches=[f"{b.rule}: {b.detail}" for b in result.breaches[:5]],
+        breaches=[f"{b.rule}: {b.detail}" for b in result.violations[:5]],
     )  # fmt: skip
     judge(done, world.zones[-1])
     return done
@@ -94,9 +94,9 @@
     held = ZoneEvacuation(
         world.zones[-1], out, now, 0.0 if out else RETURN_MS, initial_fraction=1.0 if out else 0.0
     )
-    for host in [*world.fronts, *world.inner.values()]:
+    for host in [*world.front_balancers, *world.inner_balancers.values()]:
         if host is not None:
-            host.tell(held)
+            host.handle_event(held)
 
 
 def judge(done: Play, zone: str) -> None:
--- a/loadbalancer/drill/servers/upstream.py
+++ b/loadbalancer/drill/servers/upstream.py
@@ -31,7 +31,7 @@
 from loadbalancer.registry.client import RegistryCallError, RegistryClient
 from loadbalancer.registry.entries import Registration
 from loadbalancer.registry.lease import Lease
-from loadbalancer.simulation.servers import Build, Job, Server
+from loadbalancer.simulation.servers import Job, Server, ServerSpec
 
 WORK_BEFORE_NEXT_TIER = 0.5  # the fraction of its work that comes before its calls to the next tier
 WORK_SPREAD = 0.6  # standard deviation of the logarithm of a request's work
@@ -85,10 +85,10 @@
     def handle_command(self, command: dict[str, Any]) -> None:
         """Behave otherwise from now on."""
         model = self._model
-        model.slow = self._version.slowdown * float(command["slower"])
-        model.failing = float(command["fails"])
-        model.paused = bool(command["paused"])
-        model.changed()
+        model.slowdown = self._version.slowdown * float(command["slower"])
+        model.error_rate = float(command["fails"])
+        model.is_paused = bool(command["paused"])
+        model.update_pace()
 
     async def handle_health_check(self, request: web.Request) -> web.Response:
         """Answer whether it would accept requests."""
@@ -141,9 +141,9 @@
 
     def _fails(self, request_class: str) -> bool:
         version, model = self._version, self._model
-        if version.fails_above_in_flight and model.held > version.fails_above_in_flight:
+        if version.fails_above_in_flight and model.in_flight > version.fails_above_in_flight:
             return True
-        return self._random.random() < max(model.failing, version.failure_rates.get(request_class, 0.0))
+        return self._random.random() < max(model.error_rate, version.failure_rates.get(request_class, 0.0))
 
     async def _work(self, job: ModelJob, request: web.Request, request_id: str, work_ms: float) -> bool:
         """Do a request's work, around its call to the next tier; return whether that was served."""
@@ -204,14 +204,14 @@
     model = spec.model
     server = Server(
         RealClock(spec.offset_ms),
-        Build(
+        ServerSpec(
             spec.name, 0, spec.zone, model.cores, model.speed, model.slots, model.queue, connections=10_000,
-            thrash=0.0, thrash_at=math.inf, error_rate=0.0, cold_from=model.initial_capacity,
-            cold_ms=model.warm_up_s * 1_000,
+            thrash=0.0, thrash_at=math.inf, error_rate=0.0, initial_capacity=model.initial_capacity,
+            warm_up_ms=model.warm_up_s * 1_000,
         ),
     )  # fmt: skip
     server.started_at = spec.started_at_ms
-    server.slow = spec.version.slowdown
+    server.slowdown = spec.version.slowdown
     return server
 
 
--- a/loadbalancer/lab/plays.py
+++ b/loadbalancer/lab/plays.py
@@ -80,7 +80,7 @@
         endings=utility.endings,
         attempts=result.attempts,
         choked=result.choked_times,
-        breaches=[f"{b.at_ms:.0f} ms: {b.rule}: {b.balancer}: {b.detail}" for b in result.breaches[:20]],
+        breaches=[f"{b.at_ms:.0f} ms: {b.rule}: {b.balancer}: {b.detail}" for b in result.violations[:20]],
         times={cls: histogram.encode().decode() for cls, histogram in sorted(times.items())},
     )
 
--- a/loadbalancer/simulation/balancers.py
+++ b/loadbalancer/simulation/balancers.py
@@ -100,7 +100,7 @@
 
     # ---- events ---------------------------------------------------------------------------------
 
-    def tell(self, event: interface.Event) -> None:
+    def handle_event(self, event: interface.Event) -> None:
         """Pass an event on and carry out what follows."""
         if self.alive:
             for action in self.decisions.handle(event, self.world.clock.now):
@@ -113,7 +113,7 @@
         now = self.world.clock.now
         self._requests[number] = Taken(ask, now + ask.remaining_ms)
         self.world.rules.record_request(self, number, now + ask.remaining_ms)
-        self.tell(
+        self.handle_event(
             interface.RequestArrived(
                 number, ask.cls, max(ask.remaining_ms, 0.0), ask.tenant or None, ask.is_repeat
             )
@@ -126,7 +126,7 @@
         if request is not None and request.open:
             request.open = False
             self.world.rules.record_disconnect(self, number)
-            self.tell(interface.ClientDisconnected(number))
+            self.handle_event(interface.ClientDisconnected(number))
             self._forget(number)
 
     def handle_list_update(self, update: interface.EndpointListUpdate) -> None:
@@ -142,7 +142,7 @@
                 self.announced_readiness[member.server] = (member.readiness, now)
             if member.started_at_ms > 0:
                 self.cold_known[member.server] = member.started_at_ms
-        self.tell(update)
+        self.handle_event(update)
 
     def die(self) -> None:
         """It is killed, and all that it held with it."""
@@ -165,7 +165,7 @@
             case interface.SendAttempt():
                 self._send(action)
             case interface.SetTimer(at, token):
-                clock.at(at, self.tell, interface.TimerExpired(token))
+                clock.at(at, self.handle_event, interface.TimerExpired(token))
             case interface.Reject(number, after_ms):
                 self._final(number, "refused", after_ms)
             case interface.Fail(number):
@@ -290,5 +290,5 @@
                 self.world.clock.after(self.world.network.delay(self.zone, server.build.zone), attempt.cancel)
         if outcome is Outcome.SERVED and request.open:
             self._answer(number, request, "served", 0.0)
-        self.tell(interface.AttemptEnded(number, index, attempt.server, outcome, not request.open))
+        self.handle_event(interface.AttemptEnded(number, index, attempt.server, outcome, not request.open))
         self._forget(number)
--- a/loadbalancer/simulation/faults.py
+++ b/loadbalancer/simulation/faults.py
@@ -27,7 +27,7 @@
     zones: tuple[str, ...]
 
     @property
-    def fronts(self) -> Sequence[object]:
+    def front_balancers(self) -> Sequence[object]:
         """The front balancers."""
 
     def member(self, server: Server, readiness: Readiness) -> Endpoint:
@@ -78,26 +78,26 @@
 
     def _slow(self, item: Trouble, length: float) -> None:
         for server in self._some(item):
-            self._set(server, "slow", number(item.size))
-            self._world.clock.after(length, self._set, server, "slow", 1.0)
+            self._set(server, "slowdown", number(item.size))
+            self._world.clock.after(length, self._set, server, "slowdown", 1.0)
 
     def _errors(self, item: Trouble, length: float) -> None:
         for server in self._some(item):
-            self._set(server, "failing", min(number(item.size), 1.0))
-            self._world.clock.after(length, self._set, server, "failing", server.build.error_rate)
+            self._set(server, "error_rate", min(number(item.size), 1.0))
+            self._world.clock.after(length, self._set, server, "error_rate", server.build.error_rate)
 
     def _pauses(self, item: Trouble, length: float) -> None:
         clock = self._world.clock
         for server in self._some(item):
             at = float(self._rng.uniform(0, PAUSE_EVERY_MS))
             while at < length:
-                clock.after(at, self._set, server, "paused", True)
-                clock.after(at + number(item.size), self._set, server, "paused", False)
+                clock.after(at, self._set, server, "is_paused", True)
+                clock.after(at + number(item.size), self._set, server, "is_paused", False)
                 at += PAUSE_EVERY_MS * float(self._rng.uniform(0.6, 1.4))
 
     def _set(self, server: Server, what: str, value: float) -> None:
         setattr(server, what, value)
-        server.changed()
+        server.update_pace()
 
     def _replace(self, item: Trouble, length: float) -> None:
         """Some servers drain one after another and are replaced by cold ones with new names."""
@@ -141,7 +141,7 @@
 
     def _balancers(self, item: Trouble, length: float) -> None:
         """Some front balancers are killed at once, and start from nothing."""
-        fronts = self._world.fronts
+        fronts = self._world.front_balancers
         count = max(round(number(item.part) * len(fronts)), 1)
         for index in self._rng.choice(len(fronts), min(count, len(fronts)), replace=False):
             self._world.kill_front(int(index))
--- a/loadbalancer/simulation/fleet.py
+++ b/loadbalancer/simulation/fleet.py
@@ -22,7 +22,7 @@
     RuleViolation,
 )
 from loadbalancer.simulation.scenario import Day, Tier, number
-from loadbalancer.simulation.servers import Build, Job, Server
+from loadbalancer.simulation.servers import Job, Server, ServerSpec
 from loadbalancer.simulation.utility import Ledger, Utility
 
 START_MS = 1_000_000.0  # the day begins here: 0 stands for long ago in lists
@@ -49,7 +49,7 @@
     """What came of a day."""
 
     utility: Utility
-    breaches: list[RuleViolation]
+    violations: list[RuleViolation]
     samples: list[Sample]
     took_ms: list[tuple[str, float, str]]  # class, time from the first try to its end, ending
     arrived_ms: list[float]
@@ -85,8 +85,8 @@
         self._build_fleet()
         self._visits: dict[str, dict[int, Visit]] = {}
         self._visit = 0
-        self.inner: dict[str, Host] = {}
-        self.fronts: list[Host] = []
+        self.inner_balancers: dict[str, Host] = {}
+        self.front_balancers: list[Host] = []
         self._died: dict[str, float] = {}
         self.capacity = self._capacity()
         self._settings = self._shared_settings()
@@ -110,7 +110,7 @@
         kind = int(rng.choice(len(parts), p=[p / sum(parts) for p in parts]))
         cores = plan.cores[kind]
         choke = self._choke
-        build = Build(
+        build = ServerSpec(
             name=f"s-{rng.integers(1 << 32):08x}",
             tier=tier,
             zone=zone,
@@ -122,8 +122,8 @@
             thrash=number(plan.thrash),
             thrash_at=number(plan.thrash_at),
             error_rate=number(plan.error_rate),
-            cold_from=number(plan.cold_from),
-            cold_ms=number(plan.cold_s) * 1_000,
+            initial_capacity=number(plan.cold_from),
+            warm_up_ms=number(plan.cold_s) * 1_000,
             choke_at=number(choke.at) if choke else math.inf,
             choke_over_ms=number(choke.over_s) * 1_000 if choke else 0.0,
             choke_slower=number(choke.slower) if choke else 1.0,
@@ -167,8 +167,8 @@
             may_hedge=True,
             may_health_check=True,
             max_retry_after_ms=2_000.0,
-            slow_start_ms=max(s.build.cold_ms for s in self.servers.values()),
-            slow_start_initial_fraction=min(s.build.cold_from for s in self.servers.values()),
+            slow_start_ms=max(s.build.warm_up_ms for s in self.servers.values()),
+            slow_start_initial_fraction=min(s.build.initial_capacity for s in self.servers.values()),
             slow_start_overload_factor=OVERLOAD_FACTOR,
             slow_start_window_ms=OVERLOAD_WINDOW_MS,
             over_quota_weight_factor=scenario.over_share_worth,
@@ -193,7 +193,7 @@
         fronts = max(round(number(scenario.fleet.balancers)), 1)
         for index in range(fronts):
             zone = self.zones[index % len(self.zones)]
-            self.fronts.append(self._host(f"n{index}", 0, zone, index, fronts))
+            self.front_balancers.append(self._host(f"n{index}", 0, zone, index, fronts))
         for index, server in enumerate(self.tiers[0]):
             self._start_inner(server, index)
         troubles = FaultInjector(self)
@@ -230,7 +230,7 @@
     def front(self, zone: str) -> Host | None:
         """The balancer that a new try goes to: one of its zone that is not known to be dead."""
         notice = number(self.day.scenario.clients.notice_s) * 1_000
-        known = [h for h in self.fronts if h.alive or self.clock.now - self._died[h.name] < notice]
+        known = [h for h in self.front_balancers if h.alive or self.clock.now - self._died[h.name] < notice]
         near = [h for h in known if h.zone == zone] or known
         return near[int(self._chance.integers(len(near)))] if near else None
 
@@ -238,7 +238,9 @@
         self, server: Server, ask: Ask, timeout: float, ended: Callable[[Outcome], None]
     ) -> Callable[[], None] | None:
         """An attempt has reached a server; what is returned calls it off."""
-        told = [h for h in self.fronts if h.tier == server.build.tier] or list(self.inner.values())
+        told = [h for h in self.front_balancers if h.tier == server.build.tier] or list(
+            self.inner_balancers.values()
+        )
         knew = server.started_at > 0 and any(
             h.cold_known.get(server.build.name) == server.started_at for h in told
         )
@@ -246,7 +248,7 @@
         if server.started_at and self.rules.record_work(server, work_ms, is_sender_informed=knew):
             self.stop(server)  # it falls over, and stays down
             return None
-        if server.failing and self._chance.uniform() < server.failing:
+        if server.error_rate and self._chance.uniform() < server.error_rate:
             self.clock.after(ERROR_MS, ended, Outcome.ERROR)
             return None
         self._visit += 1
@@ -267,13 +269,13 @@
         self.ledger.probes += 1
         way = 2 * self.network.delay(host.zone, server.build.zone)
         if not server.is_up or self.network.is_cut(host.zone, server.build.zone):
-            self.clock.after(150.0, host.tell, interface.HealthCheckEnded(name, Outcome.TIMED_OUT))
+            self.clock.after(150.0, host.handle_event, interface.HealthCheckEnded(name, Outcome.TIMED_OUT))
             return
         server.add_work(PROBE_WORK_MS)
         took = 1 / server.capacity() * server.build.cores if server.capacity() else 0.0
-        report = (float(server.held), took)
+        report = (float(server.in_flight), took)
         self.clock.after(
-            way + PROBE_WORK_MS, host.tell, interface.HealthCheckEnded(name, Outcome.SERVED, report)
+            way + PROBE_WORK_MS, host.handle_event, interface.HealthCheckEnded(name, Outcome.SERVED, report)
         )
 
     def stop(self, server: Server, silent: bool = False) -> None:
@@ -282,7 +284,7 @@
         server.stop(silent)
         for visit in visits:
             visit.lost(silent)
-        if host := self.inner.pop(server.build.name, None):
+        if host := self.inner_balancers.pop(server.build.name, None):
             host.die()
 
     def start_anew(self, server: Server) -> None:
@@ -303,19 +305,23 @@
 
     def kill_front(self, index: int) -> None:
         """A front balancer is killed; the front notices some time later."""
-        host = self.fronts[index]
+        host = self.front_balancers[index]
         self._died[host.name] = self.clock.now
         host.die()
 
     def start_front(self, index: int) -> None:
         """It is started again, from nothing."""
-        old = self.fronts[index]
+        old = self.front_balancers[index]
         start = int(self.clock.now)
-        self.fronts[index] = self._host(old.name, 0, old.zone, index, len(self.fronts), start)
+        self.front_balancers[index] = self._host(
+            old.name, 0, old.zone, index, len(self.front_balancers), start
+        )
 
     def _start_inner(self, server: Server, index: int, start: int = 0) -> None:
         name, count = f"{server.build.name}/b", self._first_count
-        self.inner[server.build.name] = self._host(name, 1, server.build.zone, index % count, count, start)
+        self.inner_balancers[server.build.name] = self._host(
+            name, 1, server.build.zone, index % count, count, start
+        )
 
     # ---- what is seen ---------------------------------------------------------------------------
 
@@ -326,7 +332,7 @@
                 self.clock.now - START_MS,
                 tuple(s.waiting for s in first[: self._first_count]),
                 sum(s.is_choked for tier in self.tiers for s in tier),
-                sum(sum(h.out.values()) for h in self.fronts),
+                sum(sum(h.out.values()) for h in self.front_balancers),
             )
         )
 
@@ -393,7 +399,7 @@
             self.over(Outcome.SERVED)
 
     def _make_call(self) -> None:
-        ask, host = self._ask, self._world.inner.get(self.server.build.name)
+        ask, host = self._ask, self._world.inner_balancers.get(self.server.build.name)
         if host is None:
             self.over(Outcome.ERROR)
             return
@@ -428,7 +434,7 @@
         if self.job.alive:
             self._world.forget(self)
             self.server.release(self.job)
-            host = self._world.inner.get(self.server.build.name)
+            host = self._world.inner_balancers.get(self.server.build.name)
             if self._call > 0 and host is not None:
                 host.left(self._call)
 
--- a/loadbalancer/simulation/servers.py
+++ b/loadbalancer/simulation/servers.py
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class Build:
+class ServerSpec:
     """What a server is: drawn once, and not told to any balancer."""
 
     name: str
@@ -28,8 +28,8 @@
     thrash: float
     thrash_at: float  # calls held a core, from which on it grows less efficient
     error_rate: float
-    cold_from: float
-    cold_ms: float
+    initial_capacity: float
+    warm_up_ms: float
     choke_at: float = math.inf
     choke_over_ms: float = 0.0
     choke_slower: float = 1.0
@@ -56,11 +56,11 @@
     reached what it was at its begin and its work on top: one heap, and one thing due, for all.
     """
 
-    def __init__(self, clock: Timekeeper, build: Build) -> None:
+    def __init__(self, clock: Timekeeper, build: ServerSpec) -> None:
         self.clock, self.build = clock, build
         self.is_up, self.is_silent, self.is_draining = True, False, False
         self.started_at = 0.0  # 0 for long ago
-        self.slow, self.failing, self.paused = 1.0, build.error_rate, False
+        self.slowdown, self.error_rate, self.is_paused = 1.0, build.error_rate, False
         self.is_choked, self.choked_times, self.choked_ms = False, 0, 0.0
         self.connections = 0
         self.worked = 0.0
@@ -74,7 +74,7 @@
         self._choke_due: Pending | None = None
 
     @property
-    def held(self) -> int:
+    def in_flight(self) -> int:
         """Requests in slots, running or waiting for the next tier, and in the waiting room."""
         return self._held + len(self._queue)
 
@@ -86,15 +86,15 @@
     def warmth(self) -> float:
         """The share of its capacity that it has: all of it when it is warm."""
         age = self.clock.now - self.started_at
-        if self.started_at <= 0 or age >= self.build.cold_ms:
+        if self.started_at <= 0 or age >= self.build.warm_up_ms:
             return 1.0
-        return self.build.cold_from + (1 - self.build.cold_from) * age / self.build.cold_ms
+        return self.build.initial_capacity + (1 - self.build.initial_capacity) * age / self.build.warm_up_ms
 
     def capacity(self) -> float:
         """What it can do now, in ms of work a ms."""
-        if not self.is_up or self.paused:
+        if not self.is_up or self.is_paused:
             return 0.0
-        slower = self.slow * (self.build.choke_slower if self.is_choked else 1.0)
+        slower = self.slowdown * (self.build.choke_slower if self.is_choked else 1.0)
         return self.build.cores * self.build.speed * self.warmth() / slower
 
     # ---- work -----------------------------------------------------------------------------------
@@ -187,7 +187,7 @@
             return
         wait = max(heap[0][0] - self._given, 0.0) / self._pace_now
         if self.warmth() < 1 and wait > WARM_STEP_MS:
-            self._next = self.clock.after(WARM_STEP_MS, self.changed)
+            self._next = self.clock.after(WARM_STEP_MS, self.update_pace)
         else:
             self._next = self.clock.after(wait, self._finish)
 
@@ -206,7 +206,7 @@
 
     # ---- what happens to it ---------------------------------------------------------------------
 
-    def changed(self) -> None:
+    def update_pace(self) -> None:
         """Its pace may be another from now on."""
         self._settle()
         self._plan()
@@ -226,7 +226,7 @@
         self.is_up, self.is_silent, self.is_choked = True, False, False
         self.started_at = self.clock.now
         self._crowded_since = self._idle_since = math.inf
-        self.changed()
+        self.update_pace()
 
     def _watch(self) -> None:
         """Look whether a crowd has been here long enough, or has been gone."""
@@ -270,5 +270,5 @@
             self.choked_ms += self.clock.now - self._choked_at
         self.is_choked = on
         self._crowded_since = self._idle_since = math.inf
-        self.changed()
+        self.update_pace()
         self._watch()
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -14,19 +14,19 @@
 from loadbalancer.simulation.baselines import BASELINES, Plain
 from loadbalancer.simulation.clock import Clock
 from loadbalancer.simulation.scenario import TROUBLES, Day, parse
-from loadbalancer.simulation.servers import Build, Job, Server
+from loadbalancer.simulation.servers import Job, Server, ServerSpec
 
 ODD_CLASS = "name = 'a'\nshare = 1\nwork_ms = 1\naim_ms = 1\ndeadline_ms = 1\neffect = 'x'"
 SHORT = "[load]\nseconds = 6\n[fleet]\nservers = 4\n"
 
 
-def build(**changes: Any) -> Build:
+def build(**changes: Any) -> ServerSpec:
     base: dict[str, Any] = {
         "name": "s", "tier": 0, "zone": "a", "cores": 1, "speed": 1.0, "slots": 10_000, "queue": 10_000,
-        "connections": 1_000, "thrash": 0.0, "thrash_at": 50.0, "error_rate": 0.0, "cold_from": 0.3,
-        "cold_ms": 4_000.0,
+        "connections": 1_000, "thrash": 0.0, "thrash_at": 50.0, "error_rate": 0.0, "initial_capacity": 0.3,
+        "warm_up_ms": 4_000.0,
     }  # fmt: skip
-    return Build(**(base | changes))
+    return ServerSpec(**(base | changes))
 
 
 class Crowd:
@@ -54,7 +54,7 @@
         self.clock.after(self.chance.expovariate(self.rate), self.come)
 
     def count(self) -> None:
-        self.area += self.server.held * (self.clock.now - self.seen)
+        self.area += self.server.in_flight * (self.clock.now - self.seen)
         self.seen = self.clock.now
 
 
@@ -119,12 +119,12 @@
     assert [server.submit(job) for job in jobs] == [True, True, False]
     server.release(jobs[1])
     clock.run(100.0)
-    assert ended == [11.0] and server.held == 0
+    assert ended == [11.0] and server.in_flight == 0
 
 
 def test_a_cold_server_does_more_as_it_warms() -> None:
     clock = Clock(1_000.0)
-    server = Server(clock, build(cold_from=0.25, cold_ms=4_000.0))
+    server = Server(clock, build(initial_capacity=0.25, warm_up_ms=4_000.0))
     server.start_anew()
     assert server.warmth() == 0.25
     clock.run(3_000.0)
@@ -276,7 +276,7 @@
 def test_each_rule_is_seen_to_be_broken(policy: Callable[..., Any], text: str, rule: str) -> None:
     seconds = "[load]\nseconds = 9\nof_capacity = 0.9\n[fleet]\nservers = 6\n"
     result = SimulatedFleet(draw(parse(seconds + text), 2), policy).run()
-    assert rule in {breach.rule for breach in result.breaches}
+    assert rule in {breach.rule for breach in result.violations}
 
 
 @pytest.mark.parametrize("kind", TROUBLES)
@@ -284,7 +284,7 @@
     size = 0.5 if kind == "errors" else 3.0
     trouble = f'[[trouble]]\nkind = "{kind}"\nat_s = 1\nfor_s = 2\npart = 0.5\nsize = {size}\n'
     result = SimulatedFleet(day(trouble), Balancer).run()
-    assert result.breaches == []
+    assert result.violations == []
     assert kind == "burst" or result.log == [(1_000.0, kind)], "all troubles began with the day"
 
 
@@ -296,7 +296,7 @@
     seen: set[str] = set()
 
     def look() -> None:
-        seen.update(s.build.zone for s in fleet.servers.values() if s.failing == 0.5)
+        seen.update(s.build.zone for s in fleet.servers.values() if s.error_rate == 0.5)
 
     fleet.clock.after(1_500.0, look)
     fleet.run()
@@ -309,7 +309,7 @@
 
     crowded = "[choke]\nshare = 1\n[[trouble]]\nkind = 'burst'\nat_s = 1\nfor_s = 3\nsize = 2.5\n"
     plays = {which: create_fleet(day(crowded), which).run() for which in (name, "oracle")}
-    assert plays[name].breaches == []
+    assert plays[name].violations == []
     assert plays[name].utility.figure <= plays["oracle"].utility.figure
 
 
