--- a/loadbalancer/registry/admission_queue.py
+++ b/loadbalancer/registry/admission_queue.py
@@ -1,12 +1,12 @@
-"""The return of all watchers after an outage, at a rate that the service sets: who is admitted now, who when.
+"""Paces the return of all watchers after an outage: admits a call now, or schedules its retry.
 
     queue = AdmissionQueue()
-    retry = queue.schedule_retry(now, cost_s, waited_s, ticket)  # None: admitted; else when to come again
+    retry = queue.schedule_retry(now, cost_s, waited_s, ticket)  # None: admitted; else when to retry
 
-A virtual queue (generic cell rate algorithm, ITU-T I.371): calls are admitted as they come while the work
-that was admitted is no more than `BURST_S` ahead of the time; each further one gets a time of its own in
-the queue, and a ticket with which it is admitted then. Nothing is held for those that are to come later.
-Times are seconds of a clock that never goes back, of this service alone.
+A virtual queue (generic cell rate algorithm, ITU-T I.371): calls are admitted at once while the admitted
+work is at most `BURST_S` ahead of the clock; each further one gets its own time in the queue, and a ticket
+with which it is admitted then. No state is kept for scheduled calls. Times are seconds of this service's
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 import random
 from dataclasses import dataclass
 
-MAX_CPU_FRACTION = 0.7  # of the service's time for those that return; the rest is for writes and for changes
+MAX_CPU_FRACTION = 0.7  # of the service's time for returning watchers; the rest is for writes and changes
 BURST_S = 0.25  # of work that is admitted at once
-CALL_COST_S = 350e-6  # for a call (benchmarks/interest.py)
-ENTRY_COST_S = 5e-6  # and for each entry of its answer
-MAX_DELAY_S = 4.0  # after an outage, by when the last is admitted, over the rate or not
-TICKET_TOLERANCE_S = 0.02  # a ticket is valid so long before its time: clocks and timers round
+CALL_COST_S = 350e-6  # per call (benchmarks/interest.py)
+ENTRY_COST_S = 5e-6  # per entry of its answer
+MAX_DELAY_S = 4.0  # after an outage, until the last is admitted, even above the rate
+TICKET_TOLERANCE_S = 0.02  # a ticket is valid this long before its time, since clocks and timers round
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledRetry:
-    """When a call is to come again."""
+    """When a call is to be retried."""
 
     delay_s: float
     ticket: int
-    """Its time, ms of the service's clock."""
+    """The time of the retry, ms of the service's clock."""
 
 
 class AdmissionQueue:
-    """The queue of those that return; its state is one number, whoever waits."""
+    """The queue of returning watchers; its state is one number, however many wait."""
 
     def __init__(self, seed: int = 0) -> None:
         self._backlog_end_s = float("-inf")
@@ -42,10 +42,10 @@
     def schedule_retry(
         self, now: float, cost_s: float, waited_s: float, ticket: int | None
     ) -> ScheduledRetry | None:
-        """Return when a call is to come again, None if it is admitted now.
+        """Return when a call is to be retried; None if it is admitted now.
 
-        `waited_s` is how long it has tried already. One with a ticket whose time has come was counted when
-        it got it.
+        `waited_s` is how long it has been retried. A call whose ticket is due was counted when the ticket
+        was issued.
         """
         if ticket is not None and now - MAX_DELAY_S <= ticket / 1_000 <= now + TICKET_TOLERANCE_S:
             return None
@@ -54,7 +54,7 @@
         if delay_s <= 0:
             return None
         max_delay_s = max(MAX_DELAY_S - waited_s, 0.0)
-        if delay_s > max_delay_s:  # more than can be done in time: spread over all the time that there is
+        if delay_s > max_delay_s:  # more work than fits: spread over the time that is left
             delay_s = max_delay_s * self._random.random()
             self._backlog_end_s = min(self._backlog_end_s, now + BURST_S + MAX_DELAY_S)
         if delay_s <= TICKET_TOLERANCE_S:
--- a/loadbalancer/registry/agent.py
+++ b/loadbalancer/registry/agent.py
@@ -1,4 +1,4 @@
-"""Registers a server that can't do so itself: checks its health, renews its lease, drains it at the end."""
+"""Registers a server that can't do so itself: checks its health, renews its lease, drains it on shutdown."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass
 class Health:
-    """What the checks have shown: it takes some in a row to change it."""
+    """The server's health, which changes only after several checks in a row."""
 
     is_healthy: bool = False
     _streak: int = 0
@@ -48,7 +48,7 @@
 
 
 class Agent:
-    """The agent of one server: `step` is called again and again, and returns when it is to be called next."""
+    """The agent of one server; `step` is called repeatedly and returns the delay until the next call."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         log: Callable[[str], None],
         now_ms: Callable[[], float] = lambda: time.time() * 1_000,
     ) -> None:
-        """`log` is called with a line for each change of what the registry has answered."""
+        """`log` is called with a line whenever the outcome of a call differs from the last."""
         self._name = name
         self._passes_check = passes_check
         self._log = log
@@ -72,7 +72,7 @@
         was_healthy = self._health.is_healthy
         is_healthy = self._health.record_check(has_passed=self._passes_check())
         if is_healthy and not was_healthy:
-            self._lease.begin_new_start()  # whatever it was before, it may have to warm up
+            self._lease.begin_new_start()  # it may have restarted, and may have to warm up
         if is_healthy:
             self._attempt(self._register_or_renew)
         elif was_healthy:
@@ -84,21 +84,21 @@
             self._log_once("registered")
 
     def drain(self) -> None:
-        """Let the server end the requests that it has."""
+        """Drain the server, so that it only finishes its requests."""
         if self._lease.is_registered:
             self._attempt(lambda: self._lease.drain("it is told to end"), "draining")
 
     def deregister(self) -> None:
-        """Take the server off the list."""
+        """Remove the server from the list."""
         if self._lease.is_registered:
             self._attempt(lambda: self._lease.deregister("it has ended"), "removed")
 
     def _attempt(self, call: Callable[[], None], message: str = "") -> None:
-        """Make a call, and log what came of it."""
+        """Make a call, and log its outcome."""
         try:
             call()
         except RegistryCallError as error:
-            self._log_once(f"the list service: {error}")
+            self._log_once(f"registry call failed: {error}")
         else:
             if message:
                 self._log_once(message)
--- a/loadbalancer/registry/catalog.py
+++ b/loadbalancer/registry/catalog.py
@@ -1,7 +1,7 @@
-"""The registry's state machine: writes by servers and operators, lease expiry and other instances' accounts.
+"""The registry's state machine: writes by servers and operators, lease expiry, merges from other instances.
 
-It does no I/O and is given the time with each call. What all writes share, and all reads, are in
-`entry_table`; which leases expire is decided in `lease_expiry`.
+It does no I/O; callers pass the time. Reads and the base of all writes are in `entry_table`; `lease_expiry`
+decides which leases expire.
 """
 
 from __future__ import annotations
@@ -22,25 +22,27 @@
 class Catalog(EntryTable):
     """All servers of all tiers. Times are Unix ms.
 
-    Writes raise `WriteRejectedError` and change nothing if they can't be made. `who` and `why` go into the
-    history; with `if_match` a write is made only if the entry is still at that revision (0: not there).
+    Rejected writes raise `WriteRejectedError` and change nothing. `who` and `why` are recorded in the
+    history; `if_match` is the revision that the entry must still have (0: no entry).
     """
 
     def __init__(self, rules: Rules, start_revision: int, number: int = 0, stride: int = 1) -> None:
-        """Begin without entries; `start_revision` is from `first_revision`, earlier entries by `restore`."""
+        """Create an empty catalog; `start_revision` comes from `first_revision`, entries from `restore`."""
         super().__init__(rules, start_revision, number, stride)
         self._lease_expiry = LeaseExpiry(self, rules)
         self._checks = WriteChecks()
-        self.conflict_counts: Counter[str] = Counter()  # by server: accounts that were lost in a join
+        self.conflict_counts: Counter[str] = (
+            Counter()
+        )  # by server: merges that dropped one of two concurrent changes
 
     @property
     def expiry_suspended_until_ms(self) -> dict[str, float]:
-        """By tier: until when no lease expires, since too many ran out at once."""
+        """By tier: until when expiry is suspended because too many leases ran out at once."""
         return self._lease_expiry.suspended_until_ms
 
     @property
     def rejection_counts(self) -> Counter[RejectionCause]:
-        """By cause: how many writes were rejected."""
+        """The number of rejected writes by cause."""
         return self._checks.rejection_counts
 
     # ---- writes of servers and operators --------------------------------------------------------
@@ -55,7 +57,7 @@
         why: str = "",
         if_match: int | None = None,
     ) -> Change | None:
-        """Register a server, a new start or a changed one; None if it only renewed its lease."""
+        """Register a server, a new start of it or a change; None if only its lease was renewed."""
         entry = self.entries.get(name)
         self._checks.check_revision(entry, if_match)
         if entry is None or not entry.is_listed:
@@ -69,7 +71,7 @@
         is_new_start = registration.since_ms > entry.registration.since_ms
         if entry.status is Status.TERMINATING and not is_new_start:
             raise self._checks.rejection(
-                409, RejectionCause.DRAINING, f"{name} drains; only a new start serves again"
+                409, RejectionCause.DRAINING, f"{name} is draining; only a new start can register"
             )
         if is_new_start:
             entry.reported_status = Status.IN_SERVICE
@@ -80,7 +82,7 @@
         return self.commit(entry, now, ChangeKind.RESTARTED if is_new_start else ChangeKind.UPDATED, who, why)
 
     def _new_entry(self, name: str, registration: Registration, former: Entry | None, now: float) -> Entry:
-        """Return an entry for a server that is not listed; `former` is what is remembered of it."""
+        """Return an entry for a server that is not listed; `former` is its remembered entry."""
         entry = Entry(name=name, registration=registration, last_renewal_ms=now, renewal_count=1)
         if former is None:
             return entry
@@ -90,7 +92,7 @@
             raise self._checks.rejection(
                 429,
                 RejectionCause.FLAPPING,
-                f"{name} has come and gone too often; {damped_ms / 1_000:.0f} s more",
+                f"{name} is flapping; it can register again in {damped_ms / 1_000:.0f} s",
             )
         entry.expirations_ms = former.expirations_ms
         entry.change_count = former.change_count
@@ -101,7 +103,7 @@
         return entry
 
     def renew(self, name: str, since_ms: float, now: float) -> Change | None:
-        """Renew the lease of a server's start; always None, since balancers see no difference."""
+        """Renew the lease of a server's start; always None, since nothing changes for balancers."""
         entry = self._checks.require_listed(self.entries.get(name), name)
         if since_ms != entry.registration.since_ms:
             raise self._checks.rejection(
@@ -115,7 +117,7 @@
     def drain(
         self, name: str, now: float, *, who: str = "", why: str = "", if_match: int | None = None
     ) -> Change | None:
-        """Let a server end the requests that it has; None if it drains already."""
+        """Drain a server, so that it only finishes its requests; None if it is already draining."""
         entry = self._checks.require_listed(self.entries.get(name), name)
         self._checks.check_revision(entry, if_match)
         if entry.status is Status.TERMINATING:
@@ -126,31 +128,31 @@
     def remove(
         self, name: str, now: float, *, who: str = "", why: str = "", if_match: int | None = None
     ) -> Change:
-        """Take a server off the list."""
+        """Remove a server from the list."""
         entry = self._checks.require_listed(self.entries.get(name), name)
         self._checks.check_revision(entry, if_match)
         entry.reported_status = Status.TERMINATED
         return self.commit(entry, now, ChangeKind.REMOVED, who, why)
 
     def set_pinned(self, name: str, now: float, *, is_pinned: bool, who: str = "", why: str = "") -> Change:
-        """Keep a server on the list whatever becomes of its lease, or end that; balancers see nothing."""
+        """Pin a server, so that its lease never expires, or unpin it; nothing changes for balancers."""
         entry = self._checks.require_listed(self.entries.get(name), name)
         entry.is_pinned = is_pinned
         self.renew_lease(entry, now)
         return self.commit(entry, now, ChangeKind.PINNED if is_pinned else ChangeKind.UNPINNED, who, why)
 
     def expire_leases(self, now: float, peers_complete_as_of_ms: float = math.inf) -> list[Change]:
-        """Take servers off the list whose leases have run out: see `LeaseExpiry.expire`."""
+        """Remove servers whose leases have run out: see `LeaseExpiry.expire`."""
         return self._lease_expiry.expire(now, peers_complete_as_of_ms)
 
-    # ---- accounts of other instances ------------------------------------------------------------
+    # ---- merges from other instances ------------------------------------------------------------
 
     def merge_renewals(
         self, name: str, generation: Generation, renewal_count: int, now: float
     ) -> Change | None:
-        """Take renewals that another instance has heard; a change if an expired server is listed again.
+        """Merge renewals received by another instance; a change if an expired server is listed again.
 
-        Those of a server that is not known, or of another start of it, are ignored: its whole entry comes.
+        Those of an unknown server or of another generation are ignored: the whole entry will be sent.
         """
         entry = self.entries.get(name)
         if entry is None or renewal_count <= entry.renewal_count:
@@ -164,7 +166,7 @@
         return self.commit(entry, now, ChangeKind.RENEWED_AT_PEER, REGISTRY_ACTOR, "")
 
     def merge(self, theirs: SharedEntry, now: float, who: str) -> Change | None:
-        """Join another instance's account of a server; a change if balancers, or the file, must know."""
+        """Merge another instance's entry; a change if balancers or the database must learn of it."""
         entry = self.entries.get(theirs.name)
         if entry is None:
             entry = Entry(name=theirs.name, registration=theirs.registration, last_renewal_ms=now)
@@ -185,13 +187,11 @@
             entry.is_preserved = False
         return self._adopt(entry, joined, now, who)
 
-    def _adopt(self, entry: Entry, account: SharedEntry, now: float, who: str) -> Change:
-        entry.registration = account.registration
-        entry.reported_status = account.reported_status
-        entry.incarnation = account.incarnation
-        entry.renewal_count = account.renewal_count
-        entry.expired_at_renewal = account.expired_at_renewal
-        entry.is_pinned = account.is_pinned
-        return self.commit(
-            entry, now, ChangeKind.MERGED_FROM_PEER, who, "", change_count=account.change_count
-        )
+    def _adopt(self, entry: Entry, shared: SharedEntry, now: float, who: str) -> Change:
+        entry.registration = shared.registration
+        entry.reported_status = shared.reported_status
+        entry.incarnation = shared.incarnation
+        entry.renewal_count = shared.renewal_count
+        entry.expired_at_renewal = shared.expired_at_renewal
+        entry.is_pinned = shared.is_pinned
+        return self.commit(entry, now, ChangeKind.MERGED_FROM_PEER, who, "", change_count=shared.change_count)
--- a/loadbalancer/registry/changes.py
+++ b/loadbalancer/registry/changes.py
@@ -1,4 +1,4 @@
-"""A change of the registry as its history has it, and the errors of writes that change nothing."""
+"""Registry changes as recorded in the history, and the errors of rejected writes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ChangeKind(enum.StrEnum):
-    """What a change did; the values stand in the stored history."""
+    """What a change did; the values are stored in the history."""
 
     REGISTERED = "registered"
     RESTARTED = "started anew"
@@ -38,23 +38,23 @@
 
 
 class RegistryError(Exception):
-    """Base of the registry's errors; each is one line for people."""
+    """Base of the registry's errors; each message is one line."""
 
 
 class WriteRejectedError(RegistryError, ValueError):
-    """A call that changes nothing: an HTTP status, and one line that says why."""
+    """A rejected call, which changes nothing: an HTTP status and a one-line reason."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
         self.status = status
 
 
-# The keys of changes in the answers of `GET /v1/history`, where they differ from the fields' names.
+# The keys in the answers of `GET /v1/history` that differ from the field names.
 CHANGE_KEYS = {"revision": "index"}
 
 
 class Change(msgspec.Struct, frozen=True, rename=CHANGE_KEYS):
-    """One change, as the history has it; `what` is the value of a `ChangeKind`."""
+    """A change as recorded in the history; `what` is the value of a `ChangeKind`."""
 
     revision: int
     at_ms: float
--- a/loadbalancer/registry/client.py
+++ b/loadbalancer/registry/client.py
@@ -1,4 +1,4 @@
-"""Calls to the registry for tools and agents: one call, one answer, one line of error."""
+"""A blocking client of the registry for tools and agents; errors are one line."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RegistryCallError(RegistryError, RuntimeError):
-    """A call that was rejected or got no answer: one line. `status` is `NO_ANSWER` for the latter."""
+    """A call that was rejected, or got no answer (`status` is `NO_ANSWER`); the message is one line."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -27,16 +27,16 @@
 
 
 class RegistryClient:
-    """The registry at an address, or at those of its instances: the next is called if one does not answer."""
+    """A client of one or more instances; the next one is called if one is unavailable."""
 
     def __init__(self, address: str, who: str = "", timeout_s: float = CALL_TIMEOUT_S) -> None:
-        """`address` is HOST:PORT, or several with commas between; `RegistryCallError` if one is none."""
+        """`address` is HOST:PORT, or several separated by commas; `RegistryCallError` if one is invalid."""
         self._instances: list[_Instance] = []
         for part in address.split(","):
             host, _, port = part.strip().rpartition(":")
             if not host or not port.isdigit():
                 raise RegistryCallError(
-                    NO_ANSWER, f"{part!r} is no address: give HOST:PORT, such as 127.0.0.1:8500"
+                    NO_ANSWER, f"{part!r} is not an address; expected HOST:PORT, such as 127.0.0.1:8500"
                 )
             self._instances.append(_Instance(host, int(port)))
         self._who = who
@@ -45,9 +45,9 @@
     def call(
         self, method: str, path: str, body: object = None, *, why: str = "", if_match: int | None = None
     ) -> Any:
-        """Return the answer's JSON; `RegistryCallError` has the error of the last instance that was called.
+        """Return the answer's JSON; `RegistryCallError` has the error of the last instance called.
 
-        A call that got no answer may have been carried out: at another instance it is a call of its own.
+        A call that got no answer may still take effect; another instance treats the call as a new one.
         """
         for remaining in reversed(range(len(self._instances))):
             try:
@@ -56,7 +56,7 @@
                 if error.status not in (NO_ANSWER, 503) or not remaining:
                     raise
                 self._instances.append(self._instances.pop(0))
-        raise AssertionError("there is always an instance")
+        raise AssertionError("the client has no instances")
 
     def _call(self, method: str, path: str, body: object, why: str, if_match: int | None) -> Any:
         host, port = self._instances[0]
@@ -70,7 +70,7 @@
             response = connection.getresponse()
             answer = json.loads(response.read())
         except (OSError, ValueError, http.client.HTTPException) as error:
-            raise RegistryCallError(NO_ANSWER, f"{host}:{port} gave no answer: {error}") from error
+            raise RegistryCallError(NO_ANSWER, f"{host}:{port} did not answer: {error}") from error
         finally:
             connection.close()
         if response.status >= 300:
@@ -87,11 +87,11 @@
         why: str = "",
         if_match: int | None = None,
     ) -> Any:
-        """Make a call about one server; `action` is the path after its name, such as `/drain`."""
+        """Call a path of one server; `action` is the part after its name, such as `/drain`."""
         path = f"/v1/servers/{quote(name, safe='')}{action}"
         return self.call(method, path, body, why=why, if_match=if_match)
 
     def list_endpoints(self, tier: str, after: int = -1, wait_ms: float = 0.0) -> Any:
-        """Return the list of a tier, or what has changed since a revision, after `wait_ms` at the most."""
+        """Return a tier's list or, waiting up to `wait_ms`, what has changed since a revision."""
         query = {"tier": tier} | ({"after": after, "wait_ms": wait_ms} if after >= 0 else {})
         return self.call("GET", f"/v1/servers?{urlencode(query)}")
--- a/loadbalancer/registry/entries.py
+++ b/loadbalancer/registry/entries.py
@@ -1,4 +1,4 @@
-"""What the registry holds of a server, what servers register, and the rules of lease expiry."""
+"""Registry entries, the registrations that servers send, and the rules of lease expiry."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 Text = Annotated[str, Meta(max_length=200)]
 Address = Annotated[str, Meta(pattern=r"^(\[[0-9a-fA-F:.]+\]|[0-9]{1,3}(\.[0-9]{1,3}){3}):[0-9]{1,5}$")]
 
-# The keys of the registry's file (`[rules]`) and of stored entries, by the fields' names.
+# The keys in the registry's configuration file (`[rules]`) and in stored entries, by field name.
 RULES_KEYS = {
     "mass_expiry_ratio": "doubt_part",
     "mass_expiry_window_ms": "doubt_ms",
@@ -42,7 +42,7 @@
 
 
 class Status(enum.Enum):
-    """A server's state, as the platform's list has it (PROTOCOL)."""
+    """A server's state, with the values of the platform's list (PROTOCOL)."""
 
     IN_SERVICE = "in_service"
     TERMINATING = "terminating"
@@ -50,7 +50,7 @@
 
 
 class Registration(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What a server registers of itself; the fields' names are the keys in JSON. Times in ms."""
+    """A server's registration; the field names are the JSON keys. Times are in ms."""
 
     address: Address
     zone: Text = ""
@@ -59,65 +59,65 @@
     weight: Annotated[float, Meta(gt=0, le=1_000_000)] = 1.0
     tier: Name = "first"
     since_ms: Annotated[float, Meta(ge=0, le=1e15)] = 0.0
-    """When it started, Unix ms; 0 for long ago. A later one is a new start, an earlier one is rejected."""
+    """The server's start, Unix ms; 0 for long ago. A later one is a new start, an earlier one is rejected."""
     version: Text = ""
     lease_ms: Annotated[float, Meta(ge=100, le=86_400_000)] = 10_000.0
     owner: Text = ""
-    """Who registers it; another owner is rejected until the lease is over."""
+    """Who registers the server; another owner is rejected until the lease has run out."""
 
 
 class Rules(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, rename=RULES_KEYS):
-    """When a lease that ran out does not take its server off the list."""
+    """When a lease that has run out does not remove its server from the list."""
 
     mass_expiry_ratio: Annotated[float, Meta(gt=0, le=1)] = 0.3
-    """If more than this share of a tier's leases run out within `mass_expiry_window_ms`, the registry takes
-    the fault for its own: none expires until the window after the last of them is over."""
+    """If more than this share of a tier's leases run out within `mass_expiry_window_ms`, the registry assumes
+    that the fault is its own: no lease expires until one window after the last of them."""
     mass_expiry_window_ms: Annotated[float, Meta(gt=0)] = 15_000.0
     settle_ms: Annotated[float, Meta(ge=0)] = 1_000.0
-    """A lease expires only so long after its end: whether others run out, too, must be seen first."""
+    """How long after its end a lease expires: a mass expiry must be detected before that."""
     learning_ms: Annotated[float, Meta(ge=0)] = 5_000.0
-    """So long after a start with an empty database, watchers that have seen a list are told to keep it."""
+    """How long after a start with an empty database watchers are told to keep the list they have."""
     self_preservation_threshold: Annotated[float, Meta(ge=0, le=1)] = 0.5
-    """Expiry leaves this share of any zone's, or group's, servers healthy; they are counted as they were
-    `self_preservation_window_ms` ago."""
+    """Expiry leaves this share of the servers of each zone and each group healthy; servers that expired
+    within `self_preservation_window_ms` are counted, too."""
     self_preservation_window_ms: Annotated[float, Meta(gt=0)] = 600_000.0
     max_expirations: Annotated[int, Meta(ge=1)] = 3
-    """A server that has expired so often within `flapping_window_ms` is kept out for `damping_ms`."""
+    """A server that expired this often within `flapping_window_ms` can't register for `damping_ms`."""
     flapping_window_ms: Annotated[float, Meta(gt=0)] = 60_000.0
     damping_ms: Annotated[float, Meta(gt=0)] = 30_000.0
     max_tombstones: Annotated[int, Meta(ge=1)] = 10_000
-    """Removed servers that are remembered for watchers; one that is further behind gets a full snapshot."""
+    """Removed servers remembered for watchers; a watcher that is further behind gets a full snapshot."""
 
 
 class Entry(msgspec.Struct, kw_only=True, rename=ENTRY_KEYS):
-    """One server; times are Unix ms by this instance's clock."""
+    """The entry of one server; times are Unix ms by this instance's clock."""
 
     name: str
     registration: Registration
     reported_status: Status = Status.IN_SERVICE
-    """As servers or operators reported it; expiry is nobody's report."""
+    """As reported by servers or operators; expiry does not change it."""
     incarnation: int = 0
-    """How often it was registered again after a removal, at one start of it."""
+    """How often this start of the server was registered again after a removal."""
     change_count: int = 0
     renewal_count: int = 0
     """How often its lease was renewed, at any instance."""
     expired_at_renewal: int = -1
-    """The count of renewals at which its lease expired: it is off the list until the next one."""
+    """The renewal count at which its lease expired; it is not listed until the next renewal."""
     revision: int = 0
     """The registry's revision at its last change."""
     last_renewal_ms: float = 0.0
     is_preserved: bool = False
-    """Its lease has run out, and it is listed all the same: expiry is suspended, or would take too many."""
+    """Listed although its lease has run out: expiry is suspended, or would remove too many servers."""
     is_pinned: bool = False
-    """Operators keep it on the list: its lease never expires."""
+    """Kept on the list by operators: its lease never expires."""
     damped_until_ms: float = 0.0
     expirations_ms: list[float] = []
     former_zones: dict[str, dict[str, int]] = {}
-    """Services that it was in, and their zones: the revision at which it was there last."""
+    """By service and zone that it has left: the revision at which it was last there."""
 
     @property
     def is_expired(self) -> bool:
-        """Whether it is off the list since its lease ran out, and not because anybody reported so."""
+        """Whether it is not listed because its lease expired, and not because it was removed."""
         return self.reported_status is not Status.TERMINATED and self.renewal_count <= self.expired_at_renewal
 
     @property
@@ -127,7 +127,7 @@
 
     @property
     def lease_expiry_ms(self) -> float:
-        """When its lease runs out if nobody renews it."""
+        """When its lease runs out unless it is renewed."""
         return self.last_renewal_ms + self.registration.lease_ms
 
     @property
@@ -136,7 +136,7 @@
         return self.status is not Status.TERMINATED
 
     def to_endpoint(self) -> dict[str, Any]:
-        """Return the entry as balancers get it."""
+        """Return the entry as it is sent to balancers."""
         registration = self.registration
         return {
             "name": self.name,
--- a/loadbalancer/registry/entry_table.py
+++ b/loadbalancer/registry/entry_table.py
@@ -1,8 +1,8 @@
-"""The entries of all servers with their revisions and history: what all writes share, and all reads.
+"""The entries of all servers with their revisions and change order: all reads, and the base of all writes.
 
-A watcher that has seen a revision of an incarnation that is remembered goes on from there; one that has seen
-another, of a database that was lost, gets a full snapshot. So neither a lost nor a restored database looks to
-a balancer like an older list.
+A watcher at a revision of a remembered incarnation resumes with a delta; a watcher at any other revision, as
+of a lost database, gets a full snapshot. So a balancer never takes the list of a lost or restored database
+for an older one.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def as_terminated(entry: Entry) -> Entry:
-    """Return an entry as watchers see it that hold it no longer."""
+    """Return a terminated copy of an entry for watchers that no longer get it."""
     terminated = copy(entry)
     terminated.reported_status = Status.TERMINATED
     return terminated
@@ -28,13 +28,13 @@
     """The entries by server name. Times are Unix ms."""
 
     def __init__(self, rules: Rules, start_revision: int, number: int = 0, stride: int = 1) -> None:
-        """Begin without entries; `start_revision` is from `first_revision`, earlier entries by `restore`."""
+        """Create an empty table; `start_revision` comes from `first_revision`, entries from `restore`."""
         self._rules = rules
         self.revisions = RevisionHistory(start_revision, number, stride)
         self.updates = UpdateLog()
         self.change_index = ChangeIndex()
         self.entries: dict[str, Entry] = {}
-        self._committed: dict[str, Entry] = {}  # each as it was at its last change
+        self._committed: dict[str, Entry] = {}  # copies as of the last change
 
     @property
     def revision(self) -> int:
@@ -43,7 +43,7 @@
 
     @property
     def compaction_revision(self) -> int:
-        """The highest of the revisions up to which removals of some service are forgotten."""
+        """The highest revision up to which removals of any service are forgotten."""
         return max(self.revisions.oldest, self.change_index.compaction_revision(None))
 
     def restore(
@@ -54,9 +54,9 @@
         compaction_revision: int = 0,
         compaction_revisions: Mapping[str, int] | None = None,
     ) -> None:
-        """Go on with the entries of earlier incarnations.
+        """Load the entries of earlier incarnations.
 
-        All leases run anew, since renewals that came meanwhile were not heard. Removals up to
+        All leases start again, since renewals sent in the meantime were missed. Removals up to
         `compaction_revision`, and by service up to `compaction_revisions`, are not remembered.
         """
         for entry in sorted(entries, key=lambda entry: entry.revision):
@@ -72,7 +72,7 @@
     # ---- reads ----------------------------------------------------------------------------------
 
     def entries_of(self, tier: str) -> Iterator[Entry]:
-        """Yield all remembered entries of a tier, terminated ones too."""
+        """Yield all remembered entries of a tier, including terminated ones."""
         entries = (self.entries[name] for name in self.change_index.server_names(tier))
         return (entry for entry in entries if entry.registration.tier == tier)
 
@@ -81,18 +81,18 @@
         return [entry for entry in self.entries_of(tier) if entry.is_listed]
 
     def has_history_since(self, revision: int, services: tuple[str, ...] | None = None) -> bool:
-        """Return whether a revision was issued, and all changes of some services since are remembered.
+        """Return whether a revision was issued and all later changes of the services are remembered.
 
-        Without `services`, of all services.
+        Without `services`, check all services.
         """
         if revision < max(self.revisions.oldest, self.change_index.compaction_revision(services)):
             return False
         return self.revisions.was_issued(revision)
 
     def resume_watch(self, services: tuple[str, ...], after: int, now: float) -> bool:
-        """Return whether a watcher that has seen a revision of some services can go on with a delta.
+        """Return whether a watcher of some services can resume from a revision with a delta.
 
-        A revision above the current one moves the current one above it, if any of ours could be so high.
+        A plausible revision above the current one advances the current one past it.
         """
         if after > self.revision:
             self.revisions.advance_past(after, now)
@@ -100,9 +100,9 @@
         return self.revisions.is_own(after) and self.has_history_since(after, services)
 
     def changes_since(self, tier: str, after: int, now: float) -> list[Entry] | None:
-        """Return what has changed since a revision, a server that has left the tier as terminated.
+        """Return the entries changed since a revision; a server that left the tier is terminated.
 
-        None if only a full snapshot can tell.
+        Return None if a full snapshot is needed.
         """
         if not self.resume_watch((tier,), after, now):
             return None
@@ -123,13 +123,13 @@
             yield entry
 
     def updated_since(self, sequence: int) -> Iterator[Entry]:
-        """Yield the entries that were updated, if only by a renewal, since a sequence number."""
+        """Yield the entries that were changed or renewed since a sequence number."""
         return (self.entries[name] for name in self.updates.updated_since(sequence))
 
     # ---- writes ---------------------------------------------------------------------------------
 
     def renew_lease(self, entry: Entry, now: float, renewal_count: int | None = None) -> None:
-        """Begin an entry's lease anew; `renewal_count` is that of another instance, if it came from one."""
+        """Restart an entry's lease; `renewal_count` is given for a renewal at another instance."""
         entry.last_renewal_ms = now
         entry.is_preserved = False
         entry.renewal_count = entry.renewal_count + 1 if renewal_count is None else renewal_count
@@ -144,7 +144,7 @@
         why: str,
         change_count: int | None = None,
     ) -> Change:
-        """Give a changed or new entry the next revision, and return the change for the history."""
+        """Assign the next revision to a new or changed entry; return the change for the history."""
         entry.revision = self.revisions.advance()
         entry.change_count = entry.change_count + 1 if change_count is None else change_count
         before = self._committed.get(entry.name)
@@ -158,10 +158,10 @@
         return Change(entry.revision, now, entry.name, kind.value, who, why, committed, before)
 
     def revert(self, changes: Sequence[Change]) -> None:
-        """Take back changes that could not be stored; their revisions stay unused."""
+        """Undo changes that could not be stored; their revisions are not used again."""
         for change in reversed(changes):
             if change.before is not None:
-                renewed_ms = self.entries[change.name].last_renewal_ms  # that it was renewed remains true
+                renewed_ms = self.entries[change.name].last_renewal_ms  # a renewal is not undone
                 self.change_index.discard(self.entries[change.name])
                 before = copy(change.before)
                 before.last_renewal_ms = max(before.last_renewal_ms, renewed_ms)
@@ -178,7 +178,7 @@
         self.change_index.put(entry)
 
     def _compact(self) -> None:
-        """Forget the oldest of too many removed servers; watchers that are behind get a full snapshot."""
+        """Forget the oldest removed servers above the limit; watchers behind them get a full snapshot."""
         removed = [entry for entry in self.entries.values() if not entry.is_listed]
         excess = max(len(removed) - self._rules.max_tombstones, 0)
         for entry in sorted(removed, key=lambda entry: entry.revision)[:excess]:
--- a/loadbalancer/registry/http_api.py
+++ b/loadbalancer/registry/http_api.py
@@ -25,8 +25,8 @@
 from loadbalancer.registry.write_queue import Write, WriteQueue
 
 MAX_BODY_BYTES = 64 * 1024
-RESPONSE_CHUNK_BYTES = 64 * 1024  # of a long answer, written at once
-STALLED_READER_TIMEOUT_S = 10.0  # a reader that takes no chunk for so long is cut off
+RESPONSE_CHUNK_BYTES = 64 * 1024  # of a long response, written at once
+STALLED_READER_TIMEOUT_S = 10.0  # a client that takes no chunk for this long is disconnected
 EXCHANGE_CHUNK_BYTES = 64 * 1024
 MAX_EXCHANGE_BYTES = 16 * 1024 * 1024  # of one message between instances
 MAX_HISTORY_CHANGES = 10_000  # in one answer
@@ -34,13 +34,13 @@
 
 
 class Renewal(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of a renewal: the start of the server whose lease it is."""
+    """The body of a renewal: the start of the server that holds the lease."""
 
     since_ms: float = 0.0
 
 
 class HttpApi:
-    """The handlers of all paths; each returns when what it answers is on the disk."""
+    """The handlers of all paths; each responds when what it reports is on the disk."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         peer_sync: PeerSync,
         learning_until_ms: float,
     ) -> None:
-        """Until `learning_until_ms` watchers with revisions that are not known are told to wait."""
+        """Until `learning_until_ms`, watchers with unknown revisions are told to keep their list."""
         self._catalog = catalog
         self._store = store
         self._writes = writes
@@ -64,7 +64,7 @@
         self.stalled_reader_timeout_s = STALLED_READER_TIMEOUT_S
 
     def create_application(self) -> web.Application:
-        """Return an application with all paths."""
+        """Return an application that serves all paths."""
         app = web.Application(client_max_size=MAX_BODY_BYTES, middlewares=[answer_errors_as_json])
         app.router.add_get("/v1/servers", self._handle_list)
         app.router.add_put("/v1/servers/{name}", self._handle_register)
@@ -92,7 +92,7 @@
             )
         if (retry := self._evaluator.schedule_retry(query)) is not None:
             error = {
-                "error": "too many come back at once",
+                "error": "too many watchers are returning at once",
                 "retry_ms": round(retry.delay_s * 1_000),
                 "ticket": retry.ticket,
             }
@@ -103,7 +103,7 @@
         return await self._send_in_chunks(request, body)
 
     async def _send_in_chunks(self, request: web.Request, body: bytes) -> web.StreamResponse:
-        """Send a long answer: a slow reader holds one chunk or two, one that reads nothing is cut off."""
+        """Send a long response: a slow client holds one or two chunks, a stalled one is disconnected."""
         response = web.StreamResponse(headers={"Content-Length": str(len(body))})
         response.content_type = "application/json"
         await response.prepare(request)
@@ -123,7 +123,7 @@
         return json_response([msgspec.to_builtins(change) for change in changes])
 
     async def _handle_state(self, request: web.Request) -> web.Response:
-        """Answer what operators see beside the list: marks, pins, suspended expiry, counts."""
+        """Answer the state for operators: preserved and pinned entries, suspended expiry, counters."""
         now = unix_ms()
         catalog = self._catalog
         suspended = catalog.expiry_suspended_until_ms.items()
@@ -185,7 +185,7 @@
         )
 
     async def _write(self, write: Write) -> web.Response:
-        """Answer a write when it is on the disk."""
+        """Queue a write, and respond when it is on the disk."""
         change = await self._writes.write(write)
         revision = change.revision if change else self._catalog.revision
         answer = {"index": revision, "changed": change is not None}
@@ -198,7 +198,7 @@
         async for chunk in request.content.iter_chunked(EXCHANGE_CHUNK_BYTES):
             data += chunk
             if len(data) > MAX_EXCHANGE_BYTES:
-                raise WriteRejectedError(413, "a message of another instance is too long")
+                raise WriteRejectedError(413, "the message of another instance is too long")
         return web.Response(body=self._peer_sync.handle_request(data), content_type="application/json")
 
 
--- a/loadbalancer/registry/http_messages.py
+++ b/loadbalancer/registry/http_messages.py
@@ -1,4 +1,4 @@
-"""What the registry's HTTP handlers have in common: reading requests, and answering in JSON."""
+"""Helpers of the registry's HTTP handlers: reading requests, and answering in JSON."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 WHO_HEADER = "X-Who"
 WHY_HEADER = "X-Why"
-MAX_HEADER_CHARACTERS = 200  # of who and why, as the history has them
+MAX_HEADER_CHARACTERS = 200  # of who and why, as stored in the history
 RequestBody = TypeVar("RequestBody", bound=msgspec.Struct)
 
 
 class WriteContext(NamedTuple):
-    """Who writes and why, and the revision at which the entry must still be; None for any."""
+    """Who writes and why, and the revision that the entry must still have; None for any."""
 
     who: str
     why: str
@@ -31,7 +31,7 @@
 async def answer_errors_as_json(
     request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
 ) -> web.StreamResponse:
-    """Answer errors with one line in JSON."""
+    """Answer errors with one line of JSON."""
     try:
         return await handler(request)
     except WriteRejectedError as error:
@@ -45,13 +45,13 @@
 
 
 def json_response(value: object, status: int = 200, headers: dict[str, str] | None = None) -> web.Response:
-    """Return an answer in JSON, one line."""
+    """Return a response with one line of JSON."""
     body = json.dumps(value, default=str).encode() + b"\n"
     return web.Response(body=body, status=status, headers=headers, content_type="application/json")
 
 
 def read_server_name(request: web.Request) -> str:
-    """Return the server's name from the path; rejected with 400 if it is none."""
+    """Return the server's name from the path; an invalid one is rejected with 400."""
     name = request.match_info["name"]
     try:
         return msgspec.convert(name, type=Name)
@@ -62,19 +62,19 @@
 
 
 def read_write_context(request: web.Request) -> WriteContext:
-    """Return who writes and why, and at which revision; rejected with 400 if that is no revision."""
-    match = request.headers.get("If-Match", "").strip().strip('"')
-    if match and not match.isdigit():
-        raise WriteRejectedError(400, f"If-Match {match[:40]!r} is no version")
+    """Return who writes, why, and at which revision; an invalid revision is rejected with 400."""
+    etag = request.headers.get("If-Match", "").strip().strip('"')
+    if etag and not etag.isdigit():
+        raise WriteRejectedError(400, f"If-Match {etag[:40]!r} is no version")
     who = request.headers.get(WHO_HEADER, "")[:MAX_HEADER_CHARACTERS]
     why = request.headers.get(WHY_HEADER, "")[:MAX_HEADER_CHARACTERS]
-    return WriteContext(who, why, int(match) if match else None)
+    return WriteContext(who, why, int(etag) if etag else None)
 
 
-async def read_body(request: web.Request, kind: type[RequestBody]) -> RequestBody:
-    """Return a request's JSON body; rejected with 400 if it is not of that kind."""
+async def read_body(request: web.Request, body_type: type[RequestBody]) -> RequestBody:
+    """Return a request's JSON body; one that does not fit the type is rejected with 400."""
     try:
-        return msgspec.json.decode(await request.read() or b"{}", type=kind)
+        return msgspec.json.decode(await request.read() or b"{}", type=body_type)
     except msgspec.DecodeError as error:
-        allowed = ", ".join(field.encode_name for field in msgspec.structs.fields(kind))
+        allowed = ", ".join(field.encode_name for field in msgspec.structs.fields(body_type))
         raise WriteRejectedError(400, f"{' '.join(str(error).split())}; allowed: {allowed}") from error
--- a/loadbalancer/registry/lease.py
+++ b/loadbalancer/registry/lease.py
@@ -1,4 +1,4 @@
-"""One server's lease, kept up: registered, renewed when that is due, registered anew when it was lost."""
+"""Keeps one server's lease: registers it, renews it when due, and registers it again if it was lost."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from loadbalancer.registry.client import RegistryCallError, RegistryClient
 from loadbalancer.registry.entries import Registration
 
-RENEWAL_RATIO = 0.3  # of the lease, after which it is renewed: two renewals may be lost
+RENEWAL_RATIO = 0.3  # of the lease between renewals: two in a row may be lost
 
 
 class Lease:
@@ -23,7 +23,7 @@
         registration: Registration,
         now_ms: Callable[[], float] = lambda: time.time() * 1_000,
     ) -> None:
-        """Nothing is registered yet."""
+        """Create the lease; nothing is registered yet."""
         self._client = client
         self._name = name
         self._now_ms = now_ms
@@ -33,17 +33,17 @@
 
     @property
     def renewal_interval_s(self) -> float:
-        """How long `register_or_renew` may wait to be called again."""
+        """The longest time between calls of `register_or_renew`."""
         return RENEWAL_RATIO * self.registration.lease_ms / 1_000
 
     def begin_new_start(self) -> None:
-        """Register a new start of the server with the next call: it has started just now."""
+        """Make the next call register a new start of the server, as of now."""
         since_ms = max(self.registration.since_ms, self._now_ms())
         self.registration = msgspec.structs.replace(self.registration, since_ms=since_ms)
         self.is_registered = False
 
     def register_or_renew(self, why: str = "") -> bool:
-        """Register, or renew if that is due; return whether it was registered."""
+        """Register, or renew if due; return whether it was registered."""
         if not self.is_registered:
             body = msgspec.to_builtins(self.registration)
             self._client.call_server("PUT", self._name, body=body, why=why)
@@ -64,10 +64,10 @@
             raise
 
     def drain(self, why: str) -> None:
-        """Let the server end the requests that it has."""
+        """Drain the server, so that it only finishes its requests."""
         self._client.call_server("POST", self._name, "/drain", why=why)
 
     def deregister(self, why: str) -> None:
-        """Take the server off the list."""
+        """Remove the server from the list."""
         self._client.call_server("DELETE", self._name, why=why)
         self.is_registered = False
--- a/loadbalancer/registry/lease_expiry.py
+++ b/loadbalancer/registry/lease_expiry.py
@@ -1,7 +1,7 @@
-"""Decides which leases that ran out take their servers off the list.
+"""Decides which servers are removed when their leases run out.
 
-A lease that ran out is a guess. Where many run out together the registry takes the fault for its own and
-suspends expiry (`Rules.mass_expiry_ratio`); otherwise self-preservation keeps enough of each zone and group.
+A lease that ran out does not prove a failure. If many run out together, the registry assumes its own fault
+and suspends expiry (`Rules.mass_expiry_ratio`); else self-preservation keeps enough of each zone and group.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from loadbalancer.registry.entry_table import EntryTable
 from loadbalancer.registry.self_preservation import SelfPreservation
 
-REGISTRY_ACTOR = "the list"  # who made a change that nobody asked for, in the history
+REGISTRY_ACTOR = "the list"  # in the history, for changes by the registry itself
 
 
 def is_lease_over(entry: Entry, now: float) -> bool:
@@ -36,15 +36,15 @@
         All renewals at other instances up to `peers_complete_as_of_ms` are known here. While one is
         unreachable, a server whose lease ran out later may have renewed there: it is preserved.
         """
-        over = self._leases_over(now, peers_complete_as_of_ms)
-        for entry in over:
+        overdue = self._overdue_entries(now, peers_complete_as_of_ms)
+        for entry in overdue:
             if not entry.is_preserved:
                 self._recent_expirations.setdefault(entry.registration.tier, deque()).append(now)
-        for tier in {entry.registration.tier for entry in over}:
+        for tier in {entry.registration.tier for entry in overdue}:
             self._detect_mass_expiry(tier, now)
         self_preservations: dict[str, SelfPreservation] = {}
         changes: list[Change] = []
-        for entry in over:
+        for entry in overdue:
             tier = entry.registration.tier
             if tier not in self_preservations:
                 entries = self._table.entries_of(tier)
@@ -57,12 +57,12 @@
                 changes.append(self._remove(entry, now))
         return changes
 
-    def _leases_over(self, now: float, peers_complete_as_of_ms: float) -> list[Entry]:
+    def _overdue_entries(self, now: float, peers_complete_as_of_ms: float) -> list[Entry]:
         entries = self._table.entries.values()
-        over = [entry for entry in entries if is_lease_over(entry, now) and not entry.is_pinned]
-        for entry in over:
+        overdue = [entry for entry in entries if is_lease_over(entry, now) and not entry.is_pinned]
+        for entry in overdue:
             entry.is_preserved = entry.is_preserved or entry.lease_expiry_ms >= peers_complete_as_of_ms
-        return [entry for entry in over if entry.lease_expiry_ms < peers_complete_as_of_ms]
+        return [entry for entry in overdue if entry.lease_expiry_ms < peers_complete_as_of_ms]
 
     def _detect_mass_expiry(self, tier: str, now: float) -> None:
         """Suspend expiry in a tier where too many leases have run out within the window."""
--- a/loadbalancer/registry/server.py
+++ b/loadbalancer/registry/server.py
@@ -1,4 +1,4 @@
-"""Serves the registry as a file says: what the command `directory serve` does."""
+"""Serves the registry from a configuration file, for the command `directory serve`."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 
 class RegistryServerError(RegistryError, ValueError):
-    """A file that is wrong, or an address that can't be used: one line."""
+    """An invalid configuration file or unusable address; the message is one line."""
 
 
 class RegistryConfiguration(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The registry's file; the fields' names are its keys."""
+    """The registry's configuration file; the field names are its keys."""
 
     listen: Address
-    """Loopback, or a named address: there is no sign-in."""
+    """Loopback or a specific address, since there is no authentication."""
     database: str
     instances: tuple[Address, ...] = ()
-    """All that hold this list, in the same order in the files of all; none for a list held by one."""
+    """The addresses of all instances, in the same order in all their files; empty for a single instance."""
     instance: Annotated[int, msgspec.Meta(ge=0)] = 0
-    """Which of them this one is, from 0."""
+    """The index of this instance in `instances`, from 0."""
     rules: Rules = Rules()
 
 
 def read_configuration(path: Path) -> RegistryConfiguration:
-    """Return what a file says; `RegistryServerError` has in a line what is wrong with it."""
+    """Read a configuration file; `RegistryServerError` says in one line what is wrong with it."""
     try:
         text = path.read_text(encoding="utf-8")
         configuration = msgspec.convert(tomllib.loads(text), type=RegistryConfiguration)
@@ -56,7 +56,7 @@
 
 
 def open_service(configuration: RegistryConfiguration) -> RegistryService:
-    """Return the service with all that its database holds; `CatalogStoreError` if that can't be used."""
+    """Return the service with its database loaded; `CatalogStoreError` if that can't be used."""
     store = CatalogStore(configuration.database)
     return RegistryService(store, configuration.rules, configuration.instances, configuration.instance)
 
--- a/loadbalancer/registry/service.py
+++ b/loadbalancer/registry/service.py
@@ -1,6 +1,6 @@
 """One instance of the registry: the catalog in memory, its database, its watchers and its peers.
 
-The parts are put together here, and run as long as the application is served.
+The parts are assembled here, and run as long as the application is served.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 
 
 class RegistryService:
-    """One instance, hosted on HTTP by aiohttp."""
+    """One instance, served over HTTP with aiohttp."""
 
     def __init__(
         self, store: CatalogStore, rules: Rules, instances: Sequence[str] = (), instance: int = 0
     ) -> None:
-        """Go on from the database; `instances` are the addresses of all that hold the registry.
+        """Load the database; `instances` are the addresses of all instances of the registry.
 
         `CatalogStoreError` if the database can't be read.
         """
         now = unix_ms()
-        first = first_revision(store.last_revision(), now, instance, MAX_INSTANCES)
+        start_revision = first_revision(store.last_revision(), now, instance, MAX_INSTANCES)
         learning_until_ms = now + rules.learning_ms if not store.last_revision() else now
-        catalog = Catalog(rules, first, instance, MAX_INSTANCES)
+        catalog = Catalog(rules, start_revision, instance, MAX_INSTANCES)
         catalog.restore(store.entries(), now, store.incarnations(), *store.compaction_revisions())
         incarnation = secrets.randbits(48) + 1
         self.anti_entropy = AntiEntropy(catalog, instance, max(len(instances), 1), incarnation)
@@ -64,7 +64,7 @@
         )
 
     def create_application(self) -> web.Application:
-        """Return the service as aiohttp hosts it."""
+        """Return the aiohttp application that serves this instance."""
         app = self.api.create_application()
         app.cleanup_ctx.append(self._run_expiry)
         if self.anti_entropy.peers:
@@ -85,7 +85,7 @@
     async def _expire_leases(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_CHECK_INTERVAL_S)
-            with suppress(CatalogStoreError):  # they expire again when the disk takes them
+            with suppress(CatalogStoreError):  # the next check expires them again
                 changes = self.catalog.expire_leases(unix_ms(), self.anti_entropy.complete_as_of_ms)
                 self._writes.commit(changes)
 
--- a/loadbalancer/registry/store.py
+++ b/loadbalancer/registry/store.py
@@ -1,7 +1,7 @@
-"""The registry's database in SQLite: what was answered is on the disk.
+"""The registry's SQLite database: every write that was answered is on the disk.
 
-The names of tables, columns and keys are those of files that exist: a version is a revision, a life an
-incarnation, a floor a compaction revision, and the form is the version of the schema.
+Tables, columns and keys keep the names of existing files: a version is a revision, a life an incarnation, a
+floor a compaction revision, and the form is the schema version.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 SCHEMA_VERSION = 2
 MAX_STORED_CHANGES = 100_000  # in the history
 TRIM_INTERVAL_CHANGES = 1_000  # between two trims of the history
-MAX_INCARNATIONS = 100  # that are remembered; a watcher that has seen an earlier one gets a full snapshot
+MAX_INCARNATIONS = 100  # remembered; a watcher of an earlier one gets a full snapshot
 _TABLES = """
 create table if not exists meta (key text primary key, value integer not null);
 create table if not exists entries (name text primary key, entry blob not null);
@@ -35,11 +35,11 @@
 
 
 class CatalogStoreError(RegistryError, RuntimeError):
-    """A file that can't be used: one line."""
+    """The database can't be read or written; the message is one line."""
 
 
 class CompactionRevisions(NamedTuple):
-    """Up to where removals are forgotten: of all services, and later ones of single services."""
+    """Up to which revisions removals are forgotten: of all services, and higher ones of single services."""
 
     all_services: int
     by_service: dict[str, int]
@@ -55,10 +55,10 @@
 
 
 class CatalogStore:
-    """One file. All calls come from one thread."""
+    """One database file. All calls come from one thread."""
 
     def __init__(self, path: Path | str) -> None:
-        """Open or make the file; `CatalogStoreError` if it can't be used."""
+        """Open or create the file; `CatalogStoreError` if it can't be used."""
         self._changes_since_trim = 0
         try:
             self._db = sqlite3.connect(path, check_same_thread=False, isolation_level=None)
@@ -70,18 +70,18 @@
                 self._upgrade_schema()
             elif schema_version not in (0, SCHEMA_VERSION):
                 raise CatalogStoreError(
-                    f"{path}: it is of form {schema_version}; this program reads form {SCHEMA_VERSION}"
+                    f"{path}: schema version {schema_version} is not supported; expected {SCHEMA_VERSION}"
                 )
             self._db.execute("insert or replace into meta values ('form', ?)", (SCHEMA_VERSION,))
         except sqlite3.Error as error:
-            raise CatalogStoreError(f"{path}: can't be used: {error}") from error
+            raise CatalogStoreError(f"{path}: can't open the database: {error}") from error
 
     def _meta(self, key: str) -> int:
         row = self._db.execute("select value from meta where key = ?", (key,)).fetchone()
         return int(row[0]) if row else 0
 
     def _upgrade_schema(self) -> None:
-        """Rewrite the entries of version 1: one instance's list, whose expirations were a status."""
+        """Rewrite entries of schema version 1, for a single instance, which stored expiry as a status."""
         statements: list[_Statement] = []
         for table, key in (("entries", "name"), ("history", "version")):
             for row, data in self._db.execute(f"select {key}, entry from {table}").fetchall():
@@ -105,23 +105,23 @@
             rows = self._db.execute("select entry from entries").fetchall()
             return [msgspec.json.decode(row[0], type=Entry) for row in rows]
         except (sqlite3.Error, msgspec.DecodeError) as error:
-            raise CatalogStoreError(f"an entry can't be read: {error}") from error
+            raise CatalogStoreError(f"can't read an entry: {error}") from error
 
     def compaction_revision(self) -> int:
         """Return the highest revision up to which a removal may be forgotten."""
         return self._meta("floor")
 
     def compaction_revisions(self) -> CompactionRevisions:
-        """Return up to where removals are forgotten, of all services and of single ones."""
+        """Return up to which revisions removals are forgotten, of all services and of single ones."""
         highest = self.compaction_revision()
-        if self._meta("split") != highest:  # a program that knew only the highest one has written the file
+        if self._meta("split") != highest:  # last written by an older version, which knew only the highest
             return CompactionRevisions(highest, {})
         rows = self._db.execute("select key, value from meta where key like 'floor:%'").fetchall()
         by_service = {key.removeprefix("floor:"): value for key, value in rows}
         return CompactionRevisions(self._meta("base"), by_service)
 
     def incarnations(self) -> list[RevisionRange]:
-        """Return the revisions of each incarnation of this file, the oldest first."""
+        """Return the range of revisions of each remembered incarnation, the oldest first."""
         rows = self._db.execute("select first, last from lives order by first").fetchall()
         return [RevisionRange(first, last) for first, last in rows]
 
@@ -145,9 +145,9 @@
         remembered: Container[str],
         compaction_revisions: Mapping[str, int] | None = None,
     ) -> None:
-        """Record the revision that a new incarnation starts at, before anybody gets it.
+        """Record the revision at which a new incarnation starts, before it is given to anyone.
 
-        Of the entries only those `remembered` are left; the history stays as it is. Removals are forgotten
+        Entries that are not `remembered` are deleted; the history is kept. Removals are forgotten
         up to `compaction_revision`, and of single services up to `compaction_revisions`.
         """
         by_service = compaction_revisions or {}
@@ -176,11 +176,11 @@
         )
 
     def record_revision_jump(self, revision: int) -> None:
-        """Record that revisions go on above others that somebody has seen, as at a new incarnation."""
+        """Record, as for a new incarnation, that revisions continue above one that a watcher has seen."""
         self._execute([_Statement("insert or replace into lives values (?, ?)", (revision, revision))])
 
     def commit(self, changes: Sequence[Change]) -> None:
-        """Store changes, all or none, on the disk when this returns; `CatalogStoreError` for none."""
+        """Store all changes on the disk in one transaction; `CatalogStoreError` if none is stored."""
         if not changes:
             return
         statements: list[_Statement] = []
@@ -218,26 +218,26 @@
         except sqlite3.Error as error:
             if self._db.in_transaction:
                 self._db.execute("rollback")
-            raise CatalogStoreError(f"nothing was kept: {error}") from error
+            raise CatalogStoreError(f"nothing was stored: {error}") from error
 
     # ---- checks ---------------------------------------------------------------------------------
 
     def verify(self) -> Iterator[str]:
-        """Yield what is wrong with the file, a line each; nothing if all is well."""
+        """Yield one line for each fault found in the file."""
         for (result,) in self._db.execute("pragma integrity_check").fetchall():
             if result != "ok":
                 yield str(result)
         revisions = [row[0] for row in self._db.execute("select version from history order by version")]
         if revisions and revisions[-1] > self.last_revision():
-            yield f"history reaches version {revisions[-1]}, the list {self.last_revision()}"
+            yield f"history reaches version {revisions[-1]}, the list only {self.last_revision()}"
         entries = {entry.name: entry for entry in self.entries()}
         with closing(self._db.execute("select name, max(version), entry from history group by name")) as rows:
             for name, revision, data in rows:
                 entry = entries.get(name)
                 if entry is None and not msgspec.json.decode(data, type=Entry).is_listed:
-                    continue  # a removal of long ago, which only the history remembers
+                    continue  # an old removal, which only the history still has
                 if entry is None or entry.revision != revision or msgspec.json.encode(entry) != data:
-                    yield f"{name}: its entry is not what history says of version {revision}"
+                    yield f"{name}: its entry differs from the history at version {revision}"
 
     def close(self) -> None:
         """Close the file."""
--- a/loadbalancer/registry/write_checks.py
+++ b/loadbalancer/registry/write_checks.py
@@ -1,4 +1,4 @@
-"""What writes to the registry require; a write that can't be made is rejected with one line, and counted."""
+"""Preconditions of writes to the registry; rejected writes get a one-line reason and are counted."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
         self.rejection_counts: Counter[RejectionCause] = Counter()
 
     def require_listed(self, entry: Entry | None, name: str) -> Entry:
-        """Return an entry that balancers see."""
+        """Return an entry after checking that it is listed."""
         if entry is None or not entry.is_listed:
             raise self.rejection(404, RejectionCause.NOT_LISTED, f"no server {name!r} is listed")
         return entry
 
     def check_revision(self, entry: Entry | None, if_match: int | None) -> None:
-        """Check that an entry is at the revision at which the writer saw it."""
+        """Check that an entry is still at the revision that the writer saw."""
         revision = entry.revision if entry else 0
         if if_match is not None and if_match != revision:
             raise self.rejection(
@@ -32,7 +32,7 @@
             )
 
     def check_not_older(self, entry: Entry, registration: Registration) -> None:
-        """Check that a registration is of no earlier start than the one that is known."""
+        """Check that a registration is not of an earlier start than the known one."""
         if registration.since_ms < entry.registration.since_ms:
             raise self.rejection(
                 409,
@@ -42,7 +42,7 @@
             )
 
     def check_may_replace(self, entry: Entry, registration: Registration, now: float) -> None:
-        """Check that a registration may take the place of one that is listed."""
+        """Check that a registration may replace a listed one."""
         known = entry.registration
         if known.owner != registration.owner and not is_lease_over(entry, now):
             raise self.rejection(
--- a/loadbalancer/registry/write_queue.py
+++ b/loadbalancer/registry/write_queue.py
@@ -1,6 +1,6 @@
-"""Writes that come within a few ms are made, stored in one transaction, answered and announced together.
+"""Batches writes: those within a few ms are applied, stored in one transaction, answered and announced.
 
-Nothing is answered, nor seen by a watcher, that is not on the disk.
+No write is answered, or visible to watchers, before it is on the disk.
 """
 
 from __future__ import annotations
@@ -13,30 +13,30 @@
 from loadbalancer.registry.changes import Change, WriteRejectedError
 from loadbalancer.registry.store import CatalogStore, CatalogStoreError
 
-WRITE_BATCH_S = 0.005  # writes that come within it share a transaction, and one wake of the watchers
+WRITE_BATCH_S = 0.005  # writes within it share a transaction, and one wake-up of the watchers
 Write = Callable[[], Change | None]
 
 
 @dataclass
 class PendingWrite:
-    """A write in the queue."""
+    """A queued write and its future result."""
 
     write: Write
     result: asyncio.Future[Change | None]
 
     def fail(self, error: Exception) -> None:
-        """Raise an error where the write is awaited, if it still is."""
+        """Raise an error in the caller that awaits the write, if any still does."""
         if not self.result.done():
             self.result.set_exception(error)
 
     def succeed(self, change: Change | None) -> None:
-        """Return the change where the write is awaited, if it still is."""
+        """Return the change to the caller that awaits the write, if any still does."""
         if not self.result.done():
             self.result.set_result(change)
 
 
 class WriteQueue:
-    """Makes and stores writes. All calls come from one event loop."""
+    """Applies and stores writes. All calls come from one event loop."""
 
     def __init__(
         self,
@@ -54,9 +54,9 @@
         self._flush_timer: asyncio.TimerHandle | None = None
 
     async def write(self, write: Write) -> Change | None:
-        """Make a write, and return when it is on the disk.
+        """Apply a write, and return when it is on the disk.
 
-        Raises what the write raises, or `CatalogStoreError` if it can't be stored: then it is not made.
+        Raises what the write raises, or `CatalogStoreError` if it can't be stored: then it is reverted.
         """
         loop = asyncio.get_running_loop()
         pending = PendingWrite(write, loop.create_future())
@@ -66,32 +66,32 @@
         return await pending.result
 
     def flush(self) -> None:
-        """Make and store all pending writes, answer them, and announce the changes."""
+        """Apply and store all pending writes, answer them, and announce the changes."""
         self._flush_timer = None
         pending_writes = self._pending
         self._pending = []
-        made: list[tuple[PendingWrite, Change | None]] = []
+        applied: list[tuple[PendingWrite, Change | None]] = []
         for pending in pending_writes:
             try:
-                made.append((pending, pending.write()))
+                applied.append((pending, pending.write()))
             except WriteRejectedError as error:
                 pending.fail(error)
-        changes = [change for _, change in made if change is not None]
+        changes = [change for _, change in applied if change is not None]
         try:
             self._store_or_revert(changes)
         except CatalogStoreError as error:
-            for pending, _ in made:
+            for pending, _ in applied:
                 pending.fail(error)
             return
-        for pending, change in made:
+        for pending, change in applied:
             pending.succeed(change)
         if changes:
             self._on_changed()
-        if made:
+        if applied:
             self._on_written()
 
     def commit(self, changes: Sequence[Change]) -> None:
-        """Store and announce changes that nobody here waits for; `CatalogStoreError` if none is made."""
+        """Store and announce changes outside the queue; `CatalogStoreError` if they had to be reverted."""
         self._store_or_revert(changes)
         if changes:
             self._on_changed()
@@ -104,7 +104,7 @@
             raise
 
     def close(self) -> None:
-        """Make what is pending at once, and nothing later."""
+        """Flush the pending writes now, and cancel the timer."""
         if self._flush_timer is not None:
             self._flush_timer.cancel()
         self.flush()
--- a/tests/test_registry_service.py
+++ b/tests/test_registry_service.py
@@ -100,7 +100,7 @@
     catalog = make_catalog("s0")
     catalog.drain("s0", 1.0)
     assert listed(catalog) == {"s0": "terminating"} and catalog.drain("s0", 2.0) is None
-    with pytest.raises(WriteRejectedError, match="drains"):
+    with pytest.raises(WriteRejectedError, match="s0 is draining"):
         catalog.register("s0", make_registration(), 3.0)
     catalog.register("s0", make_registration(since_ms=5.0), 5.0)
     assert listed(catalog) == {"s0": "in_service"}
@@ -176,7 +176,7 @@
         catalog.expire_leases(now)
         if len(catalog.entries["s0"].expirations_ms) < RULES.max_expirations:
             catalog.register("s0", make_registration(lease_ms=100.0), now)
-    with pytest.raises(WriteRejectedError, match="come and gone too often"):
+    with pytest.raises(WriteRejectedError, match="s0 is flapping"):
         catalog.register("s0", make_registration(), now + 1_000.0)
     assert catalog.register("s0", make_registration(), now + RULES.damping_ms) is not None
     catalog.set_pinned("s1", now, is_pinned=True)
@@ -348,7 +348,11 @@
     CatalogStore(newer).close()
     with sqlite3.connect(newer) as db:
         db.execute("update meta set value = 99 where key = 'form'")
-    for path, why in ((garbled, "not a database"), (newer, "of form 99"), (tmp_path / "no" / "x", "unable")):
+    for path, why in (
+        (garbled, "not a database"),
+        (newer, "schema version 99"),
+        (tmp_path / "no" / "x", "unable"),
+    ):
         with pytest.raises(CatalogStoreError, match=why) as caught:
             CatalogStore(path)
         assert "\n" not in str(caught.value)
@@ -478,7 +482,7 @@
                 ) as answer:
                     answers.append((answer.status, (await answer.json()).get("error", "")))
             kept = sum(status == 200 for status, _ in answers)
-            assert answers[-1] == (503, "nothing was kept: database or disk is full")
+            assert answers[-1] == (503, "nothing was stored: database or disk is full")
             async with http.get(f"http://{at}/v1/servers") as answer:
                 assert len((await answer.json())["endpoints"]) == 1 + kept
 
