--- a/tests/test_golden_registry.py
+++ b/tests/test_golden_registry.py
@@ -1,6 +1,6 @@
-"""The registry answers every call as d282128 did, and reads and writes its database, export and messages.
+"""The registry against recordings of d282128: answers to calls, database, export and messages.
 
-Masked: ports, times, leases left, random identifiers of a start; versions count from the first one.
+Ports, times, remaining leases and random identifiers of a start are masked; revisions count from the first.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 @contextmanager
-def opened(path: Path) -> Iterator[CatalogStore]:
+def open_store(path: Path) -> Iterator[CatalogStore]:
     store = CatalogStore(path)
     try:
         yield store
@@ -56,45 +56,49 @@
     session = replay.play_exchange(PROGRAM, tmp_path)
     recorded = replay.as_text(replay.read_answers(GOLDEN / "registry-instances.jsonl"))
     assert replay.mask_registry(replay.as_text(session.answers)) == replay.mask_registry(recorded)
-    question = (GOLDEN / "registry-exchange.json").read_text(encoding="utf-8").strip()
-    assert replay.mask_registry(session.question) == replay.mask_registry(question)
+    request = (GOLDEN / "registry-exchange.json").read_text(encoding="utf-8").strip()
+    assert replay.mask_registry(session.question) == replay.mask_registry(request)
 
 
-def test_message_between_instances_is_read_and_written_again_byte_for_byte() -> None:
+def test_message_between_instances_is_reencoded_byte_for_byte() -> None:
     data = (GOLDEN / "registry-exchange.json").read_bytes().strip()
     assert msgspec.json.encode(msgspec.json.decode(data, type=SyncMessage)) == data
 
 
-def test_database_is_sound_and_its_entries_are_written_again_byte_for_byte(
+def test_database_is_valid_and_its_entries_are_rewritten_byte_for_byte(
     database: Path, tmp_path: Path
 ) -> None:
     recorded = rows(GOLDEN / "registry.sqlite", "select name, entry from entries order by name")
     history = rows(GOLDEN / "registry.sqlite", "select * from history order by version")
-    with opened(database) as store:
+    with open_store(database) as store:
         assert list(store.verify()) == []
         changes = list(reversed(store.history()))
         assert len(changes) == len(history) == 9
         assert {entry.name: msgspec.json.encode(entry) for entry in store.entries()} == dict(recorded)
-    with opened(tmp_path / "anew.sqlite") as anew:
-        anew.begin_incarnation(1, 0, {})
-        anew.commit(changes)
+    with open_store(tmp_path / "anew.sqlite") as new_store:
+        new_store.begin_incarnation(1, 0, {})
+        new_store.commit(changes)
     assert rows(tmp_path / "anew.sqlite", "select name, entry from entries order by name") == recorded
     assert rows(tmp_path / "anew.sqlite", "select * from history order by version") == history
 
 
 def test_opening_the_database_changes_nothing_in_it(database: Path) -> None:
-    with opened(database) as store:
-        index, lives, floors = store.last_revision(), store.incarnations(), store.compaction_revisions()
+    with open_store(database) as store:
+        revision, incarnation_ranges, compaction_bounds = (
+            store.last_revision(),
+            store.incarnations(),
+            store.compaction_revisions(),
+        )
     for table in ("meta", "entries", "history", "lives"):
         statement = f"select * from {table} order by 1"
         assert rows(database, statement) == rows(GOLDEN / "registry.sqlite", statement)
-    assert dict(rows(database, "select key, value from meta"))["index"] == index
-    assert rows(database, "select first, last from lives order by first") == lives
-    assert floors == (lives[0][0], {})
+    assert dict(rows(database, "select key, value from meta"))["index"] == revision
+    assert rows(database, "select first, last from lives order by first") == incarnation_ranges
+    assert compaction_bounds == (incarnation_ranges[0][0], {})
 
 
 def test_new_database_has_the_recorded_tables(tmp_path: Path) -> None:
-    with opened(tmp_path / "anew.sqlite"):
+    with open_store(tmp_path / "anew.sqlite"):
         pass
     statement = "select type, name, sql from sqlite_master order by name"
     assert rows(tmp_path / "anew.sqlite", statement) == rows(GOLDEN / "registry.sqlite", statement)
@@ -125,10 +129,10 @@
     with replay.started(PROGRAM.command_line("directory", "serve", str(path)), PROGRAM.cwd, {}):
         replay.await_status(address, "GET /healthz")
         exported = GOLDEN / "registry-export.jsonl"
-        said = replay.command_output(PROGRAM, "directory", "import", str(exported), "--at", address)
-        assert said == "3 servers\n"
-        again = replay.command_output(PROGRAM, "directory", "export", "--at", address)
-    assert again == exported.read_text(encoding="utf-8")
+        output = replay.command_output(PROGRAM, "directory", "import", str(exported), "--at", address)
+        assert output == "3 servers\n"
+        exported_again = replay.command_output(PROGRAM, "directory", "export", "--at", address)
+    assert exported_again == exported.read_text(encoding="utf-8")
 
 
 @pytest.mark.parametrize("line", (GOLDEN / "registry-export.jsonl").read_text(encoding="utf-8").splitlines())
--- a/tests/test_registry_service.py
+++ b/tests/test_registry_service.py
@@ -1,4 +1,4 @@
-"""The registry as a service: leases, mass expiry, revisions, what outlasts a kill, and watches over HTTP."""
+"""The registry service: leases, mass expiry, revisions, durability after a kill, and watches over HTTP."""
 
 from __future__ import annotations
 
@@ -50,19 +50,19 @@
 )
 
 
-def make_registration(**more: Any) -> Registration:
+def make_registration(**overrides: Any) -> Registration:
     base: dict[str, Any] = {"address": "127.0.0.1:5000", "zone": "a", "lease_ms": 1_000.0}
-    return Registration(**(base | more))
+    return Registration(**(base | overrides))
 
 
-def make_catalog(*names: str, now: float = 0.0, **more: Any) -> Catalog:
-    made = Catalog(RULES, start_revision=100)
+def make_catalog(*names: str, now: float = 0.0, **overrides: Any) -> Catalog:
+    catalog = Catalog(RULES, start_revision=100)
     for name in names:
-        made.register(name, make_registration(**more), now)
-    return made
+        catalog.register(name, make_registration(**overrides), now)
+    return catalog
 
 
-def listed(catalog: Catalog) -> dict[str, str]:
+def statuses(catalog: Catalog) -> dict[str, str]:
     return {e.name: e.status.value for e in catalog.listed_entries("first")}
 
 
@@ -78,11 +78,11 @@
     assert catalog.revision == 102
     changed = catalog.changes_since("first", 101, 10.0)
     assert changed is not None and [e.name for e in changed] == ["s1"]
-    assert catalog.changes_since("first", 99, 10.0) is None  # from before this life: the whole list
+    assert catalog.changes_since("first", 99, 10.0) is None  # before this incarnation: a full snapshot
     assert catalog.changes_since("second", 100, 10.0) == []
 
 
-def test_a_restart_is_a_new_start_and_never_an_older_one() -> None:
+def test_restart_registers_a_new_start_and_older_starts_are_rejected() -> None:
     catalog = make_catalog("s0", since_ms=50.0)
     change = catalog.register("s0", make_registration(since_ms=60.0), 1.0)
     assert change is not None and change.what == "started anew"
@@ -99,11 +99,11 @@
 def test_draining_server_serves_again_only_by_a_new_start() -> None:
     catalog = make_catalog("s0")
     catalog.drain("s0", 1.0)
-    assert listed(catalog) == {"s0": "terminating"} and catalog.drain("s0", 2.0) is None
+    assert statuses(catalog) == {"s0": "terminating"} and catalog.drain("s0", 2.0) is None
     with pytest.raises(WriteRejectedError, match="s0 is draining"):
         catalog.register("s0", make_registration(), 3.0)
     catalog.register("s0", make_registration(since_ms=5.0), 5.0)
-    assert listed(catalog) == {"s0": "in_service"}
+    assert statuses(catalog) == {"s0": "in_service"}
 
 
 def test_other_owner_is_rejected_until_the_lease_is_over() -> None:
@@ -131,14 +131,14 @@
     catalog = make_catalog("s0", "s1", "s2", "s3")
     renew(catalog, 900.0, "s1", "s2", "s3")
     assert [c.name for c in catalog.expire_leases(1_100.0)] == ["s0"]
-    assert sorted(listed(catalog)) == ["s1", "s2", "s3"]
+    assert sorted(statuses(catalog)) == ["s1", "s2", "s3"]
 
 
 def test_mass_expiry_suspends_expiry_and_marks_the_servers() -> None:
     names = [f"s{i}" for i in range(10)]
     catalog = make_catalog(*names)
     renew(catalog, 900.0, *names[6:])
-    assert catalog.expire_leases(1_100.0) == [] and len(listed(catalog)) == 10
+    assert catalog.expire_leases(1_100.0) == [] and len(statuses(catalog)) == 10
     assert [n for n in names if catalog.entries[n].is_preserved] == names[:6]
     assert catalog.expiry_suspended_until_ms["first"] > 1_100.0
     renew(catalog, 1_200.0, *names)
@@ -146,25 +146,25 @@
 
 
 def test_first_of_many_expirations_waits_until_the_others_are_seen() -> None:
-    """In a storm the first lease to run out was taken for a single server's end."""
+    """The first lease to run out in a mass expiry was taken for the failure of a single server."""
     rules = msgspec.structs.replace(RULES, settle_ms=500.0)
     catalog = Catalog(rules, start_revision=100)
     for at, name in enumerate(("s0", "s1", "s2", "s3")):
         catalog.register(name, make_registration(), 100.0 * at)
     assert catalog.expire_leases(1_050.0) == [] and catalog.entries["s0"].is_preserved
     assert catalog.expire_leases(1_350.0) == []
-    assert catalog.expire_leases(1_600.0) == [], "by now all but one have lapsed: it is we who do not hear"
-    assert len(listed(catalog)) == 4
+    assert catalog.expire_leases(1_600.0) == [], "by now the others have run out, too: a mass expiry"
+    assert len(statuses(catalog)) == 4
 
 
 def test_expiry_leaves_the_self_preservation_threshold_in_each_zone() -> None:
     catalog = make_catalog("s0", "s1", "s2", "s3")
     now = 0.0
-    for name in ("s0", "s1", "s2", "s3"):  # one after another: none of them is many at once
+    for name in ("s0", "s1", "s2", "s3"):  # one after another: no mass expiry
         now += 20_000.0
-        renew(catalog, now - 500.0, *[n for n in listed(catalog) if n > name])
+        renew(catalog, now - 500.0, *[n for n in statuses(catalog) if n > name])
         catalog.expire_leases(now)
-    assert sorted(listed(catalog)) == ["s2", "s3"] and catalog.entries["s2"].is_preserved
+    assert sorted(statuses(catalog)) == ["s2", "s3"] and catalog.entries["s2"].is_preserved
 
 
 def test_flapping_server_is_rejected_for_a_while_and_a_pinned_one_stays() -> None:
@@ -187,16 +187,16 @@
 
 def test_change_that_could_not_be_stored_is_reverted() -> None:
     catalog = make_catalog("s0")
-    index = catalog.revision
+    revision_before = catalog.revision
     changes = [catalog.drain("s0", 1.0), catalog.register("s1", make_registration(), 1.0)]
     catalog.revert([c for c in changes if c is not None])
-    assert listed(catalog) == {"s0": "in_service"}
+    assert statuses(catalog) == {"s0": "in_service"}
     change = catalog.drain("s0", 2.0)
-    assert change is not None and change.revision == index + 3  # a version is never used twice
+    assert change is not None and change.revision == revision_before + 3  # a revision is never used twice
 
 
 def test_after_a_reverted_write_watches_still_get_what_came_before_it() -> None:
-    """The entry went to the end of the order with its old version, and hid all that had come since."""
+    """The entry moved to the end of the change order with its old revision, and hid all later changes."""
     catalog = make_catalog("s0", "s1", "s2")
     seen = catalog.revision - 2
     change = catalog.drain("s0", 1.0)
@@ -212,13 +212,13 @@
     assert catalog.changes_since("first", 1_000_500, 1_000_100.0) is None and catalog.revision == 1_000_501
     assert (
         catalog.changes_since("first", 10**15, 1_000_100.0) is None and catalog.revision == 1_000_501
-    )  # nobody's version
+    )  # higher than any clock could issue
 
 
 # ---- the store ----------------------------------------------------------------------------------
 
 
-def some(store: CatalogStore, count: int) -> list[Change]:
+def make_changes(store: CatalogStore, count: int) -> list[Change]:
     catalog = Catalog(RULES, first_revision(store.last_revision(), 0.0))
     changes = [
         catalog.register(f"s{i}", make_registration(), 0.0, who="me", why="test") for i in range(count)
@@ -229,22 +229,22 @@
 def test_stored_entries_are_read_again_and_history_has_who_and_why(tmp_path: Path) -> None:
     path = tmp_path / "list.sqlite"
     store = CatalogStore(path)
-    changes = some(store, 3)
+    changes = make_changes(store, 3)
     store.commit(changes)
     store.close()
-    again = CatalogStore(path)
-    assert [e.name for e in again.entries()] == ["s0", "s1", "s2"] and again.last_revision() == changes[
+    reopened = CatalogStore(path)
+    assert [e.name for e in reopened.entries()] == ["s0", "s1", "s2"] and reopened.last_revision() == changes[
         -1
     ].revision
-    newest = again.history("s1")[0]
+    newest = reopened.history("s1")[0]
     assert (newest.what, newest.who, newest.why) == ("registered", "me", "test")
-    assert list(again.verify()) == []
+    assert list(reopened.verify()) == []
 
 
 def test_after_a_restart_watches_resume_and_those_of_a_lost_incarnation_get_a_full_snapshot(
     tmp_path: Path,
 ) -> None:
-    """Each start made all watches ask for the whole list: 1.5 MB each for 10,000 servers, all at once."""
+    """After each start all watches got full snapshots at once: 1.5 MB each for 10,000 servers."""
     store = CatalogStore(tmp_path / "a")
 
     def begin(store: CatalogStore, now: float) -> Catalog:
@@ -262,20 +262,20 @@
     catalog = begin(store, 1_000.0)
     seen = put(catalog, "s0")
     put(catalog, "s1")
-    two = begin(store, 5_000.0)
-    missed = two.changes_since("first", seen, 5_000.0)
+    restarted = begin(store, 5_000.0)
+    missed = restarted.changes_since("first", seen, 5_000.0)
     assert missed is not None and [e.name for e in missed] == ["s1"]
     store.close()
     shutil.copy(tmp_path / "a", tmp_path / "old")
     store = CatalogStore(tmp_path / "a")
     lost = put(begin(store, 9_000.0), "s2")
     store.close()
-    store = CatalogStore(tmp_path / "old")  # the life in which s2 came is not in this copy
-    three = begin(store, 20_000.0)
-    assert three.has_history_since(seen) and not three.has_history_since(lost)
-    assert three.changes_since("first", lost, 20_000.0) is None
-    put(three, "s3")
-    assert begin(store, 30_000.0).changes_since("first", lost, 30_000.0) is None, "nor later"
+    store = CatalogStore(tmp_path / "old")  # this copy lacks the incarnation that registered s2
+    from_old_copy = begin(store, 20_000.0)
+    assert from_old_copy.has_history_since(seen) and not from_old_copy.has_history_since(lost)
+    assert from_old_copy.changes_since("first", lost, 20_000.0) is None
+    put(from_old_copy, "s3")
+    assert begin(store, 30_000.0).changes_since("first", lost, 30_000.0) is None, "nor after the next start"
     assert list(store.verify()) == []
 
 
@@ -288,20 +288,20 @@
         store.commit(
             [c for c in (catalog.register(name, make_registration(), 0.0), catalog.remove(name, 0.0)) if c]
         )
-    two = Catalog(rules, 500)
-    two.restore(store.entries(), 0.0, store.incarnations(), store.compaction_revision())
-    store.begin_incarnation(two.revision, two.compaction_revision, two.entries)
+    restarted = Catalog(rules, 500)
+    restarted.restore(store.entries(), 0.0, store.incarnations(), store.compaction_revision())
+    store.begin_incarnation(restarted.revision, restarted.compaction_revision, restarted.entries)
     assert [e.name for e in store.entries()] == ["s4", "s5"]
     assert list(store.verify()) == []
 
 
 def test_watches_between_two_calls_count_for_the_wake_rate() -> None:
-    """Who had just been answered did not count: a thousand watches took 0.78 of a core in place of half."""
-    pace = WakeRateLimiter()
-    assert pace.next_wake_s(1_000) == float("-inf")
-    pace.record_wake(10.0, 1_000)
-    assert pace.next_wake_s(5) == pytest.approx(10.0 + 1_000 * ANSWER_COST_S / MAX_WAKE_CPU_FRACTION)
-    assert pace.next_wake_s(2_000) == pytest.approx(10.0 + 2_000 * ANSWER_COST_S / MAX_WAKE_CPU_FRACTION)
+    """Watches that had just been answered did not count: a thousand took 0.78 of a core instead of half."""
+    limiter = WakeRateLimiter()
+    assert limiter.next_wake_s(1_000) == float("-inf")
+    limiter.record_wake(10.0, 1_000)
+    assert limiter.next_wake_s(5) == pytest.approx(10.0 + 1_000 * ANSWER_COST_S / MAX_WAKE_CPU_FRACTION)
+    assert limiter.next_wake_s(2_000) == pytest.approx(10.0 + 2_000 * ANSWER_COST_S / MAX_WAKE_CPU_FRACTION)
 
 
 def test_a_stream_of_changes_wakes_watches_no_more_often_than_they_can_be_answered(
@@ -317,12 +317,12 @@
                 await asyncio.sleep(0.005)
             service.evaluator.wake_rate_limiter.record_wake(asyncio.get_running_loop().time(), 1)
             for number in range(3):
-                body = entry(f"127.0.0.1:{number + 1}")
+                body = registration_body(f"127.0.0.1:{number + 1}")
                 async with http.put(f"http://{at}/v1/servers/s{number}", json=body) as answer:
                     assert answer.status == 200
             async with await watch as answer:
                 body = await answer.json()
-            assert len(body["endpoints"]) == 3, "all of them at once"
+            assert len(body["endpoints"]) == 3, "all changes at once"
 
     run_scenario(scenario())
 
@@ -330,7 +330,7 @@
 def test_verify_finds_a_rewound_entry_and_a_lost_revision(tmp_path: Path) -> None:
     path = tmp_path / "list.sqlite"
     store = CatalogStore(path)
-    store.commit(some(store, 3))
+    store.commit(make_changes(store, 3))
     store.close()
     with sqlite3.connect(path) as db:
         db.execute(
@@ -341,7 +341,7 @@
     assert len(faults) == 2 and "history reaches" in faults[0] and faults[1].startswith("s1: ")
 
 
-def test_file_that_is_no_database_or_newer_is_one_line_of_error(tmp_path: Path) -> None:
+def test_invalid_or_newer_database_raises_a_one_line_error(tmp_path: Path) -> None:
     garbled = tmp_path / "garbled"
     garbled.write_bytes(b"no database" * 100)
     newer = tmp_path / "newer"
@@ -377,21 +377,21 @@
         await runner.cleanup()
 
 
-def entry(address: str, **more: Any) -> dict[str, Any]:
-    return {"address": address, "zone": "a", "weight": 40.0, "lease_ms": 60_000.0} | more
+def registration_body(address: str, **overrides: Any) -> dict[str, Any]:
+    return {"address": address, "zone": "a", "weight": 40.0, "lease_ms": 60_000.0} | overrides
 
 
-def test_bad_input_is_one_line_and_a_4xx_and_changes_nothing() -> None:
+def test_invalid_input_gets_a_4xx_with_one_line_and_changes_nothing() -> None:
     async def scenario() -> None:
         async with serving() as (service, at), aiohttp.ClientSession() as http:
-            index = service.catalog.revision
-            good = entry("127.0.0.1:1")
-            for method, path, body, wanted in (
-                ("PUT", "/v1/servers/s0", good | {"wieght": 1}, 400),
-                ("PUT", "/v1/servers/s0", good | {"weight": -1}, 400),
-                ("PUT", "/v1/servers/s0", good | {"address": "here"}, 400),
-                ("PUT", "/v1/servers/s%200", good, 400),
-                ("PUT", "/v1/servers/s0", good | {"zone": "x" * 70_000}, 413),
+            revision_before = service.catalog.revision
+            valid = registration_body("127.0.0.1:1")
+            for method, path, body, expected in (
+                ("PUT", "/v1/servers/s0", valid | {"wieght": 1}, 400),
+                ("PUT", "/v1/servers/s0", valid | {"weight": -1}, 400),
+                ("PUT", "/v1/servers/s0", valid | {"address": "here"}, 400),
+                ("PUT", "/v1/servers/s%200", valid, 400),
+                ("PUT", "/v1/servers/s0", valid | {"zone": "x" * 70_000}, 413),
                 ("POST", "/v1/servers/s0/renew", {"since_ms": 0}, 404),
                 ("POST", "/v1/servers/s0/drain", None, 404),
                 ("DELETE", "/v1/servers/s0", None, 404),
@@ -399,16 +399,16 @@
                 ("GET", "/v1/nothing", None, 404),
             ):
                 async with http.request(method, f"http://{at}{path}", json=body) as answer:
-                    said = await answer.json()
-                    assert (answer.status, list(said)) == (wanted, ["error"]), (path, said)
-                    assert "\n" not in said["error"]
-            assert service.catalog.revision == index and not service.catalog.entries
+                    response = await answer.json()
+                    assert (answer.status, list(response)) == (expected, ["error"]), (path, response)
+                    assert "\n" not in response["error"]
+            assert service.catalog.revision == revision_before and not service.catalog.entries
 
     run_scenario(scenario())
 
 
 def test_service_with_an_empty_database_has_watchers_keep_their_list_for_a_while() -> None:
-    """It told them a list of nobody, and they dropped every server until all had registered anew."""
+    """It answered an empty list, and watchers dropped every server until all had registered again."""
 
     async def scenario() -> None:
         rules = msgspec.structs.replace(RULES, learning_ms=60_000.0)
@@ -416,7 +416,7 @@
             async with http.get(f"http://{at}/v1/servers?after=7") as answer:
                 assert answer.status == 503
             async with http.get(f"http://{at}/v1/servers") as answer:
-                assert answer.status == 200, "a first look is answered"
+                assert answer.status == 200, "a first request is answered"
                 seen = (await answer.json())["index"]
             async with http.get(f"http://{at}/v1/servers?after={seen}&wait_ms=1") as answer:
                 assert answer.status == 200, "and so is the watch that follows"
@@ -434,19 +434,22 @@
 
             async def watch() -> dict[str, Any]:
                 async with http.get(f"http://{at}/v1/servers?after={after}&wait_ms=9000") as answer:
-                    read: dict[str, Any] = await answer.json()
-                    return read
+                    delta: dict[str, Any] = await answer.json()
+                    return delta
 
             watches = [asyncio.create_task(watch()) for _ in range(200)]
             while service.evaluator.waiting_count < 200:
                 await asyncio.sleep(0.01)
             await asyncio.gather(
-                *(http.put(f"http://{at}/v1/servers/{n}", json=entry("127.0.0.1:1")) for n in ("s0", "s1"))
+                *(
+                    http.put(f"http://{at}/v1/servers/{n}", json=registration_body("127.0.0.1:1"))
+                    for n in ("s0", "s1")
+                )
             )
-            news = await asyncio.gather(*watches)
-            assert {len(n["endpoints"]) for n in news} == {2} and not any(n["snapshot"] for n in news)
+            deltas = await asyncio.gather(*watches)
+            assert {len(d["endpoints"]) for d in deltas} == {2} and not any(d["snapshot"] for d in deltas)
             assert service.evaluator.serialization_count == 1 and service.evaluator.answer_count == 200
-            assert decode_endpoint_list(news[0]).index == service.catalog.revision
+            assert decode_endpoint_list(deltas[0]).index == service.catalog.revision
 
     run_scenario(scenario())
 
@@ -465,7 +468,7 @@
                 while not service.api.stalled_reader_count:
                     await asyncio.sleep(0.02)
             async with http.get(f"http://{at}/v1/servers") as answer:
-                assert len((await answer.json())["endpoints"]) == 20_000, "who reads gets all of it"
+                assert len((await answer.json())["endpoints"]) == 20_000, "a client that reads gets all of it"
 
     run_scenario(scenario())
 
@@ -473,18 +476,18 @@
 def test_full_disk_rejects_writes_in_one_line_and_reads_go_on(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with serving() as (service, at), aiohttp.ClientSession() as http:
-            await http.put(f"http://{at}/v1/servers/s0", json=entry("127.0.0.1:1"))
+            await http.put(f"http://{at}/v1/servers/s0", json=registration_body("127.0.0.1:1"))
             service._store._db.execute("pragma max_page_count = 1")  # as many pages as there are
             answers = []
             for number in range(200):
                 async with http.put(
-                    f"http://{at}/v1/servers/n{number}", json=entry("127.0.0.1:1", zone="z" * 200)
+                    f"http://{at}/v1/servers/n{number}", json=registration_body("127.0.0.1:1", zone="z" * 200)
                 ) as answer:
                     answers.append((answer.status, (await answer.json()).get("error", "")))
-            kept = sum(status == 200 for status, _ in answers)
+            stored_count = sum(status == 200 for status, _ in answers)
             assert answers[-1] == (503, "nothing was stored: database or disk is full")
             async with http.get(f"http://{at}/v1/servers") as answer:
-                assert len((await answer.json())["endpoints"]) == 1 + kept
+                assert len((await answer.json())["endpoints"]) == 1 + stored_count
 
     run_scenario(scenario())
 
@@ -495,7 +498,7 @@
         addresses = [await first.start(), await second.start()]
         port = find_free_port(HOST)
 
-        async def service(name: str) -> web.AppRunner:
+        async def start_service(name: str) -> web.AppRunner:
             runner = web.AppRunner(
                 RegistryService(CatalogStore(tmp_path / name), RULES).create_application(),
                 shutdown_timeout=0.05,
@@ -504,29 +507,31 @@
             await web.TCPSite(runner, HOST, port).start()
             return runner
 
-        async with aiohttp.ClientSession() as http, ProxyHarness(console="") as rig:
-            rig.proxy.endpoint_list.discovery.reconfigure((HOST, port))
+        async with aiohttp.ClientSession() as http, ProxyHarness(console="") as harness:
+            harness.proxy.endpoint_list.discovery.reconfigure((HOST, port))
 
             async def put(name: str, address: str) -> None:
-                async with http.put(f"http://{HOST}:{port}/v1/servers/{name}", json=entry(address)) as answer:
+                async with http.put(
+                    f"http://{HOST}:{port}/v1/servers/{name}", json=registration_body(address)
+                ) as answer:
                     assert answer.status == 200
 
-            async def until_listed(*names: str) -> None:
-                while sorted(rig.proxy.endpoint_list.endpoints) != sorted(names):
+            async def wait_until_listed(*names: str) -> None:
+                while sorted(harness.proxy.endpoint_list.endpoints) != sorted(names):
                     await asyncio.sleep(0.01)
-                assert status_of(await rig.request()) == 200
+                assert status_of(await harness.request()) == 200
 
-            runner = await service("a")
+            runner = await start_service("a")
             await put("s0", addresses[0])
-            await until_listed("s0")
+            await wait_until_listed("s0")
             await runner.cleanup()
-            runner = await service("a")  # it has its memory
+            runner = await start_service("a")  # with the same database
             await put("s1", addresses[1])
-            await until_listed("s0", "s1")
+            await wait_until_listed("s0", "s1")
             await runner.cleanup()
-            runner = await service("b")  # it has none
+            runner = await start_service("b")  # with an empty database
             await put("s1", addresses[1])
-            await until_listed("s1")
+            await wait_until_listed("s1")
             await runner.cleanup()
 
     run_scenario(scenario())
@@ -535,13 +540,13 @@
 # ---- the process --------------------------------------------------------------------------------
 
 
-def irondrum(*args: str) -> list[str]:
+def command_line(*args: str) -> list[str]:
     return [sys.executable, "-c", "from loadbalancer.cli import main; main()", "directory", *args]
 
 
-def served(path: Path, port: int) -> subprocess.Popen[bytes]:
+def start_registry(path: Path, port: int) -> subprocess.Popen[bytes]:
     path.write_text(f'listen = "{HOST}:{port}"\ndatabase = "{path.with_suffix(".sqlite")}"\n')
-    process = subprocess.Popen(irondrum("serve", str(path)), cwd=ROOT, stderr=subprocess.DEVNULL)
+    process = subprocess.Popen(command_line("serve", str(path)), cwd=ROOT, stderr=subprocess.DEVNULL)
     while True:
         assert process.poll() is None
         try:
@@ -551,55 +556,59 @@
             continue
 
 
-def test_answered_writes_outlast_kills_and_revisions_only_grow(tmp_path: Path) -> None:
+def test_answered_writes_survive_kills_and_revisions_only_grow(tmp_path: Path) -> None:
     path, port = tmp_path / "list.toml", find_free_port(HOST)
-    caller, versions = RegistryClient(f"{HOST}:{port}", who="test"), [0]
+    client, revisions = RegistryClient(f"{HOST}:{port}", who="test"), [0]
     answered: list[str] = []
-    for life in range(3):
-        process = served(path, port)
+    for incarnation in range(3):
+        process = start_registry(path, port)
         try:
-            state = caller.call("GET", "/v1/state")
-            assert state["index"] > versions[-1]
+            state = client.call("GET", "/v1/state")
+            assert state["index"] > revisions[-1]
             assert {e["name"] for e in state["entries"]} >= set(answered)
             for number in range(20):
-                name = f"s-{life}-{number}"
-                versions.append(caller.call_server("PUT", name, body=entry("127.0.0.1:1"))["index"])
+                name = f"s-{incarnation}-{number}"
+                revisions.append(
+                    client.call_server("PUT", name, body=registration_body("127.0.0.1:1"))["index"]
+                )
                 answered.append(name)
         finally:
             os.kill(process.pid, signal.SIGKILL)
             process.wait()
-    assert versions == sorted(set(versions))
-    done = subprocess.run(
-        irondrum("verify", str(path.with_suffix(".sqlite"))), cwd=ROOT, capture_output=True, check=False
+    assert revisions == sorted(set(revisions))
+    result = subprocess.run(
+        command_line("verify", str(path.with_suffix(".sqlite"))), cwd=ROOT, capture_output=True, check=False
     )
-    assert done.returncode == 0, done.stderr
+    assert result.returncode == 0, result.stderr
 
 
 def test_commands_show_and_change_the_list(tmp_path: Path) -> None:
     path, port = tmp_path / "list.toml", find_free_port(HOST)
-    process, at = served(path, port), f"{HOST}:{port}"
+    process, at = start_registry(path, port), f"{HOST}:{port}"
 
-    def say(*args: str, status: int = 0) -> str:
-        done = subprocess.run(
-            [*irondrum(*args), "--at", at], cwd=ROOT, capture_output=True, text=True, check=False
+    def run_command(*args: str, status: int = 0) -> str:
+        result = subprocess.run(
+            [*command_line(*args), "--at", at], cwd=ROOT, capture_output=True, text=True, check=False
         )
-        assert done.returncode == status, done.stderr
-        return done.stdout + done.stderr
+        assert result.returncode == status, result.stderr
+        return result.stdout + result.stderr
 
     try:
-        assert say("register", "s-1", "--address", "127.0.0.1:5001", "--weight", "4").startswith("version ")
-        assert say("drain", "s-1", "--why", "new kernel").startswith("version ")
-        assert "terminating" in say("list") and "new kernel" in say("history", "s-1")
-        assert json.loads(say("watch", "--looks", "1"))["endpoints"][0]["status"] == "terminating"
+        assert run_command("register", "s-1", "--address", "127.0.0.1:5001", "--weight", "4").startswith(
+            "version "
+        )
+        assert run_command("drain", "s-1", "--why", "new kernel").startswith("version ")
+        assert "terminating" in run_command("list") and "new kernel" in run_command("history", "s-1")
+        assert json.loads(run_command("watch", "--looks", "1"))["endpoints"][0]["status"] == "terminating"
         copy = tmp_path / "copy.jsonl"
-        copy.write_text(say("export"))
-        say("remove", "s-1")
+        copy.write_text(run_command("export"))
+        run_command("remove", "s-1")
         assert json.loads(copy.read_text())["name"] == "s-1"
-        assert say("drain", "s-1", status=2) == "irondrum: no server 's-1' is listed\n"
-        assert say("drain", "s-1", "--if-match", "7", status=2).count("\n") == 1
-        assert say("import", str(copy)) == "1 servers\n" and "s-1" in say("list")
+        assert run_command("drain", "s-1", status=2) == "irondrum: no server 's-1' is listed\n"
+        assert run_command("drain", "s-1", "--if-match", "7", status=2).count("\n") == 1
+        assert run_command("import", str(copy)) == "1 servers\n" and "s-1" in run_command("list")
         copy.write_text('{"name": "s-2", "address": "x"}')
-        assert "line 1" in say("import", str(copy), status=2)
+        assert "line 1" in run_command("import", str(copy), status=2)
     finally:
         process.terminate()
         assert process.wait(30) == 0
@@ -607,36 +616,41 @@
 
 def test_agent_registers_renews_and_deregisters_by_its_health_checks() -> None:
     calls: list[tuple[str, str]] = []
-    well, now, lapsed = [True], [0.0], [False]
+    is_healthy, now, is_lease_lost = [True], [0.0], [False]
 
-    class Desk(RegistryClient):
+    class FakeRegistryClient(RegistryClient):
         def call_server(
-            self, method: str, name: str, action: str = "", body: object = None, **more: Any
+            self, method: str, name: str, action: str = "", body: object = None, **options: Any
         ) -> Any:
             calls.append((method, action))
-            if action == "/renew" and lapsed[0]:
-                lapsed[0] = False
+            if action == "/renew" and is_lease_lost[0]:
+                is_lease_lost[0] = False
                 raise RegistryCallError(404, "no such server")
 
     agent = Agent(
-        "s0", make_registration(), Desk(f"{HOST}:1"), lambda: well[0], lambda text: None, lambda: now[0]
+        "s0",
+        make_registration(),
+        FakeRegistryClient(f"{HOST}:1"),
+        lambda: is_healthy[0],
+        lambda text: None,
+        lambda: now[0],
     )
 
-    def steps(count: int) -> list[tuple[str, str]]:
+    def run_steps(count: int) -> list[tuple[str, str]]:
         calls.clear()
         for _ in range(count):
             now[0] += 1_000.0 * agent.step()
         return list(calls)
 
-    assert steps(2) == [("PUT", "")]
-    assert steps(3) == [("POST", "/renew")] * 3
-    lapsed[0] = True
-    assert steps(2) == [("POST", "/renew"), ("PUT", "")]
-    well[0] = False
-    assert steps(3) == [("POST", "/renew")] * 2 + [("DELETE", "")]
-    assert steps(2) == []
-    well[0] = True
-    assert steps(2) == [("PUT", "")]
+    assert run_steps(2) == [("PUT", "")]
+    assert run_steps(3) == [("POST", "/renew")] * 3
+    is_lease_lost[0] = True
+    assert run_steps(2) == [("POST", "/renew"), ("PUT", "")]
+    is_healthy[0] = False
+    assert run_steps(3) == [("POST", "/renew")] * 2 + [("DELETE", "")]
+    assert run_steps(2) == []
+    is_healthy[0] = True
+    assert run_steps(2) == [("PUT", "")]
     calls.clear()
     agent.drain()
     agent.deregister()
--- a/tests/test_self_preservation.py
+++ b/tests/test_self_preservation.py
@@ -1,4 +1,4 @@
-"""Which servers expiry leaves in each zone and group, and what it costs while a zone is silent."""
+"""Which servers self-preservation keeps in each zone and group, and its cost while a zone is silent."""
 
 from __future__ import annotations
 
@@ -25,23 +25,25 @@
 
 
 def has_too_few(entry: Entry, entries: list[Entry], now: float) -> bool:
-    """The rule as it reads: of each place's servers, as they were lately, the floor's part stays well."""
+    """A naive reference for the rule: whether its zone or group would have too few healthy servers."""
     for field in ("zone", "group"):
-        mine = [e for e in entries if getattr(e.registration, field) == getattr(entry.registration, field)]
-        mine = [
+        members = [e for e in entries if getattr(e.registration, field) == getattr(entry.registration, field)]
+        members = [
             e
-            for e in mine
+            for e in members
             if e.is_listed
             or (e.is_expired and e.expirations_ms[-1] > now - RULES.self_preservation_window_ms)
         ]
-        well = [e for e in mine if e is not entry and e.status is Status.IN_SERVICE and not e.is_preserved]
-        if len(mine) > 1 and len(well) < RULES.self_preservation_threshold * len(mine):
+        healthy = [
+            e for e in members if e is not entry and e.status is Status.IN_SERVICE and not e.is_preserved
+        ]
+        if len(members) > 1 and len(healthy) < RULES.self_preservation_threshold * len(members):
             return True
     return False
 
 
 SERVERS = st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 2)), min_size=1, max_size=14)
-LOOKS = st.lists(
+CHECKS = st.lists(
     st.tuples(st.floats(100.0, 40_000.0), st.sets(st.integers(0, 13)), st.sets(st.integers(0, 13))),
     min_size=1,
     max_size=8,
@@ -49,27 +51,27 @@
 
 
 @settings(deadline=None, derandomize=True, max_examples=300)
-@given(servers=SERVERS, looks=LOOKS)
-def test_expiry_takes_what_self_preservation_allows_one_after_another(
-    servers: list[tuple[str, int]], looks: list[tuple[float, set[int], set[int]]]
+@given(servers=SERVERS, checks=CHECKS)
+def test_expiry_removes_what_self_preservation_allows_one_after_another(
+    servers: list[tuple[str, int]], checks: list[tuple[float, set[int], set[int]]]
 ) -> None:
-    """Any servers renew and any drain between looks; each is judged by the rule, in their order."""
-    catalog, twin, now = Catalog(RULES, 100), Catalog(RULES, 100), 0.0
-    for made in (catalog, twin):
-        for n, place in enumerate(servers):
-            made.register(f"s{n}", make_registration(*place), now)
-    for span, renewing, draining in looks:
-        now += span
-        for made in (catalog, twin):
-            listed = [n for n in range(len(servers)) if made.entries[f"s{n}"].is_listed]
+    """Any servers renew and any drain between checks; the rule decides on each in their order."""
+    catalog, reference, now = Catalog(RULES, 100), Catalog(RULES, 100), 0.0
+    for target in (catalog, reference):
+        for n, zone_and_group in enumerate(servers):
+            target.register(f"s{n}", make_registration(*zone_and_group), now)
+    for elapsed_ms, renewing, draining in checks:
+        now += elapsed_ms
+        for target in (catalog, reference):
+            listed = [n for n in range(len(servers)) if target.entries[f"s{n}"].is_listed]
             for n in listed:
                 if n in renewing:
-                    made.renew(f"s{n}", 0.0, now)
+                    target.renew(f"s{n}", 0.0, now)
                 if n in draining and n not in renewing:
-                    made.drain(f"s{n}", now)
-        taken = []
-        for entry in [e for e in twin.entries.values() if e.is_listed and now > e.lease_expiry_ms]:
-            if has_too_few(entry, list(twin.entries.values()), now):
+                    target.drain(f"s{n}", now)
+        removed = []
+        for entry in [e for e in reference.entries.values() if e.is_listed and now > e.lease_expiry_ms]:
+            if has_too_few(entry, list(reference.entries.values()), now):
                 entry.is_preserved = True
             else:
                 entry.is_preserved, entry.expired_at_renewal, entry.expirations_ms = (
@@ -77,15 +79,15 @@
                     entry.renewal_count,
                     [*entry.expirations_ms, now],
                 )
-                taken.append(entry.name)
-        assert [change.name for change in catalog.expire_leases(now)] == taken
+                removed.append(entry.name)
+        assert [change.name for change in catalog.expire_leases(now)] == removed
         assert {e.name: (e.status, e.is_preserved) for e in catalog.entries.values()} == {
-            e.name: (e.status, e.is_preserved) for e in twin.entries.values()
+            e.name: (e.status, e.is_preserved) for e in reference.entries.values()
         }
 
 
-class Counted(Catalog):
-    """Counts the entries that are gone over by tier."""
+class CountingCatalog(Catalog):
+    """Counts the entries that `entries_of` yields."""
 
     visits = 0
 
@@ -95,12 +97,12 @@
             yield entry
 
 
-@pytest.mark.parametrize("silent", [1, 10, 100])
-def test_expiry_goes_over_a_tier_as_often_however_many_servers_are_silent(silent: int) -> None:
-    """All were gone over twice for each that was silent: 2.5 s at 8,000 servers, four times a second."""
-    catalog = Counted(RULES, 100)
+@pytest.mark.parametrize("silent_count", [1, 10, 100])
+def test_expiry_visits_a_tier_at_most_twice_however_many_servers_are_silent(silent_count: int) -> None:
+    """All servers were visited twice for each silent server: 2.5 s at 8,000 servers, four times a second."""
+    catalog = CountingCatalog(RULES, 100)
     for n in range(200):
-        is_silent = n < silent
+        is_silent = n < silent_count
         catalog.register(
             f"s{n}", make_registration("a" if is_silent else "b", 1, 1_000.0 if is_silent else 1e6), 0.0
         )
@@ -111,7 +113,7 @@
 
 
 def test_servers_expired_at_another_instance_count_by_their_lease_here() -> None:
-    """The look ended in an IndexError: of those there is no time of a lapse."""
+    """The check raised an IndexError: the time of their expiry is not known here."""
     here, there = Catalog(RULES, 100, 0, 8), Catalog(RULES, 101, 1, 8)
     for n in range(8):
         here.register(f"s{n}", make_registration("a", 1), 0.0)
@@ -127,6 +129,6 @@
     now = 20_000.0
     for n in range(4, 8):
         there.renew(f"s{n}", 0.0, now)
-    assert [change.name for change in there.expire_leases(now)] == ["s2", "s3"], "4 of 8 are well: the floor"
+    assert [change.name for change in there.expire_leases(now)] == ["s2", "s3"], "4 of 8 must stay healthy"
     there.renew("s4", 0.0, 21_500.0)
     assert there.expire_leases(21_500.0) == []
