--- a/loadbalancer/registry/agent.py
+++ b/loadbalancer/registry/agent.py
@@ -72,7 +72,7 @@
         was_healthy = self._health.is_healthy
         is_healthy = self._health.record_check(has_passed=self._passes_check())
         if is_healthy and not was_healthy:
-            self._lease.begin_new_start()  # it may have restarted, and may have to warm up
+            self._lease.begin_new_start()  # restarted or not, it may have to warm up
         if is_healthy:
             self._attempt(self._register_or_renew)
         elif was_healthy:
