--- a/loadbalancer/drill/processes/commands.py
+++ b/loadbalancer/drill/processes/commands.py
@@ -1,4 +1,4 @@
-"""How balancers and registry instances are started: commands and environments."""
+"""The commands and environments that start balancers and registry instances."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 from loadbalancer.drill.defects.names import REGISTRY_DEFECTS
 
-ROOT = Path(__file__).parents[3]  # of this checkout
+ROOT = Path(__file__).parents[3]  # the root of this checkout
 LAUNCHER = "loadbalancer.drill.defects.launch"
 
 
 def balancer_command(folder: Path | None, defect: str = "") -> list[str]:
-    """Return how a balancer is started: as the deploy file of a folder says, where that folder was built.
+    """Return the command that starts a balancer: that of the folder's deploy file if the folder was built.
 
-    Where it was not, the same module is run by this interpreter, as in a checkout without `.venv`.
+    Otherwise, as in a checkout without `.venv`, this interpreter runs the same module.
     """
     if defect and defect not in REGISTRY_DEFECTS:
         return [sys.executable, "-m", LAUNCHER, defect, "balancer"]
@@ -31,7 +31,7 @@
 
 
 def registry_command(config: Path, defect: str = "") -> list[str]:
-    """Return how an instance of the real registry is started."""
+    """Return the command that starts an instance of the real registry."""
     if defect:
         return [sys.executable, "-m", LAUNCHER, defect, "registry", str(config)]
     cli = "from loadbalancer.cli import main; main()"
@@ -39,5 +39,5 @@
 
 
 def process_environment(folder: Path | None, **variables: str) -> dict[str, str]:
-    """Return the environment of a process; the package is taken from `folder`."""
+    """Return the environment of a process that imports the package from `folder`."""
     return os.environ | {"PYTHONPATH": str(folder or ROOT)} | variables
--- a/loadbalancer/drill/processes/placement.py
+++ b/loadbalancer/drill/processes/placement.py
@@ -12,7 +12,7 @@
 
 
 class ProcessKind(StrEnum):
-    """What a process of a drill is."""
+    """The kinds of processes in a drill."""
 
     BALANCER = "balancer"
     SERVER = "server"
@@ -23,7 +23,7 @@
 
 @dataclass
 class Placement:
-    """One process's place; `tier` is the one that it balances or belongs to."""
+    """Where a process runs; `tier` is the one that it balances or belongs to."""
 
     name: str
     kind: ProcessKind
@@ -32,16 +32,16 @@
     tier: str = ""
     port: int = 0
     console: str = ""
-    gossip_address: Address = ("", 0)  # where it hears the other balancers of its tier
+    gossip_address: Address = ("", 0)  # where it receives its tier's gossip
     started_at_ms: float = 0.0
     status: str = "in_service"
     version: str = ""
     is_list_moved: bool = False
-    """Whether it reaches the endpoint list at its other address."""
+    """Whether it uses the endpoint list's other address."""
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address that it listens on."""
         return self.host, self.port
 
 
--- a/loadbalancer/drill/processes/process.py
+++ b/loadbalancer/drill/processes/process.py
@@ -1,4 +1,4 @@
-"""Real processes that are never left behind: each in a group of its own, killed when the driver is gone."""
+"""Child processes, each in a process group of its own and killed when the driver dies."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 
 def _die_with_parent(parent: int, file_limit: int | None) -> None:
-    """Tie a child to the driver, before it becomes the program: it dies with it, whatever ends that."""
+    """Have a child killed when the driver dies, however that ends; runs in the child before exec."""
     _LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
     if os.getppid() != parent:
-        os.kill(os.getpid(), signal.SIGKILL)  # the driver was gone before the line above
+        os.kill(os.getpid(), signal.SIGKILL)  # the driver died before prctl took effect
     if file_limit is not None:
         resource.setrlimit(resource.RLIMIT_FSIZE, (file_limit, file_limit))
 
 
 class Process:
-    """One process: started, watched, commanded, ended. `on_message` gets the JSON lines that it prints."""
+    """A child process; `on_message` gets each JSON line that it prints, decoded."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         on_exit: Callable[[Process], None] | None = None,
         file_limit: int | None = None,
     ) -> None:
-        """Prepare a process; `file_limit` bounds each file that it writes, in bytes: 0 is a full disk."""
+        """Prepare a process; `file_limit` caps each file that it writes, in bytes: 0 acts as a full disk."""
         self.name = name
         self._argv = list(argv)
         self._log = log
@@ -55,11 +55,11 @@
         self._popen: subprocess.Popen[bytes] | None = None
         self._partial_line = b""
         self.exited = asyncio.Event()
-        self.is_exit_expected = False  # whether it was told to end
+        self.is_exit_expected = False  # whether the driver sent it SIGTERM or SIGKILL
 
     @property
     def pid(self) -> int:
-        """Its process number; 0 before it was started."""
+        """The process ID; 0 before the start."""
         return self._popen.pid if self._popen else 0
 
     @property
@@ -120,7 +120,7 @@
             self._on_exit(self)
 
     def send_command(self, command: Message) -> None:
-        """Write a command to its standard input; nothing happens if it is gone."""
+        """Write a command to its standard input; do nothing if it has exited."""
         if self._popen is not None and self._popen.stdin is not None and not self.exited.is_set():
             try:
                 os.write(self._popen.stdin.fileno(), json.dumps(command).encode() + b"\n")
@@ -128,7 +128,7 @@
                 return
 
     def signal(self, number: int) -> None:
-        """Send a signal to it and all that it has started; nothing happens if it has ended."""
+        """Send a signal to its process group; do nothing if it has exited."""
         if self._popen is not None and self._popen.returncode is None:
             self.is_exit_expected = self.is_exit_expected or number in (signal.SIGKILL, signal.SIGTERM)
             try:
@@ -137,7 +137,7 @@
                 return
 
     async def finish(self, timeout_s: float = 5.0) -> None:
-        """End it, by SIGKILL if it does not follow SIGTERM in time, and wait until it is gone."""
+        """Stop it with SIGTERM, with SIGKILL if that takes too long, and wait until it has exited."""
         if self._popen is None or self.exited.is_set():
             return
         self.signal(signal.SIGCONT)
--- a/loadbalancer/drill/processes/process_files.py
+++ b/loadbalancer/drill/processes/process_files.py
@@ -1,4 +1,4 @@
-"""The files that a drill's processes read at their start: specifications and configurations."""
+"""The files that a drill's processes read at startup: specifications and configurations."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from loadbalancer.drill.servers.upstream import UpstreamSpecification
 
 SNAPSHOT_INTERVAL_MS = 500.0
-SECOND_TIER_WORK = 0.5  # of a class's work, for each call
+SECOND_TIER_WORK = 0.5  # the fraction of a class's work that a second-tier call takes
 CONFIGURED_EFFECTS = {"safe": "retryable", "unsafe": "fragile"}
 
 
 class ProcessFiles:
-    """Composes specifications, and writes configurations into one folder."""
+    """Builds specifications, and writes configurations into one folder."""
 
     def __init__(self, topology: Topology, seed: int, out: Path, offset_ms: float) -> None:
         self._topology = topology
@@ -40,7 +40,7 @@
     # ---- test servers ---------------------------------------------------------------------------
 
     def list_entry(self, server: Placement) -> dict[str, Any]:
-        """Return a server as the list shows it, but for its address."""
+        """Return a server's endpoint list entry, without its address."""
         cores = float(self._scenario.server.cores)
         return {
             "name": server.name, "zone": server.zone, "type": "m", "group": 0, "weight": cores,
@@ -48,7 +48,7 @@
         }  # fmt: skip
 
     def specification(self, placement: Placement) -> ProcessSpecification:
-        """Return what a test server or the clients are started with."""
+        """Return the specification of a test server or of the clients."""
         if placement.kind is ProcessKind.SERVER:
             return self._upstream_specification(placement)
         if placement.kind is ProcessKind.ENDPOINT_LIST:
@@ -96,7 +96,7 @@
     # ---- addresses ------------------------------------------------------------------------------
 
     def _link_address(self, source: str, target: str) -> str:
-        """Return where a process reaches another."""
+        """Return the address at which a process reaches another."""
         return format_address(self._topology.links[f"{source}>{target}"].address)
 
     def _server_addresses(self, balancer: Placement) -> dict[str, str]:
@@ -104,10 +104,10 @@
         return {server.name: self._link_address(balancer.name, server.name) for server in servers}
 
     def _registry_addresses(self, name: str) -> str:
-        """Return where a process reaches the registry, its own first instance first; empty for none."""
+        """Return the registry's addresses for a process, rotated by its name; empty without a registry."""
         names = [instance.name for instance in self._topology.registry_instances()]
-        first = sum(name.encode()) % max(len(names), 1)
-        links = [self._topology.links.get(f"{name}>{each}") for each in names[first:] + names[:first]]
+        start = sum(name.encode()) % max(len(names), 1)
+        links = [self._topology.links.get(f"{name}>{each}") for each in names[start:] + names[:start]]
         return ",".join(format_address(link.address) for link in links if link)
 
     # ---- the registry ---------------------------------------------------------------------------
@@ -130,13 +130,13 @@
         return path
 
     def database_path(self, name: str) -> Path:
-        """Return the database of an instance of the real registry."""
+        """Return the database file of an instance of the real registry."""
         return self.out / f"{name}.sqlite"
 
     # ---- balancers ------------------------------------------------------------------------------
 
     def write_balancer_config(self, balancer: Placement, console: str = "") -> Path:
-        """Write the configuration of a balancer, in the platform's form; `console` replaces its own."""
+        """Write a balancer's configuration in the platform's format; `console` overrides its own console."""
         settings = self._settings(balancer)
         config: dict[str, Any] = {
             "name": balancer.name,
@@ -165,7 +165,7 @@
         return path
 
     def _settings(self, balancer: Placement) -> dict[str, Any]:
-        """Return the platform's settings of a balancer."""
+        """Return a balancer's settings as the platform gives them."""
         model, bounds = self._scenario.server, self._scenario.bounds
         tier = self._topology.balancers(balancer.tier)
         return {
@@ -194,7 +194,7 @@
         }  # fmt: skip
 
     def _membership_config(self, balancer: Placement) -> dict[str, Any]:
-        """Return who the other balancers of the tier are, each where this one sends its gossip."""
+        """Return the tier's members, each at the address to which this balancer sends its gossip."""
         links = self._topology.datagram_links
         return {
             "membership": True,
--- a/loadbalancer/drill/processes/process_group.py
+++ b/loadbalancer/drill/processes/process_group.py
@@ -1,4 +1,4 @@
-"""What the supervisors of drills and of scale runs share: starting processes, and ending them."""
+"""What the supervisors of drills and of scale runs share: starting and stopping processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from loadbalancer.drill.processes.process import Message, Process
 from loadbalancer.drill.servers.specification import ProcessSpecification
 
-READY_TIMEOUT_S = 60.0  # for a process to be ready, on a machine that is busy
+READY_TIMEOUT_S = 60.0  # for a process to become ready on a busy machine
 READY_POLL_INTERVAL_S = 0.02
 
 
@@ -25,7 +25,7 @@
         self.out = out
 
     def on_exit(self, process: Process) -> None:
-        """Follow the end of a process; for supervisors to extend."""
+        """Handle a process's exit; supervisors override this."""
 
     def launch(
         self,
@@ -37,7 +37,7 @@
         on_message: Callable[[Message], None] | None = None,
         file_limit: int | None = None,
     ) -> Process:
-        """Start a process and wait for nothing; DrillError if there is no such program."""
+        """Start a process, without waiting for it; DrillError if there is no such program."""
         process = Process(
             name,
             argv,
@@ -55,11 +55,11 @@
         return process
 
     def log_path(self, name: str) -> Path:
-        """Return where a process's standard error goes."""
+        """Return the file for a process's standard error."""
         return self.out / f"{name}.log"
 
     def write_specification(self, specification: ProcessSpecification) -> Path:
-        """Write the file that a helper process reads at its start."""
+        """Write the file that a helper process reads at startup."""
         path = self.out / f"{specification.name}.spec.json"
         path.write_bytes(msgspec.json.encode(specification))
         return path
@@ -71,5 +71,5 @@
 
     @staticmethod
     async def finish_all(processes: Iterable[Process]) -> None:
-        """End processes, and wait until they are gone."""
+        """Stop processes, and wait until they have exited."""
         await asyncio.gather(*(process.finish() for process in processes))
--- a/loadbalancer/drill/processes/registry_control.py
+++ b/loadbalancer/drill/processes/registry_control.py
@@ -1,4 +1,4 @@
-"""What the driver does with a real registry: reads its list, changes it, and replaces its database."""
+"""The driver's access to a real registry: reading and changing its list, and replacing its database."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 LIST_POLL_INTERVAL_S = 0.02
 LIST_TIMEOUT_S = 1.0
-CALLER = "driver"  # by this name the registry's history tells the drill's calls from others
+CALLER = "driver"  # marks the drill's calls in the registry's history
 REASON = "the drill"
 
 
 class RegistryControl:
-    """The registry of a drill, where it has one."""
+    """Controls a drill's registry, where it has one."""
 
     def __init__(self, topology: Topology, files: ProcessFiles, http: aiohttp.ClientSession) -> None:
         self._topology = topology
@@ -30,11 +30,11 @@
 
     @property
     def is_used(self) -> bool:
-        """Whether the list is the real registry, and not the test server."""
+        """Whether the list comes from the real registry, not from the test server."""
         return bool(self._topology.registry_instances())
 
     def _database_paths(self, instance: Placement) -> tuple[Path, Path]:
-        """Return an instance's database, and its copy of when the load began."""
+        """Return an instance's database, and its copy from when the load began."""
         database = self._files.database_path(instance.name)
         return database, database.with_suffix(".old")
 
@@ -43,13 +43,13 @@
         timeout = aiohttp.ClientTimeout(total=LIST_TIMEOUT_S)
         try:
             url = f"http://{format_address(instance.address)}/v1/state"
-            async with self._http.get(url, timeout=timeout) as answer:
-                return {entry["name"] for entry in (await answer.json())["entries"]}
+            async with self._http.get(url, timeout=timeout) as response:
+                return {entry["name"] for entry in (await response.json())["entries"]}
         except (aiohttp.ClientError, OSError, TimeoutError):
             return None
 
     async def wait_for_all(self, timeout_s: float) -> None:
-        """Wait until all servers are on each instance's list, and keep copies of the databases."""
+        """Wait until all servers are on each instance's list, and copy the databases."""
         expected = {server.name for server in self._topology.servers()}
         async with asyncio.timeout(timeout_s):
             for instance in self._topology.registry_instances():
@@ -57,22 +57,22 @@
                     await asyncio.sleep(LIST_POLL_INTERVAL_S)
                 _copy_database(*self._database_paths(instance))
 
-    def restore_database(self, instance: Placement, memory: str) -> None:
-        """Replace an instance's database while it is down: `kept`, `lost`, or `old`, of the load's begin."""
+    def restore_database(self, instance: Placement, database_state: str) -> None:
+        """Keep (`kept`) or remove (`lost`) a stopped instance's database, or restore its copy (`old`)."""
         database, old = self._database_paths(instance)
-        if memory != "kept":
+        if database_state != "kept":
             for path in database.parent.glob(f"{database.name}*"):
                 path.unlink()
-        if memory == "old":
+        if database_state == "old":
             _copy_database(old, database)
 
     async def set_status(self, server: str, status: str) -> None:
-        """Drain or remove a server; RegistryCallError if that fails, but for one that is not listed."""
+        """Drain or remove a server; RegistryCallError if that fails, except for an unlisted one."""
         instances = self._topology.registry_instances()
         client = RegistryClient(",".join(format_address(i.address) for i in instances), who=CALLER)
-        method, what = ("POST", "/drain") if status == "terminating" else ("DELETE", "")
+        method, subpath = ("POST", "/drain") if status == "terminating" else ("DELETE", "")
         try:
-            await asyncio.to_thread(client.call_server, method, server, what, why=REASON)
+            await asyncio.to_thread(client.call_server, method, server, subpath, why=REASON)
         except RegistryCallError as error:
             if error.status != 404:
                 raise
--- a/loadbalancer/drill/processes/supervisor.py
+++ b/loadbalancer/drill/processes/supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor of a drill's processes: starts them, calls their consoles, and ends them."""
+"""The supervisor of a drill's processes: starts them, calls their consoles, and stops them."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from loadbalancer.drill.servers import clients, endpoint_list, upstream
 
 REPLACEMENT_SUFFIX = " (new)"
-READ_ONLY_FOLDER = "/proc/1"  # nobody can make a file there, whatever rights they have
-STOP_ORDER = (  # who calls ends before who is called
+READ_ONLY_FOLDER = "/proc/1"  # not even root can create a file there
+STOP_ORDER = (  # callers stop before the processes that they call
     (ProcessKind.BALANCER, ProcessKind.CLIENTS),
     (ProcessKind.SERVER, ProcessKind.ENDPOINT_LIST),
     (ProcessKind.REGISTRY,),
@@ -37,13 +37,13 @@
 
 
 class ProcessSupervisor(ProcessGroup):
-    """All processes by the names of their placements; one that is about to take over has its own name."""
+    """All processes by placement name; one that is about to take over has REPLACEMENT_SUFFIX, too."""
 
     def __init__(
         self, topology: Topology, files: ProcessFiles, history: HistoryWriter, http: aiohttp.ClientSession,
         defect: str, on_progress: Callable[[Message], None], on_clients_exit: Callable[[], None],
     ) -> None:  # fmt: skip
-        """Prepare a supervisor; `on_progress` gets what the clients report of themselves."""
+        """Prepare a supervisor; `on_progress` gets the clients' progress messages."""
         super().__init__(files.out)
         self._topology = topology
         self._files = files
@@ -59,11 +59,11 @@
         return self.processes[name]
 
     async def start_all(self, placements: list[Placement]) -> None:
-        """Start some at once, and wait until all are ready."""
+        """Start processes concurrently, and wait until all are ready."""
         await asyncio.gather(*(self.start(placement) for placement in placements))
 
     async def start(self, placement: Placement, folder: Path | None = None) -> None:
-        """Start a process and wait until it is ready; DrillError if it does not get so."""
+        """Start a process and wait until it is ready; DrillError if it does not become ready."""
         match placement.kind:
             case ProcessKind.BALANCER:
                 process = self.launch_balancer(placement, placement.console, folder)
@@ -81,7 +81,7 @@
         await asyncio.gather(*(self.processes[name].exited.wait() for name in names))
 
     async def finish(self) -> None:
-        """End all, and wait until they are gone."""
+        """Stop all processes, callers first, and wait until they have exited."""
         placements = self._topology.placements
         for kinds in STOP_ORDER:
             await self.finish_all(
@@ -117,12 +117,12 @@
         async with asyncio.timeout(READY_TIMEOUT_S):
             while await self.registry.listed_servers(instance) is None:
                 if process.exited.is_set():
-                    raise DrillError(f"the registry ended; see {self.log_path(instance.name)}")
+                    raise DrillError(f"the registry did not become ready; see {self.log_path(instance.name)}")
                 await asyncio.sleep(READY_POLL_INTERVAL_S)
         self._topology.on_listening(instance.name, instance.address)
 
     def launch_balancer(self, balancer: Placement, console: str, folder: Path | None = None) -> Process:
-        """Start a balancer that answers operators at `console`, and wait for nothing."""
+        """Start a balancer whose console listens at `console`, without waiting for it."""
         config = self._files.write_balancer_config(balancer, console)
         own_folder = self.out / f"{balancer.name}.folder"
         own_folder.mkdir(exist_ok=True)
@@ -142,7 +142,7 @@
         self._history.write("process", name=process.name, state="started", pid=process.pid)
 
     def on_exit(self, process: Process) -> None:
-        """Record the end of a process, and have calls to it refused."""
+        """Record a process's exit, and have connections to it refused."""
         self._history.write(
             "process", name=process.name, state="ended", code=process.exit_status,
             wanted=process.is_exit_expected,
@@ -154,18 +154,18 @@
             self._on_clients_exit()
 
     async def _wait_ready(self, ready: asyncio.Event, process: Process) -> None:
-        """Wait until a process is ready; DrillError if it ends or takes too long."""
+        """Wait until a process is ready; DrillError if it exits or takes too long."""
         waits = [asyncio.ensure_future(event.wait()) for event in (ready, process.exited)]
         await asyncio.wait(waits, timeout=READY_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
         if not ready.is_set():
-            raise DrillError(f"{process.name} did not get ready; see {self.log_path(process.name)}")
+            raise DrillError(f"{process.name} did not become ready; see {self.log_path(process.name)}")
 
     # ---- consoles -------------------------------------------------------------------------------
 
     async def wait_healthy(self, process: Process, console: str) -> None:
-        """Wait until a balancer's console says that it takes clients; DrillError if it ends."""
+        """Wait until a balancer's console reports it healthy; DrillError if it exits."""
         async with asyncio.timeout(READY_TIMEOUT_S):
             while not process.exited.is_set():
                 if await self._request(console, "GET", "health", "", HEALTH_TIMEOUT_S) == 200:
@@ -174,28 +174,28 @@
         status, log = process.exit_status, self.log_path(process.name)
         raise DrillError(f"{process.name} ended with status {status}; see {log}")
 
-    async def call_console(self, console: str, what: str, body: str) -> int:
-        """Make an operator's call and record it; return its status, 0 where nobody answers."""
-        status = await self._request(console, "POST", what, body, READY_TIMEOUT_S)
+    async def call_console(self, console: str, path: str, body: str) -> int:
+        """Make and record an operator's call; return its HTTP status, 0 without a response."""
+        status = await self._request(console, "POST", path, body, READY_TIMEOUT_S)
         host = console.partition(":")[0]
-        self._history.write("call", to=host, call=what, body=body, status=status)
+        self._history.write("call", to=host, call=path, body=body, status=status)
         return status
 
-    async def _request(self, console: str, method: str, what: str, body: str, timeout_s: float) -> int:
+    async def _request(self, console: str, method: str, path: str, body: str, timeout_s: float) -> int:
         timeout = aiohttp.ClientTimeout(total=timeout_s)
         try:
-            url = f"http://{console}/admin/{what}"
-            async with self._http.request(method, url, data=body or None, timeout=timeout) as answer:
-                return answer.status
+            url = f"http://{console}/admin/{path}"
+            async with self._http.request(method, url, data=body or None, timeout=timeout) as response:
+                return response.status
         except (aiohttp.ClientError, OSError, TimeoutError):
             return 0
 
     async def member_state(self, balancer: Placement, number: int) -> str:
-        """Return what a balancer holds another of its tier for; empty where it does not say."""
+        """Return the state that a balancer reports of another one in its tier; empty if it reports none."""
         timeout = aiohttp.ClientTimeout(total=MEMBERS_TIMEOUT_S)
         try:
             url = f"http://{balancer.console}/admin/peers"
-            async with self._http.get(url, timeout=timeout) as answer:
-                return str((await answer.json())["members"][number]["state"])
+            async with self._http.get(url, timeout=timeout) as response:
+                return str((await response.json())["members"][number]["state"])
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError, KeyError):
             return ""
--- a/loadbalancer/drill/processes/topology.py
+++ b/loadbalancer/drill/processes/topology.py
@@ -1,4 +1,4 @@
-"""Who there is in a drill: where each process runs, and the links between them."""
+"""The processes of a drill: where each runs, and the links between them."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 from loadbalancer.drill.scenario.tables import DrillScenario, discovery_names
 
 MOVED_SUFFIX = "~moved"
-"""Of a balancer's name, in the name of its link to the endpoint list's other address."""
+"""Follows a balancer's name in that of its link to the endpoint list's other address."""
 
 
 class Topology:
     """The placements of a drill's processes, and the links that join them."""
 
     def __init__(self, scenario: DrillScenario, seed: int, on_unexpected_call: Callable[[str], None]) -> None:
-        """Place all processes; `on_unexpected_call` gets the link over which a removed server is called."""
+        """Place all processes; `on_unexpected_call` gets the name of a link that calls a removed server."""
         self.scenario = scenario
         self._addresses = LoopbackAddresses()
         self.placements: dict[str, Placement] = {}
         self.links: dict[str, TcpLink] = {}
-        self.datagram_links: dict[str, DatagramLink] = {}  # of gossip between balancers
+        self.datagram_links: dict[str, DatagramLink] = {}  # for gossip between balancers
         self._random = random.Random(f"{seed}/links")
         self._add_placements()
         for source_name, target_name in self._call_paths():
@@ -86,7 +86,7 @@
         placement.gossip_address = (host, find_free_port(host))
 
     async def start_datagram_links(self) -> None:
-        """Start the links of gossip: each balancer sees each other one at an address of its own."""
+        """Start the gossip links: each balancer sees every other one at a separate address."""
         if not self.scenario.fleet.has_membership:
             return
         pairs = list(permutations(self.balancers(FIRST_TIER), 2))
@@ -99,11 +99,11 @@
             self.datagram_links[f"{source.name}>{target.name}"].reverse_link = reverse_link
 
     def reserve_port(self, host: str) -> int:
-        """Return a port of a process's address that is kept from others."""
+        """Return a port of a process's address that no other process gets."""
         return self._addresses.reserve_port(host)
 
     def _call_paths(self) -> Iterator[tuple[str, str]]:
-        """Yield who calls whom."""
+        """Yield the names of each caller and of whom it calls."""
         for balancer in self.balancers():
             yield from ((balancer.name, each.name) for each in self.endpoint_lists())
             yield from ((balancer.name, server.name) for server in self.servers(balancer.tier))
@@ -117,7 +117,7 @@
                 yield endpoint_list.name, instance.name
             yield from ((a.name, b.name) for a, b in permutations(instances, 2))
 
-    # ---- who ------------------------------------------------------------------------------------
+    # ---- lookup ---------------------------------------------------------------------------------
 
     def _of_kind(self, kind: ProcessKind, tier: str = "") -> list[Placement]:
         return [p for p in self.placements.values() if p.kind is kind and tier in ("", p.tier)]
@@ -139,25 +139,25 @@
         return self._of_kind(ProcessKind.REGISTRY)
 
     def with_companion(self, name: str) -> list[str]:
-        """Return a process, and the balancer beside it that starts and stops with it."""
+        """Return a process, and its sidecar balancer, which starts and stops with it."""
         return [each for each in (name, f"{name}.b") if each in self.placements]
 
     def links_to(self, name: str) -> list[TcpLink]:
-        """Return the links that lead to a process."""
+        """Return the links to a process."""
         return [link for link in self.links.values() if link.name.endswith(f">{name}")]
 
     def matching(self, pattern: str) -> list[TcpLink | DatagramLink]:
-        """Return the links of a pattern such as `b*>s1`; `@east` is any process in that zone."""
-        every: dict[str, TcpLink | DatagramLink] = {**self.links, **self.datagram_links}
+        """Return the links that match a pattern such as `b*>s1`; `@east` is any process in that zone."""
+        all_links: dict[str, TcpLink | DatagramLink] = {**self.links, **self.datagram_links}
         source, _, target = pattern.partition(">")
         return [
             link
-            for name, link in every.items()
-            if fnmatchcase(name, pattern) or (target and self._joins(name, source, target))
+            for name, link in all_links.items()
+            if fnmatchcase(name, pattern) or (target and self._connects(name, source, target))
         ]
 
-    def _joins(self, link: str, source: str, target: str) -> bool:
-        """Return whether a link leads from somebody of one pattern to somebody of another."""
+    def _connects(self, link: str, source: str, target: str) -> bool:
+        """Return whether a link's source and target each match their pattern."""
         ends = zip(link.split(">"), (source, target), strict=True)
         return all(
             self.placements[name].zone == pattern[1:]
@@ -167,12 +167,12 @@
         )
 
     def on_listening(self, name: str, address: Address) -> None:
-        """Lead the links of a process to where it listens now."""
+        """Point the links to a process at the address that it listens on now."""
         for link in self.links_to(name):
             link.update_target(is_up=True, is_withdrawn=False, target=address)
 
     def close(self) -> None:
-        """Take the links down."""
+        """Close the links, and release the reserved ports."""
         for link in self.matching("*"):
             link.close()
         self._addresses.close()
