--- a/loadbalancer/drill/servers/clients.py
+++ b/loadbalancer/drill/servers/clients.py
@@ -1,9 +1,9 @@
-"""The clients and their front end as a process: an open load on balancers, and what each request came to.
+"""The clients and their front end as a process: an open load on balancers, and each request's outcome.
 
     python -m loadbalancer.drill.servers.clients SPEC.json
 
-First attempts come at random at a rate, whether or not earlier ones were answered. The front end rotates over
-the balancers that answer `GET /healthz`, and notices only after some checks that one has died.
+First attempts arrive at random at a given rate, whether or not earlier ones were answered. The front end
+rotates over the balancers that answer `GET /healthz`, and notices only after some checks that one has died.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 from loadbalancer.drill.clock import RealClock
 from loadbalancer.drill.scenario.tables import ClientLoad, RequestClass
-from loadbalancer.drill.servers.persistent_clients import IdleCrowds, PersistentClients
+from loadbalancer.drill.servers.persistent_clients import IdleConnections, PersistentClients
 from loadbalancer.drill.servers.specification import (
     ProcessSpecification,
     execution_id,
@@ -32,13 +32,13 @@
 HEALTH_CHECK_INTERVAL_S = 0.3
 HEALTH_CHECK_TIMEOUT_S = 1.0
 UNHEALTHY_THRESHOLD = 2  # failed checks in a row
-LATE_ANSWER_WINDOW_MS = 1_500.0  # past its deadline, in which an answer that comes late is still seen
+LATE_ANSWER_WINDOW_MS = 1_500.0  # after its deadline, in which a late response is still recorded
 PROGRESS_INTERVAL_S = 0.1
-MAX_CONNECT_ATTEMPTS = 3  # balancers that are tried when connections are refused
+MAX_CONNECT_ATTEMPTS = 3  # balancers tried when connections are refused
 
 
 class ClientsSpecification(ProcessSpecification, kw_only=True, frozen=True):
-    """What the clients are started with."""
+    """The specification of the clients."""
 
     balancers: dict[str, str]
     """By name: host:port."""
@@ -56,22 +56,22 @@
 
     @property
     def healthy(self) -> list[str]:
-        """Those that are not known to be dead."""
+        """The balancers that are not known to be dead."""
         return [name for name, count in self._failure_counts.items() if count < UNHEALTHY_THRESHOLD]
 
     def next_balancer(self) -> str:
         """Return the balancer for the next attempt."""
-        known = self.healthy or list(self.balancers)
-        return known[next(self._sequence) % len(known)]
+        candidates = self.healthy or list(self.balancers)
+        return candidates[next(self._sequence) % len(candidates)]
 
     async def check_health(self, name: str) -> None:
-        """Check one balancer for ever."""
+        """Check one balancer's health periodically."""
         url = f"http://{self.balancers[name]}/healthz"
         timeout = aiohttp.ClientTimeout(total=HEALTH_CHECK_TIMEOUT_S)
         while True:
             try:
-                async with self._session.get(url, timeout=timeout) as answer:
-                    is_healthy = answer.status == 200
+                async with self._session.get(url, timeout=timeout) as response:
+                    is_healthy = response.status == 200
             except (aiohttp.ClientError, OSError, TimeoutError):
                 is_healthy = False
             self._failure_counts[name] = 0 if is_healthy else self._failure_counts[name] + 1
@@ -79,14 +79,14 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended, and how long Retry-After has its client wait, in s."""
+    """An attempt's outcome, and the wait in seconds that Retry-After asks for."""
 
     ending: str
     retry_after_s: float = 0.0
 
 
 class LoadGenerator:
-    """All first attempts of a drill, and what follows each."""
+    """Makes all first attempts of a drill, and their retries."""
 
     def __init__(
         self, spec: ClientsSpecification, rotation: BalancerRotation, session: aiohttp.ClientSession
@@ -102,11 +102,11 @@
         self._last_request_number = 0
 
     def handle_command(self, command: dict[str, Any]) -> None:
-        """Send at another rate, with other retries."""
+        """Change the rate or the retries."""
         self._load = msgspec.structs.replace(self._load, **command)
 
     async def run(self) -> None:
-        """Make all first attempts, and wait for the last one's end."""
+        """Make all first attempts, and wait until every request has ended."""
         classes = self._load.classes
         weights = [request_class.weight for request_class in classes]
         loop = asyncio.get_running_loop()
@@ -120,7 +120,7 @@
                 group.create_task(self._perform(self.started_count, request_class))
 
     async def _perform(self, number: int, request_class: RequestClass) -> None:
-        """Attempt what a client wants until it is served, its deadline is over, or no retry remains."""
+        """Attempt a request until it is served, its deadline has passed, or no retry is allowed."""
         first_ms = self._clock.now
         attempts, retries = 0, self._load.retries
         ending = "gave up"
@@ -146,7 +146,7 @@
     async def _attempt(
         self, number: int, attempt: int, request_class: RequestClass, remaining_ms: float
     ) -> AttemptResult:
-        """Make one attempt, at another balancer where one refuses the connection."""
+        """Make one attempt, at another balancer if one refuses the connection."""
         for _ in range(MAX_CONNECT_ATTEMPTS):
             self._last_request_number += 1
             request_id = f"{self._last_request_number:x}-{self._random.randrange(1 << 48):012x}"
@@ -162,7 +162,7 @@
                 if not self._load.persistent_connections:
                     self.history.write("lost", id=request_id, how=type(error).__name__, sent=True)
                     return AttemptResult("lost")
-                self._record_crossing(request_id, name, began_ms, error)
+                self._record_connection_loss(request_id, name, began_ms, error)
             except (aiohttp.ClientError, OSError) as error:
                 self.history.write("lost", id=request_id, how=type(error).__name__, sent=True)
                 return AttemptResult("lost")
@@ -171,10 +171,12 @@
                 return AttemptResult("left")
         return AttemptResult("lost")
 
-    def _record_crossing(self, request_id: str, balancer: str, began_ms: float, error: Exception) -> None:
-        """Record a connection that ended before a byte of the answer came; the request is sent once more.
+    def _record_connection_loss(
+        self, request_id: str, balancer: str, began_ms: float, error: Exception
+    ) -> None:
+        """Record a connection that ended before the first byte of the response; the request is sent again.
 
-        Whether the two may have crossed is for a check to say, by the time since the request was sent.
+        A check decides, by the time since the request was sent, whether it may have crossed the close.
         """
         self.history.write("lost", id=request_id, how="crossed", sent=False)
         after_ms = round(self._clock.now - began_ms, 3)
@@ -191,9 +193,9 @@
             arguments["headers"]["X-Retry"] = "1"
         url = f"http://{self.rotation.balancers[balancer]}/{request_class.name}/{request_id}"
         timeout = aiohttp.ClientTimeout(total=(remaining_ms + LATE_ANSWER_WINDOW_MS) / 1_000)
-        async with self._session.request(url=url, timeout=timeout, **arguments) as answer:
-            body = await answer.read()
-            status, retry_after = answer.status, answer.headers.get("Retry-After", "0")
+        async with self._session.request(url=url, timeout=timeout, **arguments) as response:
+            body = await response.read()
+            status, retry_after = response.status, response.headers.get("Retry-After", "0")
         took_ms = round(self._clock.now - began_ms, 3)
         execution = execution_id(body, request_id)
         self.history.write("answered", id=request_id, status=status, took=took_ms, run=execution)
@@ -209,14 +211,14 @@
 
 
 async def report_progress(generator: LoadGenerator) -> None:
-    """Report to the driver how far things are, for ever."""
+    """Report progress to the driver periodically."""
     while True:
         _send_progress(generator)
         await asyncio.sleep(PROGRESS_INTERVAL_S)
 
 
 async def main() -> None:
-    """Wait for the command to begin, make all attempts, and report it."""
+    """Wait for the `begin` command, make all attempts, and report the last progress."""
     spec = read_specification(ClientsSpecification)
     begin = asyncio.Event()
     async with (
@@ -226,13 +228,13 @@
         rotation = BalancerRotation(health_checks, spec.balancers)
         generator = LoadGenerator(spec, rotation, session)
 
-        crowds = IdleCrowds(spec.balancers)
+        idle_connections = IdleConnections(spec.balancers)
 
         def _handle_command(command: dict[str, Any]) -> None:
             if "begin" in command:
                 begin.set()
             elif "crowd" in command:
-                crowds.open(**command["crowd"])
+                idle_connections.open(**command["crowd"])
             else:
                 generator.handle_command(command)
 
@@ -247,7 +249,7 @@
         persistent.start()
         await generator.run()
         await persistent.finish()
-        crowds.close()
+        idle_connections.close()
         for task in tasks:
             task.cancel()
         _send_progress(generator)
--- a/loadbalancer/drill/servers/persistent_clients.py
+++ b/loadbalancer/drill/servers/persistent_clients.py
@@ -1,7 +1,8 @@
-"""Clients that use one connection for one request after another until the balancer ends it, and idle crowds.
+"""Clients that reuse a connection until the balancer closes it, and connections that stay idle.
 
-Some rest long between requests, some write a request in pieces. A request whose connection ends before a byte
-of its answer came is sent once more on another connection, as a client does that it has crossed the end.
+Some clients pause for long between requests, some write a request in pieces. A request whose connection ends
+before the first byte of its response is sent once more on another connection, as clients do for one that
+crossed the close.
 """
 
 from __future__ import annotations
@@ -17,33 +18,33 @@
 from loadbalancer.drill.scenario.tables import ClientLoad, RequestClass
 from loadbalancer.drill.servers.specification import execution_id
 
-RECONNECT_PAUSE_S = 0.2  # after a connection that was refused, or is of no use
+RECONNECT_PAUSE_S = 0.2  # after a refused connection or a failed health check
 HEALTH_CHECK_TIMEOUT_S = 1.0
 MAX_PAUSE_S = 0.15  # between the requests of a busy client
-RESTING_FRACTION = 0.2  # of the clients rest until the balancer ends their connection, or for long
-RESTING_PAUSE_S = 4.0
-PIECES_FRACTION = 0.3  # of the requests come in two pieces
+LONG_PAUSE_FRACTION = 0.2  # of the clients make long pauses, which end if the balancer closes the connection
+MAX_LONG_PAUSE_S = 4.0
+SPLIT_REQUEST_FRACTION = 0.3  # of the requests are written in two pieces
 MAX_PIECE_PAUSE_S = 0.3
-LATE_ANSWER_WINDOW_S = 1.5  # past its deadline, in which an answer that comes late is still seen
+LATE_ANSWER_WINDOW_S = 1.5  # after its deadline, in which a late response is still recorded
 SAFE_EFFECT = "safe"
 
 
-class NoAnswerError(Exception):
-    """A connection ended before a byte of the answer came."""
+class NoResponseError(Exception):
+    """A connection ended before the first byte of the response."""
 
 
 @dataclass
 class Request:
-    """A request that is being sent, with its number of sends."""
+    """A request, and how many times it was sent."""
 
     request_class: RequestClass
     logical_id: str
-    """The same for a request that is sent again."""
-    sends: int = 0
+    """Stays the same when the request is sent again."""
+    send_count: int = 0
 
 
 class PersistentClients:
-    """A number of such clients for each balancer, until `finish`."""
+    """A number of persistent clients for each balancer, until `finish`."""
 
     def __init__(
         self, balancers: dict[str, str], load: ClientLoad, seed: int, history: HistoryWriter, offset_ms: float
@@ -54,26 +55,26 @@
         self._history = history
         self._clock = RealClock(offset_ms)
         self._tasks: list[asyncio.Task[None]] = []
-        self._is_over = False
+        self._is_finishing = False
         self._last_number = 0
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start all clients."""
         for name in self._balancers:
             for index in range(self._load.persistent_connections):
-                is_resting = index < RESTING_FRACTION * self._load.persistent_connections
-                client = self._run_client(name, is_resting=is_resting)
+                has_long_pauses = index < LONG_PAUSE_FRACTION * self._load.persistent_connections
+                client = self._run_client(name, has_long_pauses=has_long_pauses)
                 self._tasks.append(asyncio.get_running_loop().create_task(client))
 
     async def finish(self) -> None:
-        """Send no further request, and wait for the answers of those that are out."""
-        self._is_over = True
+        """Send no further request, and wait for outstanding responses."""
+        self._is_finishing = True
         await asyncio.gather(*self._tasks)
 
-    async def _run_client(self, name: str, *, is_resting: bool) -> None:
+    async def _run_client(self, name: str, *, has_long_pauses: bool) -> None:
         host, _, port = self._balancers[name].rpartition(":")
-        repeated: Request | None = None
-        while not self._is_over:
+        unanswered: Request | None = None
+        while not self._is_finishing:
             try:
                 is_healthy = await _is_healthy(host, int(port))
                 reader, writer = await asyncio.open_connection(host, int(port))
@@ -83,31 +84,33 @@
                 await asyncio.sleep(RECONNECT_PAUSE_S)
                 continue
             try:
-                repeated = await self._use(name, reader, writer, repeated, is_resting=is_resting)
+                unanswered = await self._use_connection(
+                    name, reader, writer, unanswered, has_long_pauses=has_long_pauses
+                )
             finally:
                 writer.transport.abort()
 
-    async def _use(
+    async def _use_connection(
         self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-        repeated: Request | None, *, is_resting: bool,
+        unanswered: Request | None, *, has_long_pauses: bool,
     ) -> Request | None:  # fmt: skip
-        """Send requests on a connection until it ends; return one that has crossed its end."""
-        while not self._is_over:
-            request = repeated or self._new_request()
-            repeated = None
+        """Send requests on a connection until it ends; return the one to send again, if any."""
+        while not self._is_finishing:
+            request = unanswered or self._new_request()
+            unanswered = None
             try:
                 await self._perform(name, reader, writer, request)
-            except NoAnswerError:
-                return request if request.sends == 1 else None
+            except NoResponseError:
+                return request if request.send_count == 1 else None
             except OSError:
                 return None
-            longest_s = RESTING_PAUSE_S if is_resting else MAX_PAUSE_S
-            if await self._ends_within(reader, self._random.uniform(0.0, longest_s)):
+            max_pause_s = MAX_LONG_PAUSE_S if has_long_pauses else MAX_PAUSE_S
+            if await self._closes_within(reader, self._random.uniform(0.0, max_pause_s)):
                 return None
         return None
 
-    async def _ends_within(self, reader: asyncio.StreamReader, pause_s: float) -> bool:
-        """Rest; return whether the balancer has ended the connection meanwhile."""
+    async def _closes_within(self, reader: asyncio.StreamReader, pause_s: float) -> bool:
+        """Pause; return whether the balancer closed the connection meanwhile."""
         try:
             async with asyncio.timeout(pause_s):
                 return await reader.read(1) == b""
@@ -125,29 +128,29 @@
     async def _perform(
         self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request: Request
     ) -> None:
-        """Send a request and read its answer; NoAnswerError if the connection ended without a byte of it."""
-        request.sends += 1
-        kind = request.request_class
-        request_id = f"{request.logical_id}-{request.sends}-{self._random.randrange(1 << 48):012x}"
-        begun_ms = self._clock.now
+        """Send a request and read the response; NoResponseError if the connection ends before it."""
+        request.send_count += 1
+        request_class = request.request_class
+        request_id = f"{request.logical_id}-{request.send_count}-{self._random.randrange(1 << 48):012x}"
+        began_ms = self._clock.now
         self._history.write(
-            "asked", wish=request.logical_id, id=request_id, **{"try": request.sends}, cls=kind.name, to=name,
-            deadline=kind.deadline_ms,
+            "asked", wish=request.logical_id, id=request_id, **{"try": request.send_count},
+            cls=request_class.name, to=name, deadline=request_class.deadline_ms,
         )  # fmt: skip
-        written_ms = begun_ms
-        has_begun = False
+        written_ms = began_ms
+        has_response_started = False
         try:
-            await self._write(writer, _encode(request_id, kind))
+            await self._write(writer, _encode(request_id, request_class))
             written_ms = self._clock.now
-            async with asyncio.timeout(kind.deadline_ms / 1_000 + LATE_ANSWER_WINDOW_S):
-                first = await reader.readexactly(1)
-                has_begun = True
-                status, body = await _read_response(reader, first)
+            async with asyncio.timeout(request_class.deadline_ms / 1_000 + LATE_ANSWER_WINDOW_S):
+                first_byte = await reader.readexactly(1)
+                has_response_started = True
+                status, body = await _read_response(reader, first_byte)
         except TimeoutError:
             self._history.write("left", id=request_id)
             raise ConnectionAbortedError from None
         except (OSError, asyncio.IncompleteReadError) as error:
-            if has_begun:
+            if has_response_started:
                 self._history.write("lost", id=request_id, how=type(error).__name__, sent=True)
                 raise ConnectionResetError from None
             self._history.write("lost", id=request_id, how="crossed", sent=False)
@@ -155,7 +158,7 @@
                 "crossed", id=request_id, to=name, after_ms=round(self._clock.now - written_ms, 3),
                 how=type(error).__name__,
             )  # fmt: skip
-            raise NoAnswerError from None
+            raise NoResponseError from None
         took_ms = round(self._clock.now - written_ms, 3)
         self._history.write(
             "answered", id=request_id, status=status, took=took_ms, run=execution_id(body, request_id)
@@ -163,7 +166,7 @@
 
     async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         """Write a request, some in two pieces with a pause between."""
-        if self._random.random() < PIECES_FRACTION:
+        if self._random.random() < SPLIT_REQUEST_FRACTION:
             cut = self._random.randrange(1, len(data))
             writer.write(data[:cut])
             await asyncio.sleep(self._random.uniform(0.0, MAX_PIECE_PAUSE_S))
@@ -172,19 +175,20 @@
         await writer.drain()
 
 
-def _encode(request_id: str, kind: RequestClass) -> bytes:
-    method, body = ("GET", b"") if kind.effect == SAFE_EFFECT else ("POST", b"{}")
+def _encode(request_id: str, request_class: RequestClass) -> bytes:
+    method, body = ("GET", b"") if request_class.effect == SAFE_EFFECT else ("POST", b"{}")
     head = (
-        f"{method} /{kind.name}/{request_id} HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {request_id}\r\n"
-        f"X-Class: {kind.name}\r\nX-Deadline: {kind.deadline_ms:.0f}m\r\nContent-Length: {len(body)}\r\n\r\n"
+        f"{method} /{request_class.name}/{request_id} HTTP/1.1\r\nHost: api.internal\r\n"
+        f"X-Request-Id: {request_id}\r\nX-Class: {request_class.name}\r\n"
+        f"X-Deadline: {request_class.deadline_ms:.0f}m\r\nContent-Length: {len(body)}\r\n\r\n"
     )
     return head.encode() + body
 
 
 async def _is_healthy(host: str, port: int) -> bool:
-    """Return whether a balancer takes clients; OSError if it can't be reached.
+    """Return whether a balancer accepts clients; OSError if it can't be reached.
 
-    A relay accepts before it knows: what it can't pass on was never accepted by the balancer's machine.
+    A successful connect proves nothing: a relay accepts connections before the balancer's machine does.
     """
     reader, writer = await asyncio.open_connection(host, port)
     try:
@@ -198,9 +202,9 @@
     return status == HTTPStatus.OK
 
 
-async def _read_response(reader: asyncio.StreamReader, first: bytes) -> tuple[int, bytes]:
-    """Return status and body; IncompleteReadError if the connection ends before them."""
-    head = first + await reader.readuntil(b"\r\n\r\n")
+async def _read_response(reader: asyncio.StreamReader, prefix: bytes) -> tuple[int, bytes]:
+    """Return a response's status and body; IncompleteReadError if the connection ends early."""
+    head = prefix + await reader.readuntil(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines[1:])}
     status = int(lines[0].split()[1])
@@ -217,7 +221,7 @@
     return body
 
 
-class IdleCrowds:
+class IdleConnections:
     """Connections on which nothing is ever sent."""
 
     def __init__(self, balancers: dict[str, str]) -> None:
@@ -225,7 +229,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def open(self, balancer: str, count: int, for_s: float) -> None:
-        """Open connections to a balancer, and keep them for a time."""
+        """Open connections to a balancer, and close them after `for_s`."""
         for _ in range(count):
             task = asyncio.get_running_loop().create_task(self._keep_open(balancer, for_s))
             self._tasks.add(task)
@@ -241,6 +245,6 @@
                 writer.transport.abort()
 
     def close(self) -> None:
-        """Leave."""
+        """Close all connections."""
         for task in self._tasks:
             task.cancel()
--- a/loadbalancer/drill/servers/specification.py
+++ b/loadbalancer/drill/servers/specification.py
@@ -1,4 +1,4 @@
-"""What the helper processes share: a specification in a file, commands as lines in, messages as lines out."""
+"""What the helper processes share: a specification file, and JSON lines for commands and messages."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class ProcessSpecification(msgspec.Struct, kw_only=True, frozen=True):
-    """What every helper process is started with: its name, where it listens, where its history goes."""
+    """The specification of every helper process: its name, listen address and history folder."""
 
     name: str
     listen: str = ""
-    """An address of the loopback; the port is the system's choice unless `port` is set."""
+    """A loopback address; the system chooses the port unless `port` is set."""
     port: int = 0
     folder: str
     offset_ms: float
@@ -42,7 +42,7 @@
 def request_arguments(
     request_id: str, request_class: str, deadline_ms: float, *, is_unsafe: bool
 ) -> dict[str, Any]:
-    """Return a request as PROTOCOL has it: what aiohttp's `request` takes beside the URL."""
+    """Return the arguments of aiohttp's `request`, without the URL, for a request as PROTOCOL defines it."""
     headers = {
         "X-Request-Id": request_id,
         "X-Class": request_class,
@@ -59,7 +59,7 @@
 
 
 async def receive_commands(on_command: Callable[[dict[str, Any]], None]) -> None:
-    """Hand on the driver's commands until it closes our input."""
+    """Pass on the driver's commands until it closes standard input."""
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -68,9 +68,9 @@
 
 
 def execution_id(body: bytes, request_id: str) -> str:
-    """Return who made an answer, as it says; empty where it says nothing, or answers something else."""
+    """Return the execution ID in a response; empty if it has none, or answers another request."""
     try:
-        answer = json.loads(body)
-        return str(answer["run"]) if answer["id"] == request_id else ""
+        response = json.loads(body)
+        return str(response["run"]) if response["id"] == request_id else ""
     except (ValueError, KeyError, TypeError):
         return ""
--- a/loadbalancer/drill/servers/upstream.py
+++ b/loadbalancer/drill/servers/upstream.py
@@ -35,9 +35,9 @@
 
 WORK_BEFORE_NEXT_TIER = 0.5  # the fraction of its work that comes before its calls to the next tier
 WORK_SPREAD = 0.6  # standard deviation of the logarithm of a request's work
-DEFAULT_WORK_MS = 10.0  # for a class that the specification does not know
+DEFAULT_WORK_MS = 10.0  # for a class that is not in the specification
 DEFAULT_DEADLINE_MS = 1_000.0  # for a request without one
-NEXT_TIER_DEADLINE = 0.8  # of a request's own deadline, for its calls to the next tier
+NEXT_TIER_DEADLINE_FRACTION = 0.8  # of a request's own deadline, for its calls to the next tier
 REGISTRY_TIMEOUT_S = 1.0
 REGISTRY_RETRY_INTERVAL_S = 0.3
 SHUTDOWN_TIMEOUT_S = 5.0
@@ -48,7 +48,7 @@
     ProcessSpecification, kw_only=True, frozen=True,
     rename={"next_tier": "calls", "registry": "directory", "started_at_ms": "since_ms"},
 ):  # fmt: skip
-    """What a test server is started with."""
+    """The specification of a test server."""
 
     zone: str
     model: ServerModel
@@ -56,10 +56,10 @@
     work_ms: dict[str, float]
     """By class, on a standard core."""
     next_tier: str = ""
-    """host:port of the balancer beside it; empty where it makes no calls."""
+    """host:port of its sidecar balancer; empty if it makes no calls."""
     started_at_ms: float = 0.0
     registry: str = ""
-    """host:port of real registry instances; empty where the driver changes the list."""
+    """host:port of real registry instances; empty if the driver changes the list."""
     tier: str = "first"
     lease_ms: float = 3_000.0
 
@@ -83,7 +83,7 @@
         )  # fmt: skip
 
     def handle_command(self, command: dict[str, Any]) -> None:
-        """Behave otherwise from now on."""
+        """Change the server's speed and error rate, or pause it."""
         model = self._model
         model.slow = self._version.slowdown * float(command["slower"])
         model.failing = float(command["fails"])
@@ -91,12 +91,12 @@
         model.changed()
 
     async def handle_health_check(self, request: web.Request) -> web.Response:
-        """Answer whether it would accept requests."""
+        """Respond with 200 if it accepts requests, with 503 if not."""
         is_ready = self._version.is_ready and not self.stopping.is_set()
         return web.Response(status=200 if is_ready else 503)
 
     async def handle_request(self, request: web.Request) -> web.Response:
-        """Answer one request, whose work is counted from its last byte on."""
+        """Serve one request, whose work starts after its last byte."""
         request_id = request.headers.get("X-Request-Id", "")
         if not request_id:
             return web.Response(status=404)
@@ -116,7 +116,7 @@
     async def _execute(
         self, request: web.Request, request_id: str, request_class: str, work_ms: float
     ) -> web.Response:
-        """Queue a request, work on it, and answer."""
+        """Queue a request, work on it, and respond."""
         job = ModelJob()
         if not self._model.submit(job.job):
             return web.Response(status=503, headers=NOT_EXECUTED_HEADERS)
@@ -130,8 +130,8 @@
             execution = f"{request_id}/{os.getpid()}/{time.monotonic_ns()}"
             execution_id = hashlib.sha256(execution.encode()).hexdigest()[:20]
             status = 200
-            answer = {"id": request_id, "server": self._spec.name, "run": execution_id}
-            return web.json_response(answer)
+            response = {"id": request_id, "server": self._spec.name, "run": execution_id}
+            return web.json_response(response)
         except asyncio.CancelledError:
             status = 0
             raise
@@ -146,7 +146,7 @@
         return self._random.random() < max(model.failing, version.failure_rates.get(request_class, 0.0))
 
     async def _work(self, job: ModelJob, request: web.Request, request_id: str, work_ms: float) -> bool:
-        """Do a request's work, around its call to the next tier; return whether that was served."""
+        """Do a request's work before and after its call to the next tier; return whether that was served."""
         if not self._spec.next_tier:
             await job.work(self._model, work_ms)
             return True
@@ -159,7 +159,7 @@
     async def _call_next_tier(self, request: web.Request, request_id: str) -> bool:
         """Call the next tier with what remains of the deadline; return whether that was served."""
         deadline_ms = parse_duration_ms(request.headers.get("X-Deadline", "").encode())
-        remaining_ms = (deadline_ms or DEFAULT_DEADLINE_MS) * NEXT_TIER_DEADLINE
+        remaining_ms = (deadline_ms or DEFAULT_DEADLINE_MS) * NEXT_TIER_DEADLINE_FRACTION
         call_id = f"{request_id}.{self._spec.name}.{self._random.randrange(1 << 32):08x}"
         request_class = request.headers.get("X-Class", "")
         arguments = request_arguments(
@@ -168,39 +168,39 @@
         timeout = aiohttp.ClientTimeout(total=remaining_ms / 1_000)
         url = f"http://{self._spec.next_tier}/{request_class}"
         try:
-            async with self._session.request(url=url, timeout=timeout, **arguments) as answer:
-                await answer.read()
-                return answer.status == 200
+            async with self._session.request(url=url, timeout=timeout, **arguments) as response:
+                await response.read()
+                return response.status == 200
         except (aiohttp.ClientError, OSError, TimeoutError):
             return False
 
 
 class ModelJob:
-    """A request in the model of a server, whose callbacks are awaited."""
+    """A request in the model of a server, with futures for the model's callbacks."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
         self.started: asyncio.Future[None] = loop.create_future()
-        self._worked: asyncio.Future[None] = loop.create_future()
-        self.job = Job(0.0, self._on_started, self._on_worked)
+        self._completed: asyncio.Future[None] = loop.create_future()
+        self.job = Job(0.0, self._on_started, self._on_completed)
 
     def _on_started(self, job: Job) -> None:
         if not self.started.done():
             self.started.set_result(None)
 
-    def _on_worked(self, job: Job) -> None:
-        if not self._worked.done():
-            self._worked.set_result(None)
+    def _on_completed(self, job: Job) -> None:
+        if not self._completed.done():
+            self._completed.set_result(None)
 
     async def work(self, model: Server, work_ms: float) -> None:
-        """Work on a core of the model for so long, as measured on a standard core."""
-        self._worked = asyncio.get_running_loop().create_future()
+        """Use a core of the model for work that takes `work_ms` on a standard core."""
+        self._completed = asyncio.get_running_loop().create_future()
         model.start(self.job, work_ms)
-        await self._worked
+        await self._completed
 
 
 def _create_model(spec: UpstreamSpecification) -> Server:
-    """Return the model of a server that neither thrashes nor fails of itself."""
+    """Return the model of a server that neither thrashes nor fails on its own."""
     model = spec.model
     server = Server(
         RealClock(spec.offset_ms),
@@ -226,7 +226,7 @@
 
 
 async def _renew_lease(lease: Lease) -> None:
-    """Register and renew for ever; what fails is repeated soon."""
+    """Register and renew for ever; retry soon after a failure."""
     while True:
         try:
             await asyncio.to_thread(lease.register_or_renew)
@@ -237,7 +237,7 @@
 
 
 async def main() -> None:
-    """Serve until SIGTERM, then until all that was accepted is answered."""
+    """Serve until SIGTERM, then complete all accepted requests."""
     spec = read_specification(UpstreamSpecification)
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
         server = TestServer(spec, session)
