--- a/loadbalancer/drill/defects/__init__.py
+++ b/loadbalancer/drill/defects/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded defects: the real programs, made worse in one place, for checks that must find it."""
+"""Seeded defects: the real programs, each with one fault that the checks must find."""
--- a/loadbalancer/drill/defects/endpoint_list.py
+++ b/loadbalancer/drill/defects/endpoint_list.py
@@ -16,7 +16,7 @@
 
 
 def trusts_any_list() -> None:
-    """Apply a list that is older than the one at hand."""
+    """Apply a list that is older than the current one."""
     newest = 0
 
     def _decode_endpoint_list(answer: Any) -> EndpointList:
@@ -34,7 +34,7 @@
 
 
 def stays_with_one() -> None:
-    """Stay with the first instance for ever."""
+    """Stay with the first instance, even when it fails."""
     InstanceSelector.record_failure = lambda self: False  # type: ignore[method-assign]
 
 
@@ -48,7 +48,7 @@
 
 
 def asks_without_pause() -> None:
-    """Poll a list that is out of reach at once, all balancers together."""
+    """Poll an unreachable list again at once, all balancers together."""
 
     def _failed(self: EndpointSet, now: float, retry_within_ms: float) -> list[interface.Action]:
         return [interface.SetTimer(now + 1.0, "list")]
--- a/loadbalancer/drill/defects/launch.py
+++ b/loadbalancer/drill/defects/launch.py
@@ -3,7 +3,7 @@
     LB_CONFIG=config.json python -m loadbalancer.drill.defects.launch sends-twice balancer
     python -m loadbalancer.drill.defects.launch reuses-versions registry directory.toml
 
-Only the module that holds the defect is imported, so that a process has no more in it than the real one.
+Only the defect's module is imported, so that the process loads no more than the real one.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def seed_defect(name: str) -> None:
-    """Replace the one place of the program that the defect makes worse; KeyError if there is none such."""
+    """Patch the program with a defect; KeyError if there is none of that name."""
     module = importlib.import_module(f"{__package__}.{(DRILL_DEFECTS | SCALE_DEFECTS)[name]}")
     vars(module)[name.replace("-", "_")]()
 
@@ -30,7 +30,7 @@
 
 
 def main() -> int:
-    """Seed the defect that the first argument names, and be what the second one says."""
+    """Seed the defect that the first argument names, and run the program that the second one names."""
     defect, role = sys.argv[1:3]
     seed_defect(defect)
     if role == "balancer":
--- a/loadbalancer/drill/defects/membership.py
+++ b/loadbalancer/drill/defects/membership.py
@@ -8,7 +8,7 @@
 
 
 def deaf_to_peers() -> None:
-    """Drop all gossip, and answer none."""
+    """Drop all gossip without a response."""
 
     def _handle_message(self: Membership, sender: int, data: bytes, now: float) -> list[Any]:
         return []
@@ -26,7 +26,7 @@
 
 
 def forgets_returns() -> None:
-    """Keep a member that was dead once dead, whatever incarnation it announces."""
+    """Never revive a member that was dead once, whatever incarnation it announces."""
     real = MemberTable.apply_update
 
     def _apply_update(
--- a/loadbalancer/drill/defects/names.py
+++ b/loadbalancer/drill/defects/names.py
@@ -28,10 +28,10 @@
     "never-returns": "zones",
     "forgets-zones": "stored_state",
 }
-"""Those that drills find, by the name that `drill run --plant` takes."""
+"""The defects that drills find, by the name that `drill run --plant` takes."""
 
 REGISTRY_DEFECTS = tuple(name for name, module in DRILL_DEFECTS.items() if module == "registry")
-"""Those of the registry's instances; all others are of first-tier balancers."""
+"""The defects of the registry's instances; all others are of first-tier balancers."""
 
 SCALE_DEFECTS = {"polls": "scale", "quadratic-fan-out": "scale", "never-backs-off": "scale"}
-"""Those that scale runs find, by the name that `scale run --plant` takes."""
+"""The defects that scale runs find, by the name that `scale run --plant` takes."""
--- a/loadbalancer/drill/defects/proxy.py
+++ b/loadbalancer/drill/defects/proxy.py
@@ -1,4 +1,4 @@
-"""Defects of the proxy: it sends twice, makes up answers, or keeps servers that the list has taken away."""
+"""Defects of the proxy: it sends twice, fabricates responses, or keeps servers that the list has removed."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from loadbalancer.net.upstream_attempt import Attempt
 from loadbalancer.net.upstream_response import UpstreamResponse
 
-UNREAD_S = 0.5  # from SIGTERM until a connection is closed that is not read any more
-MADE_UP_INTERVAL = 25  # requests, one of which is answered though no server saw it
+UNREAD_CLOSE_DELAY_S = 0.5  # from SIGTERM until a connection that is no longer read is closed
+FABRICATED_RESPONSE_INTERVAL = 25  # requests, one of which gets a response though no server saw it
 
 
 class _DuplicateAttempt(RequestAttempt):
-    """A second attempt that no client asked for, and whose answer is dropped."""
+    """A second attempt that no client asked for, and whose response is dropped."""
 
     def on_request_written(self) -> None:
         """Count no attempt."""
@@ -38,7 +38,7 @@
 
 
 def sends_twice() -> None:
-    """Send what is unsafe to repeat to two servers."""
+    """Send requests that are unsafe to repeat to two servers."""
     real = ActionExecutor.execute
 
     def _execute(self: ActionExecutor, action: interface.Action) -> None:
@@ -54,8 +54,8 @@
     ActionExecutor.execute = _execute  # type: ignore[method-assign]
 
 
-def _take_for_ready(state: Readiness) -> None:
-    """Take servers that the list shows in a state for ready, in the decision module and at the sockets."""
+def _treat_as_ready(state: Readiness) -> None:
+    """Treat servers listed in a state as ready, in the decision module and at the sockets."""
     real = EndpointListFollower.apply
 
     def _apply(self: EndpointListFollower, kind: interface.UpdateKind, update: EndpointList) -> bool:
@@ -71,24 +71,24 @@
 
 
 def forgets_drain() -> None:
-    """Go on using a server that drains."""
-    _take_for_ready(Readiness.DRAINING)
+    """Keep using a draining server."""
+    _treat_as_ready(Readiness.DRAINING)
 
 
 def keeps_dead_server() -> None:
-    """Go on using a server that the list has removed."""
-    _take_for_ready(Readiness.DEAD)
+    """Keep using a server that the list has removed."""
+    _treat_as_ready(Readiness.DEAD)
 
 
 def answers_from_nowhere() -> None:
-    """Answer some requests with 200 though no server ever saw them."""
+    """Respond to some requests with 200 though no server ever saw them."""
     real = RequestIntake.on_request_arrived
     count = 0
 
     def _on_request_arrived(self: RequestIntake, downstream: DownstreamRequest) -> None:
         nonlocal count
         count += 1
-        if count % MADE_UP_INTERVAL == 0 and downstream.body.is_complete:
+        if count % FABRICATED_RESPONSE_INTERVAL == 0 and downstream.body.is_complete:
             downstream.send_response(200, [], b'{"served": true}')
         else:
             real(self, downstream)
@@ -97,7 +97,7 @@
 
 
 def closes_unread() -> None:
-    """After SIGTERM, read no idle connection any more, and close it with whatever has come on it."""
+    """After SIGTERM, stop reading idle connections, and close them with any unread data."""
     real = DownstreamListener.shut_down
 
     async def _shut_down(self: DownstreamListener) -> None:
@@ -105,14 +105,14 @@
             transport = connection._transport
             if transport is not None and connection.is_idle():
                 transport.pause_reading()
-                self.loop.call_later(UNREAD_S, transport.abort)
+                self.loop.call_later(UNREAD_CLOSE_DELAY_S, transport.abort)
         await real(self)
 
     DownstreamListener.shut_down = _shut_down  # type: ignore[method-assign]
 
 
 def ends_on_second_reload() -> None:
-    """End at the second SIGHUP."""
+    """Exit at the second SIGHUP."""
     real = Proxy.apply_configuration
     count = 0
 
--- a/loadbalancer/drill/defects/registry.py
+++ b/loadbalancer/drill/defects/registry.py
@@ -16,7 +16,7 @@
 
 
 def reuses_versions() -> None:
-    """Begin at revision 1 without a database, and give who has seen more no full snapshot."""
+    """Start at revision 1 without a database, and send no full snapshot to watchers ahead of it."""
     real = Catalog.resume_watch
 
     def _first_revision(stored: int, now_ms: float, number: int, stride: int) -> int:
@@ -31,7 +31,7 @@
 
 
 def lapses_unheard() -> None:
-    """Let a lease expire though another instance, out of reach, may have renewed it."""
+    """Expire a lease though another instance, now unreachable, may have renewed it."""
     real = Catalog.expire_leases
     Catalog.expire_leases = lambda self, now, peers_complete_as_of_ms=0.0: real(self, now)  # type: ignore[method-assign]
 
@@ -40,9 +40,7 @@
     """Merge two entries of a server by taking the one with more changes, whatever the other says."""
 
     def _join(one: SharedEntry, other: SharedEntry) -> SharedEntry:
-        return max(
-            one, other, key=lambda account: (account.generation, account.change_count, account.renewal_count)
-        )
+        return max(one, other, key=lambda entry: (entry.generation, entry.change_count, entry.renewal_count))
 
     replace_global(catalog, "join", _join)
 
--- a/loadbalancer/drill/defects/scale.py
+++ b/loadbalancer/drill/defects/scale.py
@@ -9,12 +9,12 @@
 from loadbalancer.policy.endpoints import EndpointSet
 from loadbalancer.registry.query_evaluation import QueryEvaluator
 
-POLL_WAIT_MS = 100.0  # the wait of a watch that polls
+POLL_WAIT_MS = 100.0  # the longest wait of a poll
 RETRY_INTERVAL_S = 0.05  # between calls of a caller that never backs off
 
 
 def polls() -> None:
-    """Poll again and again, in place of watches that wait for a change."""
+    """Poll repeatedly, instead of waiting for changes with a watch."""
     real = Watch.next_request
 
     def _next_request(self: Watch, now: float = 0.0) -> ListRequest:
--- a/loadbalancer/drill/defects/stored_state.py
+++ b/loadbalancer/drill/defects/stored_state.py
@@ -1,4 +1,4 @@
-"""Defects in what a balancer stores over a restart."""
+"""Defects in the state that a balancer stores across restarts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def forgets_snapshot() -> None:
-    """Read no snapshot after a restart."""
+    """Load no snapshot after a restart."""
 
     def _load(self: SnapshotStore) -> LoadResult:
         return LoadResult(None, ())
--- a/loadbalancer/drill/links/faults.py
+++ b/loadbalancer/drill/links/faults.py
@@ -1,4 +1,4 @@
-"""Faults of one direction of a link, and what they do to bytes and datagrams under way."""
+"""Faults of one direction of a link, and their effect on bytes and datagrams in transit."""
 
 from __future__ import annotations
 
@@ -8,43 +8,43 @@
 
 import msgspec
 
-RETRANSMISSION_DELAY_MS = 200.0  # a lost segment comes so much later: Linux' least retransmission time-out
-MAX_DISORDER_S = 0.1  # by which a datagram that is out of order comes later
+RETRANSMISSION_DELAY_MS = 200.0  # extra delay of a lost segment: Linux's minimum retransmission timeout
+MAX_REORDERING_S = 0.1  # extra delay of a reordered datagram
 
 
 class LinkFault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What may be wrong with a direction; several add up."""
+    """A fault of one direction of a link; several add up."""
 
     delay_ms: float = 0.0
     jitter_ms: float = 0.0
-    """Up to so much more, drawn uniformly."""
+    """The maximum of an additional delay, drawn uniformly."""
     loss: float = 0.0
     """The fraction of segments, or of datagrams, that is lost."""
     rate_kb_s: float = 0.0
-    """At most so many kB a second; 0 for no bound."""
+    """The throughput limit in kB/s; 0 for none."""
     cut: bool = False
     """Nothing gets through, and neither end sees an error."""
     refuse: bool = False
     """New connections are refused."""
     reset_after: int | None = None
-    """A connection is reset after so many bytes, counted from now."""
+    """The bytes after which a connection is reset, counted from the last change of faults."""
     short_after: int | None = None
-    """It is closed, as if all had been sent, after so many bytes."""
+    """The bytes, counted likewise, after which it is closed as if all had been sent."""
     doubled: float = 0.0
-    """The fraction of datagrams that come twice."""
+    """The fraction of datagrams that are delivered twice."""
     disorder: float = 0.0
-    """The fraction of datagrams that come up to 100 ms later than the next ones."""
+    """The fraction of datagrams that are delayed by up to 100 ms, so that later ones overtake them."""
 
 
 class FaultListener(Protocol):
-    """Whoever has to follow a change of a direction's faults."""
+    """Receives notice of a change of a direction's faults."""
 
     def on_faults_changed(self) -> None:
-        """Follow the faults as they are now."""
+        """Apply the current faults."""
 
 
 class LinkDirection:
-    """The faults of one direction of a link, and the random numbers they draw."""
+    """The faults of one direction of a link, and the random numbers that they use."""
 
     def __init__(self, rng: random.Random) -> None:
         self._random = rng
@@ -52,12 +52,12 @@
         self.listeners: set[FaultListener] = set()
 
     def set(self, name: str, fault: LinkFault) -> None:
-        """Add a fault under a name, in place of the one that had the name."""
+        """Set a fault under a name, replacing any fault of that name."""
         self._faults[name] = fault
         self._notify()
 
     def clear(self, name: str) -> None:
-        """Remove a fault; nothing happens if there is none of the name."""
+        """Clear a fault; do nothing if there is none of that name."""
         if self._faults.pop(name, None) is not None:
             self._notify()
 
@@ -91,7 +91,7 @@
         return min((f.short_after for f in self.faults if f.short_after is not None), default=None)
 
     def delay_s(self, size: int) -> float:
-        """Return how long so many bytes take."""
+        """Return the delay of `size` bytes."""
         delay_ms = 0.0
         for fault in self._faults.values():
             delay_ms += fault.delay_ms + fault.jitter_ms * self._random.random()
@@ -106,8 +106,10 @@
         if self.is_cut or any(self._random.random() < f.loss for f in self.faults):
             return []
         delay_s = sum(f.delay_ms + f.jitter_ms * self._random.random() for f in self.faults) / 1_000
-        disorder_s = sum(
-            MAX_DISORDER_S * self._random.random() for f in self.faults if self._random.random() < f.disorder
+        reordering_s = sum(
+            MAX_REORDERING_S * self._random.random()
+            for f in self.faults
+            if self._random.random() < f.disorder
         )
-        is_doubled = any(self._random.random() < f.doubled for f in self.faults)
-        return [delay_s + disorder_s] * (2 if is_doubled else 1)
+        is_duplicated = any(self._random.random() < f.doubled for f in self.faults)
+        return [delay_s + reordering_s] * (2 if is_duplicated else 1)
--- a/loadbalancer/drill/links/listener.py
+++ b/loadbalancer/drill/links/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket that accepts, refuses, or stays silent as a machine that is out of reach."""
+"""A listening socket that accepts, refuses, or ignores connections as an unreachable machine does."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 Address = tuple[str, int]
 LISTEN_BACKLOG = 128
-QUEUE_FILLERS = 3  # connections that fill a queue of no length: Linux holds one or two beyond it
+QUEUE_FILLERS = 3  # connections that fill an accept queue of length 0: Linux holds one or two more
 
 
 class FaultyListener:
-    """Listens on one address, whose port it keeps, and hands accepted sockets to `on_accepted`."""
+    """Listens on one address, whose port it keeps, and passes accepted sockets to `on_accepted`."""
 
     def __init__(self, host: str, on_accepted: Callable[[socket.socket], None]) -> None:
         self._host = host
@@ -28,9 +28,9 @@
         return self._host, self._port
 
     def accept_connections(self) -> None:
-        """Listen; OSError if the address can't be had.
+        """Listen; OSError if the address is not available.
 
-        Whoever waited in a silent queue is reset, as after a cut.
+        Connections that waited while ignored are reset, as after a cut.
         """
         if self._queue_fillers:
             self.refuse_connections()
@@ -48,13 +48,13 @@
         self._queue_fillers.clear()
 
     def ignore_connections(self) -> None:
-        """Let new connections wait in vain: a queue of no length that is full takes no SYN."""
+        """Leave new connections waiting: a full accept queue of length 0 takes no SYN."""
         if self._socket is None:
             self._listen()
         if self._queue_fillers or self._socket is None:
             return
         asyncio.get_running_loop().remove_reader(self._socket)
-        self._accept()  # who is there already has come in time
+        self._accept()  # connections queued so far came before the fault
         self._socket.listen(0)
         for _ in range(QUEUE_FILLERS):
             filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
--- a/loadbalancer/drill/links/pipe.py
+++ b/loadbalancer/drill/links/pipe.py
@@ -1,4 +1,4 @@
-"""One relayed TCP connection: a pipe for each direction, which delays and ends it as faults have it."""
+"""A relayed TCP connection: a pipe for each direction, which delays and ends it according to the faults."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 from loadbalancer.drill.links.faults import LinkDirection
 
-MAX_BUFFERED_BYTES = 256 * 1024  # of one direction of a connection under way; past it, reading stops
+MAX_BUFFERED_BYTES = 256 * 1024  # per direction of a connection; above it, reading pauses
 ABORTIVE_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER on, for 0 s: closing sends a reset
-_RESET_MARK = b""  # in a pipe's queue: the connection was reset here
+_RESET_MARKER = b""  # in a pipe's queue: the connection was reset here
 
 
 class RelayPipe:
-    """One direction of one connection: bytes and its end, in order, each when it is due."""
+    """One direction of a connection: forwards its bytes and its end in order, each when it is due."""
 
     def __init__(self, direction: LinkDirection) -> None:
         self._direction = direction
@@ -28,10 +28,10 @@
         self._queue: deque[tuple[float, bytes | None]] = deque()  # when each is due; None for the end
         self._queued_bytes = 0
         self._last_due_s = 0.0
-        self._forwarded_bytes = 0  # since the faults changed last
-        self.partner: RelayPipe | None = None  # the other direction
-        self.has_ended = False  # whether its end was passed on
-        self.is_target_full = False  # whether the target accepts no more just now
+        self._forwarded_bytes = 0  # since the last change of faults
+        self.reverse_pipe: RelayPipe | None = None  # the other direction
+        self.has_ended = False  # whether its end was forwarded
+        self.is_target_full = False  # whether the target's write buffer is full
         self._timer: asyncio.TimerHandle | None = None
         direction.listeners.add(self)
 
@@ -46,10 +46,10 @@
 
     def feed_reset(self) -> None:
         """Queue a reset of the connection."""
-        self.feed(_RESET_MARK)
+        self.feed(_RESET_MARKER)
 
     def on_faults_changed(self) -> None:
-        """Follow new faults: byte limits count from here."""
+        """Apply new faults: byte limits count from here."""
         self._forwarded_bytes = 0
         self.flush()
 
@@ -74,13 +74,13 @@
         return self.target is not None and not self.is_target_full and not self._direction.is_cut
 
     def _forward(self, data: bytes | None) -> bool:
-        """Write a piece; return False if that was the end of the connection."""
+        """Write a chunk; return False if that was the end of the connection."""
         assert self.target is not None
         if self.target.is_closing():
             return False
         if data is None:
             return self._forward_end(self.target)
-        if data == _RESET_MARK:
+        if data == _RESET_MARKER:
             reset_connection(self.target)
             return False
         for limit, end in (
@@ -98,9 +98,9 @@
         return True
 
     def _forward_end(self, target: asyncio.Transport) -> bool:
-        """End the stream, and with it the connection where the other direction has ended."""
+        """End the stream, and the connection if the other direction has ended, too."""
         self.has_ended = True
-        if self.partner is None or not self.partner.has_ended:
+        if self.reverse_pipe is None or not self.reverse_pipe.has_ended:
             target.write_eof()
             return True
         target.close()
@@ -116,7 +116,7 @@
                 self.source.resume_reading()
 
     def close(self) -> None:
-        """Drop what is queued: the connection is over."""
+        """Discard the queue: the connection has ended."""
         self._direction.listeners.discard(self)
         if self._timer is not None:
             self._timer.cancel()
@@ -132,7 +132,7 @@
         self._on_closed = on_closed
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the transport to both pipes."""
+        """Attach the transport to both pipes."""
         stream = cast(asyncio.Transport, transport)
         sock = stream.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -159,14 +159,14 @@
         self._outgoing.flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Queue a reset where the connection did not end in order: a cut keeps it from the other end, too."""
+        """Queue a reset unless the connection ended in order; a cut holds it back, too."""
         if exc is not None or not self._incoming.has_ended:
             self._incoming.feed_reset()
         self._on_closed()
 
 
 def _close(transport: asyncio.Transport) -> None:
-    """End a connection in order, once all that was written is sent."""
+    """Close a connection gracefully, once all that was written is sent."""
     transport.close()
 
 
--- a/loadbalancer/drill/links/tcp.py
+++ b/loadbalancer/drill/links/tcp.py
@@ -6,10 +6,10 @@
     link.clear("slow")
 
 A link leads from one process to another; `there` is the direction of its requests, `back` that of its
-answers, and each has faults of its own. What a fault means to TCP is what its peers would see: bytes stay in
-order and none goes missing; what is lost comes 200 ms later, as after a retransmission, and a silent cut
-holds bytes back until it is cleared. While a link is cut no new connection comes up, for its listener stops
-accepting: no packet filter and no right of root is used.
+responses, and each has its own faults. Faults act as TCP peers would see them: bytes stay in order and none
+is missing; lost ones arrive 200 ms later, as after a retransmission, and a silent cut holds bytes back until
+it is cleared. While a link is cut, no new connection is established, because its listener stops accepting:
+this takes neither a packet filter nor root privileges.
 """
 
 from __future__ import annotations
@@ -39,15 +39,15 @@
         """Prepare a link; `start` makes it listen.
 
         `source` is the address that the target sees; `on_unexpected_call` gets the link's name for each
-        connection that comes while the target is withdrawn.
+        connection made while the target is withdrawn.
         """
         self.name = name
         self._source = source
         self.target = target
         self._on_unexpected_call = on_unexpected_call
         self.directions = {"there": LinkDirection(rng), "back": LinkDirection(rng)}
-        self.is_up = True  # whether there is a process at the other end
-        self.is_withdrawn = False  # whether nobody may call there any more
+        self.is_up = True  # whether the target process is running
+        self.is_withdrawn = False  # whether the target was removed and may not be called
         self._listener = FaultyListener(listen, self._on_accepted)
         self._transports: set[asyncio.Transport] = set()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -58,7 +58,7 @@
         return self._listener.address
 
     def start(self) -> None:
-        """Listen; OSError if the address can't be had."""
+        """Listen; OSError if the address is not available."""
         self._listener.accept_connections()
 
     def set(self, name: str, fault: LinkFault, direction: str = "both") -> None:
@@ -76,14 +76,14 @@
     def update_target(
         self, *, is_up: bool | None = None, is_withdrawn: bool | None = None, target: Address | None = None
     ) -> None:
-        """Follow what became of the process at the other end; None leaves a value as it is."""
+        """Update the state of the target process; None leaves a value unchanged."""
         self.is_up = self.is_up if is_up is None else is_up
         self.is_withdrawn = self.is_withdrawn if is_withdrawn is None else is_withdrawn
         self.target = target or self.target
         self._apply_faults()
 
     def _apply_faults(self) -> None:
-        """Refuse, ignore or accept connections, as things stand."""
+        """Refuse, ignore or accept connections, by the faults and the target's state."""
         directions = self.directions.values()
         if any(d.is_refusing for d in directions) or (not self.is_up and not self.is_withdrawn):
             self._listener.refuse_connections()
@@ -104,12 +104,12 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _relay(self, sock: socket.socket) -> None:
-        """Connect an accepted socket on to the target."""
+        """Relay an accepted socket to the target."""
         loop = asyncio.get_running_loop()
         there = RelayPipe(self.directions["there"])
         back = RelayPipe(self.directions["back"])
-        there.partner = back
-        back.partner = there
+        there.reverse_pipe = back
+        back.reverse_pipe = there
         ends: list[asyncio.Transport] = []
 
         def _on_closed() -> None:
@@ -140,7 +140,7 @@
             reset_connection(transport)
 
     def close(self) -> None:
-        """Stop, with all connections."""
+        """Stop listening, and reset all connections."""
         self._listener.refuse_connections()
         for task in self._tasks:
             task.cancel()
--- a/loadbalancer/drill/links/udp.py
+++ b/loadbalancer/drill/links/udp.py
@@ -1,4 +1,4 @@
-"""A relay for datagrams between two processes, with faults: one direction, the other is a link of its own."""
+"""A relay for datagrams from one process to another, with faults; the other direction is a separate link."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         return str(host), int(port)
 
     async def start(self, listen: str) -> None:
-        """Listen on a port of the system's choice; OSError if the address can't be had."""
+        """Listen on a port that the system chooses; OSError if the address is not available."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(listen, 0))
 
@@ -40,7 +40,7 @@
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Forward a datagram as the faults have it."""
+        """Forward a datagram according to the faults."""
         delays_s = self.direction.delivery_delays_s()
         self.lost_count += not delays_s
         for delay_s in delays_s:
@@ -53,7 +53,7 @@
             transport.sendto(data, self._target)
 
     def set(self, name: str, fault: LinkFault, direction: str = "both") -> None:
-        """Set a fault; `direction` is that of a TCP link, and this one has a single one."""
+        """Set a fault; `direction` matches `TcpLink.set` and is ignored, as there is only one."""
         self.direction.set(name, fault)
 
     def clear(self, name: str) -> None:
--- a/tests/test_drill_links.py
+++ b/tests/test_drill_links.py
@@ -1,4 +1,4 @@
-"""Relays between processes: what is forwarded, and what each fault does to connections and datagrams."""
+"""Relays between processes: forwarding, and the effect of each fault on connections and datagrams."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 @asynccontextmanager
-async def linked() -> AsyncIterator[TcpLink]:
+async def link_to_echo_server() -> AsyncIterator[TcpLink]:
     server = await asyncio.start_server(echo, HOST, 0)
     link = TcpLink("a>b", HOST, HOST, server.sockets[0].getsockname()[:2], random.Random(1))
     link.start()
@@ -36,8 +36,8 @@
         server.close()
 
 
-async def echoed(link: TcpLink, data: bytes) -> bytes:
-    """Return what comes back for some bytes on a new connection."""
+async def echo_over(link: TcpLink, data: bytes) -> bytes:
+    """Send bytes on a new connection, and return what is echoed."""
     reader, writer = await asyncio.open_connection(*link.address)
     try:
         writer.write(data)
@@ -46,9 +46,9 @@
         writer.close()
 
 
-def test_bytes_and_ends_are_forwarded_in_both_directions() -> None:
+def test_bytes_and_end_of_stream_are_forwarded_in_both_directions() -> None:
     async def scenario() -> None:
-        async with linked() as link:
+        async with link_to_echo_server() as link:
             reader, writer = await asyncio.open_connection(*link.address)
             data = bytes(range(256)) * 8_000
             writer.write(data)
@@ -61,16 +61,16 @@
 
 def test_delayed_bytes_stay_in_order_until_the_fault_is_cleared() -> None:
     async def scenario() -> None:
-        async with linked() as link:
+        async with link_to_echo_server() as link:
             link.set("slow", LinkFault(delay_ms=40, jitter_ms=40), "back")
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
             reader, writer = await asyncio.open_connection(*link.address)
             for number in range(10):
                 writer.write(b"%d" % number)
                 await asyncio.sleep(0)
             assert await reader.readexactly(10) == b"0123456789"
-            assert loop.time() - began >= 0.04
+            assert loop.time() - started_at >= 0.04
             link.clear("slow")
             assert not list(link.directions["back"].faults)
             writer.close()
@@ -78,9 +78,9 @@
     run_scenario(scenario())
 
 
-def test_cut_link_is_silent_for_open_and_new_connections_and_heals() -> None:
+def test_cut_link_is_silent_for_open_and_new_connections_until_cleared() -> None:
     async def scenario() -> None:
-        async with linked() as link:
+        async with link_to_echo_server() as link:
             reader, writer = await asyncio.open_connection(*link.address)
             writer.write(b"a")
             assert await reader.readexactly(1) == b"a"
@@ -92,15 +92,15 @@
                 await asyncio.wait_for(asyncio.open_connection(*link.address), 0.2)
             link.clear("cut")
             assert await reader.readexactly(1) == b"b"
-            assert await echoed(link, b"again") == b"again"
+            assert await echo_over(link, b"again") == b"again"
             writer.close()
 
     run_scenario(scenario())
 
 
-def test_caller_sees_a_refusal_a_reset_and_an_early_end_as_such() -> None:
+def test_client_sees_a_refused_a_reset_and_a_truncated_connection_as_such() -> None:
     async def scenario() -> None:
-        async with linked() as link:
+        async with link_to_echo_server() as link:
             link.set("no", LinkFault(refuse=True))
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*link.address)
@@ -110,7 +110,7 @@
                 reader, writer = await asyncio.open_connection(*link.address)
                 writer.write(b"abcdef")
                 await reader.read(-1)
-                raise AssertionError("an end in place of a reset")
+                raise AssertionError("the connection was closed, not reset")
             link.clear("reset")
             link.set("short", LinkFault(short_after=3), "back")
             reader, writer = await asyncio.open_connection(*link.address)
@@ -123,7 +123,7 @@
 
 def test_connection_to_a_stopped_process_is_refused_and_to_a_removed_one_is_reported() -> None:
     async def scenario() -> None:
-        async with linked() as link:
+        async with link_to_echo_server() as link:
             calls: list[str] = []
             link._on_unexpected_call = calls.append
             link.update_target(is_up=False)
@@ -136,14 +136,14 @@
                 await reader.read(-1)
             assert calls == ["a>b"]
             link.update_target(is_up=True, is_withdrawn=False)
-            assert await echoed(link, b"back") == b"back"
+            assert await echo_over(link, b"back") == b"back"
 
     run_scenario(scenario())
 
 
-def test_reset_reaches_the_other_end_but_not_through_a_cut() -> None:
+def test_reset_reaches_the_other_end_only_after_a_cut_is_cleared() -> None:
     async def scenario() -> None:
-        async with linked() as link:
+        async with link_to_echo_server() as link:
             reader, _ = await asyncio.open_connection(*link.address)
             while not link._transports or len(link._transports) < 2:
                 await asyncio.sleep(0.001)
@@ -160,7 +160,7 @@
     run_scenario(scenario())
 
 
-def test_datagrams_are_lost_doubled_and_disordered_by_faults() -> None:
+def test_faults_drop_duplicate_and_reorder_datagrams() -> None:
     async def scenario() -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind((HOST, 0))
@@ -172,22 +172,22 @@
 
         async def exchange(fault: LinkFault, count: int) -> list[int]:
             link.direction.set("f", fault)
-            passed, lost = link.forwarded_count, link.lost_count
+            forwarded, lost = link.forwarded_count, link.lost_count
             for number in range(count):
                 sender.sendto(b"%d" % number, link.address)
-                while link.forwarded_count + link.lost_count == passed + lost and fault == LinkFault():
+                while link.forwarded_count + link.lost_count == forwarded + lost and fault == LinkFault():
                     await asyncio.sleep(0)
-            while link.forwarded_count - passed < (count - (link.lost_count - lost)) * (
+            while link.forwarded_count - forwarded < (count - (link.lost_count - lost)) * (
                 2 if fault.doubled else 1
             ):
                 await asyncio.sleep(0.001)
-            got = link.forwarded_count - passed
-            return [int(await loop.sock_recv(sock, 256)) for _ in range(got)]
+            received_count = link.forwarded_count - forwarded
+            return [int(await loop.sock_recv(sock, 256)) for _ in range(received_count)]
 
         assert await exchange(LinkFault(), 3) == [0, 1, 2]
         assert sorted(await exchange(LinkFault(doubled=1.0), 2)) == [0, 0, 1, 1]
-        mixed = await exchange(LinkFault(disorder=1.0), 20)
-        assert sorted(mixed) == list(range(20)) and mixed != sorted(mixed)
+        reordered = await exchange(LinkFault(disorder=1.0), 20)
+        assert sorted(reordered) == list(range(20)) and reordered != sorted(reordered)
         link.direction.set("f", LinkFault(loss=1.0))
         before = link.lost_count
         sender.sendto(b"x", link.address)
