--- a/loadbalancer/drill/defects/endpoint_list.py
+++ b/loadbalancer/drill/defects/endpoint_list.py
@@ -19,9 +19,9 @@
     """Apply a list that is older than the current one."""
     newest = 0
 
-    def _decode_endpoint_list(answer: Any) -> EndpointList:
+    def _decode_endpoint_list(response: Any) -> EndpointList:
         nonlocal newest
-        update: EndpointList = real(answer)
+        update: EndpointList = real(response)
         newest = max(newest, update.index)
         return replace(update, index=newest)
 
--- a/loadbalancer/drill/processes/topology.py
+++ b/loadbalancer/drill/processes/topology.py
@@ -103,7 +103,7 @@
         return self._addresses.reserve_port(host)
 
     def _call_paths(self) -> Iterator[tuple[str, str]]:
-        """Yield the names of each caller and of whom it calls."""
+        """Yield the names of each caller and of each process that it calls."""
         for balancer in self.balancers():
             yield from ((balancer.name, each.name) for each in self.endpoint_lists())
             yield from ((balancer.name, server.name) for server in self.servers(balancer.tier))
