--- a/loadbalancer/drill/errors.py
+++ b/loadbalancer/drill/errors.py
@@ -1,7 +1,7 @@
-"""The errors of drills and scale runs that a caller may catch."""
+"""Errors of drills and scale runs that callers may catch."""
 
 from __future__ import annotations
 
 
 class DrillError(RuntimeError):
-    """A drill or scale run that could not be played to its end: one line."""
+    """A drill or scale run could not be completed; the message is one line."""
--- a/loadbalancer/drill/execution/__init__.py
+++ b/loadbalancer/drill/execution/__init__.py
@@ -1,1 +1,1 @@
-"""Plays a scenario: the timeline of its steps, and what each step does to the processes and links."""
+"""Execution of scenarios: the player that follows the timeline, and the actions of each step."""
--- a/loadbalancer/drill/execution/link_faults.py
+++ b/loadbalancer/drill/execution/link_faults.py
@@ -1,4 +1,4 @@
-"""The link faults that a drill has set, by name, so that each is cleared where it was set."""
+"""The active link faults of a drill by name, so that each is cleared on the links where it was set."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LinkFaults:
-    """Sets faults on the links of a pattern, and records them."""
+    """Sets and clears faults on the links that match a pattern, and records them in the history."""
 
     def __init__(self, topology: Topology, history: HistoryWriter) -> None:
         self._topology = topology
@@ -19,10 +19,10 @@
         self._faulty_links: dict[str, list[TcpLink | DatagramLink]] = {}
 
     def set(self, name: str, pattern: str, fault: LinkFault, direction: str = "both") -> None:
-        """Set a fault; DrillError if no link is of the pattern."""
+        """Set a fault; DrillError if no link matches the pattern."""
         links = self._topology.matching(pattern)
         if not links:
-            raise DrillError(f"no link is called {pattern!r}; there are {', '.join(self._topology.links)}")
+            raise DrillError(f"no link matches {pattern!r}; the links are {', '.join(self._topology.links)}")
         self._record(name, links, on=True)
         self._faulty_links.setdefault(name, []).extend(links)
         for link in links:
--- a/loadbalancer/drill/execution/membership_steps.py
+++ b/loadbalancer/drill/execution/membership_steps.py
@@ -1,4 +1,4 @@
-"""The steps that concern the membership of balancers: waiting for their views, and datagrams from outside."""
+"""Steps on the balancers' membership: waiting for their views to agree, and sending foreign datagrams."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from loadbalancer.drill.scenario import steps
 
 VIEW_POLL_INTERVAL_S = 0.02
-MAX_DATAGRAM_BYTES = 300  # of random bytes: about what a gossip message has
-FORGED_FRACTION = 10  # of the foreign datagrams, one in so many comes by way of each link
+MAX_DATAGRAM_BYTES = 300  # of random bytes: about the size of a gossip message
+FORGED_RATIO = 10  # for this many foreign datagrams to each balancer, one forged through each link
 
 
 class MembershipSteps:
-    """Polls what balancers hold one another for, and sends them what no balancer has sent."""
+    """Polls the balancers' views of each other, and sends them datagrams that no balancer sent."""
 
     def __init__(
         self, topology: Topology, supervisor: ProcessSupervisor, history: HistoryWriter, clock: RealClock,
@@ -34,7 +34,7 @@
         self._seed = seed
 
     async def expect(self, step: steps.ExpectMemberState) -> None:
-        """Poll all consoles until they agree on a balancer; the check `views` judges how long that took."""
+        """Poll the consoles until they agree on a balancer's state; the check `views` judges the outcome."""
         number = [b.name for b in self._topology.balancers(FIRST_TIER)].index(step.target)
         began_ms = self._clock.now
         states: dict[str, str] = {}
@@ -50,14 +50,14 @@
         )  # fmt: skip
 
     def _observers(self, step: steps.ExpectMemberState) -> Iterator[Placement]:
-        """Yield the balancers that run and are to agree."""
+        """Yield the running balancers that must agree."""
         for balancer in self._topology.balancers(FIRST_TIER):
             is_observer = balancer.name != step.target and fnmatchcase(balancer.name, step.observers)
             if is_observer and self._supervisor[balancer.name].exit_status is None:
                 yield balancer
 
     def send_foreign_datagrams(self, count: int) -> None:
-        """Send random bytes, from an address of no balancer and, by way of the links, from balancers'."""
+        """Send random datagrams from a foreign address and, through the links, from balancers' addresses."""
         balancers = self._topology.balancers(FIRST_TIER)
         self._history.write("fault", kind="stranger", on=True, targets=[b.name for b in balancers])
         rng = random.Random(f"{self._seed}/stranger")
@@ -67,5 +67,5 @@
                     sock.sendto(rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES)), balancer.gossip_address)
         for link in self._topology.datagram_links.values():
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-                for _ in range(count // FORGED_FRACTION):
+                for _ in range(count // FORGED_RATIO):
                     sock.sendto(rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES)), link.address)
--- a/loadbalancer/drill/execution/player.py
+++ b/loadbalancer/drill/execution/player.py
@@ -1,4 +1,4 @@
-"""Plays a drill: has all processes started, follows the timeline, and leaves nothing behind."""
+"""The player of a drill: starts all processes, follows the timeline, and ends every process."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from loadbalancer.drill.scenario.tables import DrillScenario
 from loadbalancer.registry.client import RegistryCallError
 
-MAX_OVERRUN_S = 120.0  # past twice the load's own length, after which a drill is given up
+MAX_OVERRUN_S = 120.0  # past twice the load's own duration, after which a drill is aborted
 
 
 class DrillPlayer:
@@ -33,9 +33,9 @@
         on_progress: Callable[[Message], None] = lambda message: None,
         on_load_completed: Callable[[Topology], Awaitable[None]] | None = None,
     ) -> None:  # fmt: skip
-        """Prepare a play into `out`, an empty folder; `defect` starts balancers or the registry with it.
+        """Create a play into `out`, an empty folder; `defect` is seeded in balancers or the registry.
 
-        `on_load_completed` is awaited when all requests are answered and all processes still run.
+        `on_load_completed` is awaited when all requests are answered, before any process is ended.
         """
         self._scenario = scenario
         self._seed = seed
@@ -50,7 +50,7 @@
         self._background_tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Play it; DrillError says why it could not be."""
+        """Play the drill; DrillError if it could not be completed."""
         self.out.mkdir(parents=True, exist_ok=True)
         if any(self.out.iterdir()):
             raise DrillError(f"{self.out} is not empty")
@@ -66,7 +66,7 @@
                     self._on_clients_exit,
                 )  # fmt: skip
                 try:
-                    await self._play_in_time()
+                    await self._play_with_timeout()
                 finally:
                     for task in self._background_tasks:
                         task.cancel()
@@ -75,13 +75,13 @@
             self.topology.close()
             self._history.close()
 
-    async def _play_in_time(self) -> None:
+    async def _play_with_timeout(self) -> None:
         load = self._scenario.load
         try:
             async with asyncio.timeout(MAX_OVERRUN_S + 2 * load.requests / load.rate):
                 await self._play()
         except TimeoutError as error:
-            raise DrillError("the drill did not come to its end in time") from error
+            raise DrillError("the drill timed out") from error
         except RegistryCallError as error:
             raise DrillError(f"the registry: {error}") from error
         if self._on_load_completed is not None:
@@ -107,7 +107,7 @@
         self._history.write("over")
 
     async def _start_processes(self) -> None:
-        """Start all, those that are called before those that call them."""
+        """Start all processes, each after those that it calls."""
         topology, supervisor = self.topology, self._supervisor
         for place in topology.placements.values():
             self._history.write("place", name=place.name, host=place.host, zone=place.zone, tier=place.tier)
@@ -124,13 +124,13 @@
             await self._progress.wait_for(lambda: set(self._healthy_balancers) >= names)
 
     async def _wait_for_requests(self, count: int) -> None:
-        """Wait until so many first attempts were made; DrillError if the clients end before that."""
+        """Wait until `count` first attempts were made; DrillError if the clients exit before that."""
         clients = self._supervisor["clients"]
         async with self._progress:
             await self._progress.wait_for(lambda: self._request_count >= count or clients.exited.is_set())
         if self._request_count < count:
             log = f"{self.out}/clients.log"
-            raise DrillError(f"the clients ended with status {clients.exit_status}; see {log}")
+            raise DrillError(f"the clients exited with status {clients.exit_status}; see {log}")
 
     def _on_progress_line(self, message: Message) -> None:
         self._track(asyncio.get_running_loop().create_task(self._handle_progress(message)))
@@ -150,7 +150,7 @@
             self._progress.notify_all()
 
     def _track(self, task: asyncio.Task[None]) -> None:
-        """Keep a task that runs beside the timeline; one that fails, fails the play at its end."""
+        """Keep a background task; if it fails, the play fails at its end."""
         self._background_tasks.add(task)
         task.add_done_callback(self._on_task_done)
 
--- a/loadbalancer/drill/execution/step_execution.py
+++ b/loadbalancer/drill/execution/step_execution.py
@@ -1,4 +1,4 @@
-"""Carries out a drill's steps on its processes and links, and records each in the history as it happens."""
+"""Execution of a drill's steps on its processes and links; each is recorded in the history."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 class StepExecutor:
-    """Carries steps out on a drill that runs."""
+    """Executes steps on a running drill."""
 
     def __init__(
         self, topology: Topology, files: ProcessFiles, supervisor: ProcessSupervisor, history: HistoryWriter,
         clock: RealClock, seed: int, *, track: Callable[[asyncio.Task[None]], None],
     ) -> None:  # fmt: skip
-        """Prepare an executor; `track` gets the tasks that run beside the timeline."""
+        """Create an executor; `track` receives the tasks that run in the background of the timeline."""
         self._topology = topology
         self._files = files
         self._supervisor = supervisor
@@ -41,11 +41,11 @@
         self._link_faults = LinkFaults(topology, history)
         self._membership = MembershipSteps(topology, supervisor, history, clock, seed)
 
-    def _record_fault(self, kind: str, targets: list[str], *, on: bool, **more: Any) -> None:
-        self._history.write("fault", kind=kind, on=on, targets=targets, **more)
+    def _record_fault(self, kind: str, targets: list[str], *, on: bool, **details: Any) -> None:
+        self._history.write("fault", kind=kind, on=on, targets=targets, **details)
 
     async def execute(self, step: steps.AnyStep) -> None:
-        """Carry a step out."""
+        """Execute a step."""
         match step:
             case steps.SetLinkFault():
                 self._link_faults.set(step.name, step.link, step.fault, step.direction)
@@ -105,18 +105,18 @@
     def _signal(self, kind: str, name: str, number: int) -> None:
         names = self._topology.with_companion(name)
         self._record_fault(kind, names, on=True)
-        for each in names:
-            self._supervisor[each].signal(number)
+        for process_name in names:
+            self._supervisor[process_name].signal(number)
 
     async def _kill_later(self, name: str, delay_s: float) -> None:
-        """Kill what SIGTERM has not ended in time; that excuses nothing, so it is not recorded as a fault."""
-        processes = [self._supervisor[each] for each in self._topology.with_companion(name)]
+        """Kill what SIGTERM has not ended in time; not recorded as a fault, as checks must not excuse it."""
+        processes = [self._supervisor[process_name] for process_name in self._topology.with_companion(name)]
         await asyncio.sleep(delay_s)
         for process in processes:
             process.signal(signal.SIGKILL)
 
     def _reload(self, step: steps.ReloadConfiguration) -> None:
-        """Move the endpoint list's address in the file, and have the balancer read it."""
+        """Change the endpoint list's address in the configuration file, and have the balancer reload it."""
         balancer = self._topology.placements[step.target]
         balancer.is_list_moved = not balancer.is_list_moved
         self._files.write_balancer_config(balancer, balancer.console)
@@ -131,33 +131,33 @@
     async def _resume(self, name: str, duration_s: float) -> None:
         await asyncio.sleep(duration_s)
         names = self._topology.with_companion(name)
-        for each in names:
-            self._supervisor[each].signal(signal.SIGCONT)
+        for process_name in names:
+            self._supervisor[process_name].signal(signal.SIGCONT)
         self._record_fault("stop", names, on=False)
 
     async def _restart(self, step: steps.StartProcess) -> None:
         placement = self._topology.placements[step.target]
         names = self._topology.with_companion(step.target)
         await self._supervisor.wait_for_exit(names)
-        folder = _folder(step.folder)
+        folder = _program_folder(step.folder)
         if placement.kind is ProcessKind.REGISTRY:
             self._supervisor.registry.restore_database(placement, step.memory)
         if placement.kind is ProcessKind.SERVER:
             placement.started_at_ms = self._clock.now
             placement.version = step.version
-        for each in names:
-            await self._supervisor.start(self._topology.placements[each], folder)
+        for process_name in names:
+            await self._supervisor.start(self._topology.placements[process_name], folder)
         if placement.kind is ProcessKind.SERVER and not self._supervisor.registry.is_used:
             self._set_list_status(step.target, "in_service")
         self._record_fault("kill", names, on=False, memory=step.memory)
 
     def _remove(self, name: str) -> None:
-        """Take a server off the list, and record each call to it from now on."""
+        """Remove a server from the list, and record each new connection to it from now on."""
         self._set_list_status(name, "terminated")
         for link in self._topology.links_to(name):
             link.update_target(is_withdrawn=True)
-        for each in self._topology.with_companion(name):
-            self._supervisor[each].signal(signal.SIGTERM)
+        for process_name in self._topology.with_companion(name):
+            self._supervisor[process_name].signal(signal.SIGTERM)
 
     def _change_behavior(self, step: steps.ChangeServerBehavior) -> None:
         behavior = {"slower": step.slowdown, "fails": step.failure_rate, "paused": step.is_paused}
@@ -166,7 +166,7 @@
         self._supervisor[step.target].send_command(behavior)
 
     def _set_list_status(self, name: str, status: str) -> None:
-        """Have the endpoint list show a server otherwise."""
+        """Change the status of a server in the endpoint list."""
         server = self._topology.placements[name]
         server.status = status
         self._record_fault("list", [name], on=status != "in_service", status=status)
@@ -217,12 +217,12 @@
             await self._supervisor.call_console(balancer.console, call, body)
 
     async def _replace(self, step: steps.ReplaceBalancer) -> None:
-        """Start the new process beside the old one, see it healthy, end the old one: a hot restart."""
+        """Hot restart: start the new process beside the old one, wait until it is healthy, end the old."""
         balancer = self._topology.placements[step.target]
         processes, old = self._supervisor.processes, self._supervisor[step.target]
         self._record_fault("replace", [step.target], on=True)
         console = format_address((balancer.host, self._topology.reserve_port(balancer.host)))
-        new = self._supervisor.launch_balancer(balancer, console, _folder(step.folder))
+        new = self._supervisor.launch_balancer(balancer, console, _program_folder(step.folder))
         processes[step.target + REPLACEMENT_SUFFIX] = new
         await self._supervisor.wait_healthy(new, console)
         processes[step.target] = processes.pop(step.target + REPLACEMENT_SUFFIX)
@@ -233,6 +233,6 @@
             self._record_fault("replace", [step.target], on=False)
 
 
-def _folder(name: str) -> Path | None:
-    """Return a folder that a step names; None for this checkout."""
+def _program_folder(name: str) -> Path | None:
+    """Return the program folder that a step names; None for this checkout."""
     return Path(name).resolve() if name else None
--- a/loadbalancer/drill/open_load.py
+++ b/loadbalancer/drill/open_load.py
@@ -1,7 +1,7 @@
-"""An open load on one address: requests at a rate, whether or not earlier ones are answered.
+"""Open load on one address: requests arrive at a rate, whether or not earlier ones are answered.
 
-Times count from when a request was due, not from when it could be sent, so that a server that stalls is seen
-as slow by all that came meanwhile (no coordinated omission).
+Latency is measured from when a request was due, not from when it could be sent, so that a stall of the server
+counts for every request due meanwhile (no coordinated omission).
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from loadbalancer.drill.servers.specification import request_arguments
 from loadbalancer.net.request_counters import REJECTION_STATUSES
 
-MAX_RATE_PER_S = 5_000.0  # more than one client process can send
+MAX_RATE_PER_S = 5_000.0  # above what one client process can send
 MAX_DURATION_S = 600.0
-MAX_RECORDED_MS = 600_000  # of a request, which has a deadline
+MAX_RECORDED_MS = 600_000  # request latency, which the deadline bounds
 
 
 class LoadError(ValueError):
-    """A load that can't be made: one line."""
+    """Invalid load parameters; the message is one line."""
 
 
 @dataclass(frozen=True)
 class RequestKind:
-    """A class of requests; `weight` is its share among all classes."""
+    """A class of requests; `weight` is its relative share among all classes."""
 
     name: str
     weight: float = 1.0
@@ -40,23 +40,23 @@
 
 @dataclass
 class KindResults:
-    """How a class's requests ended; times in ms."""
+    """Counts of outcomes and a latency histogram (in µs) of a class's requests."""
 
     endings: Counter[str] = field(default_factory=Counter)
     times: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_RECORDED_MS * 1_000, 3))
 
     def record(self, ending: str, took_ms: float) -> None:
-        """Count one request."""
+        """Record the outcome and latency of one request."""
         self.endings[ending] += 1
         self.times.record_value(max(int(took_ms * 1_000), 1))
 
     def percentile_ms(self, percentile: float) -> float:
-        """Return the time within which so many in a hundred ended."""
+        """Return a percentile of the latency, in ms."""
         return float(self.times.get_value_at_percentile(percentile)) / 1_000
 
 
 def parse_request_kind(text: str) -> RequestKind:
-    """Read a class from `NAME[:SHARE[:DEADLINE_MS[:unsafe]]]`; LoadError if it is none."""
+    """Parse a class from `NAME[:SHARE[:DEADLINE_MS[:unsafe]]]`; LoadError if it is malformed."""
     name, *rest = text.split(":")
     try:
         weight, deadline_ms = [*map(float, rest[:2]), *(1.0, 2_000.0)[len(rest[:2]) :]]
@@ -71,12 +71,12 @@
 
 
 def check_load(url: str, rate: float, seconds: float, *, anywhere: bool) -> None:
-    """Raise LoadError if a load may not, or can't, be made; `anywhere` allows other machines."""
+    """Raise LoadError for a load that is not allowed or not possible; `anywhere` allows other machines."""
     parts = urlsplit(url)
     if parts.scheme != "http" or not parts.hostname:
         raise LoadError(f"{url!r}: give an address such as http://127.0.0.1:8080")
     if not anywhere and not _is_loopback(parts.hostname):
-        raise LoadError(f"{parts.hostname} is not this machine: only loopback is loaded, unless --anywhere")
+        raise LoadError(f"{parts.hostname} is not a loopback address; use --anywhere to load other machines")
     if not 0 < rate <= MAX_RATE_PER_S:
         raise LoadError(f"--rate {rate:g}: allowed: above 0, at most {MAX_RATE_PER_S:g} a second")
     if not 0 < seconds <= MAX_DURATION_S:
@@ -93,7 +93,7 @@
 async def run_load(
     url: str, kinds: list[RequestKind], rate: float, seconds: float, seed: int
 ) -> dict[str, KindResults]:
-    """Make the load, and return how each class's requests ended."""
+    """Generate the load, and return the results of each class."""
     rng, loop = random.Random(seed), asyncio.get_running_loop()
     results = {kind.name: KindResults() for kind in kinds}
     weights = [kind.weight for kind in kinds]
@@ -115,7 +115,7 @@
     session: aiohttp.ClientSession, url: str, kind: RequestKind, request_id: str, due_s: float,
     results: KindResults,
 ) -> None:  # fmt: skip
-    """Send a request and record how it ended."""
+    """Send a request and record its outcome."""
     loop = asyncio.get_running_loop()
     arguments = request_arguments(request_id, kind.name, kind.deadline_ms, is_unsafe=kind.is_unsafe)
     timeout = aiohttp.ClientTimeout(total=kind.deadline_ms / 1_000)
--- a/loadbalancer/drill/patching.py
+++ b/loadbalancer/drill/patching.py
@@ -1,4 +1,4 @@
-"""Replaces a module's global, and fails where there is nothing to replace."""
+"""Replacement of module globals that fails if the global does not exist."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 def replace_global(module: ModuleType, name: str, replacement: Any) -> Any:
-    """Replace a module's global and return the real one; AttributeError if the module has none such.
+    """Replace a module's global and return the original; AttributeError if the module has no such global.
 
-    Without that a seeded defect would not bite, unseen, once the module has another name for what it patches.
+    Without the error, a seeded defect would silently have no effect once the patched name is renamed.
     """
     real = getattr(module, name)
     setattr(module, name, replacement)
--- a/loadbalancer/drill/report.py
+++ b/loadbalancer/drill/report.py
@@ -1,4 +1,4 @@
-"""One HTML page on the drills of a folder: verdicts, and each second's requests, with the faults marked."""
+"""An HTML report on the drills in a folder: verdicts, and plots of requests per second with the faults."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 
 
 class ReportError(ValueError):
-    """A folder that holds no drill: one line."""
+    """A folder without a completed drill; the message is one line."""
 
 
 def draw_timeline(timeline: Timeline) -> Figure:
-    """Draw what each second was like: endings, attempts by server and by zone, and the faults."""
+    """Plot, second by second, request outcomes, calls by server and by zone, and the faults."""
     figure = Figure(figsize=(WIDTH, HEIGHT), layout="constrained")
     endings, servers, zones = figure.subplots(3, 1, sharex=True)
     _draw_endings(endings, timeline)
@@ -89,31 +89,31 @@
 def _mark_faults(axes: Axes, timeline: Timeline, *, with_names: bool) -> None:
     marks: dict[tuple[float, str, bool], list[str]] = defaultdict(list)
     for event in timeline.events_by_kind["fault"]:
-        at_s = round(timeline.seconds(event["t"]), 1)  # what is done at once is one mark
+        at_s = round(timeline.seconds(event["t"]), 1)  # simultaneous faults share one mark
         marks[at_s, event["kind"], event["on"]] += event["targets"]
     for (at_s, kind, on), targets in marks.items():
         axes.axvline(at_s, color="#444444", linewidth=0.8, linestyle="-" if on else ":")
         if with_names:
-            named = ", ".join(targets[:2]) + (" ..." if len(targets) > 2 else "")
-            text = f"{kind} {named}".strip() if on else f"{kind} over"
+            target_names = ", ".join(targets[:2]) + (" ..." if len(targets) > 2 else "")
+            text = f"{kind} {target_names}".strip() if on else f"{kind} over"
             axes.annotate(
                 text, (at_s, 1.0), xycoords=("data", "axes fraction"), rotation=35, fontsize=7, va="bottom"
             )
 
 
 def write_report(folder: Path) -> Path:
-    """Write `report.html` on the drills in a folder; ReportError if it holds none."""
+    """Write `report.html` on the drills in a folder; ReportError if it contains no completed drill."""
     drills = sorted(path.parent for path in folder.glob("**/verdict.json"))
     if not drills:
-        raise ReportError(f"{folder} holds no drill that was played to its end")
+        raise ReportError(f"{folder} contains no completed drill")
     verdicts = [json.loads((drill / "verdict.json").read_text(encoding="utf-8")) for drill in drills]
-    parts = [_overview(verdicts)]
+    sections = [_overview(verdicts)]
     for drill, verdict in zip(drills, verdicts, strict=True):
-        parts.append(_section(verdict, Timeline(read_history(drill))))
+        sections.append(_section(verdict, Timeline(read_history(drill))))
     page = folder / "report.html"
     page.write_text(
         "<!doctype html><html lang=en><meta charset=utf-8><title>Drills</title>"
-        f"<style>{STYLE}</style><h1>Drills</h1>{''.join(parts)}</html>\n",
+        f"<style>{STYLE}</style><h1>Drills</h1>{''.join(sections)}</html>\n",
         encoding="utf-8",
     )
     return page
@@ -149,5 +149,5 @@
     return (
         f"<h2 id='{_anchor(verdict)}'>{html.escape(verdict['drill'])}, seed {verdict['seed']}</h2>"
         f"{svg[svg.index('<svg') :]}"
-        f"<table><tr><th>check<th>verdict<th>measured<th>bound<th>first that broke it{rows}</table>"
+        f"<table><tr><th>check<th>verdict<th>measured<th>bound<th>first violation{rows}</table>"
     )
--- a/loadbalancer/drill/scenario/steps.py
+++ b/loadbalancer/drill/scenario/steps.py
@@ -1,7 +1,7 @@
-"""The steps of a scenario's timeline: what is done to processes, links, the endpoint list and the load.
+"""The steps of a scenario's timeline: actions on processes, links, the endpoint list and the load.
 
-The value of `do` is the tag of a type here; its other keys are the type's fields, under the names that
-`rename` gives them in the file.
+The value of `do` is the tag of a type here; the other keys are the type's fields, renamed in the file as
+`rename` says.
 """
 
 from __future__ import annotations
@@ -12,31 +12,31 @@
 
 ENDPOINT_LIST_STATES = {
     "down": "every call is refused",
-    "up": "no longer down",
-    "stale": "it answers with the list as it was at the start, at version 1",
-    "empty": "full snapshots list nobody",
+    "up": "calls are accepted again after `down`",
+    "stale": "answers have the list as it was at the start, at version 1",
+    "empty": "full snapshots list no servers",
     "halved": "full snapshots leave out every other server",
     "failing": "every call gets 503",
-    "garbled": "answers are no lists",
-    "frozen": "watches are answered, and nothing ever changes",
-    "fresh": "it answers with the true list again",
+    "garbled": "answers are not valid lists",
+    "frozen": "watches are answered without any change",
+    "fresh": "answers have the true list again",
 }
 
 
 class Step(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, tag_field="do"):
-    """Something that is done `after` so many more first attempts than the step before."""
+    """An action taken `after` so many first attempts since the step before."""
 
     after: int = 0
 
 
 class TargetedStep(Step, frozen=True, forbid_unknown_fields=True, kw_only=True, rename={"target": "who"}):
-    """A step that is done to one process."""
+    """A step that acts on one process."""
 
     target: str
 
 
 class KillProcess(TargetedStep, frozen=True, kw_only=True, tag="kill"):
-    """SIGKILL. The balancer beside a server dies with it."""
+    """SIGKILL. The sidecar balancer of a server is killed with it."""
 
 
 class TerminateProcess(TargetedStep, frozen=True, kw_only=True, tag="term"):
@@ -52,33 +52,33 @@
 class PauseProcess(
     TargetedStep, frozen=True, kw_only=True, tag="stop", rename={"target": "who", "duration_s": "for_s"}
 ):
-    """SIGSTOP, and SIGCONT `duration_s` later: a process that is there and does nothing."""
+    """SIGSTOP, and SIGCONT `duration_s` later: the process exists but makes no progress."""
 
     duration_s: float = 3.0
 
 
 class StartProcess(TargetedStep, frozen=True, kw_only=True, tag="start"):
-    """Start a process that has ended, of another version or from another folder if one is named."""
+    """Start a process that has ended; `version` and `folder` select another version or program folder."""
 
     version: str = ""
     folder: str = ""
     memory: str = "kept"
-    """Of a registry instance: `kept`, `lost`, or `old`, its database as it was when the load began."""
+    """A registry instance's database: `kept`, `lost`, or `old`, as it was when the load began."""
 
 
 class DrainServer(TargetedStep, frozen=True, kw_only=True, tag="drain"):
-    """The list shows a server as terminating."""
+    """Mark a server as terminating in the endpoint list."""
 
 
 class RemoveServer(TargetedStep, frozen=True, kw_only=True, tag="remove"):
-    """The list shows a server no more, and it gets SIGTERM if it still runs."""
+    """Remove a server from the endpoint list, and send it SIGTERM if it still runs."""
 
 
 class ChangeServerBehavior(
     TargetedStep, frozen=True, kw_only=True, tag="behave",
     rename={"target": "who", "slowdown": "slower", "failure_rate": "fails", "is_paused": "paused"},
 ):  # fmt: skip
-    """Change what a server does from now on."""
+    """Change how a server behaves from now on."""
 
     slowdown: float = 1.0
     failure_rate: float = 0.0
@@ -87,11 +87,11 @@
 
 
 class SetLinkFault(Step, frozen=True, kw_only=True, tag="break"):
-    """Set a fault on links, under a name by which it is cleared."""
+    """Set a fault on links, under a name with which it is cleared."""
 
     name: str
     link: str
-    """A pattern such as `b0>s1`; `*` stands for any, `@east` for any process in that zone."""
+    """A pattern such as `b0>s1`; `*` matches any process, `@east` any process in that zone."""
     fault: LinkFault
     direction: str = "both"
 
@@ -103,7 +103,7 @@
 
 
 class ChangeEndpointList(Step, frozen=True, kw_only=True, tag="list", rename={"instance": "who"}):
-    """Change what the endpoint list's server does: see `ENDPOINT_LIST_STATES`."""
+    """Change how the endpoint list's server answers: see `ENDPOINT_LIST_STATES`."""
 
     state: str
     instance: str = "list"
@@ -112,7 +112,7 @@
 class PinServer(
     TargetedStep, frozen=True, kw_only=True, tag="pin", rename={"target": "who", "instance": "at"}
 ):
-    """Operators pin a server at one registry instance: a write that changes nothing else."""
+    """Operators pin a server at one registry instance: a write without any other effect."""
 
     instance: str = "directory"
 
@@ -128,7 +128,7 @@
 class EvacuateZone(
     Step, frozen=True, kw_only=True, tag="zone", rename={"is_evacuated": "out", "duration_s": "over_s"}
 ):
-    """Operators have all first-tier balancers leave a zone, or come back to it, over a time."""
+    """Operators have all first-tier balancers evacuate a zone, or return to it, over `duration_s`."""
 
     zone: str
     is_evacuated: bool = True
@@ -136,7 +136,7 @@
 
 
 class ReplaceBalancer(TargetedStep, frozen=True, kw_only=True, tag="replace"):
-    """Replace a balancer's process under load by hot restart, from another folder if one is named."""
+    """Replace a balancer's process under load by hot restart; `folder` selects another program folder."""
 
     folder: str = ""
 
@@ -144,17 +144,17 @@
 class ExpectMemberState(
     TargetedStep, frozen=True, kw_only=True, tag="expect", rename={"target": "who", "observers": "by"}
 ):
-    """Wait until all balancers that run hold one of them for `alive`, `gone` or `left`."""
+    """Wait until all running balancers consider one of them `alive`, `gone` or `left`."""
 
     state: str
     within_s: float = 5.0
     """The bound of the check `views`."""
     observers: str = "b*"
-    """The balancers that are to agree, as a pattern of names."""
+    """A pattern for the names of the balancers that must agree."""
 
 
 class SendForeignDatagrams(Step, frozen=True, kw_only=True, tag="stranger", rename={"count": "notes"}):
-    """Send random bytes and forged gossip, from an address of no balancer, to every balancer."""
+    """Send random datagrams to all balancers from a foreign address, and forged from balancers' addresses."""
 
     count: int = 200
 
@@ -162,14 +162,14 @@
 class OpenIdleConnections(
     TargetedStep, frozen=True, kw_only=True, tag="crowd", rename={"target": "who", "duration_s": "for_s"}
 ):  # fmt: skip
-    """Idle clients connect to a balancer, and stay for a time unless they are closed."""
+    """Open idle connections to a balancer, kept for `duration_s` unless the balancer closes them."""
 
     count: int = 100
     duration_s: float = 3.0
 
 
 class ChangeLoad(Step, frozen=True, kw_only=True, tag="surge"):
-    """Clients send at another rate, with other retries, from now on."""
+    """Change the clients' request rate and retries from now on."""
 
     rate: float
     retries: int = 2
--- a/loadbalancer/drill/scenario/tables.py
+++ b/loadbalancer/drill/scenario/tables.py
@@ -1,8 +1,8 @@
 """The tables of a scenario's TOML file: processes, servers, load, timeline, and the checks' bounds.
 
-A step comes so many requests after the one before (`after`), not so many seconds: on a busy machine all
-that happens shifts together. Keys, units and defaults are the fields of the types here; where a key has
-another name than its field, `rename` says which.
+A step's `after` counts requests since the step before, not seconds, so that on a busy machine the steps
+shift together with the load. Keys, units and defaults are the fields of the types here; where a key differs
+from its field's name, `rename` has it.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A table in which no unknown key may stand."""
+    """A table that rejects unknown keys."""
 
 
 class FleetTable(
@@ -24,43 +24,43 @@
         "subset_size": "part", "stores_snapshots": "snapshots", "temp_folder": "folders",
     },
 ):  # fmt: skip
-    """How many of what. Balancers are b0, b1, ...; servers s0, ...; those of the second tier t0, ..."""
+    """The processes: balancers b0, b1, ...; servers s0, ...; servers of the second tier t0, ..."""
 
     balancers: int = 2
     servers: int = 4
     second_tier_servers: int = 0
-    """With some, each first-tier server has a balancer of its own beside it: s0.b, ..."""
+    """If above 0, each first-tier server has a sidecar balancer: s0.b, ..."""
     zones: tuple[str, ...] = ("east", "west")
     has_membership: bool = False
-    """Whether balancers of the first tier gossip about who is there."""
+    """Whether balancers of the first tier gossip about their membership."""
     uses_registry: bool = False
-    """Whether the list is the real registry, in which servers hold leases."""
+    """Whether the endpoint list comes from the real registry, in which servers hold leases."""
     registry_instances: int = 1
-    """Instances are directory, directory1, ..., which balancers reach as list, list1, ..."""
+    """Instances directory, directory1, ..., which balancers reach as list, list1, ..."""
     validates_lists: bool = False
-    """Whether balancers know all instances and quarantine lists that are suspected stale."""
+    """Whether balancers know all registry instances and quarantine lists that are suspected stale."""
     subscribes_by_service: bool = False
-    """Whether balancers ask for their service by name: `lists.services`."""
+    """Whether balancers subscribe to their service by name: `lists.services`."""
     subset_size: int = 0
-    """Servers of the service that a balancer asks for: `lists.part`; 0 for all."""
+    """Servers of the service that a balancer subscribes to: `lists.part`; 0 for all."""
     lease_s: float = 3.0
     stores_snapshots: bool = False
-    """Whether balancers store their learned state, every half second."""
+    """Whether balancers store snapshots of their learned state, every half second."""
     temp_folder: str = "own"
-    """What balancers find in $TMPDIR: a folder of their `own`, or one that is `full` or `read-only`."""
+    """The $TMPDIR of balancers: a folder of their `own`, or one that is `full` or `read-only`."""
 
 
 class ServerModel(
     Table, frozen=True, rename={"initial_capacity": "cold_from", "warm_up_s": "cold_s"}
 ):  # fmt: skip
-    """What every server is; see `loadbalancer.simulation.servers`."""
+    """The model of every server; see `loadbalancer.simulation.servers`."""
 
     cores: int = 4
     speed: float = 1.0
     slots: int = 64
     queue: int = 200
     initial_capacity: float = 0.4
-    """The fraction of its capacity that a server has when it starts."""
+    """The fraction of its capacity that a server starts with."""
     warm_up_s: float = 3.0
 
 
@@ -71,15 +71,15 @@
         "is_ready": "ready",
     },
 ):  # fmt: skip
-    """What a version of a server does worse than it should."""
+    """The defects of a version of a server."""
 
     slowdown: float = 1.0
     failure_rates: dict[str, float] = {}
-    """The fraction of each class that it answers with 500."""
+    """By class, the fraction of requests that it answers with 500."""
     leak_ms: float = 0.0
     """Additional work for each request that it has served."""
     fails_above_in_flight: int = 0
-    """Requests in flight above which all fail; 0 for never."""
+    """The number of requests in flight above which all fail; 0 for never."""
     is_ready: bool = True
     """Whether its health check ever passes."""
 
@@ -89,7 +89,7 @@
     frozen=True,
     rename={"weight": "share", "latency_objective_ms": "aim_ms", "priority_weight": "worth"},
 ):
-    """A class of requests; `weight` is its share among all classes."""
+    """A class of requests; `weight` is its relative share among all classes."""
 
     name: str
     weight: float
@@ -108,18 +108,18 @@
 
 
 class ClientLoad(Table, frozen=True, rename={"retry_after_compliance": "heed"}):
-    """An open load: requests that come whether or not earlier ones were answered."""
+    """Open load: requests arrive whether or not earlier ones were answered."""
 
     rate: float = 120.0
-    """First attempts a second."""
+    """First attempts per second."""
     requests: int = 1_500
-    """First attempts of the whole drill."""
+    """First attempts in the whole drill."""
     retries: int = 2
     backoff_ms: float = 20.0
     persistent_connections: int = 0
-    """Connections to each balancer, used for one request after another until the balancer ends them."""
+    """Connections to each balancer, reused for request after request until the balancer closes them."""
     retry_after_compliance: float = 1.0
-    """The fraction of clients that wait as Retry-After says."""
+    """The fraction of clients that honour Retry-After."""
     classes: tuple[RequestClass, ...] = DEFAULT_CLASSES
 
 
@@ -133,38 +133,38 @@
         "overload_window_s": "cold_window_s", "max_cross_zone": "crossed",
     },
 ):  # fmt: skip
-    """What must hold. Fractions are of first attempts, by count."""
+    """Bounds of the checks. Fractions are of first attempts, by count."""
 
     min_served: float = 0.98
-    """At least this fraction, over the whole drill."""
+    """The least fraction served over the whole drill."""
     max_recovery_s: float = 8.0
     """After each fault and its end, until within `recovery_tolerance` of the fraction before the first."""
     recovery_tolerance: float = 0.05
     max_lost: int = 0
-    """Requests without a complete answer, beyond those of balancers that were killed or stopped."""
+    """Requests without a complete answer, not counting those at balancers that were killed or stopped."""
     max_late: float = 0.02
-    """At most this fraction of answers after the caller's deadline."""
+    """The greatest fraction of answers after the caller's deadline."""
     max_attempts: float = 1.5
-    """For each request that a balancer admitted."""
+    """Attempts for each request that a balancer admitted."""
     max_direction_changes: int = 100
-    """Of any zone's fraction of all calls, second by second."""
+    """Direction changes of any zone's fraction of all calls, second by second."""
     max_list_requests: int = 20
-    """Calls of one balancer for the list within a second."""
+    """Calls of one balancer for the endpoint list within a second."""
     max_notification_s: float = 0.0
-    """Every drain and removal reaches all balancers within this time; 0: not checked."""
+    """The time within which every drain and removal reaches all balancers; 0: not checked."""
     drain_grace_s: float = 1.0
-    """After which nothing is sent to a server that drains; the balancers' own grace."""
+    """The balancers' own grace, after which nothing is sent to a draining server."""
     scheduling_slack_s: float = 0.5
-    """Added for a machine that is busy."""
+    """Added to the grace for scheduling delays on a busy machine."""
     max_overload_factor: float = 2.5
-    """Of the capacity of a server that warms up, over `overload_window_s`."""
+    """Work relative to the capacity of a server that warms up, over `overload_window_s`."""
     overload_window_s: float = 2.0
     max_cross_zone: float = 1.0
-    """At most this fraction of calls goes to another zone."""
+    """The greatest fraction of calls to another zone."""
 
 
 class DrillScenario(Table, frozen=True):
-    """A whole drill."""
+    """The whole scenario of a drill."""
 
     title: str = ""
     fleet: FleetTable = FleetTable()
@@ -176,7 +176,7 @@
 
 
 def process_names(scenario: DrillScenario) -> list[str]:
-    """Return the processes that a step may name."""
+    """Return the names of the processes that a step may target."""
     fleet = scenario.fleet
     first_tier = [f"s{i}" for i in range(fleet.servers)]
     sidecars = [f"{name}.b" for name in first_tier] if fleet.second_tier_servers else []
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -195,7 +195,10 @@
         ("[fleet]\nservers = 0", "fleet.servers: 0; allowed: 1 or more"),
         ('[[step]]\ndo = "kill"\nwho = "s9"', "step[0].who: 's9'; allowed: b0, b1, s0"),
         ('[[step]]\ndo = "burn"', "step[0].do: Invalid value 'burn'"),
-        ('[[step]]\nafter = 9999\ndo = "lift"\nname = "x"', "step[0].after: 9999; all together"),
+        (
+            '[[step]]\nafter = 9999\ndo = "lift"\nname = "x"',
+            "step[0].after: 9999; allowed: 0 or more, in total",
+        ),
         ("[load]\nrate = -1", "load.rate: -1.0; allowed: above 0"),
         ("rate = ", "not TOML"),
     ],
