--- a/loadbalancer/drill/checks/__init__.py
+++ b/loadbalancer/drill/checks/__init__.py
@@ -1,1 +1,1 @@
-"""Checks that judge a drill by its history alone, each by a bound of the scenario."""
+"""Checks that judge a drill by its history alone, each against a bound of the scenario."""
--- a/loadbalancer/drill/checks/endpoint_lists.py
+++ b/loadbalancer/drill/checks/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Checks of the endpoint list: its versions, who is notified of changes, who is taken off it."""
+"""Checks of the endpoint list: version order, notification of balancers, and removal of servers."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from loadbalancer.drill.history import Event
 from loadbalancer.drill.scenario.tables import DrillScenario
 
-FAULTY_LIST = "odd list"  # the fault of a server that answers with what is not so
-EXCUSING_FAULTS = ("kill", "stop", "term", "list")  # of a server: they may end its place on the list
-EXCUSE_DURATION_S = 5.0  # for so long, and its lease, after the end of that
+FAULTY_LIST = "odd list"  # the fault of an endpoint list that gives wrong answers
+EXCUSING_FAULTS = ("kill", "stop", "term", "list")  # of a server: its removal from the list is then expected
+EXCUSE_DURATION_S = 5.0  # in addition to the lease, after the end of such a fault
 
 
 def check_list_versions(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that the version that a balancer receives never goes back, unless a drill makes it."""
+    """Check that the version that a balancer receives never decreases, unless the drill injects that."""
     violations = []
     for balancer, notifications in timeline.list_notifications.items():
         newest: dict[str, int] = {}
@@ -31,19 +31,19 @@
             if index < newest.get(source, -1) and not _was_faulty(timeline, source, update.at_ms):
                 at_s = timeline.seconds(update.at_ms)
                 violations.append(
-                    f"{balancer} was told {index} after {newest[source]} by {source}, at {at_s:.2f} s"
+                    f"{balancer} received {index} after {newest[source]} from {source}, at {at_s:.2f} s"
                 )
             newest[source] = index
     return count_violations("versions", violations)
 
 
 def _was_faulty(timeline: Timeline, source: str, at_ms: float) -> bool:
-    """Return whether a server was faulty at a time, or had been before: it repeats what it answered then."""
+    """Return whether a list server was faulty at or before a time: it may repeat its answers from then."""
     return any(begin <= at_ms for begin, _ in timeline.fault_intervals([FAULTY_LIST], source))
 
 
 def check_notification_delay(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that each drain and removal by operators reached all balancers of the tier in time."""
+    """Check that all balancers of the tier were notified in time of each drain and removal by operators."""
     bound = scenario.bounds.max_notification_s
     if not bound:
         return CheckResult("heard", True, 0.0, bound)
@@ -60,13 +60,13 @@
         for balancer in (b for b in balancers if b.tier == timeline.tier_of(server)):
             took_s = _notification_delay_s(timeline, event, server, balancer.name)
             if took_s > worst_s:
-                what = f"{balancer.name} heard of {server} {event['status']}"
-                worst_s, first = took_s, f"{what} {timeline.time_of(event)}"
+                description = f"{balancer.name} was notified of {server} {event['status']}"
+                worst_s, first = took_s, f"{description} {timeline.time_of(event)}"
     return check_maximum("heard", worst_s, bound, first)
 
 
 def _notification_delay_s(timeline: Timeline, event: Event, server: str, balancer: str) -> float:
-    """Return how long after a change a balancer received it, or until the end if it did not."""
+    """Return the time from a change until a balancer received it, or until the end if it never did."""
     expected = {event["status"], "terminated"}
     delays_ms = [
         change.at_ms - event["t"]
@@ -81,7 +81,7 @@
 
 
 def check_list_request_rate(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that no balancer asks for the list too often within a second: storms show here."""
+    """Check that no balancer requests the list too often within a second, as in a request storm."""
     worst, first = 0, ""
     rejections: dict[str, list[float]] = defaultdict(list)
     for event in timeline.events_by_kind["turned_away"]:
@@ -98,7 +98,7 @@
 
 
 def check_unrequested_removals(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that no server is taken off the list that ran all the time, and that nobody took off it."""
+    """Check that no server is removed from the list that ran all the time and that nobody removed."""
     grace_ms = (scenario.fleet.lease_s + EXCUSE_DURATION_S) * SECOND_MS
     violations = []
     for balancer, notifications in timeline.list_notifications.items():
@@ -107,12 +107,12 @@
                 continue
             intervals = timeline.fault_intervals(EXCUSING_FAULTS, change.server)
             if not any(begin <= change.at_ms <= end + grace_ms for begin, end in intervals):
-                violations.append(f"{_notified(timeline, balancer, change)} is gone")
+                violations.append(f"{_describe_change(timeline, balancer, change)} is gone")
     return count_violations("kept", violations)
 
 
 def check_drains_stay(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that a server whose drain a balancer received is not in service again, but after a new start."""
+    """Check that a server that was draining for a balancer is in service again only after a restart."""
     violations = []
     for balancer, notifications in timeline.list_notifications.items():
         draining: set[str] = set()
@@ -122,29 +122,29 @@
             elif change.status == "in_service" and change.server in draining:
                 draining.discard(change.server)
                 if not _was_restarted(timeline, change) and not _had_lost_state(timeline, change):
-                    violations.append(f"{_notified(timeline, balancer, change)} serves again")
+                    violations.append(f"{_describe_change(timeline, balancer, change)} is in service again")
     return count_violations("undone", violations)
 
 
-def _notified(timeline: Timeline, balancer: str, change: StatusChange) -> str:
+def _describe_change(timeline: Timeline, balancer: str, change: StatusChange) -> str:
     at_s = timeline.seconds(change.at_ms)
-    return f"{balancer} was told by {change.source} at {at_s:.2f} s that {change.server}"
+    return f"{balancer} was notified by {change.source} at {at_s:.2f} s that {change.server}"
 
 
 def _was_restarted(timeline: Timeline, change: StatusChange) -> bool:
-    """Return whether the server was started anew by then: after a kill, or after it was removed."""
+    """Return whether the server was restarted before a change: after a kill, or after it was removed."""
     starts = [
         event
         for event in timeline.events_by_kind["process"]
         if event["name"] == change.server and event["state"] == "started" and event["t"] <= change.at_ms
     ]
-    is_killed = any(end <= change.at_ms for _, end in timeline.fault_intervals(("kill",), change.server))
-    return is_killed or len(starts) > 1
+    was_killed = any(end <= change.at_ms for _, end in timeline.fault_intervals(("kill",), change.server))
+    return was_killed or len(starts) > 1
 
 
 def _had_lost_state(timeline: Timeline, change: StatusChange) -> bool:
-    """Return whether the list's server was faulty, or a registry had come back with less than it knew."""
-    has_lost = any(
+    """Return whether the list was faulty, or a registry had restarted with an old or empty database."""
+    has_lost_state = any(
         e["t"] <= change.at_ms and e.get("memory", "kept") != "kept" for e in timeline.events_by_kind["fault"]
     )
-    return has_lost or _was_faulty(timeline, change.source, change.at_ms)
+    return has_lost_state or _was_faulty(timeline, change.source, change.at_ms)
--- a/loadbalancer/drill/checks/judgement.py
+++ b/loadbalancer/drill/checks/judgement.py
@@ -1,7 +1,7 @@
-"""All checks of a drill: each reads the history's events alone.
+"""All checks of a drill; each is computed from the history's events alone.
 
-A request is what clients send under one id, a wish all attempts for the same thing. Balancers that were
-killed, paused or cut off from their clients are not blamed for what they had in flight at that time.
+A request is one attempt of a client, with its own id; a wish is a logical request with all its attempts.
+Balancers that were killed, paused or cut off from their clients are excused for requests then in flight.
 """
 
 from __future__ import annotations
--- a/loadbalancer/drill/checks/processes.py
+++ b/loadbalancer/drill/checks/processes.py
@@ -1,4 +1,4 @@
-"""Checks of the processes themselves: who ended, how balancers saw one another, whether all is recorded."""
+"""Checks of the processes: unexpected exits, the balancers' views of each other, and complete histories."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def check_member_views(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that balancers held one another for what was expected, all of them and in time."""
+    """Check that all balancers agreed in time on the expected state of each other."""
     violations = [
         f"{e['of']} {e['wanted']}: {e['said']} after {e['took_s']} s"
         for e in timeline.events_by_kind["view"]
@@ -17,10 +17,10 @@
 
 
 def check_process_exits(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that no balancer or test server ended that was not told to."""
+    """Check that no balancer or test server exited without being told to."""
     end_ms = timeline.end_ms()
     violations = [
-        f"{e['name']} ended with status {e['code']} {timeline.time_of(e)}"
+        f"{e['name']} exited with status {e['code']} {timeline.time_of(e)}"
         for e in timeline.events_by_kind["process"]
         if e["state"] == "ended" and not e["wanted"] and e["t"] < end_ms and e["name"] != "clients"
     ]
@@ -28,7 +28,7 @@
 
 
 def check_history_is_complete(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that every wish has its end, the drill was over, and no line was dropped."""
+    """Check that every wish has its `done` event, the drill was completed, and no line was dropped."""
     dropped = sum(e["lines"] for e in timeline.events_by_kind["left_out"])
     missing = scenario.load.requests - len(timeline.events_by_kind["done"])
     missing += not timeline.events_by_kind["over"]
--- a/loadbalancer/drill/checks/requests.py
+++ b/loadbalancer/drill/checks/requests.py
@@ -1,4 +1,4 @@
-"""Checks of what requests came to: answered, once, by a server, in time, and soon again after a fault."""
+"""Checks of requests: complete answers, single execution, deadlines, success rate, recovery and attempts."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from loadbalancer.drill.history import Event
 from loadbalancer.drill.scenario.tables import DrillScenario
 
-MIN_REQUESTS_PER_SECOND = 5  # first attempts, below which a second's success rate says nothing
+MIN_REQUESTS_PER_SECOND = 5  # first attempts; a second with fewer has no meaningful success rate
 CROSSING_WINDOW_MS = 150 + 50
-"""From a request's last byte to the end of its connection, for the two to have crossed.
+"""The longest time from a request's last byte to its connection's close for the two to have crossed.
 
-A balancer may be held up for 0.15 s, and each time limit of the platform is 50 ms longer.
+A balancer may be delayed by 0.15 s, and each time limit of the platform is 50 ms longer.
 """
-EXCUSING_FAULTS = ("kill", "stop")  # of a balancer: they excuse the loss of what it had in flight
+EXCUSING_FAULTS = ("kill", "stop")  # of a balancer: they excuse the loss of requests in flight
 LATE_TOLERANCE_MS = 50  # for the clients' own delay
 
 
@@ -30,13 +30,13 @@
             continue
         until_ms = end["t"] if end else float("inf")
         if not any(begin <= until_ms and event["t"] <= last for begin, last in excuses[event["to"]]):
-            how = "has no end" if end is None else end.get("how", "was left")
-            violations.append(f"{request_id} at {event['to']} {how}, asked {timeline.time_of(event)}")
+            how = "has no end" if end is None else end.get("how", "was abandoned")
+            violations.append(f"{request_id} at {event['to']} {how}, sent {timeline.time_of(event)}")
     return count_violations("answered", violations, scenario.bounds.max_lost)
 
 
 def _excuses(timeline: Timeline, balancer: str) -> list[tuple[float, float]]:
-    """Return when a balancer was killed, paused, or behind a faulty link."""
+    """Return the intervals in which a balancer was killed, paused, or behind a faulty link."""
     link = f"clients>{balancer}"
     link_faults = {e["kind"] for e in timeline.events_by_kind["fault"] if link in e["targets"]}
     return [
@@ -46,9 +46,9 @@
 
 
 def check_crossed_requests(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that requests whose connection ended with no answer crossed its end, and were not forwarded.
+    """Check that requests left unanswered by a connection's close crossed that close and were not forwarded.
 
-    Clients that use one connection for many requests send such a request again on another connection.
+    Clients with persistent connections send such a request again on another connection.
     """
     forwarded = {event["id"] for event, _ in timeline.arrivals()}
     excuses = {name: _excuses(timeline, name) for name in timeline.location_by_name}
@@ -57,17 +57,17 @@
         if any(begin <= event["t"] <= last for begin, last in excuses[event["to"]]):
             continue
         if event["id"] in forwarded:
-            violations.append(f"{event['id']} at {event['to']} was forwarded, and not answered")
+            violations.append(f"{event['id']} at {event['to']} was forwarded but not answered")
         elif event["after_ms"] > CROSSING_WINDOW_MS:
             violations.append(f"{event['id']} at {event['to']} was lost after {event['after_ms']:.0f} ms")
     return count_violations("crossings", violations)
 
 
 def check_answer_origins(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that what was forwarded as served was made by a server for this very request."""
+    """Check that every successful answer was produced by a server for that very request."""
     executions = {(e["id"], e["run"]) for e in timeline.events_by_kind["ended"] if e["run"]}
     violations = [
-        f"{e['id']} {timeline.time_of(e)}: no server made that answer"
+        f"{e['id']} {timeline.time_of(e)}: no server produced that answer"
         for e in timeline.events_by_kind["answered"]
         if e["status"] == 200 and (e["id"], e["run"]) not in executions
     ]
@@ -75,7 +75,7 @@
 
 
 def check_single_execution(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that what is unsafe to repeat ran once for each wish, whatever was retried."""
+    """Check that unsafe requests were executed once for each wish, whatever was retried."""
     unsafe = {c.name for c in scenario.load.classes if c.effect == "unsafe"}
     executions: dict[tuple[str, str], list[Event]] = defaultdict(list)
     for event in timeline.events_by_kind["began"]:
@@ -84,7 +84,7 @@
             logical_id = timeline.requests.get(client_id, {}).get("wish", client_id)
             executions[str(logical_id), call.partition(".")[0]].append(event)
     violations = [
-        f"wish {logical_id} ran at {', '.join(e['who'] for e in events)}, then {timeline.time_of(events[-1])}"
+        f"wish {logical_id} ran at {', '.join(e['who'] for e in events)}, last {timeline.time_of(events[-1])}"
         for (logical_id, _), events in executions.items()
         if len(events) > 1
     ]
@@ -92,7 +92,7 @@
 
 
 def check_deadlines(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that answers come before the caller's deadline, but for a fraction."""
+    """Check the fraction of answers that come after the caller's deadline."""
     answers = timeline.events_by_kind["answered"]
     late = [e for e in answers if e["took"] > timeline.requests[e["id"]]["deadline"] + LATE_TOLERANCE_MS]
     fraction = len(late) / len(answers) if answers else 1.0
@@ -102,7 +102,7 @@
 
 
 def check_success_rate(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check the fraction of wishes that were served, late or not."""
+    """Check the fraction of wishes that were served, in time or late."""
     done = timeline.events_by_kind["done"]
     rate = sum(_is_success(e) for e in done) / len(done) if done else 0.0
     failure = next((e for e in done if not _is_success(e)), None)
@@ -117,7 +117,7 @@
 
 @dataclass
 class SuccessCounts:
-    """Of one second: the wishes whose first attempt was in it, and those of them that were served."""
+    """The number of wishes whose first attempt was in one second, and of those that were served."""
 
     begin_ms: float
     total: int = 0
@@ -136,13 +136,13 @@
 
 
 def check_recovery(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check the longest time after a fault, or its end, until the success rate is back to what it was."""
+    """Check the longest time from a fault, or its end, until the success rate has recovered."""
     seconds = [s for s in success_by_second(timeline) if s.total >= MIN_REQUESTS_PER_SECOND]
     faults = [e for e in timeline.events_by_kind["fault"] if e["t"] >= timeline.start_ms]
     bound = scenario.bounds.max_recovery_s
     if not seconds or not faults:
         return CheckResult(
-            "back", bool(seconds), 0.0, bound, "" if seconds else "no second has enough first tries"
+            "back", bool(seconds), 0.0, bound, "" if seconds else "no second has enough first attempts"
         )
     before = [s for s in seconds if s.begin_ms + SECOND_MS <= faults[0]["t"]] or seconds[:1]
     usual_rate = sum(s.served for s in before) / sum(s.total for s in before)
--- a/loadbalancer/drill/checks/servers.py
+++ b/loadbalancer/drill/checks/servers.py
@@ -1,4 +1,4 @@
-"""Checks of what servers get: nothing while they drain or are not listed, and little while they warm up."""
+"""Checks of the calls that servers get: none while draining or unlisted, and few while warming up."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 class Withdrawals:
     """When each balancer was notified that a server is out of service, and that it is in service again.
 
-    A list that is older than one received before says nothing. A server that operators cordon is out until
-    they uncordon it, whatever lists say.
+    A list that is older than one received before is ignored. A server that operators cordon is out of service
+    until they uncordon it, whatever its status in lists.
     """
 
     def __init__(self, timeline: Timeline) -> None:
@@ -32,8 +32,8 @@
             last: dict[str, str] = {}
             for change in status_changes(without_outdated(notifications)):
                 if last.get(change.server) != change.status:
-                    is_out = change.status != "in_service"
-                    changes[balancer, change.server].append((change.at_ms, is_out))
+                    is_withdrawn = change.status != "in_service"
+                    changes[balancer, change.server].append((change.at_ms, is_withdrawn))
                 last[change.server] = change.status
         for event in timeline.events_by_kind["call"]:
             if event["status"] == 200 and event["call"] in ("cordon", "uncordon"):
@@ -42,32 +42,36 @@
         self._changes = {key: sorted(times) for key, times in changes.items()}
 
     def duration_ms(self, balancer: str, server: str, at_ms: float) -> float:
-        """Return for how long a server had been out for a balancer; NOT_WITHDRAWN if it was not."""
+        """Return how long a server had been withdrawn for a balancer; NOT_WITHDRAWN if it was in service."""
         times = self._changes.get((balancer, server), [])
         index = bisect.bisect_right(times, (at_ms, True)) - 1
         return at_ms - times[index][0] if index >= 0 and times[index][1] else NOT_WITHDRAWN
 
 
 def check_drained_servers(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that nothing is sent to a server that drains, is cordoned or is removed, past the grace."""
+    """Check that nothing is sent to a draining, cordoned or removed server after the grace."""
     grace_ms = (scenario.bounds.drain_grace_s + scenario.bounds.scheduling_slack_s) * SECOND_MS
     withdrawals = Withdrawals(timeline)
     violations = []
     for event, balancer in timeline.arrivals():
-        out_ms = withdrawals.duration_ms(balancer, event["who"], event["t"])
-        if out_ms > grace_ms:
-            out_s = out_ms / SECOND_MS
-            violations.append(f"{balancer} sent {event['id']} to {event['who']} {out_s:.2f} s after the word")
+        withdrawn_ms = withdrawals.duration_ms(balancer, event["who"], event["t"])
+        if withdrawn_ms > grace_ms:
+            withdrawn_s = withdrawn_ms / SECOND_MS
+            violations.append(
+                f"{balancer} sent {event['id']} to {event['who']} {withdrawn_s:.2f} s after its withdrawal"
+            )
     for event in timeline.events_by_kind["knock"]:
         balancer, _, server = event["link"].partition(">")
-        out_ms = withdrawals.duration_ms(balancer, server, event["t"])
-        if out_ms > grace_ms:
-            violations.append(f"{balancer} called {server} {out_ms / SECOND_MS:.2f} s after it was gone")
+        withdrawn_ms = withdrawals.duration_ms(balancer, server, event["t"])
+        if withdrawn_ms > grace_ms:
+            violations.append(
+                f"{balancer} called {server} {withdrawn_ms / SECOND_MS:.2f} s after its withdrawal"
+            )
     return count_violations("drains", violations)
 
 
 def check_listed_servers(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that nothing is sent to a server that no list has named."""
+    """Check that nothing is sent to a server before a list contains it."""
     first_listed_ms: dict[tuple[str, str], float] = {}
     for balancer, notifications in timeline.list_notifications.items():
         for update in notifications:
@@ -82,7 +86,7 @@
 
 
 def check_warming_up_servers(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that no server that warms up gets more work than the bound, by all balancers together."""
+    """Check that no server that warms up gets more work from all balancers than the bound."""
     window_ms = scenario.bounds.overload_window_s * SECOND_MS
     worst, first = 0.0, ""
     for start in timeline.events_by_kind["up"]:
@@ -94,7 +98,7 @@
 
 
 def _overload_factors(timeline: Timeline, start: Event, window_ms: float) -> list[tuple[Event, float]]:
-    """Return, at each arrival while a server warms up, the work of the window over its capacity then."""
+    """Return, for each arrival during a server's warm-up, the work of the window relative to its capacity."""
     factors = []
     arrivals: list[tuple[float, float]] = []
     warm_ms = start["since"] + start["cold_ms"]
--- a/loadbalancer/drill/checks/timeline.py
+++ b/loadbalancer/drill/checks/timeline.py
@@ -1,4 +1,4 @@
-"""A drill's history, read once into what its checks look up, and the result of a check."""
+"""A drill's history, indexed for its checks, and the result of a check."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class CheckResult(msgspec.Struct, frozen=True, rename={"passed": "held", "first_violation": "first"}):
-    """One check: what was measured against which bound, and one event that broke it."""
+    """The result of one check: the measured value, its bound, and a violation."""
 
     name: str
     passed: bool
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListNotification:
-    """A list as a balancer received it, with each entry's status."""
+    """An endpoint list as a balancer received it, with each entry's status."""
 
     at_ms: float
     source: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusChange:
-    """What a balancer was notified of one server."""
+    """The status of one server as a balancer was notified of it."""
 
     at_ms: float
     source: str
@@ -71,7 +71,7 @@
 
     @cached_property
     def list_notifications(self) -> dict[str, list[ListNotification]]:
-        """The lists that each balancer received, in order."""
+        """The endpoint lists that each balancer received, in order."""
         notifications: dict[str, list[ListNotification]] = defaultdict(list)
         for event in self.events_by_kind["told"]:
             location = self.location_by_host.get(event["to"])
@@ -99,7 +99,7 @@
         return self.location_by_name[name].tier
 
     def time_of(self, event: Event) -> str:
-        """Return when an event was, in words."""
+        """Return the time of an event, as a phrase for messages."""
         return f"at {self.seconds(event['t']):.2f} s"
 
     def seconds(self, at_ms: float) -> float:
@@ -107,11 +107,11 @@
         return (at_ms - self.start_ms) / SECOND_MS
 
     def end_ms(self) -> float:
-        """Return when the drill was over; infinity if it never was."""
+        """Return when the drill was completed; infinity if it never was."""
         return max((e["t"] for e in self.events_by_kind["over"]), default=float("inf"))
 
     def fault_intervals(self, kinds: Iterable[str], target: str) -> list[tuple[float, float]]:
-        """Return when faults of some kinds were on a process, as begin and end in ms."""
+        """Return the intervals of a process's faults of some kinds, as begin and end in ms."""
         intervals: list[tuple[float, float]] = []
         for event in self.events_by_kind["fault"]:
             if event["kind"] in kinds and target in event["targets"]:
@@ -123,19 +123,19 @@
 
 
 def count_violations(name: str, violations: list[str], bound: float = 0) -> CheckResult:
-    """Return a check on a count of events, of which there may be `bound` at the most."""
+    """Return the result of a check that allows at most `bound` violations."""
     first = violations[0] if violations else ""
     return CheckResult(name, len(violations) <= bound, len(violations), bound, first)
 
 
 def check_maximum(name: str, measured: float, bound: float, first_violation: str) -> CheckResult:
-    """Return a check on a measure that may be `bound` at the most."""
+    """Return the result of a check that allows a measured value of at most `bound`."""
     passed = measured <= bound
     return CheckResult(name, passed, measured, bound, "" if passed else first_violation)
 
 
 def status_changes(notifications: Iterable[ListNotification]) -> Iterator[StatusChange]:
-    """Yield what a balancer was notified of each server; one that a snapshot leaves out is `terminated`."""
+    """Yield each server's status as a balancer was notified; one missing from a snapshot is `terminated`."""
     listed: set[str] = set()
     for update in notifications:
         missing = listed - set(update.statuses) if update.is_snapshot else ()
@@ -145,7 +145,7 @@
 
 
 def without_outdated(notifications: Iterable[ListNotification]) -> Iterator[ListNotification]:
-    """Yield the lists but for those that are older than one that the same source sent before."""
+    """Yield the lists except those older than an earlier one from the same source."""
     newest: dict[str, int] = {}
     for update in notifications:
         if update.index >= newest.get(update.source, update.index):
--- a/loadbalancer/drill/checks/zones.py
+++ b/loadbalancer/drill/checks/zones.py
@@ -1,4 +1,4 @@
-"""Checks of zones: evacuated and returned to in steps, without oscillation, and rarely crossed."""
+"""Checks of zones: gradual evacuation and return, oscillation, and cross-zone calls."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from loadbalancer.drill.scenario.tables import DrillScenario
 from loadbalancer.simulation.direction_changes import count_direction_changes
 
-MIN_CALLS = 15  # in an interval, below which a zone's fraction says nothing
-SETTLE_S = 0.5  # between an operators' call and the first calls that follow it
-MIN_SWING = 0.15  # a change of a zone's fraction within a second that is smaller is chance
-MAX_EARLY_PROGRESS = 0.6  # of an evacuation, that may be done in its first quarter
+MIN_CALLS = 15  # in an interval; with fewer, a zone's fraction is not meaningful
+SETTLE_S = 0.5  # after an evacuation or return, before calls are expected to follow it
+MIN_SWING = 0.15  # smaller changes of a zone's fraction within a second are random
+MAX_EARLY_PROGRESS = 0.6  # the greatest part of an evacuation allowed in its first quarter
 
 
 def _calls_by_zone(timeline: Timeline, begin_ms: float, end_ms: float) -> Counter[str]:
@@ -33,35 +33,35 @@
 
 
 def _zone_fraction(timeline: Timeline, zone: str, begin_ms: float, end_ms: float) -> float | None:
-    """Return a zone's fraction of all calls in an interval; None where they are too few."""
+    """Return a zone's fraction of all calls in an interval; None if there are too few."""
     counts = _calls_by_zone(timeline, begin_ms, end_ms)
     return counts[zone] / counts.total() if counts.total() >= MIN_CALLS else None
 
 
 @dataclass(frozen=True)
 class Evacuation:
-    """Operators evacuate a zone, or return to it."""
+    """An evacuation of a zone by operators, or a return to it."""
 
     event: Event
     zone: str
     begin_ms: float
     end_ms: float
     until_ms: float
-    """When the next one of the zone begins, or the drill is over."""
+    """When the next one of the same zone begins, or the last request is done."""
 
     @property
     def is_return(self) -> bool:
-        """Whether the zone is returned to."""
+        """Whether it is a return to the zone."""
         return not self.event["on"]
 
 
 def _evacuations(timeline: Timeline) -> Iterator[Evacuation]:
     events = [e for e in timeline.events_by_kind["fault"] if e["kind"] == "zone"]
-    over_ms = max((e["t"] for e in timeline.events_by_kind["done"]), default=0.0)
+    load_end_ms = max((e["t"] for e in timeline.events_by_kind["done"]), default=0.0)
     for number, event in enumerate(events):
         later = [e["t"] for e in events[number + 1 :] if e["zone"] == event["zone"]]
         end_ms = event["t"] + event["over_s"] * SECOND_MS
-        yield Evacuation(event, event["zone"], event["t"], end_ms, min([*later, over_ms]))
+        yield Evacuation(event, event["zone"], event["t"], end_ms, min([*later, load_end_ms]))
 
 
 def _usual_fraction(timeline: Timeline, zone: str) -> float | None:
@@ -71,27 +71,27 @@
 
 
 def check_evacuation(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that nothing goes to an evacuated zone, and that its calls are back when it is returned to."""
+    """Check that no calls go to an evacuated zone, and that they come back after the return."""
     violations = []
     for evacuation in _evacuations(timeline):
         zone, when = evacuation.zone, timeline.time_of(evacuation.event)
         settled_ms = evacuation.end_ms + SETTLE_S * SECOND_MS
         if not evacuation.is_return:
-            strays = _calls_by_zone(timeline, settled_ms, evacuation.until_ms)[zone]
-            if strays:
-                violations.append(f"{strays} calls went to {zone} after it was left {when}")
+            stray_calls = _calls_by_zone(timeline, settled_ms, evacuation.until_ms)[zone]
+            if stray_calls:
+                violations.append(f"{stray_calls} calls went to {zone} after its evacuation {when}")
             continue
         before = _usual_fraction(timeline, zone)
         now = _zone_fraction(timeline, zone, settled_ms, evacuation.until_ms)
         if before is not None and now is not None and now < before / 2:
-            violations.append(f"{zone} gets {now:.0%} of calls, {before:.0%} before it was left")
+            violations.append(f"{zone} gets {now:.0%} of calls, {before:.0%} before its evacuation")
         if evacuation.begin_ms >= evacuation.until_ms:
-            violations.append(f"the move of {zone} {when} was never over")
+            violations.append(f"the return to {zone} {when} was never completed")
     return count_violations("left", violations)
 
 
 def check_evacuation_ramp(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that a zone is left, and returned to, in steps: a quarter into it, most is still as it was."""
+    """Check that evacuations and returns are gradual: most calls are unchanged in the first quarter."""
     violations = []
     for evacuation in _evacuations(timeline):
         if evacuation.event["over_s"] <= 0:
@@ -105,12 +105,12 @@
         progress = early / usual if evacuation.is_return else 1 - early / usual
         if progress > MAX_EARLY_PROGRESS:
             when = timeline.time_of(evacuation.event)
-            violations.append(f"{zone}: {progress:.0%} of the move {when} was done in its first quarter")
+            violations.append(f"{zone}: {progress:.0%} of the shift {when} was done in its first quarter")
     return count_violations("ramps", violations)
 
 
 def check_zone_oscillation(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check that no zone's fraction of all calls changes direction more often than the drill allows."""
+    """Check that no zone's fraction of all calls changes direction more often than the bound."""
     worst, first = 0, ""
     start_ms = timeline.start_ms
     last_ms = max((e["t"] for e in timeline.events_by_kind["done"]), default=start_ms)
@@ -126,7 +126,7 @@
 
 
 def check_cross_zone_calls(timeline: Timeline, scenario: DrillScenario) -> CheckResult:
-    """Check the fraction of calls that went to a server of another zone than the balancer's."""
+    """Check the fraction of calls to servers in another zone than the balancer's."""
     calls = [(timeline.zone_of(b), timeline.zone_of(e["who"])) for e, b in timeline.arrivals()]
     fraction = sum(source != target for source, target in calls) / max(len(calls), 1)
     bound = scenario.bounds.max_cross_zone
--- a/loadbalancer/drill/soak/__init__.py
+++ b/loadbalancer/drill/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak: drills that are made from a seed, of restarts, signals in series and crowds."""
+"""The soak: drills generated from seeds, with restarts, repeated signals and many idle connections."""
--- a/loadbalancer/drill/soak/plan.py
+++ b/loadbalancer/drill/soak/plan.py
@@ -1,9 +1,9 @@
-"""Make a drill from a seed: restarts at their hardest, signals in series, crowds, and faults beside them.
+"""Generation of drills from seeds: restarts with early SIGKILL, repeated signals, idle connections, faults.
 
     scenario = make_scenario(seed=7)    # the same for the same seed
     for line in describe(scenario): print(line)
 
-Bounds are the platform's: what it does not bound (how soon all is served again, attempts) is not checked.
+Bounds are the platform's; what it does not bound (recovery time, attempts) is not checked.
 """
 
 from __future__ import annotations
@@ -27,32 +27,32 @@
 RATE_PER_S = 60.0
 PERSISTENT_CONNECTIONS = 8
 EPISODES = 3
-MIN_DEADLINE_S = 3.0  # as the platform counts the longest deadline
-KILL_MARGIN_S = 0.7  # past the longest deadline: SIGKILL comes no sooner
+MIN_DEADLINE_S = 3.0  # the platform takes the longest deadline to be at least this
+KILL_MARGIN_S = 0.7  # SIGKILL comes no sooner than this after the longest deadline
 READY_GAP_S = 1.2  # no signal in a process's first second
-SIGNAL_GAPS_S = (0.0, 0.05, 0.3, 1.0, 2.5)  # between signals in series, within the 4 s that a reload takes
-FAULT_SPAN_S = 3.0
-CROWD_FRACTION = 0.3
+SIGNAL_GAPS_S = (0.0, 0.05, 0.3, 1.0, 2.5)  # between repeated signals, within the 4 s that a reload takes
+IDLE_CONNECTIONS_DURATION_S = 3.0
+IDLE_CONNECTIONS_FRACTION = 0.3  # of episodes
 REPEATED_SIGNAL_FRACTION = 0.5
-CROWD_CONNECTIONS = 1_200  # more than a balancer has descriptors
-GRACE_S = 1.0
-GRACE_TOLERANCE_S = 0.2  # a balancer may be held up for 0.15 s, and each time limit is 50 ms longer
+IDLE_CONNECTIONS = 1_200  # more than a balancer has descriptors
+DRAIN_GRACE_S = 1.0
+SCHEDULING_SLACK_S = 0.2  # a balancer may be delayed by 0.15 s, and each time limit is 50 ms longer
 
-Episode = list[steps.AnyStep]
+StepList = list[steps.AnyStep]
 
 
 def earliest_kill_s() -> float:
-    """Return how long after SIGTERM the platform kills at the earliest."""
+    """Return the shortest time from SIGTERM after which the platform sends SIGKILL."""
     longest_s = max(c.deadline_ms for c in DEFAULT_CLASSES) / 1_000
     return max(longest_s, MIN_DEADLINE_S) + KILL_MARGIN_S
 
 
 def make_scenario(seed: int) -> DrillScenario:
-    """Return the drill of a seed."""
+    """Generate the drill of a seed."""
     timeline = _Timeline(random.Random(f"soak/{seed}"))
     for _ in range(EPISODES):
         timeline.add_episode()
-    # The last process that starts has to come up, and its clients to use it, before the load ends.
+    # The last process to start must become ready, and be used by clients, before the load ends.
     requests = timeline.requests + round(2 * READY_GAP_S * RATE_PER_S)
     return DrillScenario(
         title=f"soak of seed {seed}",
@@ -64,14 +64,14 @@
             max_recovery_s=1e9,
             max_late=1.0,
             max_attempts=1e9,
-            drain_grace_s=GRACE_S,
-            scheduling_slack_s=GRACE_TOLERANCE_S,
+            drain_grace_s=DRAIN_GRACE_S,
+            scheduling_slack_s=SCHEDULING_SLACK_S,
         ),
     )
 
 
 def describe(scenario: DrillScenario) -> list[str]:
-    """Return the plan, a line for each step."""
+    """Return a text line for each step of the plan."""
     lines = []
     requests = 0
     for step in scenario.step:
@@ -84,11 +84,11 @@
 
 
 class _Timeline:
-    """The steps so far; each comes so many seconds of load after the one before."""
+    """The steps so far, each timed in seconds of load since the one before."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self._random = chance
-        self.steps: Episode = []
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
+        self.steps: StepList = []
         self.requests = 0
         self._fault_count = 0
 
@@ -98,92 +98,100 @@
         self.steps.append(msgspec.structs.replace(step, after=after))
 
     def add_episode(self) -> None:
-        """Add what is done to balancers, with a fault elsewhere that lasts through it."""
+        """Add steps on balancers, during a concurrent fault elsewhere."""
         pause_s = READY_GAP_S
         begin, end = self._choose_fault()
         for step in begin:
             self._add(step, pause_s)
-            pause_s = self._random.uniform(0.0, 0.5)
-        if self._random.random() < CROWD_FRACTION:
-            self._add(self._crowd(), pause_s)
+            pause_s = self._rng.uniform(0.0, 0.5)
+        if self._rng.random() < IDLE_CONNECTIONS_FRACTION:
+            self._add(self._open_idle_connections(), pause_s)
             pause_s = 0.3
-        self._random.choice(
-            (self._restart, self._restart_two, self._restart_in_turn, self._reloads, self._reload_and_end)
+        self._rng.choice(
+            (
+                self._restart,
+                self._restart_two,
+                self._restart_in_sequence,
+                self._reload_repeatedly,
+                self._reload_and_restart,
+            )
         )(pause_s)
         for step in end:
             self._add(step, READY_GAP_S)
 
-    # ---- what is done to balancers ---------------------------------------------------------------
+    # ---- steps on balancers ----------------------------------------------------------------------
 
-    def _balancers(self, count: int) -> list[str]:
-        return self._random.sample([f"b{n}" for n in range(BALANCERS)], count)
+    def _sample_balancers(self, count: int) -> list[str]:
+        return self._rng.sample([f"b{n}" for n in range(BALANCERS)], count)
 
     def _terminate(self, name: str) -> steps.TerminateProcess:
         return steps.TerminateProcess(target=name, kill_after_s=earliest_kill_s())
 
     def _signal_gap_s(self) -> float:
-        return self._random.choice(SIGNAL_GAPS_S)
+        return self._rng.choice(SIGNAL_GAPS_S)
 
     def _restart(self, pause_s: float) -> None:
-        """SIGTERM once or twice, and a new process."""
-        [name] = self._balancers(1)
+        """Send SIGTERM once or twice, and start a new process."""
+        [name] = self._sample_balancers(1)
         self._add(self._terminate(name), pause_s)
-        if self._random.random() < REPEATED_SIGNAL_FRACTION:
+        if self._rng.random() < REPEATED_SIGNAL_FRACTION:
             self._add(self._terminate(name), self._signal_gap_s())
         self._add(steps.StartProcess(target=name))
 
     def _restart_two(self, pause_s: float) -> None:
-        """Two at once."""
-        names = self._balancers(2)
+        """Restart two balancers at the same time."""
+        names = self._sample_balancers(2)
         for name in names:
             self._add(self._terminate(name), pause_s)
             pause_s = 0.0
         for name in names:
             self._add(steps.StartProcess(target=name))
 
-    def _restart_in_turn(self, pause_s: float) -> None:
-        """One after the other, a hot restart between."""
-        first, second = self._balancers(2)
+    def _restart_in_sequence(self, pause_s: float) -> None:
+        """Restart a balancer, hot-restart another, and restart the first again."""
+        first, second = self._sample_balancers(2)
         self._add(self._terminate(first), pause_s)
         self._add(steps.StartProcess(target=first))
         self._add(steps.ReplaceBalancer(target=second), READY_GAP_S)
         self._add(self._terminate(first), READY_GAP_S)
         self._add(steps.StartProcess(target=first))
 
-    def _reloads(self, pause_s: float) -> None:
-        """SIGHUP after SIGHUP, of one balancer or of several."""
-        for _ in range(self._random.choice((2, 3, 4))):
-            for name in self._balancers(self._random.choice((1, 1, BALANCERS))):
+    def _reload_repeatedly(self, pause_s: float) -> None:
+        """Send SIGHUP repeatedly, each time to one balancer or to all of them."""
+        for _ in range(self._rng.choice((2, 3, 4))):
+            for name in self._sample_balancers(self._rng.choice((1, 1, BALANCERS))):
                 self._add(steps.ReloadConfiguration(target=name), pause_s)
                 pause_s = 0.0
             pause_s = self._signal_gap_s()
 
-    def _reload_and_end(self, pause_s: float) -> None:
-        """SIGHUP, then SIGTERM."""
-        [name] = self._balancers(1)
+    def _reload_and_restart(self, pause_s: float) -> None:
+        """Send SIGHUP once or twice, then SIGTERM, and start a new process."""
+        [name] = self._sample_balancers(1)
         self._add(steps.ReloadConfiguration(target=name), pause_s)
-        if self._random.random() < REPEATED_SIGNAL_FRACTION:
+        if self._rng.random() < REPEATED_SIGNAL_FRACTION:
             self._add(steps.ReloadConfiguration(target=name), self._signal_gap_s())
         self._add(self._terminate(name), self._signal_gap_s())
         self._add(steps.StartProcess(target=name))
 
-    def _crowd(self) -> steps.OpenIdleConnections:
-        [name] = self._balancers(1)
-        return steps.OpenIdleConnections(target=name, count=CROWD_CONNECTIONS, duration_s=FAULT_SPAN_S)
+    def _open_idle_connections(self) -> steps.OpenIdleConnections:
+        [name] = self._sample_balancers(1)
+        return steps.OpenIdleConnections(
+            target=name, count=IDLE_CONNECTIONS, duration_s=IDLE_CONNECTIONS_DURATION_S
+        )
 
-    # ---- faults beside it ------------------------------------------------------------------------
+    # ---- concurrent faults -----------------------------------------------------------------------
 
-    def _choose_fault(self) -> tuple[Episode, Episode]:
-        """Return how a fault begins, and how it ends."""
-        server = f"s{self._random.randrange(SERVERS)}"
+    def _choose_fault(self) -> tuple[StepList, StepList]:
+        """Return the steps that begin a fault, and the steps that end it."""
+        server = f"s{self._rng.randrange(SERVERS)}"
         self._fault_count += 1
         name = f"fault {self._fault_count}"
-        link = self._random.choice((f"b*>{server}", "b*>list*", "clients>b*"))
-        slow = LinkFault(delay_ms=self._random.choice((20.0, 100.0)), jitter_ms=50.0)
-        state = self._random.choice(("failing", "stale", "frozen", "down"))
+        link = self._rng.choice((f"b*>{server}", "b*>list*", "clients>b*"))
+        slow = LinkFault(delay_ms=self._rng.choice((20.0, 100.0)), jitter_ms=50.0)
+        state = self._rng.choice(("failing", "stale", "frozen", "down"))
         restart = steps.StartProcess(target=server)
-        lift = steps.ClearLinkFault(name=name)
-        choices: tuple[tuple[Episode, Episode], ...] = (
+        clear = steps.ClearLinkFault(name=name)
+        choices: tuple[tuple[StepList, StepList], ...] = (
             ([], []),
             (
                 [steps.ChangeServerBehavior(target=server, is_paused=True)],
@@ -195,14 +203,14 @@
                 [steps.ChangeEndpointList(state=state)],
                 [steps.ChangeEndpointList(state="up" if state == "down" else "fresh")],
             ),
-            ([steps.SetLinkFault(name=name, link=link, fault=slow)], [lift]),
+            ([steps.SetLinkFault(name=name, link=link, fault=slow)], [clear]),
             (
                 [
                     steps.SetLinkFault(
                         name=name, link=f"b*>{server}", fault=LinkFault(reset_after=2_000), direction="back"
                     )
                 ],
-                [lift],
+                [clear],
             ),
         )
-        return self._random.choice(choices)
+        return self._rng.choice(choices)
--- a/loadbalancer/drill/soak/run.py
+++ b/loadbalancer/drill/soak/run.py
@@ -1,4 +1,4 @@
-"""Play the drills of seeds, several at once, keep what fails, and shorten a drill while it still fails."""
+"""Playing of generated drills in parallel, keeping those that fail, and shortening of failing drills."""
 
 from __future__ import annotations
 
@@ -28,40 +28,40 @@
 
 @dataclass(frozen=True)
 class SoakResult:
-    """What one play came to."""
+    """The result of one play."""
 
     seed: int
     failed: tuple[CheckResult, ...]
 
     @property
     def failed_names(self) -> set[str]:
-        """The checks that did not hold."""
+        """The names of the checks that did not hold."""
         return {check.name for check in self.failed}
 
     def __str__(self) -> str:
         if not self.failed:
             return f"seed {self.seed}: held"
-        broken = "; ".join(
+        failures = "; ".join(
             f"{c.name} {c.measured:g}, allowed {c.bound:g}: {c.first_violation}" for c in self.failed
         )
-        return f"seed {self.seed}: FAILED {broken}"
+        return f"seed {self.seed}: FAILED {failures}"
 
 
 def write_plan(folder: Path, seed: int, scenario: DrillScenario) -> None:
-    """Keep a plan so that it can be played again."""
+    """Write a plan to a folder, so that it can be replayed."""
     folder.mkdir(parents=True, exist_ok=True)
     plan = {"seed": seed, "scenario": msgspec.to_builtins(scenario)}
     (folder / PLAN_FILE).write_text(json.dumps(plan, indent=1) + "\n", encoding="utf-8")
 
 
 def read_plan(folder: Path) -> tuple[int, DrillScenario]:
-    """Return the seed and the plan of a folder; OSError or ValueError if there is none."""
+    """Return the seed and the plan in a folder; OSError or ValueError if there is none."""
     plan = json.loads((folder / PLAN_FILE).read_text(encoding="utf-8"))
     return plan["seed"], msgspec.convert(plan["scenario"], type=DrillScenario)
 
 
 def play(scenario: DrillScenario, seed: int, out: Path, defect: str = "") -> SoakResult:
-    """Play a plan in an empty folder, and judge it; DrillError if it can't be played."""
+    """Play a plan in an empty folder, and judge it; DrillError if it can't be completed."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(DrillPlayer(scenario, seed, out, defect).run())
     write_plan(out, seed, scenario)
@@ -70,7 +70,7 @@
 
 
 def play_seed(seed: int, out: Path, defect: str = "") -> SoakResult:
-    """Play the drill of a seed; a folder of its own stays only if it failed."""
+    """Play the drill of a seed in a folder of its own, which is kept only if the drill failed."""
     folder = out / f"seed-{seed}"
     result = play(make_scenario(seed), seed, folder, defect)
     if not result.failed:
@@ -81,13 +81,13 @@
 async def play_in_processes(
     seeds: range, jobs: int, out: Path, defect: str, on_line: Callable[[str], None]
 ) -> bool:
-    """Play seeds, so many at once, each in a process of its own; return whether all held."""
-    free = asyncio.Semaphore(jobs)
+    """Play seeds, `jobs` at a time, each in a process of its own; return whether all passed."""
+    job_slots = asyncio.Semaphore(jobs)
     all_passed = True
 
     async def _play_one(seed: int) -> None:
         nonlocal all_passed
-        async with free:
+        async with job_slots:
             arguments = ["drill", "soak", "--seeds", f"{seed}-{seed}", "--out", str(out), "--plant", defect]
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-c", COMMAND, *arguments,
@@ -101,7 +101,7 @@
                     await process.wait()
             all_passed = all_passed and process.returncode == 0
             lines = output.decode().strip().splitlines()
-            on_line(lines[-1] if lines else f"seed {seed}: ended with status {process.returncode}")
+            on_line(lines[-1] if lines else f"seed {seed}: exited with status {process.returncode}")
 
     async with asyncio.TaskGroup() as group:
         for seed in seeds:
@@ -112,19 +112,19 @@
 def shorten(
     scenario: DrillScenario, seed: int, out: Path, defect: str, on_line: Callable[[str], None]
 ) -> DrillScenario:
-    """Drop steps, the last ones first, as long as one of the same checks still fails."""
-    wanted = play(scenario, seed, out / "whole", defect).failed_names
-    if not wanted:
-        on_line("it held: there is nothing to shorten")
+    """Remove steps, from the last to the first, each if one of the original checks still fails without it."""
+    original_failures = play(scenario, seed, out / "whole", defect).failed_names
+    if not original_failures:
+        on_line("all checks held: there is nothing to shorten")
         return scenario
     index = len(scenario.step)
-    for number in range(MAX_SHORTENING_PLAYS):
+    for attempt in range(MAX_SHORTENING_PLAYS):
         index -= 1
         if index < 0:
             break
         shorter = _without_step(scenario, index)
-        result = play(shorter, seed, out / f"without-{number}", defect)
-        if result.failed_names & wanted:
+        result = play(shorter, seed, out / f"without-{attempt}", defect)
+        if result.failed_names & original_failures:
             scenario = shorter
             on_line(f"{len(scenario.step)} steps: {result}")
     write_plan(out / "short", seed, scenario)
@@ -132,7 +132,7 @@
 
 
 def _without_step(scenario: DrillScenario, index: int) -> DrillScenario:
-    """Drop a step; what comes after it keeps its time."""
+    """Remove a step; the steps after it keep their times."""
     remaining = list(scenario.step)
     dropped = remaining.pop(index)
     if index < len(remaining):
