--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,4 +1,4 @@
-"""Drills with real processes: sound ones pass, planted defects are found, and no process is left behind."""
+"""Drills with real processes: all checks pass, seeded defects are detected, and no process is left behind."""
 
 from __future__ import annotations
 
@@ -46,65 +46,67 @@
 }
 
 
-def command(*args: str) -> list[str]:
+def drill_command(*args: str) -> list[str]:
     return [sys.executable, "-c", "from loadbalancer.cli import main; main()", "drill", *args]
 
 
-def drill(*args: str) -> tuple[int, list[dict[str, Any]], str]:
+def run_drill(*args: str) -> tuple[int, list[dict[str, Any]], str]:
     """Run `irondrum drill`; return its exit status, verdicts and standard error."""
-    done = subprocess.run(
-        command(*args), cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S, check=False
+    completed = subprocess.run(
+        drill_command(*args), cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S, check=False
     )
-    verdicts = [json.loads(line) for line in done.stdout.splitlines() if line.startswith("{")]
-    return done.returncode, verdicts, done.stderr
+    verdicts = [json.loads(line) for line in completed.stdout.splitlines() if line.startswith("{")]
+    return completed.returncode, verdicts, completed.stderr
 
 
 def failed_checks(verdict: dict[str, Any]) -> list[str]:
     return [c["name"] for c in verdict["checks"] if not c["held"]]
 
 
-def test_demo_ends_with_status_0_when_nothing_broke() -> None:
-    argv = [*command()[:-1], "demo"]
-    done = subprocess.run(argv, cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S, check=False)
-    assert (done.returncode, "Nothing broke" in done.stdout) == (0, True), done.stdout + done.stderr
+def test_demo_exits_with_status_0_when_every_check_passes() -> None:
+    argv = [*drill_command()[:-1], "demo"]
+    completed = subprocess.run(argv, cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S, check=False)
+    assert (completed.returncode, "Nothing broke" in completed.stdout) == (0, True), (
+        completed.stdout + completed.stderr
+    )
 
 
-def test_drills_of_the_sound_program_pass_every_check(tmp_path: Path) -> None:
+def test_drills_without_a_seeded_defect_pass_every_check(tmp_path: Path) -> None:
     names = ["server-killed", "server-drained", "balancer-killed", "replace", "folder-full", "peers-killed"]
     with ThreadPoolExecutor(3) as pool:
         for status, verdicts, errors in pool.map(
-            lambda name: drill("run", name, "--json", "--out", str(tmp_path / name)), names
+            lambda name: run_drill("run", name, "--json", "--out", str(tmp_path / name)), names
         ):
             assert verdicts, errors
             assert (status, failed_checks(verdicts[0])) == (0, []), verdicts
 
 
-def test_each_planted_defect_is_found_by_the_check_meant_for_it() -> None:
+def test_each_seeded_defect_fails_the_check_meant_for_it() -> None:
     with ThreadPoolExecutor(3) as pool:
-        found = pool.map(
-            lambda item: drill("run", item[1][0], "--json", "--plant", item[0]), SEEDED_DEFECTS.items()
+        runs = pool.map(
+            lambda item: run_drill("run", item[1][0], "--json", "--plant", item[0]), SEEDED_DEFECTS.items()
         )
         for (defect, (_, check)), (status, verdicts, errors) in zip(
-            SEEDED_DEFECTS.items(), found, strict=True
+            SEEDED_DEFECTS.items(), runs, strict=True
         ):
             assert verdicts, errors
             assert status == 1 and check in failed_checks(verdicts[0]), (defect, verdicts)
 
 
-def test_version_from_another_folder_takes_over_without_failed_requests(tmp_path: Path) -> None:
+def test_hot_restart_from_another_program_folder_fails_no_requests(tmp_path: Path) -> None:
     other = tmp_path / "other"
     for part in ("loadbalancer", "deploy"):
         shutil.copytree(ROOT / part, other / part, ignore=shutil.ignore_patterns("__pycache__"))
     with (other / "loadbalancer" / "__init__.py").open("a", encoding="utf-8") as file:
         file.write("\nimport sys\n\nprint('the other version', file=sys.stderr)\n")
-    script = tmp_path / "versions.toml"
-    script.write_text(
+    scenario = tmp_path / "versions.toml"
+    scenario.write_text(
         "[load]\nrate = 100\nrequests = 400\n\n"
         f'[[step]]\nafter = 100\ndo = "replace"\nwho = "b0"\nfolder = "{other}"\n',
         encoding="utf-8",
     )
     out = tmp_path / "out"
-    status, verdicts, errors = drill("run", str(script), "--json", "--out", str(out))
+    status, verdicts, errors = run_drill("run", str(scenario), "--json", "--out", str(out))
     assert verdicts, errors
     assert (status, failed_checks(verdicts[0])) == (0, []), verdicts
     assert "the other version" in (out / "versions" / "b0.log").read_text()
@@ -112,24 +114,24 @@
 
 
 def processes_of(out: Path) -> list[int]:
-    """Return the processes whose command line or environment names a drill's folder."""
-    found = []
+    """Return the ids of running processes whose command line or environment contains a drill's folder."""
+    pids = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
             try:
-                origin = (entry / "cmdline").read_bytes() + (entry / "environ").read_bytes()
+                invocation = (entry / "cmdline").read_bytes() + (entry / "environ").read_bytes()
             except OSError:
                 continue
-            if str(out).encode() in origin and (entry / "status").read_text().find("State:\tZ") < 0:
-                found.append(int(entry.name))
-    return found
+            if str(out).encode() in invocation and (entry / "status").read_text().find("State:\tZ") < 0:
+                pids.append(int(entry.name))
+    return pids
 
 
-@pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGINT])
-def test_no_process_outlives_a_driver_that_is_killed_or_interrupted(tmp_path: Path, number: int) -> None:
+@pytest.mark.parametrize("signal_number", [signal.SIGKILL, signal.SIGINT])
+def test_no_process_outlives_a_killed_or_interrupted_driver(tmp_path: Path, signal_number: int) -> None:
     out = tmp_path / "out"
     with subprocess.Popen(
-        command("run", "calm", "--out", str(out)), cwd=ROOT, stderr=subprocess.DEVNULL,
+        drill_command("run", "calm", "--out", str(out)), cwd=ROOT, stderr=subprocess.DEVNULL,
         stdout=subprocess.DEVNULL,
     ) as driver:  # fmt: skip
         history = out / "calm" / "clients.history.jsonl"
@@ -138,7 +140,7 @@
             assert driver.poll() is None and time.monotonic() < until
             time.sleep(0.05)
         assert len(processes_of(out)) > 5
-        os.kill(driver.pid, number)
+        os.kill(driver.pid, signal_number)
         driver.wait(TIMEOUT_S)
     while processes_of(out):
         assert time.monotonic() < until, "processes are left"
@@ -146,19 +148,19 @@
 
 
 @pytest.mark.parametrize(("name", "module"), (DRILL_DEFECTS | SCALE_DEFECTS).items())
-def test_every_named_defect_stands_in_the_module_that_is_named_with_it(name: str, module: str) -> None:
-    holder = importlib.import_module(f"loadbalancer.drill.defects.{module}")
-    assert callable(vars(holder)[name.replace("-", "_")])
+def test_every_named_defect_is_defined_in_the_module_listed_for_it(name: str, module: str) -> None:
+    defects = importlib.import_module(f"loadbalancer.drill.defects.{module}")
+    assert callable(vars(defects)[name.replace("-", "_")])
 
 
-def test_replacing_a_global_that_is_not_there_fails() -> None:
+def test_replacing_a_global_that_does_not_exist_fails() -> None:
     module = ModuleType("patched")
     with pytest.raises(AttributeError, match="gone"):
         replace_global(module, "gone", None)
     assert not hasattr(module, "gone")
 
 
-def test_fault_and_its_end_are_recorded_with_the_same_links() -> None:
+def test_setting_and_clearing_a_fault_are_recorded_with_the_same_links() -> None:
     class Link:
         name = "clients>b0"
 
@@ -177,7 +179,7 @@
     assert [(e["on"], e["targets"]) for e in recorded] == [(True, ["clients>b0"]), (False, ["clients>b0"])]
 
 
-def test_every_scenario_in_the_folder_can_be_read() -> None:
+def test_every_scenario_in_the_drills_folder_is_valid() -> None:
     names = {path.stem for path in (ROOT / "drills").glob("*.toml") if load_scenario(path).title}
     assert names >= set(
         "calm server-killed server-silent server-slow balancer-killed balancer-stopped replace list-down "
@@ -203,13 +205,13 @@
         ("rate = ", "not TOML"),
     ],
 )
-def test_scenario_that_cannot_be_used_is_rejected_in_one_line(text: str, message: str) -> None:
+def test_invalid_scenario_is_rejected_with_one_line(text: str, message: str) -> None:
     with pytest.raises(DrillScenarioError) as caught:
         parse_scenario(text, "x.toml")
     assert message in str(caught.value) and "\n" not in str(caught.value)
 
 
-def test_wrong_use_ends_with_status_2_and_one_line() -> None:
+def test_usage_error_exits_with_status_2_and_one_line() -> None:
     for args in (("run", "no-such"), ("run", "calm", "--plant", "no-such")):
-        status, _, errors = drill(*args)
+        status, _, errors = run_drill(*args)
         assert status == 2 and errors.startswith("irondrum: no ") and errors.count("\n") == 1
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: plans from seeds, the checks that its clients add, planted defects, and a few short plays."""
+"""The soak: generated plans, the check for persistent connections, seeded defects, and short plays."""
 
 from __future__ import annotations
 
@@ -45,48 +45,48 @@
     assert len({msgspec.json.encode(plan.step) for plan in PLANS}) == len(PLANS)
 
 
-def test_a_kept_plan_is_read_as_it_was(tmp_path: Path) -> None:
+def test_a_written_plan_is_read_back_unchanged(tmp_path: Path) -> None:
     write_plan(tmp_path, 7, make_scenario(7))
     assert read_plan(tmp_path) == (7, make_scenario(7))
 
 
 @pytest.mark.parametrize(
-    "kind",
+    "step_type",
     [
         steps.TerminateProcess, steps.ReloadConfiguration, steps.ReplaceBalancer, steps.OpenIdleConnections,
         steps.DrainServer, steps.KillProcess, steps.ChangeEndpointList, steps.SetLinkFault,
         steps.ChangeServerBehavior,
     ],
 )  # fmt: skip
-def test_each_kind_of_event_has_its_share_of_seeds(kind: type[steps.Step]) -> None:
-    count = sum(any(isinstance(step, kind) for step in plan.step) for plan in PLANS)
+def test_each_type_of_step_is_in_at_least_a_twentieth_of_the_plans(step_type: type[steps.Step]) -> None:
+    count = sum(any(isinstance(step, step_type) for step in plan.step) for plan in PLANS)
     assert count >= len(PLANS) / 20
 
 
-def _seconds(plan: DrillScenario) -> Iterator[tuple[float, Any]]:
+def _timed_steps(plan: DrillScenario) -> Iterator[tuple[float, Any]]:
     at_s = 0.0
     for step in plan.step:
         at_s += step.after / plan.load.rate
         yield at_s, step
 
 
-def test_signals_come_in_series_but_never_in_a_process_s_first_second() -> None:
-    series = 0
+def test_signals_are_repeated_but_never_sent_in_the_first_second_of_a_process() -> None:
+    repeated_signals = 0
     for plan in PLANS:
         started_s: dict[str, float] = {}
         last_signal_s: dict[str, float] = {}
-        for at_s, step in _seconds(plan):
+        for at_s, step in _timed_steps(plan):
             if isinstance(step, steps.StartProcess | steps.ReplaceBalancer):
                 started_s[step.target] = at_s
                 last_signal_s.pop(step.target, None)
             if isinstance(step, steps.TerminateProcess | steps.ReloadConfiguration):
                 assert at_s - started_s.get(step.target, 0.0) >= 1.0, describe(plan)
-                series += at_s - last_signal_s.get(step.target, -10.0) < 4.0
+                repeated_signals += at_s - last_signal_s.get(step.target, -10.0) < 4.0
                 last_signal_s[step.target] = at_s
-    assert series > len(PLANS) / 4
+    assert repeated_signals > len(PLANS) / 4
 
 
-def test_a_kill_comes_at_the_earliest_moment_that_the_page_allows() -> None:
+def test_sigkill_comes_at_the_earliest_time_that_the_platform_allows() -> None:
     longest_s = max(c.deadline_ms for c in PLANS[0].load.classes) / 1_000
     assert earliest_kill_s() == max(longest_s, 3.0) + KILL_MARGIN_S == 4.7
     kills = {s.kill_after_s for plan in PLANS for s in plan.step if isinstance(s, steps.TerminateProcess)}
@@ -94,10 +94,10 @@
     assert READY_GAP_S > 1.0
 
 
-# ---- the check of requests that cross an end ------------------------------------------------------
+# ---- the check of requests that cross their connection's close ------------------------------------
 
 
-def judge_crossing(after_ms: float, *more: dict[str, Any]) -> bool:
+def crossing_is_excused(after_ms: float, *more: dict[str, Any]) -> bool:
     events = [
         {"t": 1.0, "what": "place", "name": "b0", "host": "127.0.0.2", "zone": "east", "tier": "first"},
         {"t": 5.0, "what": "asked", "id": "p1", "wish": "p1", "to": "b0"},
@@ -107,43 +107,43 @@
     return check_crossed_requests(Timeline(events), make_scenario(1)).passed
 
 
-def test_a_request_that_crossed_the_end_of_its_connection_is_not_lost() -> None:
-    assert judge_crossing(CROSSING_WINDOW_MS)
+def test_a_request_that_crossed_the_close_of_its_connection_is_not_lost() -> None:
+    assert crossing_is_excused(CROSSING_WINDOW_MS)
 
 
-def test_a_request_that_was_not_read_for_longer_is_lost() -> None:
-    assert not judge_crossing(CROSSING_WINDOW_MS + 1.0)
+def test_a_request_that_is_unread_for_longer_than_the_crossing_window_is_lost() -> None:
+    assert not crossing_is_excused(CROSSING_WINDOW_MS + 1.0)
 
 
-def test_a_request_that_was_forwarded_has_not_crossed_the_end() -> None:
+def test_a_request_that_was_forwarded_has_not_crossed_the_close() -> None:
     arrived = {"t": 8.0, "what": "arrived", "id": "p1", "from": "127.0.0.2", "who": "s0"}
-    assert not judge_crossing(1.0, arrived)
+    assert not crossing_is_excused(1.0, arrived)
 
 
-def test_a_killed_balancer_loses_what_it_had_in_flight() -> None:
+def test_a_killed_balancer_may_lose_its_requests_in_flight() -> None:
     kill = {"t": 2.0, "what": "fault", "kind": "kill", "on": True, "targets": ["b0"]}
-    assert judge_crossing(1_000.0, kill)
+    assert crossing_is_excused(1_000.0, kill)
 
 
 # ---- plays ----------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", SEEDS_IN_CI)
-def test_the_first_seeds_hold(seed: int, tmp_path: Path) -> None:
+def test_plays_of_the_first_seeds_pass_every_check(seed: int, tmp_path: Path) -> None:
     status, output = run_soak("--seeds", str(seed), "--out", str(tmp_path))
     lines = output.splitlines()
     assert status == 0, output
     assert lines[0] == f"seed {seed}"
     assert lines[-1] == f"seed {seed}: held"
-    assert not list(tmp_path.iterdir()), "what holds leaves nothing"
+    assert not list(tmp_path.iterdir()), "a passing play leaves no folder"
 
 
 @pytest.mark.parametrize(
     ("defect", "check", "seed"),
-    # Seed 3 has SIGHUPs to one balancer a second apart: closer ones may be delivered as one.
+    # Seed 3 sends a balancer SIGHUPs a second apart; closer ones may be delivered as one.
     [("closes-unread", "crossings", 2), ("ends-on-second-reload", "standing", 3)],
 )
-def test_a_planted_defect_is_found_and_its_history_is_kept(
+def test_a_seeded_defect_fails_its_check_and_the_plan_is_kept(
     defect: str, check: str, seed: int, tmp_path: Path
 ) -> None:
     status, output = run_soak("--seeds", str(seed), "--out", str(tmp_path), "--plant", defect)
@@ -154,7 +154,7 @@
 
 
 def processes_of(folder: Path) -> list[str]:
-    """Return the command lines that name a folder, of processes that run."""
+    """Return the command lines of running processes that contain a folder's path."""
     lines = []
     for path in Path("/proc").glob("[0-9]*/cmdline"):
         with contextlib.suppress(OSError):
@@ -162,13 +162,13 @@
     return [line for line in lines if str(folder) in line]
 
 
-def test_ended_by_ctrl_c_it_leaves_no_process(tmp_path: Path) -> None:
+def test_ctrl_c_leaves_no_process_behind(tmp_path: Path) -> None:
     arguments = ["drill", "soak", "--seeds", "1-2", "--jobs", "2", "--out", str(tmp_path)]
     soak = subprocess.Popen([sys.executable, "-c", COMMAND, *arguments], start_new_session=True)
     deadline_s = time.monotonic() + 60
     while len(processes_of(tmp_path)) < 8 and time.monotonic() < deadline_s:
         time.sleep(0.05)
-    assert len(processes_of(tmp_path)) >= 8, "both drills have begun"
+    assert len(processes_of(tmp_path)) >= 8, "the two drills did not start in time"
     os.killpg(soak.pid, signal.SIGINT)
     assert soak.wait(30) != 0
     while processes_of(tmp_path) and time.monotonic() < deadline_s:
@@ -186,14 +186,16 @@
         (("--shorten",), "--shorten: needs --replay DIR"),
     ],
 )
-def test_wrong_use_is_answered_by_one_line(arguments: tuple[str, ...], hint: str) -> None:
+def test_usage_error_prints_the_allowed_values_and_no_traceback(
+    arguments: tuple[str, ...], hint: str
+) -> None:
     status, output = run_soak(*arguments)
     assert status == 2
     assert hint in output
     assert "Traceback" not in output
 
 
-def test_a_plan_can_be_printed_without_a_play() -> None:
+def test_plans_can_be_printed_without_playing_them() -> None:
     status, output = run_soak("--seeds", "1-2", "--plan")
     expected = [line for seed in (1, 2) for line in (f"seed {seed}", *describe(make_scenario(seed)))]
     assert (status, output.splitlines()) == (0, expected)
