--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -167,7 +167,7 @@
         def set(self, *args: object) -> None:
             pass
 
-        lift = set
+        clear = set
 
     recorded: list[dict[str, Any]] = []
     topology: Any = SimpleNamespace(matching=lambda pattern: [Link()])
