--- a/loadbalancer/drill/scenario/tables.py
+++ b/loadbalancer/drill/scenario/tables.py
@@ -71,7 +71,7 @@
         "is_ready": "ready",
     },
 ):  # fmt: skip
-    """The defects of a version of a server."""
+    """How a version of a server misbehaves."""
 
     slowdown: float = 1.0
     failure_rates: dict[str, float] = {}
@@ -138,7 +138,7 @@
     min_served: float = 0.98
     """The least fraction served over the whole drill."""
     max_recovery_s: float = 8.0
-    """After each fault and its end, until within `recovery_tolerance` of the fraction before the first."""
+    """Time from a fault, or its end, until within `recovery_tolerance` of the fraction before the first."""
     recovery_tolerance: float = 0.05
     max_lost: int = 0
     """Requests without a complete answer, not counting those at balancers that were killed or stopped."""
--- a/loadbalancer/drill/soak/plan.py
+++ b/loadbalancer/drill/soak/plan.py
@@ -1,4 +1,4 @@
-"""Generation of drills from seeds: restarts with early SIGKILL, repeated signals, idle connections, faults.
+"""Drills made from seeds: restarts with the earliest SIGKILL, repeated signals, idle clients, faults.
 
     scenario = make_scenario(seed=7)    # the same for the same seed
     for line in describe(scenario): print(line)
--- a/tests/test_golden_histories.py
+++ b/tests/test_golden_histories.py
@@ -40,10 +40,10 @@
 
 
 def test_history_of_a_drill_is_judged_as_recorded() -> None:
-    found = judgement.judge(load_scenario(DRILL / "drill.toml"), history.read_history(DRILL))
+    results = judgement.judge(load_scenario(DRILL / "drill.toml"), history.read_history(DRILL))
     verdict = json.loads((DRILL / "verdict.json").read_text(encoding="utf-8"))
-    assert json.loads(msgspec.json.encode(found)) == verdict["checks"]
-    assert list(json.loads(msgspec.json.encode(found[0]))) == list(verdict["checks"][0])
+    assert json.loads(msgspec.json.encode(results)) == verdict["checks"]
+    assert list(json.loads(msgspec.json.encode(results[0]))) == list(verdict["checks"][0])
 
 
 def test_history_of_a_drill_is_read_completely() -> None:
@@ -54,8 +54,8 @@
 
 def test_drill_writes_histories_and_a_verdict_with_the_recorded_keys(tmp_path: Path) -> None:
     command = PROGRAM.command_line("drill", "run", str(DRILL / "drill.toml"), "--out", str(tmp_path))
-    done = subprocess.run(command, cwd=PROGRAM.cwd, check=False, stdout=subprocess.DEVNULL)
-    assert done.returncode in (0, 1)  # 1: checks may fail on a slow machine, which is not tested here
+    completed = subprocess.run(command, cwd=PROGRAM.cwd, check=False, stdout=subprocess.DEVNULL)
+    assert completed.returncode in (0, 1)  # 1: checks may fail on a slow machine, which is not tested here
     played = tmp_path / "drill"
     recorded_keys, keys = event_keys(DRILL), event_keys(played)
     assert list(keys) == list(recorded_keys)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -29,11 +29,11 @@
 
 
 def run_soak(*arguments: str) -> tuple[int, str]:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", COMMAND, "drill", "soak", *arguments],
         capture_output=True, text=True, timeout=150, check=False,
     )  # fmt: skip
-    return done.returncode, done.stdout + done.stderr
+    return completed.returncode, completed.stdout + completed.stderr
 
 
 # ---- plans --------------------------------------------------------------------------------------
