--- a/loadbalancer/registry/catalog.py
+++ b/loadbalancer/registry/catalog.py
@@ -71,7 +71,7 @@
         is_new_start = registration.since_ms > entry.registration.since_ms
         if entry.status is Status.TERMINATING and not is_new_start:
             raise self._checks.rejection(
-                409, RejectionCause.DRAINING, f"{name} is draining; only a new start can register"
+                409, RejectionCause.DRAINING, f"{name} drains; only a new start serves again"
             )
         if is_new_start:
             entry.reported_status = Status.IN_SERVICE
@@ -92,7 +92,7 @@
             raise self._checks.rejection(
                 429,
                 RejectionCause.FLAPPING,
-                f"{name} is flapping; it can register again in {damped_ms / 1_000:.0f} s",
+                f"{name} has come and gone too often; {damped_ms / 1_000:.0f} s more",
             )
         entry.expirations_ms = former.expirations_ms
         entry.change_count = former.change_count
--- a/loadbalancer/registry/http_api.py
+++ b/loadbalancer/registry/http_api.py
@@ -92,7 +92,7 @@
             )
         if (retry := self._evaluator.schedule_retry(query)) is not None:
             error = {
-                "error": "too many watchers are returning at once",
+                "error": "too many come back at once",
                 "retry_ms": round(retry.delay_s * 1_000),
                 "ticket": retry.ticket,
             }
@@ -198,7 +198,7 @@
         async for chunk in request.content.iter_chunked(EXCHANGE_CHUNK_BYTES):
             data += chunk
             if len(data) > MAX_EXCHANGE_BYTES:
-                raise WriteRejectedError(413, "the message of another instance is too long")
+                raise WriteRejectedError(413, "a message of another instance is too long")
         return web.Response(body=self._peer_sync.handle_request(data), content_type="application/json")
 
 
--- a/loadbalancer/registry/store.py
+++ b/loadbalancer/registry/store.py
@@ -218,7 +218,7 @@
         except sqlite3.Error as error:
             if self._db.in_transaction:
                 self._db.execute("rollback")
-            raise CatalogStoreError(f"nothing was stored: {error}") from error
+            raise CatalogStoreError(f"nothing was kept: {error}") from error
 
     # ---- checks ---------------------------------------------------------------------------------
 
