--- a/loadbalancer/lab/__init__.py
+++ b/loadbalancer/lab/__init__.py
@@ -1,4 +1,4 @@
-"""Experiments on the decisions in virtual time: scenarios by seeds by policies, and what they compare to.
+"""Experiments on the decision module in virtual time: scenarios, seeds and policies, and comparisons.
 
 irondrum lab run crowd rush --seeds 1-16 --policy ours,least --out before
 irondrum lab compare before after
--- a/loadbalancer/lab/compare.py
+++ b/loadbalancer/lab/compare.py
@@ -10,15 +10,15 @@
 
 from loadbalancer.lab.plays import Record
 
-BOOTSTRAP_RESAMPLES = 4_000  # enough that the interval's third digit stands
-MIN_FIGURE_CHANGE = 0.005  # a smaller change of the figure is neither won nor lost
+BOOTSTRAP_RESAMPLES = 4_000  # enough to make the third digit of the interval stable
+MIN_FIGURE_CHANGE = 0.005  # a smaller change of the figure counts as neither won nor lost
 Pair = tuple[float, float]
 """The figure of one scenario and seed, before and after."""
 
 
 @dataclass(frozen=True)
 class ScenarioComparison:
-    """How a scenario changed: mean figures, the mean change and its bootstrap interval of 95 in 100.
+    """How a scenario changed: mean figures, the mean change and its 95% bootstrap interval.
 
     The fields' names are the keys of `lab compare --json`.
     """
@@ -38,7 +38,7 @@
     """Return a row for each scenario that both sides have, and one for all.
 
     Where a side holds several policies, the same ones are paired; where each holds one, these two. Raises
-    ValueError if no scenario and seed stand in both.
+    ValueError if both have no scenario and seed in common.
     """
     has_several_policies = any(len({record.policy for record in side}) > 1 for side in (before, after))
 
@@ -52,13 +52,13 @@
         if key in figures_before:
             pairs[record.scenario].append((figures_before[key], record.figure))
     if not pairs:
-        raise ValueError("nothing to compare: no scenario and seed stand in both")
+        raise ValueError("nothing to compare: the sides have no scenario and seed in common")
     rows = [_compare_pairs(name, pairs[name]) for name in sorted(pairs)]
     return [*rows, _compare_pairs("all", [pair for name in sorted(pairs) for pair in pairs[name]])]
 
 
 def _compare_pairs(name: str, pairs: list[Pair]) -> ScenarioComparison:
-    """Return the row of a scenario; the resamples are drawn from a fixed seed, so that it repeats."""
+    """Return the row of a scenario; the seed of the resamples is fixed, so that it is reproducible."""
     figures = np.array(pairs)
     changes = figures[:, 1] - figures[:, 0]
     random = np.random.default_rng(len(pairs))
--- a/loadbalancer/lab/policies.py
+++ b/loadbalancer/lab/policies.py
@@ -1,4 +1,4 @@
-"""Select the policy of a play: this tree's, that of an earlier commit, or a baseline."""
+"""Select the policy of a play: the working tree's, that of an earlier commit, or a baseline."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from loadbalancer.simulation.baselines import BASELINES, Oracle
 from loadbalancer.simulation.fleet import SimulatedFleet
-from loadbalancer.simulation.scenario import Day
+from loadbalancer.simulation.scenario import DrawnScenario
 
 OWN_POLICY = "ours"
 POLICY_NAMES = (OWN_POLICY, *BASELINES)
@@ -21,28 +21,28 @@
     """A policy or a commit does not exist; the message is one line that names it."""
 
 
-def create_fleet(day: Day, name: str) -> SimulatedFleet:
-    """Return the simulated fleet of a day, all its balancers with a policy.
+def create_fleet(drawn: DrawnScenario, name: str) -> SimulatedFleet:
+    """Return the simulated fleet of a play, in which all balancers run the named policy.
 
-    Raises PolicyError if there is none of that name.
+    Raises PolicyError if there is no policy of that name.
     """
     if name == OWN_POLICY:
-        from loadbalancer.policy import Balancer  # late: `replace_policy` may have put another in its place
+        from loadbalancer.policy import Balancer  # imported late: `replace_policy` may have replaced it
 
-        return SimulatedFleet(day, Balancer)
+        return SimulatedFleet(drawn, Balancer)
     if name not in BASELINES:
         raise PolicyError(f"no policy {name!r}; there are {', '.join(POLICY_NAMES)}")
     baseline = BASELINES[name]
     if baseline is not Oracle:
-        return SimulatedFleet(day, baseline)
-    oracle = type("OracleOfOneFleet", (Oracle,), {})  # a class of its own: other plays have other fleets
-    fleet = SimulatedFleet(day, oracle)
-    oracle.world = fleet  # type: ignore[attr-defined]
+        return SimulatedFleet(drawn, baseline)
+    oracle = type("OracleOfOneFleet", (Oracle,), {})  # a class per play, because each play has its own fleet
+    fleet = SimulatedFleet(drawn, oracle)
+    oracle.fleet = fleet  # type: ignore[attr-defined]
     return fleet
 
 
 def extract_policy(commit: str, repository: Path, folder: Path) -> None:
-    """Extract the decisions of a commit into a folder; raises PolicyError if git has none there."""
+    """Extract the decision module of a commit into a folder; raises PolicyError if git has none there."""
     for part in ("loadbalancer/policy", "loadbalancer/policy.py"):
         done = subprocess.run(
             ["git", "archive", commit, part], cwd=repository, capture_output=True, check=False
@@ -51,11 +51,11 @@
             with tarfile.open(fileobj=BytesIO(done.stdout)) as tar:
                 tar.extractall(folder, filter="data")
             return
-    raise PolicyError(f"no decisions at commit {commit!r} of {repository}")
+    raise PolicyError(f"no decision module at commit {commit!r} of {repository}")
 
 
 def replace_policy(folder: Path) -> None:
-    """Replace this tree's decisions by extracted ones, in this process and until it ends."""
+    """Replace the working tree's decision module by an extracted one, for the rest of this process."""
     for name in [name for name in sys.modules if name.split(".")[:2] == ["loadbalancer", "policy"]]:
         del sys.modules[name]
     package = folder / "loadbalancer"
@@ -64,7 +64,7 @@
     spec = importlib.util.spec_from_file_location(
         "loadbalancer.policy", path, submodule_search_locations=[str(path.parent)] if is_package else None
     )
-    assert spec is not None and spec.loader is not None, "a file of Python has a loader"
+    assert spec is not None and spec.loader is not None, "a Python source file has a loader"
     module = importlib.util.module_from_spec(spec)
     sys.modules["loadbalancer.policy"] = module
     spec.loader.exec_module(module)
--- a/loadbalancer/simulation/__init__.py
+++ b/loadbalancer/simulation/__init__.py
@@ -1,11 +1,11 @@
 """A model of the fleet in virtual time: clients, balancers, servers, discovery and the network between them.
 
-It does no I/O and reads no clock: all times are milliseconds of its own, and all chance comes from one seed,
-each part from a stream of its own, so that a new part does not shift another's draws. The balancers run the
-decisions of `loadbalancer.policy` through `loadbalancer.interface`, as the real program does.
+It does no I/O and reads no clock: times are virtual, in ms. Each part has its own random stream, derived from
+one seed, so that a new part does not shift the draws of another. The balancers run the decision module
+`loadbalancer.policy` through `loadbalancer.interface`, as the real program does.
 
-    day = draw(scenario, seed=3)
-    result = World(day, Balancer).run()
+    drawn = draw(scenario, seed=3)
+    result = SimulatedFleet(drawn, Balancer).run()
     print(result.utility.figure)
 """
 
--- a/loadbalancer/simulation/balancers.py
+++ b/loadbalancer/simulation/balancers.py
@@ -1,4 +1,4 @@
-"""What hosts the decisions: requests in, attempts out over connections, outcomes back."""
+"""Simulated balancers: run a policy, send its attempts over connections and report their outcomes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from loadbalancer import interface
 from loadbalancer.interface import Outcome
-from loadbalancer.simulation.clock import Clock, Due
+from loadbalancer.simulation.clock import Clock, ScheduledCall
 from loadbalancer.simulation.discovery import DiscoveryModel
 from loadbalancer.simulation.network import Network
 from loadbalancer.simulation.rules import RuleChecker
@@ -16,51 +16,51 @@
 from loadbalancer.simulation.utility import Ledger
 
 
-class Decisions(Protocol):
-    """What the model asks of a policy: the interface of `loadbalancer.policy.Balancer`."""
+class Policy(Protocol):
+    """The interface of a policy, as `loadbalancer.policy.Balancer` has it."""
 
     def handle(self, event: interface.Event, now: float) -> list[interface.Action]:
-        """Take an event and tell what to do."""
+        """Handle an event and return the actions to execute."""
 
 
 @dataclass(slots=True)
-class Ask:
-    """One try of a request, as a balancer is given it. `work` is what it takes in each tier, in ms."""
+class IncomingRequest:
+    """A request as a balancer receives it; `work` is its work in each tier, in ms."""
 
-    cls: str
+    class_name: str
     work: tuple[float, float]
     calls: int
     remaining_ms: float
     tenant: str
-    is_repeat: bool
-    effect_once: bool  # it must not run twice
+    is_retry: bool
+    is_unsafe: bool  # it must not run twice
     zone: str
-    answer: Callable[[str, float], None]  # 'served', 'refused' or 'failed', and how long to stay away
+    respond: Callable[[str, float], None]  # 'served', 'refused', 'failed' or 'lost', and Retry-After in ms
 
 
 @dataclass(slots=True)
-class Try:
-    """An attempt on its way."""
+class Attempt:
+    """An attempt that a balancer has sent."""
 
     server: str
-    out: bool = True
+    in_flight: bool = True
     may_have_run: bool = True
     cancel: Callable[[], None] | None = None
-    timer: Due | None = None
+    timer: ScheduledCall | None = None
 
 
 @dataclass(slots=True)
-class Taken:
-    """A request that this balancer has taken."""
+class ActiveRequest:
+    """A request that this balancer has accepted."""
 
-    ask: Ask
-    until: float
-    open: bool = True
-    tries: list[Try] = field(default_factory=list)
+    incoming: IncomingRequest
+    deadline_ms: float
+    is_open: bool = True
+    attempts: list[Attempt] = field(default_factory=list)
 
 
-class Surroundings(Protocol):
-    """What a balancer finds round it."""
+class BalancerEnvironment(Protocol):
+    """The simulated fleet, as a balancer needs it."""
 
     clock: Clock
     network: Network
@@ -74,221 +74,233 @@
     handshake_ms: float
 
     def serve(
-        self, server: Server, ask: Ask, timeout: float, ended: Callable[[Outcome], None]
+        self, server: Server, incoming: IncomingRequest, timeout: float, on_end: Callable[[Outcome], None]
     ) -> Callable[[], None] | None:
-        """An attempt has reached a server; what is returned calls it off."""
+        """Run an attempt that reached a server; return what cancels it."""
 
-    def probe(self, host: Host, name: str) -> None:
-        """Ask a server how it is."""
+    def send_health_check(self, balancer: SimulatedBalancer, name: str) -> None:
+        """Send a health check to a server."""
 
 
-class Host:
-    """One balancer: the decisions, and the network round them."""
+class SimulatedBalancer:
+    """One balancer: a policy, and the requests and connections that it controls."""
 
-    def __init__(self, world: Surroundings, name: str, tier: int, zone: str, decisions: Decisions) -> None:
-        self.world, self.name, self.tier, self.zone = world, name, tier, zone
-        self.decisions = decisions
-        self.alive = True
+    def __init__(self, fleet: BalancerEnvironment, name: str, tier: int, zone: str, policy: Policy) -> None:
+        self.fleet, self.name, self.tier, self.zone = fleet, name, tier, zone
+        self.policy = policy
+        self.is_alive = True
         self.announced_readiness: dict[
             str, tuple[interface.Readiness, float]
-        ] = {}  # what the list said, and since when
-        self.cold_known: dict[str, float] = {}
-        self._requests: dict[int, Taken] = {}
-        self._last = 0
-        self._idle: dict[str, list[float]] = {}
-        self.out: dict[str, int] = {}
+        ] = {}  # by the endpoint list, and since when
+        self.known_start_ms: dict[str, float] = {}
+        self._requests: dict[int, ActiveRequest] = {}
+        self._last_request_id = 0
+        self._idle_connections: dict[str, list[float]] = {}
+        self.outstanding: dict[str, int] = {}
 
     # ---- events ---------------------------------------------------------------------------------
 
     def handle_event(self, event: interface.Event) -> None:
-        """Pass an event on and carry out what follows."""
-        if self.alive:
-            for action in self.decisions.handle(event, self.world.clock.now):
-                self._do(action)
-
-    def take(self, ask: Ask) -> int:
-        """Take a request; the number by which its caller may leave."""
-        self._last += 1
-        number = self._last
-        now = self.world.clock.now
-        self._requests[number] = Taken(ask, now + ask.remaining_ms)
-        self.world.rules.record_request(self, number, now + ask.remaining_ms)
+        """Pass an event to the policy and execute its actions."""
+        if self.is_alive:
+            for action in self.policy.handle(event, self.fleet.clock.now):
+                self._execute(action)
+
+    def accept(self, incoming: IncomingRequest) -> int:
+        """Accept a request; return its identifier, by which the client can disconnect."""
+        self._last_request_id += 1
+        request_id = self._last_request_id
+        now = self.fleet.clock.now
+        self._requests[request_id] = ActiveRequest(incoming, now + incoming.remaining_ms)
+        self.fleet.rules.record_request(self, request_id, now + incoming.remaining_ms)
         self.handle_event(
             interface.RequestArrived(
-                number, ask.cls, max(ask.remaining_ms, 0.0), ask.tenant or None, ask.is_repeat
+                request_id,
+                incoming.class_name,
+                max(incoming.remaining_ms, 0.0),
+                incoming.tenant or None,
+                incoming.is_retry,
             )
         )
-        return number
+        return request_id
 
-    def left(self, number: int) -> None:
-        """The caller has gone."""
-        request = self._requests.get(number)
-        if request is not None and request.open:
-            request.open = False
-            self.world.rules.record_disconnect(self, number)
-            self.handle_event(interface.ClientDisconnected(number))
-            self._forget(number)
+    def disconnect(self, request_id: int) -> None:
+        """End a request whose client disconnected."""
+        request = self._requests.get(request_id)
+        if request is not None and request.is_open:
+            request.is_open = False
+            self.fleet.rules.record_disconnect(self, request_id)
+            self.handle_event(interface.ClientDisconnected(request_id))
+            self._discard_if_over(request_id)
 
     def handle_list_update(self, update: interface.EndpointListUpdate) -> None:
-        """The list, or a change of it, has come."""
-        now = self.world.clock.now
+        """Handle the endpoint list, or a change of it."""
+        now = self.fleet.clock.now
         if update.kind is interface.UpdateKind.FULL_SNAPSHOT:
-            named = {m.server for m in update.endpoints}
-            for name in [n for n in self.announced_readiness if n not in named]:
+            listed = {m.server for m in update.endpoints}
+            for name in [n for n in self.announced_readiness if n not in listed]:
                 self.announced_readiness[name] = (interface.Readiness.DEAD, now)
         for member in update.endpoints:
             known = self.announced_readiness.get(member.server)
             if known is None or known[0] is not member.readiness:
                 self.announced_readiness[member.server] = (member.readiness, now)
             if member.started_at_ms > 0:
-                self.cold_known[member.server] = member.started_at_ms
+                self.known_start_ms[member.server] = member.started_at_ms
         self.handle_event(update)
 
-    def die(self) -> None:
-        """It is killed, and all that it held with it."""
-        self.alive = False
-        for number, request in list(self._requests.items()):
-            for attempt in request.tries:
+    def kill(self) -> None:
+        """Kill the balancer; all its requests are lost."""
+        self.is_alive = False
+        for request_id, request in list(self._requests.items()):
+            for attempt in request.attempts:
                 if attempt.cancel:
                     attempt.cancel()
-            if request.open:
-                request.open = False
-                self.world.rules.record_response(self, number)
-                request.ask.answer("lost", 0.0)
+            if request.is_open:
+                request.is_open = False
+                self.fleet.rules.record_response(self, request_id)
+                request.incoming.respond("lost", 0.0)
         self._requests.clear()
 
     # ---- actions --------------------------------------------------------------------------------
 
-    def _do(self, action: interface.Action) -> None:
-        clock = self.world.clock
+    def _execute(self, action: interface.Action) -> None:
+        clock = self.fleet.clock
         match action:
             case interface.SendAttempt():
                 self._send(action)
             case interface.SetTimer(at, token):
                 clock.at(at, self.handle_event, interface.TimerExpired(token))
-            case interface.Reject(number, after_ms):
-                self._final(number, "refused", after_ms)
-            case interface.Fail(number):
-                self._final(number, "failed", 0.0)
-            case interface.CancelAttempt(number, index):
-                request = self._requests.get(number)
-                if request and request.tries[index].out:
-                    self._over(number, index, Outcome.CANCELLED)
+            case interface.Reject(request_id, after_ms):
+                self._end_unserved(request_id, "refused", after_ms)
+            case interface.Fail(request_id):
+                self._end_unserved(request_id, "failed", 0.0)
+            case interface.CancelAttempt(request_id, index):
+                request = self._requests.get(request_id)
+                if request and request.attempts[index].in_flight:
+                    self._end_attempt(request_id, index, Outcome.CANCELLED)
             case interface.CloseIdleConnections(server):
-                self._idle.pop(server, None)
+                self._idle_connections.pop(server, None)
             case interface.WatchEndpointList():
-                self.world.discovery.request_list(self)
+                self.fleet.discovery.request_list(self)
             case interface.SendHealthCheck(server):
-                self.world.probe(self, server)
+                self.fleet.send_health_check(self, server)
             case interface.LogMessage():
                 pass
 
-    def _final(self, number: int, ending: str, after_ms: float) -> None:
-        request = self._requests.get(number)
-        if request is None or not request.open:
+    def _end_unserved(self, request_id: int, ending: str, after_ms: float) -> None:
+        request = self._requests.get(request_id)
+        if request is None or not request.is_open:
             return
-        if ending == "refused" and request.ask.effect_once and any(t.may_have_run for t in request.tries):
-            self.world.rules.record_violation("refused what may have run", self.name, number)
-        self._answer(number, request, ending, after_ms)
-
-    def _answer(self, number: int, request: Taken, ending: str, after_ms: float) -> None:
-        request.open = False
-        self.world.rules.record_response(self, number)
-        request.ask.answer(ending, after_ms)
-        self._forget(number)
-
-    def _forget(self, number: int) -> None:
-        request = self._requests.get(number)
-        if request and not request.open and not any(t.out for t in request.tries):
-            del self._requests[number]
+        if (
+            ending == "refused"
+            and request.incoming.is_unsafe
+            and any(t.may_have_run for t in request.attempts)
+        ):
+            self.fleet.rules.record_violation("refused what may have run", self.name, request_id)
+        self._respond(request_id, request, ending, after_ms)
+
+    def _respond(self, request_id: int, request: ActiveRequest, ending: str, after_ms: float) -> None:
+        request.is_open = False
+        self.fleet.rules.record_response(self, request_id)
+        request.incoming.respond(ending, after_ms)
+        self._discard_if_over(request_id)
+
+    def _discard_if_over(self, request_id: int) -> None:
+        request = self._requests.get(request_id)
+        if request and not request.is_open and not any(t.in_flight for t in request.attempts):
+            del self._requests[request_id]
 
     def _send(self, action: interface.SendAttempt) -> None:
-        world, number, name = self.world, action.request_id, action.server
-        request = self._requests.get(number)
+        fleet, request_id, name = self.fleet, action.request_id, action.server
+        request = self._requests.get(request_id)
         if request is None:
-            world.rules.record_violation("sent a request that is over", self.name, number)
+            fleet.rules.record_violation("sent a request that is over", self.name, request_id)
             return
-        if request.ask.effect_once and any(t.may_have_run for t in request.tries):
-            world.rules.record_violation("sent again what may have run", self.name, number)
-        world.rules.record_send(self, name)
-        index = len(request.tries)
-        attempt = Try(name)
-        request.tries.append(attempt)
-        self.out[name] = self.out.get(name, 0) + 1
-        left = request.until - world.clock.now
+        if request.incoming.is_unsafe and any(t.may_have_run for t in request.attempts):
+            fleet.rules.record_violation("sent again what may have run", self.name, request_id)
+        fleet.rules.record_send(self, name)
+        index = len(request.attempts)
+        attempt = Attempt(name)
+        request.attempts.append(attempt)
+        self.outstanding[name] = self.outstanding.get(name, 0) + 1
+        left = request.deadline_ms - fleet.clock.now
         timeout = min(action.timeout_ms or left, left)
-        attempt.timer = world.clock.after(max(timeout, 0.0), self._over, number, index, Outcome.TIMED_OUT)
-        server = world.servers[name]
-        zone = server.build.zone
-        world.ledger.record_attempt(
-            zone, world.clock.now, crosses_zones=self.zone != zone, is_from_front=self.tier == 0
+        attempt.timer = fleet.clock.after(
+            max(timeout, 0.0), self._end_attempt, request_id, index, Outcome.TIMED_OUT
+        )
+        server = fleet.servers[name]
+        zone = server.spec.zone
+        fleet.ledger.record_attempt(
+            zone, fleet.clock.now, crosses_zones=self.zone != zone, is_from_front=self.tier == 0
         )
-        idle = self._idle.get(name)
+        idle = self._idle_connections.get(name)
         if idle:
-            stale = world.clock.now - idle.pop() >= world.idle_ms
-            delay = world.network.delay(self.zone, server.build.zone)
+            stale = fleet.clock.now - idle.pop() >= fleet.idle_ms
+            delay = fleet.network.delay(self.zone, server.spec.zone)
             if stale:
-                world.clock.after(2 * delay, self._over, number, index, Outcome.RESET)
+                fleet.clock.after(2 * delay, self._end_attempt, request_id, index, Outcome.RESET)
             else:
-                world.clock.after(delay, self._arrive, number, index, server, timeout)
+                fleet.clock.after(delay, self._deliver, request_id, index, server, timeout)
         else:
-            self._connect(number, index, server, timeout)
+            self._connect(request_id, index, server, timeout)
 
-    def _connect(self, number: int, index: int, server: Server, timeout: float) -> None:
-        world = self.world
-        delay = world.network.delay(self.zone, server.build.zone)
-        if world.network.is_cut(self.zone, server.build.zone) or server.is_silent:
-            world.clock.after(world.connect_ms, self._over, number, index, Outcome.CONNECT_FAILED)
+    def _connect(self, request_id: int, index: int, server: Server, timeout: float) -> None:
+        fleet = self.fleet
+        delay = fleet.network.delay(self.zone, server.spec.zone)
+        if fleet.network.is_cut(self.zone, server.spec.zone) or server.is_silent:
+            fleet.clock.after(fleet.connect_ms, self._end_attempt, request_id, index, Outcome.CONNECT_FAILED)
         elif not server.is_up:
-            world.clock.after(2 * delay, self._over, number, index, Outcome.CONNECT_FAILED)
-        elif server.connections >= server.build.connections:
-            world.clock.after(2 * delay, self._over, number, index, Outcome.REJECTED)
+            fleet.clock.after(2 * delay, self._end_attempt, request_id, index, Outcome.CONNECT_FAILED)
+        elif server.connections >= server.spec.connections:
+            fleet.clock.after(2 * delay, self._end_attempt, request_id, index, Outcome.REJECTED)
         else:
             server.connections += 1
-            server.add_work(world.handshake_ms)
-            wait = delay * (1 + 2 * world.handshake_rtts)
-            world.clock.after(wait, self._arrive, number, index, server, timeout)
-
-    def _arrive(self, number: int, index: int, server: Server, timeout: float) -> None:
-        """The attempt is at the server."""
-        request = self._requests.get(number)
-        attempt = request.tries[index] if request else None
-        if request is None or attempt is None or not attempt.out:
+            server.add_work(fleet.handshake_ms)
+            wait = delay * (1 + 2 * fleet.handshake_rtts)
+            fleet.clock.after(wait, self._deliver, request_id, index, server, timeout)
+
+    def _deliver(self, request_id: int, index: int, server: Server, timeout: float) -> None:
+        """Deliver an attempt to its server."""
+        request = self._requests.get(request_id)
+        attempt = request.attempts[index] if request else None
+        if request is None or attempt is None or not attempt.in_flight:
             return
-        world = self.world
-        if world.network.is_cut(self.zone, server.build.zone) or server.is_silent:
-            return  # nothing comes back
-        back = world.network.delay(self.zone, server.build.zone)
+        fleet = self.fleet
+        if fleet.network.is_cut(self.zone, server.spec.zone) or server.is_silent:
+            return  # no response gets back
+        back = fleet.network.delay(self.zone, server.spec.zone)
         if not server.is_up or server.is_draining:
             outcome = Outcome.REJECTED if server.is_up else Outcome.RESET
-            world.clock.after(back, self._over, number, index, outcome)
+            fleet.clock.after(back, self._end_attempt, request_id, index, outcome)
             return
 
-        def ended(outcome: Outcome) -> None:
-            if not world.network.is_cut(self.zone, server.build.zone):
-                world.clock.after(back, self._over, number, index, outcome)
+        def on_end(outcome: Outcome) -> None:
+            if not fleet.network.is_cut(self.zone, server.spec.zone):
+                fleet.clock.after(back, self._end_attempt, request_id, index, outcome)
 
-        attempt.cancel = world.serve(server, request.ask, timeout, ended)
+        attempt.cancel = fleet.serve(server, request.incoming, timeout, on_end)
 
-    def _over(self, number: int, index: int, outcome: Outcome) -> None:
-        """An attempt has its outcome; the first served one is the answer."""
-        request = self._requests.get(number)
-        attempt = request.tries[index] if request else None
-        if request is None or attempt is None or not attempt.out or not self.alive:
+    def _end_attempt(self, request_id: int, index: int, outcome: Outcome) -> None:
+        """End an attempt with its outcome; the first served one is the response."""
+        request = self._requests.get(request_id)
+        attempt = request.attempts[index] if request else None
+        if request is None or attempt is None or not attempt.in_flight or not self.is_alive:
             return
-        attempt.out = False
+        attempt.in_flight = False
         attempt.may_have_run = outcome not in interface.OUTCOMES_WITHOUT_EFFECT
         if attempt.timer:
             attempt.timer.cancel()
-        self.out[attempt.server] -= 1
+        self.outstanding[attempt.server] -= 1
         if outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.REJECTED):
-            self._idle.setdefault(attempt.server, []).append(self.world.clock.now)
+            self._idle_connections.setdefault(attempt.server, []).append(self.fleet.clock.now)
         else:
-            server = self.world.servers[attempt.server]
+            server = self.fleet.servers[attempt.server]
             server.connections = max(server.connections - 1, 0)
             if attempt.cancel:
-                self.world.clock.after(self.world.network.delay(self.zone, server.build.zone), attempt.cancel)
-        if outcome is Outcome.SERVED and request.open:
-            self._answer(number, request, "served", 0.0)
-        self.handle_event(interface.AttemptEnded(number, index, attempt.server, outcome, not request.open))
-        self._forget(number)
+                self.fleet.clock.after(self.fleet.network.delay(self.zone, server.spec.zone), attempt.cancel)
+        if outcome is Outcome.SERVED and request.is_open:
+            self._respond(request_id, request, "served", 0.0)
+        self.handle_event(
+            interface.AttemptEnded(request_id, index, attempt.server, outcome, not request.is_open)
+        )
+        self._discard_if_over(request_id)
--- a/loadbalancer/simulation/clock.py
+++ b/loadbalancer/simulation/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: what is due is done in order, first come first where it is due at once."""
+"""Virtual time: scheduled calls run in order of time, and in order of scheduling at the same time."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 from typing import Any, Protocol
 
 
-class Pending(Protocol):
-    """Something that is due."""
+class Cancellable(Protocol):
+    """A scheduled call."""
 
     def cancel(self) -> object:
-        """Let it not happen; nothing if it has."""
+        """Cancel the call, unless it has run."""
 
 
 class Timekeeper(Protocol):
-    """What parts of the model ask of a clock, so that sockets can host them as virtual time does."""
+    """The clock that a model needs, so that it runs in virtual time as well as in real time on sockets."""
 
     @property
     def now(self) -> float:
-        """The time, in ms."""
+        """The current time, in ms."""
 
-    def at(self, when: float, do: Callable[..., Any], *args: Any) -> Pending:
-        """Do something at a time, at once if that has passed."""
+    def at(self, when: float, do: Callable[..., Any], *args: Any) -> Cancellable:
+        """Call a function at a time, at once if that has passed."""
 
-    def after(self, delay: float, do: Callable[..., Any], *args: Any) -> Pending:
-        """Do something so many ms from now."""
+    def after(self, delay: float, do: Callable[..., Any], *args: Any) -> Cancellable:
+        """Call a function after a delay in ms."""
 
 
-class Due:
-    """Something that will be done, unless it is called off."""
+class ScheduledCall:
+    """A scheduled call in virtual time."""
 
     __slots__ = ("args", "do", "when")
 
@@ -38,32 +38,32 @@
         self.do: Callable[..., Any] | None = do
 
     def cancel(self) -> None:
-        """Let it not happen; nothing if it has."""
+        """Cancel the call, unless it has run."""
         self.do = None
 
 
 class Clock:
-    """The time, in ms, and what is still due."""
+    """The virtual time, in ms, and the calls scheduled in it."""
 
     def __init__(self, start: float = 0.0) -> None:
         self.now = start
-        self._due: list[tuple[float, int, Due]] = []
+        self._due: list[tuple[float, int, ScheduledCall]] = []
         self._order = 0
         self.steps = 0
 
-    def at(self, when: float, do: Callable[..., Any], *args: Any) -> Due:
-        """Do something at a time; at once, but after what is due before, if that has passed."""
-        due = Due(max(when, self.now), do, args)
+    def at(self, when: float, do: Callable[..., Any], *args: Any) -> ScheduledCall:
+        """Call a function at a time; if that has passed, at once, but after calls scheduled earlier."""
+        due = ScheduledCall(max(when, self.now), do, args)
         self._order += 1
         heapq.heappush(self._due, (due.when, self._order, due))
         return due
 
-    def after(self, delay: float, do: Callable[..., Any], *args: Any) -> Due:
-        """Do something so many ms from now."""
+    def after(self, delay: float, do: Callable[..., Any], *args: Any) -> ScheduledCall:
+        """Call a function after a delay in ms."""
         return self.at(self.now + delay, do, *args)
 
     def run(self, until: float) -> None:
-        """Let time pass up to a moment; what is due then is done."""
+        """Run all calls due up to a time, that time included."""
         due, pop = self._due, heapq.heappop
         while due and due[0][0] <= until:
             self.now, _, item = pop(due)
--- a/loadbalancer/simulation/discovery.py
+++ b/loadbalancer/simulation/discovery.py
@@ -1,4 +1,4 @@
-"""The platform's endpoint list in virtual time: it lags behind, and takes so many calls a second."""
+"""The platform's endpoint list in virtual time: delayed, and limited in calls per second."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 from loadbalancer import interface
 from loadbalancer.simulation.clock import Clock
-from loadbalancer.simulation.scenario import Day, number
+from loadbalancer.simulation.scenario import DrawnScenario, drawn_value
 
-FAILURE_SPREAD_MS = 200.0  # within which subscribers notice that the service has gone down
+FAILURE_SPREAD_MS = 200.0  # within which subscribers notice that the service is down
 UPDATE_DELAY_MS = (1.0, 50.0)  # of an update on its way to a subscriber, at least and at most
 
 
@@ -17,7 +17,7 @@
 
     name: str
     tier: int
-    alive: bool
+    is_alive: bool
 
     def handle_list_update(self, update: interface.EndpointListUpdate) -> None:
         """Handle the list, a change of it, or that the call failed."""
@@ -26,16 +26,16 @@
 class DiscoveryModel:
     """One service for all balancers; whoever has requested the list is notified of its changes."""
 
-    def __init__(self, clock: Clock, day: Day) -> None:
+    def __init__(self, clock: Clock, drawn: DrawnScenario) -> None:
         """The scenario's `discovery` says how fast the service is and how late it shows changes."""
-        plan = day.scenario.discovery
+        plan = drawn.scenario.discovery
         self._clock = clock
-        self._rng = day.stream("discovery")
-        self._call_interval_ms = 1_000.0 / number(plan.calls_per_s)
-        self._timeout_ms = number(plan.timeout_ms)
-        self._end_delay_ms = number(plan.notice_s) * 1_000
-        self._silent_end_delay_ms = number(plan.silent_notice_s) * 1_000
-        self._add_delay_ms = number(plan.add_s) * 1_000
+        self._rng = drawn.stream("discovery")
+        self._call_interval_ms = 1_000.0 / drawn_value(plan.calls_per_s)
+        self._timeout_ms = drawn_value(plan.timeout_ms)
+        self._end_delay_ms = drawn_value(plan.notice_s) * 1_000
+        self._silent_end_delay_ms = drawn_value(plan.silent_notice_s) * 1_000
+        self._add_delay_ms = drawn_value(plan.add_s) * 1_000
         self._entries: list[dict[str, interface.Endpoint]] = [{}, {}]  # by tier
         self._subscribers: list[dict[str, ListSubscriber]] = [{}, {}]  # by tier
         self._free_at = 0.0
@@ -61,7 +61,7 @@
         return interface.EndpointListUpdate(kind, tuple(self._entries[tier].values()))
 
     def request_list(self, subscriber: ListSubscriber) -> None:
-        """Take a call: calls are worked through in turn, and fail if they wait too long or all is down."""
+        """Handle a call: calls are answered in turn; those that wait too long or meet an outage fail."""
         self.calls += 1
         now = self._clock.now
         wait_ms = max(self._free_at - now, 0.0)
@@ -96,7 +96,7 @@
             self._entries[tier][endpoint.server] = endpoint
         update = interface.EndpointListUpdate(interface.UpdateKind.DELTA, (endpoint,))
         for subscriber in list(self._subscribers[tier].values()):
-            if subscriber.alive:
+            if subscriber.is_alive:
                 delay_ms = float(self._rng.uniform(*UPDATE_DELAY_MS))
                 self._clock.after(delay_ms, subscriber.handle_list_update, update)
 
--- a/loadbalancer/simulation/gossip.py
+++ b/loadbalancer/simulation/gossip.py
@@ -1,4 +1,4 @@
-"""A tier's balancers that gossip, by `loadbalancer.membership` in virtual time.
+"""The gossip of a tier's balancers in virtual time, run by `loadbalancer.membership`.
 
 tier = SimulatedTier(count=50, seed=1, loss_rate=0.05)
 tier.run(10_000)
@@ -14,18 +14,18 @@
 from dataclasses import dataclass
 
 from loadbalancer.membership import Action, Membership, MemberState, SendMessage, SetTimer
-from loadbalancer.simulation.clock import Clock, Due
+from loadbalancer.simulation.clock import Clock, ScheduledCall
 
 FLEET_TAG = b"lab0"
-PAUSED_RETRY_MS = 10.0  # between two tries to deliver to a member that is paused
+PAUSED_RETRY_MS = 10.0  # between attempts to deliver to a paused member
 
 
 @dataclass
 class Node:
-    """One member's place in the tier: the process that runs there, or none."""
+    """One member of the tier: its running process, if any."""
 
     member: Membership | None = None
-    timer: Due | None = None
+    timer: ScheduledCall | None = None
     is_paused: bool = False
     start_count: int = 0
 
@@ -40,7 +40,7 @@
 
 
 class SimulatedTier:
-    """Members, and the datagrams between them: delayed, lost, duplicated, cut."""
+    """Members, and the datagrams between them: delayed, lost, duplicated or cut off."""
 
     def __init__(
         self,
@@ -67,10 +67,10 @@
         for number in range(count):
             self.start(number)
 
-    # ---- what happens to members ----------------------------------------------------------------
+    # ---- member lifecycle -----------------------------------------------------------------------
 
     def start(self, number: int) -> None:
-        """Start a member's process, which knows nothing."""
+        """Start a member's process without state."""
         node = self.nodes[number]
         node.start_count += 1
         seed = random.Random(f"{self._seed}/{number}/{node.start_count}").getrandbits(32)
@@ -85,7 +85,7 @@
             node.timer.cancel()
 
     def leave(self, number: int) -> None:
-        """End a member's process on purpose."""
+        """End a member's process after it has announced that it leaves."""
         node = self.nodes[number]
         if node.member is not None:
             self._carry_out(number, node.member.leave(self.clock.now))
@@ -103,10 +103,10 @@
             self._handle_timer(number)
 
     def run(self, span_ms: float) -> None:
-        """Let time pass."""
+        """Run the tier for a span of virtual time."""
         self.clock.run(self.clock.now + span_ms)
 
-    # ---- what is seen ---------------------------------------------------------------------------
+    # ---- observed state -------------------------------------------------------------------------
 
     def running_members(self) -> list[int]:
         """Return the members whose process runs."""
@@ -119,12 +119,12 @@
         return tuple(record.state for record in member.table.records)
 
     def fraction_aware_of_death(self, dead: int) -> float:
-        """Return the fraction of the running members that hold a member for dead or left."""
+        """Return the fraction of the running members that consider a member dead or left."""
         others = [number for number in self.running_members() if number != dead]
         return sum(self.view(number)[dead] >= MemberState.DEAD for number in others) / max(len(others), 1)
 
     def has_converged(self) -> bool:
-        """Return whether all that run hold all that run for alive, and nobody else."""
+        """Return whether all running members consider exactly the running members alive."""
         running = set(self.running_members())
         return all(
             (state is MemberState.ALIVE) == (number in running) and state is not MemberState.SUSPECTED
--- a/loadbalancer/simulation/list_service.py
+++ b/loadbalancer/simulation/list_service.py
@@ -1,6 +1,6 @@
 """A list service in virtual time: instances with the real catalog, exchange and rate limiter.
 
-What is the model's own: an instance has one core, which takes `ANSWER_MS` an answer and more for a full list,
+Only costs are modelled: an instance has one core, which takes `ANSWER_MS` per answer, more for a full list,
 and calls reach it over a link with some delay.
 """
 
@@ -18,11 +18,11 @@
 from loadbalancer.simulation.clock import Clock
 
 START_MS = 1.8e12  # Unix ms at which a play begins
-ANSWER_MS = 0.03  # of the instance's core for an answer
-ENTRY_MS = 0.0002  # of its core for each entry of a full list, beside
+ANSWER_MS = 0.03  # of the instance's core, per answer
+ENTRY_MS = 0.0002  # of its core, in addition, per entry of a full list
 LINK_DELAY_MS = (0.2, 2.0)  # one way, at least and at most
 EXCHANGE_INTERVAL_MS = 250.0  # between exchanges of the instances, as in the registry
-WRITE_BATCH_MS = 5.0  # writes that come within it wake the watches once
+WRITE_BATCH_MS = 5.0  # writes within it wake the watches only once
 TIER = "first"
 
 
@@ -49,9 +49,9 @@
     busy_ms: float = 0.0
     is_wake_scheduled: bool = False
     notified_revision: int = 0
-    """Up to which watches were woken."""
+    """The revision for which watches were last woken."""
     known_changes: int = 0
-    """Changes of a release that the list holds, without a gap, as far as that was looked up."""
+    """Changes of a release that the list holds, without a gap, as of the last count."""
 
 
 @dataclass(frozen=True)
@@ -71,7 +71,7 @@
     def __init__(
         self,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         instance_count: int,
         *,
         count_known_changes: Callable[[ServiceInstance], int],
@@ -80,7 +80,7 @@
     ) -> None:
         """`on_answer` takes answers as they arrive, `on_failure` the balancer and call that failed."""
         self._clock = clock
-        self._random = chance
+        self._random = rng
         self._count_known_changes = count_known_changes
         self._on_answer = on_answer
         self._on_failure = on_failure
@@ -92,7 +92,7 @@
         self._clock.after(EXCHANGE_INTERVAL_MS, self._exchange_repeatedly)
 
     def register_initial(self, names: list[str]) -> None:
-        """Register servers that are there from the start, on all instances."""
+        """Register the initial servers, on all instances."""
         for name in names:
             self.instances[0].catalog.register(name, new_registration(0.0), self._clock.now)
         self._exchange()
@@ -116,7 +116,7 @@
         self._clock.after(duration_ms, self._end_outage)
 
     def receive(self, instance: ServiceInstance, watch: PendingWatch) -> None:
-        """Take a request that has arrived: answer it, hold it, or fail it."""
+        """Handle a request that has arrived: answer it, hold it, or fail it."""
         if not instance.is_up:
             self._on_failure(watch.balancer, watch.call)
         elif watch.request.after_index < 0:
@@ -168,7 +168,7 @@
         after = watch.request.after_index
         catalog = instance.catalog
         if instance.notified_revision <= after <= catalog.revision and catalog.has_history_since(after):
-            instance.pending.append(watch)  # as the service does: what is newer is sent at the next wake
+            instance.pending.append(watch)  # like the real service: newer changes are sent at the next wake
             return
         changed = catalog.changes_since(TIER, after, self._clock.now)
         if changed is not None and not changed:
@@ -179,7 +179,7 @@
     def _send_answer(
         self, instance: ServiceInstance, watch: PendingWatch, changed: list[Entry] | None
     ) -> None:
-        """Send what has changed, or the full list for None, when the core has made it."""
+        """Send the changes, or the full list for None, once the core has prepared it."""
         is_full = changed is None
         self.full_snapshot_count += is_full
         cost_ms = ANSWER_MS + (ENTRY_MS * len(instance.catalog.entries) if is_full else 0.0)
--- a/loadbalancer/simulation/network.py
+++ b/loadbalancer/simulation/network.py
@@ -1,46 +1,52 @@
-"""One-way delays between zones, and cuts between them."""
+"""One-way delays between zones, and zones isolated from the others."""
 
 from __future__ import annotations
 
 import numpy as np
 
-from loadbalancer.simulation.scenario import Day, number
+from loadbalancer.simulation.scenario import DrawnScenario, drawn_value
 
-BATCH = 4_096  # draws made at once: one at a time they cost most of the time
+JITTER_BATCH_SIZE = 4_096  # draws made at once; drawn singly, they took most of the run time
 
 
 class Network:
-    """How long a message takes, and who can't reach whom."""
+    """The delay of each message, and which zones can't reach each other."""
 
-    def __init__(self, day: Day) -> None:
-        plan = day.scenario.network
-        self._same, self._cross = number(plan.same_ms), number(plan.cross_ms)
-        self._client, self._jitter = number(plan.client_ms), number(plan.jitter)
-        self._rng = day.stream("network")
-        self._factors: list[float] = []
-        self._cuts: set[str] = set()
+    def __init__(self, drawn: DrawnScenario) -> None:
+        plan = drawn.scenario.network
+        self._same_zone_ms, self._cross_zone_ms = drawn_value(plan.same_ms), drawn_value(plan.cross_ms)
+        self._client_ms, self._jitter = drawn_value(plan.client_ms), drawn_value(plan.jitter)
+        self._rng = drawn.stream("network")
+        self._jitter_factors: list[float] = []
+        self._isolated_zones: set[str] = set()
 
-    def delay(self, one: str, other: str) -> float:
-        """From one zone to another, in ms."""
-        return (self._same if one == other else self._cross) * self._factor()
+    def delay(self, source: str, destination: str) -> float:
+        """Return the one-way delay from one zone to another, in ms."""
+        return (self._same_zone_ms if source == destination else self._cross_zone_ms) * self._next_jitter()
 
     def client_delay(self) -> float:
-        """Between a client and the front, in ms."""
-        return self._client * self._factor()
+        """Return the one-way delay between a client and a front balancer, in ms."""
+        return self._client_ms * self._next_jitter()
 
-    def cut(self, zone: str, on: bool) -> None:
-        """Cut a zone off from the others, or end that."""
-        if on:
-            self._cuts.add(zone)
+    def isolate(self, zone: str, is_isolated: bool) -> None:
+        """Isolate a zone from the others, or reconnect it."""
+        if is_isolated:
+            self._isolated_zones.add(zone)
         else:
-            self._cuts.discard(zone)
-
-    def is_cut(self, one: str, other: str) -> bool:
-        """Whether nothing gets from one to the other."""
-        return one != other and (one in self._cuts or other in self._cuts)
-
-    def _factor(self) -> float:
-        if not self._factors:
-            draws = self._rng.lognormal(0.0, self._jitter, BATCH) if self._jitter else np.ones(BATCH)
-            self._factors = draws.tolist()
-        return self._factors.pop()
+            self._isolated_zones.discard(zone)
+
+    def is_cut(self, source: str, destination: str) -> bool:
+        """Return whether no message gets from one zone to the other."""
+        return source != destination and (
+            source in self._isolated_zones or destination in self._isolated_zones
+        )
+
+    def _next_jitter(self) -> float:
+        if not self._jitter_factors:
+            draws = (
+                self._rng.lognormal(0.0, self._jitter, JITTER_BATCH_SIZE)
+                if self._jitter
+                else np.ones(JITTER_BATCH_SIZE)
+            )
+            self._jitter_factors = draws.tolist()
+        return self._jitter_factors.pop()
--- a/loadbalancer/simulation/release_progress.py
+++ b/loadbalancer/simulation/release_progress.py
@@ -26,10 +26,10 @@
         self._uninformed: list[int] = []  # balancers that do not know of a drain, by drain
         self.drains: list[Drain] = []
         self.propagation_ms: list[float] = []
-        """For each drain until the last balancer knew; not a number while some do not."""
+        """By drain, until the last balancer knew of it; NaN while some do not."""
 
     def add_drain(self, server: str, now: float) -> None:
-        """Note that a server was drained."""
+        """Record that a server was drained."""
         self.drains.append(Drain(now, server))
         self.propagation_ms.append(math.nan)
         self._uninformed.append(self._balancer_count)
@@ -43,7 +43,7 @@
         return instance.known_changes
 
     def record_informed(self, first: int, end: int, now: float) -> None:
-        """Note that one more balancer knows of the drains from `first` to before `end`."""
+        """Record that one more balancer knows of the drains from `first` to before `end`."""
         for number in range(first, end):
             self._uninformed[number] -= 1
             if not self._uninformed[number]:
--- a/loadbalancer/simulation/rules.py
+++ b/loadbalancer/simulation/rules.py
@@ -93,20 +93,20 @@
         `work_ms` is in ms of a standard core; `is_sender_informed` says whether the sending balancer's list
         names the server's start.
         """
-        warm_up_fraction = server.warmth()
-        build = server.build
+        warm_up_fraction = server.warm_up_fraction()
+        spec = server.spec
         if warm_up_fraction >= 1:
-            self._received_work.pop(build.name, None)
+            self._received_work.pop(spec.name, None)
             return False
-        window = self._received_work.setdefault(build.name, deque())
+        window = self._received_work.setdefault(spec.name, deque())
         window.append(_ReceivedWork(self._clock.now, work_ms, is_sender_informed))
         while window[0].at_ms < self._clock.now - OVERLOAD_WINDOW_MS:
             window.popleft()
         max_work_ms = OVERLOAD_FACTOR * OVERLOAD_FACTOR_TOLERANCE * OVERLOAD_WINDOW_MS
-        max_work_ms = max_work_ms * build.cores * build.speed * warm_up_fraction
+        max_work_ms = max_work_ms * spec.cores * spec.speed * warm_up_fraction
         received_ms = sum(work.work_ms for work in window)
         if received_ms <= max_work_ms:
             return False
         if sum(w.work_ms for w in window if w.is_sender_informed) >= MIN_INFORMED_FRACTION * received_ms:
-            self.record_violation("pushed a cold server over", "all", build.name)
+            self.record_violation("pushed a cold server over", "all", spec.name)
         return True
--- a/loadbalancer/simulation/scenario.py
+++ b/loadbalancer/simulation/scenario.py
@@ -1,6 +1,6 @@
-"""Scenarios: what a day may be like, as ranges in TOML, and the days drawn from them.
+"""Scenarios as ranges of values in TOML, and the values drawn from them for a play.
 
-Every figure is a number or a pair `[lowest, highest]`, from which each day draws its own. Times are in ms
+Every value is a number or a pair `[lowest, highest]`, from which each play draws its own. Times are in ms
 unless the name ends in `_s`. Defaults follow the operators' fleet; a file needs to name what differs.
 """
 
@@ -18,28 +18,38 @@
 import numpy as np
 
 Range = float | tuple[float, float]
-TROUBLES = ("burst", "slow", "errors", "pauses", "replace", "zone_loss", "cut", "discovery_down", "balancers")
+FAULT_KINDS = (
+    "burst",
+    "slow",
+    "errors",
+    "pauses",
+    "replace",
+    "zone_loss",
+    "cut",
+    "discovery_down",
+    "balancers",
+)
 
 
 class ScenarioError(ValueError):
-    """A scenario that can't be used: one line that names file, key and what is allowed."""
+    """An unusable scenario; the message is one line that names file, key and allowed values."""
 
 
-class Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A table of a scenario, in which no unknown key may stand."""
+class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A table of a scenario; unknown keys are rejected."""
 
 
-class Load(Part, frozen=True, forbid_unknown_fields=True):
-    """How much is asked for, as a part of what the fleet can do."""
+class Load(Table, frozen=True, forbid_unknown_fields=True):
+    """The offered load, as a fraction of the fleet's capacity."""
 
     seconds: Range = 30.0
     of_capacity: Range = (0.6, 0.7)
-    swing: Range = (0.16, 0.37)  # of the wave over the day
+    swing: Range = (0.16, 0.37)  # amplitude of the sine wave over a play, as a fraction of the mean
     zone_skew: Range = (0.0, 0.15)
 
 
-class Fleet(Part, frozen=True, forbid_unknown_fields=True):
-    """How many of what."""
+class Fleet(Table, frozen=True, forbid_unknown_fields=True):
+    """The numbers of servers and balancers, and the zones."""
 
     servers: Range = (9.0, 12.0)
     balancers: Range = (2.0, 3.0)
@@ -47,10 +57,10 @@
     zones: tuple[str, ...] = ("zagreb-dc", "split-dc")
 
 
-class Tier(Part, frozen=True, forbid_unknown_fields=True):
-    """The servers of a tier; speeds are against the standard core."""
+class Tier(Table, frozen=True, forbid_unknown_fields=True):
+    """The servers of a tier; speeds are relative to the standard core."""
 
-    work: Range = 0.54  # the part of a class's work that is done here
+    work: Range = 0.54  # fraction of a class's work that is done in this tier
     calls: Range = 0.0  # to the next tier for each request, one after another
     cores: tuple[int, ...] = (1, 2)
     core_parts: tuple[float, ...] = (0.41, 0.59)
@@ -83,20 +93,20 @@
     thrash_at: Range = (9.4, 14.0)
 
 
-class Choke(Part, frozen=True, forbid_unknown_fields=True):
-    """What a crowd does: more waiting calls a core than `at` for `over_s` make a server `slower`."""
+class Choke(Table, frozen=True, forbid_unknown_fields=True):
+    """Contention: more waiting requests per core than `at` for `over_s` make a server `slower`."""
 
-    share: float = 0.6  # of days that have it
+    share: float = 0.6  # of plays that have it
     at: Range = (4.0, 7.0)
     over_s: Range = (1.5, 2.5)
     slower: Range = (2.4, 3.5)
-    below: Range = (0.25, 0.4)  # waiting calls a core; it must stay there for `rest_s`
+    below: Range = (0.25, 0.4)  # waiting requests per core; recovery needs at most so many for `rest_s`
     rest_s: Range = (2.1, 4.1)
     most_s: Range = (16.0, 30.0)
 
 
-class Network(Part, frozen=True, forbid_unknown_fields=True):
-    """One-way delays, and what connections cost."""
+class Network(Table, frozen=True, forbid_unknown_fields=True):
+    """One-way delays, and the cost of connections."""
 
     same_ms: Range = (0.12, 0.35)
     cross_ms: Range = (2.8, 5.2)
@@ -108,8 +118,8 @@
     connect_timeout_ms: Range = 120.0
 
 
-class Discovery(Part, frozen=True, forbid_unknown_fields=True):
-    """The list of servers: asked for, late, and limited in calls a second."""
+class Discovery(Table, frozen=True, forbid_unknown_fields=True):
+    """The endpoint list: its delays, and the calls per second that it answers."""
 
     notice_s: Range = (0.49, 3.8)
     silent_notice_s: Range = (5.6, 12.0)
@@ -118,18 +128,18 @@
     timeout_ms: Range = 2_000.0
 
 
-class Clients(Part, frozen=True, forbid_unknown_fields=True):
-    """What callers do on their own."""
+class Clients(Table, frozen=True, forbid_unknown_fields=True):
+    """The behaviour of clients."""
 
     retries: Range = (3.0, 4.99)
-    try_share: Range = (0.5, 0.6)  # of a class's deadline, after which a try is given up
+    try_share: Range = (0.5, 0.6)  # of a class's deadline, after which an attempt times out
     backoff_ms: Range = (0.0, 2.0)
-    honour: Range = (0.04, 0.26)  # the part that heeds Retry-After
-    impatient: Range = (0.0, 0.02)  # the part that leaves after a tenth of its time
-    notice_s: Range = (0.95, 3.6)  # after which the front passes a dead balancer over
+    honour: Range = (0.04, 0.26)  # fraction that honours Retry-After
+    impatient: Range = (0.0, 0.02)  # fraction that disconnects after a tenth of its timeout
+    notice_s: Range = (0.95, 3.6)  # after which no new attempt goes to a dead balancer
 
 
-class Class(Part, frozen=True, forbid_unknown_fields=True):
+class Class(Table, frozen=True, forbid_unknown_fields=True):
     """A class of requests."""
 
     name: str
@@ -142,16 +152,16 @@
     effect: str = "safe"
 
 
-class Tenant(Part, frozen=True, forbid_unknown_fields=True):
-    """A customer; its quota is a part of the fleet's capacity."""
+class Tenant(Table, frozen=True, forbid_unknown_fields=True):
+    """A tenant; its quota is a fraction of the fleet's capacity."""
 
     name: str
     share: float
     usage: Range = 1.0
 
 
-class Trouble(Part, frozen=True, forbid_unknown_fields=True):
-    """Something that happens; `part` is of the servers, `size` how strong it is."""
+class Fault(Table, frozen=True, forbid_unknown_fields=True):
+    """A fault or planned change; `part` is the fraction of servers, `size` its strength."""
 
     kind: str
     at_s: Range
@@ -161,8 +171,8 @@
     zone: bool = False  # whether `part` is of the last zone's servers alone
 
 
-class Goal(Part, frozen=True, forbid_unknown_fields=True):
-    """The weights of the parts of the figure."""
+class Goal(Table, frozen=True, forbid_unknown_fields=True):
+    """The weights of the parts of the utility."""
 
     whole: float = 0.25
     worst_window: float = 0.15
@@ -170,8 +180,8 @@
     worst_tenant: float = 0.4
 
 
-class Prices(Part, frozen=True, forbid_unknown_fields=True):
-    """Points of 1 taken off for each unit; see `worth`."""
+class Prices(Table, frozen=True, forbid_unknown_fields=True):
+    """Deductions from the utility per unit; `utility.Ledger` defines the units."""
 
     waste: float = 0.12
     late_fail: float = 0.059
@@ -188,8 +198,8 @@
 _TENANTS = (Tenant("grad-zagreb", 0.72, (0.78, 1.3)), Tenant("grad-split", 0.28, (0.52, 1.4)))
 
 
-class Scenario(Part, frozen=True, forbid_unknown_fields=True):
-    """All that a scenario's file may hold."""
+class Scenario(Table, frozen=True, forbid_unknown_fields=True):
+    """The tables and keys of a scenario file."""
 
     title: str = ""
     load: Load = Load()
@@ -204,13 +214,13 @@
     tenants: tuple[Tenant, ...] = _TENANTS
     quota_of_capacity: Range = (0.7, 0.95)
     over_share_worth: float = 0.05
-    trouble: tuple[Trouble, ...] = ()
+    trouble: tuple[Fault, ...] = ()
     goal: Goal = Goal()
     prices: Prices = Prices()
 
 
 def _allowed(where: str) -> str:
-    """The keys that may stand at a place such as `$.tier` or `$.trouble[...]`."""
+    """Return the keys allowed at a path such as `$.tier` or `$.trouble[...]`."""
     kind: Any = Scenario
     for step in [s for s in re.split(r"[.\[\]]+", where.removeprefix("$")) if s and s != "..."]:
         kind = next(f.type for f in msgspec.structs.fields(kind) if f.name == step)
@@ -219,9 +229,9 @@
 
 
 def parse(text: str, name: str = "scenario", changes: Iterable[tuple[list[str], Any]] = ()) -> Scenario:
-    """A scenario from TOML, with changes (a path of keys, and its value) made to it.
+    """Return the scenario of a TOML text, with changes (each a path of keys and its value) applied.
 
-    ScenarioError tells in one line what is wrong where, and what is allowed.
+    Raises ScenarioError.
     """
     try:
         tables = tomllib.loads(text)
@@ -232,21 +242,21 @@
         for key in path[:-1]:
             table = table.setdefault(key, {})
             if not isinstance(table, dict):
-                raise ScenarioError(f"{name}: {'.'.join(path)}: {key} is no table")
+                raise ScenarioError(f"{name}: {'.'.join(path)}: {key} is not a table")
         table[path[-1]] = value
     try:
         scenario = msgspec.convert(tables, type=Scenario)
     except msgspec.ValidationError as error:
-        told, _, where = str(error).partition(" - at `")
+        problem, _, where = str(error).partition(" - at `")
         place = where.rstrip("`") or "$"
-        hint = f"; allowed: {_allowed(place)}" if "unknown field" in told else ""
-        raise ScenarioError(f"{name}: {place.removeprefix('$.')}: {told}{hint}") from None
+        hint = f"; allowed: {_allowed(place)}" if "unknown field" in problem else ""
+        raise ScenarioError(f"{name}: {place.removeprefix('$.')}: {problem}{hint}") from None
     for key, tier in (("tier", scenario.tier), ("inner", scenario.inner)):
         if not len(tier.cores) == len(tier.core_parts) == len(tier.speed):
-            raise ScenarioError(f"{name}: {key}: cores, core_parts and speed must hold as many kinds each")
+            raise ScenarioError(f"{name}: {key}: cores, core_parts and speed must have the same length")
     for number, trouble in enumerate(scenario.trouble):
-        if trouble.kind not in TROUBLES:
-            allowed = ", ".join(TROUBLES)
+        if trouble.kind not in FAULT_KINDS:
+            allowed = ", ".join(FAULT_KINDS)
             raise ScenarioError(f"{name}: trouble[{number}].kind: {trouble.kind!r}; allowed: {allowed}")
     for item in scenario.classes:
         if item.effect not in ("safe", "unsafe"):
@@ -257,7 +267,7 @@
 
 
 def load(path: Path, changes: Iterable[tuple[list[str], Any]] = ()) -> Scenario:
-    """A scenario from a file; ScenarioError if it can't be read or used."""
+    """Return the scenario of a file; raises ScenarioError if it can't be read or is invalid."""
     try:
         return parse(path.read_text(encoding="utf-8"), str(path), changes)
     except (OSError, UnicodeDecodeError) as error:
@@ -265,41 +275,41 @@
 
 
 @dataclass(frozen=True)
-class Day:
-    """One draw: the scenario with a number in place of each range, and the seeds of its parts."""
+class DrawnScenario:
+    """A scenario with a number drawn for each range, and the seed of its random streams."""
 
     scenario: Scenario
     seed: int
 
     def stream(self, part: str) -> np.random.Generator:
-        """The chance of one part of the world; the same name gives the same stream."""
+        """Return the random stream of one part of the model; the same name gives the same stream."""
         key = int.from_bytes(sha256(part.encode()).digest()[:8], "big")
         return np.random.Generator(np.random.PCG64(np.random.SeedSequence(self.seed, spawn_key=(key,))))
 
 
-def draw(scenario: Scenario, seed: int) -> Day:
-    """A day of a scenario: each range gives way to a number of its own."""
-    rng = Day(scenario, seed).stream("scenario")
-    return Day(_settled(scenario, rng), seed)
+def draw(scenario: Scenario, seed: int) -> DrawnScenario:
+    """Draw a number for each range of a scenario."""
+    rng = DrawnScenario(scenario, seed).stream("scenario")
+    return DrawnScenario(_resolve_ranges(scenario, rng), seed)
 
 
-def _settled(value: Any, rng: np.random.Generator) -> Any:
-    if isinstance(value, Part):
-        kept = {"cores", "core_parts", "zones"}
+def _resolve_ranges(value: Any, rng: np.random.Generator) -> Any:
+    if isinstance(value, Table):
+        unchanged = {"cores", "core_parts", "zones"}
         new = {
-            f.name: (v if (f.name in kept) else _settled(v, rng))
+            f.name: (v if (f.name in unchanged) else _resolve_ranges(v, rng))
             for f, v in ((f, getattr(value, f.name)) for f in msgspec.structs.fields(type(value)))
         }
         return type(value)(**new)
     if isinstance(value, tuple):
         if len(value) == 2 and all(isinstance(v, int | float) for v in value):
             return float(rng.uniform(value[0], value[1]))
-        return tuple(_settled(v, rng) for v in value)
+        return tuple(_resolve_ranges(v, rng) for v in value)
     return value
 
 
-def number(value: Range) -> float:
-    """A figure of a drawn day."""
+def drawn_value(value: Range) -> float:
+    """Return a value of a drawn scenario as a number."""
     if isinstance(value, tuple):
-        raise TypeError("a range that no day has drawn from")
+        raise TypeError("a range from which no value was drawn")
     return float(value)
--- a/loadbalancer/simulation/utility.py
+++ b/loadbalancer/simulation/utility.py
@@ -1,4 +1,4 @@
-"""Compute the utility of a day: requests served within their objective, by weight, less the prices paid."""
+"""Compute the utility of a play: requests served within their objective, by weight, less the prices."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from loadbalancer.simulation.scenario import Day
+from loadbalancer.simulation.scenario import DrawnScenario
 
 UTILITY_WINDOW_MS = 10_000.0  # of the worst window, as the platform measures it
 UTILITY_WINDOW_STEP_MS = 1_000.0
-QUOTA_BURST_MS = 2_000.0  # a tenant may have saved up this much of its quota
-UNCOUNTED_START_MS = 1_000.0  # what comes in the first second does not count
+QUOTA_BURST_MS = 2_000.0  # a tenant may save up its quota of this span
+UNCOUNTED_START_MS = 1_000.0  # requests of the first second do not count
 
 
 @dataclass(slots=True)
 class RequestedValue:
-    """What a client wanted, over all its attempts."""
+    """A client's request, over all its attempts, and the value of serving it."""
 
     number: int
     requested_at_ms: float
@@ -34,7 +34,7 @@
 
 @dataclass
 class Utility:
-    """The figure of a day and its parts, each from 0 to 1 but for the prices.
+    """The utility of a play and its parts, each part from 0 to 1 except the prices.
 
     The parts' names are the keys of a scenario's `goal` table and of result files.
     """
@@ -53,16 +53,16 @@
 class Ledger:
     """Records every requested value and what serving it cost."""
 
-    def __init__(self, day: Day, quotas: dict[str, float]) -> None:
+    def __init__(self, drawn: DrawnScenario, quotas: dict[str, float]) -> None:
         """`quotas` are requests a second by tenant."""
-        self._day = day
+        self._day = drawn
         self.requested_values: list[RequestedValue] = []
         self._quota_per_s = quotas
         self._unused_quota = {name: QUOTA_BURST_MS / 1_000 * quota for name, quota in quotas.items()}
         self._quota_updated_at_ms = 0.0
         self.attempts = 0
-        self.crossings = 0
-        self.probes = 0
+        self.cross_zone_count = 0
+        self.health_check_count = 0
         self.by_zone: dict[int, Counter[str]] = defaultdict(Counter)  # calls of front balancers, by second
 
     def record_requested_value(
@@ -100,12 +100,12 @@
     def record_attempt(self, zone: str, now_ms: float, *, crosses_zones: bool, is_from_front: bool) -> None:
         """Record an attempt that was sent to a zone."""
         self.attempts += 1
-        self.crossings += crosses_zones
+        self.cross_zone_count += crosses_zones
         if is_from_front:
             self.by_zone[int(now_ms / 1_000)][zone] += 1
 
     def compute_utility(self, worked_ms: float, contended_fraction: float) -> Utility:
-        """Return the day's utility; `contended_fraction` is the part of servers that contention slowed."""
+        """Return the play's utility; `contended_fraction` is the part of server time slowed by contention."""
         counted = [r for r in self.requested_values if r.requested_at_ms >= UNCOUNTED_START_MS]
         counted = counted or self.requested_values
         goal = self._day.scenario.goal
@@ -136,8 +136,8 @@
             "waste": price.waste * min(max(worked_ms - useful_ms, 0.0) / offered_ms, 1.0),
             "late_fail": price.late_fail * late_weight / (sum(r.weight for r in counted) or 1.0),
             "choke": price.choke * contended_fraction,
-            "cross_zone": price.cross_zone * self.crossings / requested_count,
-            "probe": price.probe * self.probes / requested_count,
+            "cross_zone": price.cross_zone * self.cross_zone_count / requested_count,
+            "probe": price.probe * self.health_check_count / requested_count,
         }
 
 
--- a/loadbalancer/simulation/watches.py
+++ b/loadbalancer/simulation/watches.py
@@ -1,4 +1,4 @@
-"""A list service and all its balancers in virtual time: the cores that processes run, at any size.
+"""A list service and all its balancers in virtual time, at any size, on the code that real processes run.
 
     fleet = ListServiceSimulation(balancers=1_000, servers=10_000, instances=2, seed=1)
     fleet.run(10_000)
@@ -8,7 +8,7 @@
     print(fleet.figures())
 
 Catalogs, exchanges, watches and the backoff of `EndpointSet` are the real ones; `list_service` says what is
-the model's own. Balancers hold no servers: what they know is the number of changes that they have learned of.
+the model's own. Balancers hold no endpoints, only the number of changes that they have learned of.
 """
 
 from __future__ import annotations
@@ -39,10 +39,10 @@
 from loadbalancer.simulation.release_progress import ReleaseProgress
 
 GRACE_MS = 5_000.0  # between a server's drain and its end
-SAMPLE_INTERVAL_MS = 500.0  # between samples of how true the balancers' lists are
+SAMPLE_INTERVAL_MS = 500.0  # between samples of how accurate the balancers' lists are
 WRITE_RETRY_MS = 1_000.0  # before an operator's tool repeats a write that an instance did not take
 START_SPREAD_MS = 1_000.0  # within which all balancers make their first call
-ANY_UPDATE = EndpointListUpdate(UpdateKind.DELTA)  # resets the backoff, whatever it holds
+ANY_UPDATE = EndpointListUpdate(UpdateKind.DELTA)  # resets the backoff, whatever its content
 CLASSES = (RequestClass("any", 1_000.0, 3_000.0, Idempotency.IDEMPOTENT),)
 
 
@@ -70,7 +70,7 @@
         """Calls at the service, by second of the play."""
         self.failed_call_count = 0
         self.stale_draws: list[tuple[float, float]] = []
-        """Time of each sample in ms, and the share of draws that meet an ended server."""
+        """Time of each sample in ms, and the fraction of selections that hit an ended server."""
         self.release_progress = ReleaseProgress(balancers)
         self._service = ListService(
             self.clock,
@@ -94,14 +94,14 @@
         """How many full lists the service has sent."""
         return self._service.full_snapshot_count
 
-    # ---- what happens ---------------------------------------------------------------------------
+    # ---- events of a play -----------------------------------------------------------------------
 
     def run(self, span_ms: float) -> None:
-        """Let time pass."""
+        """Run the simulation for a span of virtual time."""
         self.clock.run(self.clock.now + span_ms)
 
     def release(self, over_ms: float) -> None:
-        """Replace all servers, one after another: each drains, ends after the grace, and starts anew."""
+        """Replace all servers, one after another: each drains, ends after the grace and starts again."""
         for place, name in enumerate(self.server_names):
             self.clock.after(over_ms * place / len(self.server_names), self._drain, name)
 
@@ -110,7 +110,7 @@
         self._service.start_outage(for_ms)
 
     def _drain(self, name: str) -> None:
-        """Drain a server; writes come from operators' tools, which repeat them until the service is there."""
+        """Drain a server; like an operator's tool, retry the write until the service is reachable."""
         instance = self._service.choose_instance()
         if not instance.is_up:
             self.clock.after(WRITE_RETRY_MS, self._drain, name)
@@ -177,10 +177,10 @@
         timer = next(action for action in actions if isinstance(action, SetTimer))
         self.clock.at(timer.at_ms, self._call, number)
 
-    # ---- what is measured -----------------------------------------------------------------------
+    # ---- measurements ---------------------------------------------------------------------------
 
     def _sample(self) -> None:
-        """Measure the share of all balancers' draws that meet a server that has ended."""
+        """Measure the fraction of all balancers' selections that hit a server that has ended."""
         now = self.clock.now
         ended = self.release_progress.count_drained_until(now - GRACE_MS)
         missed = sum(max(ended - balancer.known_changes, 0) for balancer in self.balancers)
@@ -188,7 +188,7 @@
         self.clock.after(SAMPLE_INTERVAL_MS, self._sample)
 
     def figures(self) -> dict[str, float]:
-        """Return the play's figures by the names of `figures.json`; spans in ms, shares of all draws."""
+        """Return figures by their names in `figures.json`; durations in ms, fractions of all selections."""
         propagation_ms = self.release_progress.propagation_ms
         known_ms = sorted(ms for ms in propagation_ms if math.isfinite(ms))
         span_ms = self.clock.now - START_MS
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -42,17 +42,17 @@
 def test_results_are_the_same_bytes_whatever_the_number_of_jobs(tmp_path: Path) -> None:
     for jobs in ("1", "3"):
         run(*RUN, "--jobs", jobs, "--out", str(tmp_path / jobs))
-    one, other = ((tmp_path / jobs / plays.FILE).read_bytes() for jobs in ("1", "3"))
+    one, other = ((tmp_path / jobs / plays.RESULTS_FILE).read_bytes() for jobs in ("1", "3"))
     assert one == other and len(one.splitlines()) == 4
 
 
 def test_a_run_that_was_cut_off_goes_on_behind_what_is_whole(tmp_path: Path) -> None:
     run(*RUN, "--jobs", "1", "--out", str(tmp_path))
-    whole = (tmp_path / plays.FILE).read_bytes()
+    whole = (tmp_path / plays.RESULTS_FILE).read_bytes()
     lines = whole.splitlines(keepends=True)
-    (tmp_path / plays.FILE).write_bytes(b"".join(lines[:2]) + lines[2][:40])
+    (tmp_path / plays.RESULTS_FILE).write_bytes(b"".join(lines[:2]) + lines[2][:40])
     told = run(*RUN, "--jobs", "1", "--out", str(tmp_path))
-    assert (tmp_path / plays.FILE).read_bytes() == whole
+    assert (tmp_path / plays.RESULTS_FILE).read_bytes() == whole
     assert sum(line.startswith("calm") for line in told.splitlines()) == 2, "two were left to play"
 
 
