--- a/loadbalancer/simulation/clients.py
+++ b/loadbalancer/simulation/clients.py
@@ -55,12 +55,12 @@
     places = rng.choice(zones, count, p=weights / weights.sum())
     works = np.empty(count)
     for index, item in enumerate(scenario.classes):
-        mine = kinds == index
+        of_class = kinds == index
         spread = np.log(1 + drawn_value(item.cv) ** 2)
         mean = np.log(drawn_value(item.work_ms)) - spread / 2
-        works[mine] = rng.lognormal(mean, np.sqrt(spread), int(mine.sum()))
-    wanted = drawn_value(scenario.tier.calls)
-    calls = np.floor(wanted) + (rng.uniform(size=count) < wanted % 1)
+        works[of_class] = rng.lognormal(mean, np.sqrt(spread), int(of_class.sum()))
+    mean_calls = drawn_value(scenario.tier.calls)
+    calls = np.floor(mean_calls) + (rng.uniform(size=count) < mean_calls % 1)
     return [
         Arrival(*row)
         for row in zip(
@@ -129,7 +129,7 @@
         attempt_number = self._attempt
         delay_ms = fleet.network.client_delay()
 
-        def answered(ending: str, retry_after_ms: float) -> None:
+        def respond(ending: str, retry_after_ms: float) -> None:
             fleet.clock.after(
                 fleet.network.client_delay(), self._handle_response, attempt_number, ending, retry_after_ms
             )
@@ -143,7 +143,7 @@
         tenant = scenario.tenants[arrival.tenant].name if arrival.tenant >= 0 else ""
         incoming = IncomingRequest(
             cls.name, (arrival.work * drawn_value(tier.work), per_call), arrival.calls, remaining - delay_ms,
-            tenant, attempt_number > 1, cls.effect == "unsafe", balancer.zone, answered,
+            tenant, attempt_number > 1, cls.effect == "unsafe", balancer.zone, respond,
         )  # fmt: skip
         fleet.clock.after(delay_ms, self._deliver, balancer, incoming, attempt_number)
 
--- a/loadbalancer/simulation/clock.py
+++ b/loadbalancer/simulation/clock.py
@@ -21,25 +21,25 @@
     def now(self) -> float:
         """The current time, in ms."""
 
-    def at(self, when: float, do: Callable[..., Any], *args: Any) -> Cancellable:
+    def at(self, when: float, callback: Callable[..., Any], *args: Any) -> Cancellable:
         """Call a function at a time, at once if that has passed."""
 
-    def after(self, delay: float, do: Callable[..., Any], *args: Any) -> Cancellable:
+    def after(self, delay: float, callback: Callable[..., Any], *args: Any) -> Cancellable:
         """Call a function after a delay in ms."""
 
 
 class ScheduledCall:
     """A scheduled call in virtual time."""
 
-    __slots__ = ("args", "do", "when")
+    __slots__ = ("args", "callback", "when")
 
-    def __init__(self, when: float, do: Callable[..., Any], args: tuple[Any, ...]) -> None:
+    def __init__(self, when: float, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
         self.when, self.args = when, args
-        self.do: Callable[..., Any] | None = do
+        self.callback: Callable[..., Any] | None = callback
 
     def cancel(self) -> None:
         """Cancel the call, unless it has run."""
-        self.do = None
+        self.callback = None
 
 
 class Clock:
@@ -51,23 +51,23 @@
         self._order = 0
         self.steps = 0
 
-    def at(self, when: float, do: Callable[..., Any], *args: Any) -> ScheduledCall:
+    def at(self, when: float, callback: Callable[..., Any], *args: Any) -> ScheduledCall:
         """Call a function at a time; if that has passed, at once, but after calls scheduled earlier."""
-        due = ScheduledCall(max(when, self.now), do, args)
+        due = ScheduledCall(max(when, self.now), callback, args)
         self._order += 1
         heapq.heappush(self._due, (due.when, self._order, due))
         return due
 
-    def after(self, delay: float, do: Callable[..., Any], *args: Any) -> ScheduledCall:
+    def after(self, delay: float, callback: Callable[..., Any], *args: Any) -> ScheduledCall:
         """Call a function after a delay in ms."""
-        return self.at(self.now + delay, do, *args)
+        return self.at(self.now + delay, callback, *args)
 
     def run(self, until: float) -> None:
         """Run all calls due up to a time, that time included."""
         due, pop = self._due, heapq.heappop
         while due and due[0][0] <= until:
             self.now, _, item = pop(due)
-            if item.do is not None:
+            if item.callback is not None:
                 self.steps += 1
-                item.do(*item.args)
+                item.callback(*item.args)
         self.now = max(self.now, until)
--- a/loadbalancer/simulation/release_progress.py
+++ b/loadbalancer/simulation/release_progress.py
@@ -1,4 +1,4 @@
-"""The progress of a release: which servers were drained when, and which balancers know of that."""
+"""The progress of a release: when servers were drained, and which balancers know of it."""
 
 from __future__ import annotations
 
--- a/loadbalancer/simulation/rules.py
+++ b/loadbalancer/simulation/rules.py
@@ -1,4 +1,4 @@
-"""Check the platform's four rules on every request, attempt and response, as its protocol words them."""
+"""Check the platform's four rules on every request, attempt and response, as its protocol states them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 DRAIN_GRACE_MS = 3_000.0  # after the list named a server draining, nothing new may go to it
 OVERLOAD_FACTOR = 2.5  # this multiple of its capacity overloads a server that warms up,
 OVERLOAD_WINDOW_MS = 2_000.0  # if it is sent within this window
-OVERLOAD_FACTOR_TOLERANCE = 1.15  # for chance: nobody knows how long a single request will take
+OVERLOAD_FACTOR_TOLERANCE = 1.15  # a margin for chance: the work of a single request is not known in advance
 MIN_INFORMED_FRACTION = 2 / 3  # of that work must come from balancers that knew of the server's start
 
 
@@ -73,7 +73,7 @@
             del self._response_due_at_ms[balancer.name, request_id]
 
     def record_unanswered(self) -> None:
-        """Record, at the end of the day, the requests that never got a response."""
+        """Record, at the end of the play, the requests that never got a response."""
         for balancer, request_id in self._response_due_at_ms:
             self.record_violation("never answered", balancer, request_id)
 
--- a/loadbalancer/simulation/scenario.py
+++ b/loadbalancer/simulation/scenario.py
@@ -254,10 +254,10 @@
     for key, tier in (("tier", scenario.tier), ("inner", scenario.inner)):
         if not len(tier.cores) == len(tier.core_parts) == len(tier.speed):
             raise ScenarioError(f"{name}: {key}: cores, core_parts and speed must have the same length")
-    for number, trouble in enumerate(scenario.trouble):
-        if trouble.kind not in FAULT_KINDS:
+    for index, fault in enumerate(scenario.trouble):
+        if fault.kind not in FAULT_KINDS:
             allowed = ", ".join(FAULT_KINDS)
-            raise ScenarioError(f"{name}: trouble[{number}].kind: {trouble.kind!r}; allowed: {allowed}")
+            raise ScenarioError(f"{name}: trouble[{index}].kind: {fault.kind!r}; allowed: {allowed}")
     for item in scenario.classes:
         if item.effect not in ("safe", "unsafe"):
             raise ScenarioError(
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab: the same bytes however it is run, comparisons, and arguments that are wrong."""
+"""Test the lab: results are reproducible to the byte, comparisons, and errors for wrong arguments."""
 
 from __future__ import annotations
 
@@ -46,14 +46,14 @@
     assert one == other and len(one.splitlines()) == 4
 
 
-def test_a_run_that_was_cut_off_goes_on_behind_what_is_whole(tmp_path: Path) -> None:
+def test_an_interrupted_run_continues_after_the_complete_lines(tmp_path: Path) -> None:
     run(*RUN, "--jobs", "1", "--out", str(tmp_path))
     whole = (tmp_path / plays.RESULTS_FILE).read_bytes()
     lines = whole.splitlines(keepends=True)
     (tmp_path / plays.RESULTS_FILE).write_bytes(b"".join(lines[:2]) + lines[2][:40])
     told = run(*RUN, "--jobs", "1", "--out", str(tmp_path))
     assert (tmp_path / plays.RESULTS_FILE).read_bytes() == whole
-    assert sum(line.startswith("calm") for line in told.splitlines()) == 2, "two were left to play"
+    assert sum(line.startswith("calm") for line in told.splitlines()) == 2, "two plays were missing"
 
 
 def test_a_summary_for_scripts_has_a_row_for_each_scenario_and_policy(tmp_path: Path) -> None:
@@ -64,14 +64,14 @@
     assert all(0 < row["figure"] <= 1 and row["broken"] == 0 for row in rows)
 
 
-def test_times_are_kept_as_histograms(tmp_path: Path) -> None:
+def test_latencies_are_stored_as_histograms(tmp_path: Path) -> None:
     run(*RUN, "--jobs", "1", "--out", str(tmp_path))
     first = plays.read(tmp_path)[0]
     assert 20 < first.percentile("karta", 50) < first.percentile("karta", 99) < 2_000
 
 
-def test_decisions_of_an_earlier_commit_can_be_played(tmp_path: Path) -> None:
-    """They are put in the place of this tree's in a process of their own."""
+def test_the_policy_of_an_earlier_commit_can_be_played(tmp_path: Path) -> None:
+    """The replacement runs in a separate process, as it lasts until the process ends."""
     old = tmp_path / "loadbalancer"
     old.mkdir()
     (old / "policy.py").write_text(
@@ -101,20 +101,20 @@
         compare(before, [record("z", 1, 0.5)])
 
 
-def test_policies_are_paired_with_themselves_where_there_are_several() -> None:
+def test_results_of_several_policies_are_paired_by_policy() -> None:
     before = [record("a", 1, 0.5), record("a", 1, 0.2, "p2c")]
     after = [record("a", 1, 0.5), record("a", 1, 0.2, "p2c")]
     assert [(row.pairs, row.change) for row in compare(before, after)] == [(2, 0.0), (2, 0.0)]
 
 
-def test_seeds_are_read_as_people_write_them() -> None:
+def test_seeds_are_parsed_as_numbers_and_ranges() -> None:
     assert parse_seeds("1-3,7,2") == [1, 2, 3, 7]
     for text in ("", "x", "3-1", "1-99999"):
         with pytest.raises(UsageError, match="--seeds"):
             parse_seeds(text)
 
 
-def test_every_scenario_of_the_repository_can_be_used() -> None:
+def test_every_scenario_of_the_repository_is_valid() -> None:
     names = [path.stem for path in sorted((ROOT / "scenarios").glob("*.toml"))]
     assert len(names) >= 13
     assert all(load_scenario(name, []).title for name in names)
@@ -128,7 +128,7 @@
         ("choke", "--set 'choke'"),
     ],
 )
-def test_changes_that_are_wrong_are_told_in_one_line(change: str, told: str) -> None:
+def test_invalid_changes_are_reported_in_one_line(change: str, told: str) -> None:
     with pytest.raises((UsageError, ScenarioError), match=told) as caught:
         load_scenario("calm", [change])
     assert "\n" not in str(caught.value)
@@ -138,7 +138,7 @@
     "args", [["lab", "run", "nosuch", "--out", "x"], ["lab", "run", "calm", "--policy", "best", "--out", "x"],
              ["lab", "compare", "nosuch", "neither"]],
 )  # fmt: skip
-def test_what_is_used_wrongly_ends_with_status_2_and_one_line(args: list[str]) -> None:
+def test_usage_errors_exit_with_status_2_and_one_line(args: list[str]) -> None:
     command = [sys.executable, "-c", "from loadbalancer.cli import main; main()", *args]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     assert done.returncode == 2 and done.stderr.startswith("irondrum: ")
--- a/tests/test_list_service_simulation.py
+++ b/tests/test_list_service_simulation.py
@@ -1,4 +1,4 @@
-"""The list service and its balancers at size, in virtual time: when changes are known, and the load."""
+"""Test the simulated list service with many balancers: propagation of changes, and the load."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     assert figures["heard_most_ms"] < GRACE_MS / 5
     assert figures["wrong_draws_most"] == 0.0
     assert figures["failed_calls"] == 0
-    assert figures["whole_lists"] == 30, "each balancer's first, and none after"
+    assert figures["whole_lists"] == 30, "each balancer's first answer, and none later"
 
 
 def test_after_an_outage_balancers_reconnect_spread_out_and_without_a_full_list() -> None:
@@ -33,7 +33,7 @@
 
 
 def test_after_an_outage_a_backlog_of_writes_does_not_make_each_balancer_call_for_each() -> None:
-    """A watch that came back was answered at once if there was any update: 175 calls a second of each."""
+    """Guards against answering a repeated watch for any update: each balancer made 175 calls a second."""
     fleet = ListServiceSimulation(balancers=50, servers=500, instances=1, seed=1)
     fleet.run(5_000.0)
     fleet.release(30_000.0)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,4 +1,4 @@
-"""The model of the fleet against what is known in closed form, and its rules against what breaks them."""
+"""Test the simulated fleet against queueing theory, and that its rules detect violations."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from loadbalancer.simulation.scenario import FAULT_KINDS, DrawnScenario, parse
 from loadbalancer.simulation.servers import Job, Server, ServerSpec
 
-ODD_CLASS = "name = 'a'\nshare = 1\nwork_ms = 1\naim_ms = 1\ndeadline_ms = 1\neffect = 'x'"
-SHORT = "[load]\nseconds = 6\n[fleet]\nservers = 4\n"
+INVALID_CLASS = "name = 'a'\nshare = 1\nwork_ms = 1\naim_ms = 1\ndeadline_ms = 1\neffect = 'x'"
+SHORT_SCENARIO = "[load]\nseconds = 6\n[fleet]\nservers = 4\n"
 
 
 def make_spec(**changes: Any) -> ServerSpec:
@@ -30,7 +30,7 @@
 
 
 class QueueExperiment:
-    """Jobs that come at random to one server; how long each took, and how many were there on the way."""
+    """Poisson arrivals at one server; records the time of each job in it, and the server's occupancy."""
 
     def __init__(self, rate: float, mean: float, seed: int = 1, **changes: Any) -> None:
         self.clock, self.rng = Clock(1.0), random.Random(seed)
@@ -59,8 +59,8 @@
 
 
 @pytest.mark.parametrize("load", [0.3, 0.7])
-def test_shared_cores_keep_a_job_as_long_as_theory_says(load: float) -> None:
-    """M/M/1 with processor sharing: work / (1 - load) in the mean."""
+def test_mean_time_under_processor_sharing_matches_theory(load: float) -> None:
+    """M/M/1 with processor sharing: the mean is work / (1 - load)."""
     experiment = QueueExperiment(load / 10.0, 10.0)
     experiment.clock.run(400_000.0)
     assert sum(experiment.sojourn_ms) / len(experiment.sojourn_ms) == pytest.approx(
@@ -69,8 +69,8 @@
     assert experiment.server.completed_work_ms / experiment.clock.now == pytest.approx(load, rel=0.05)
 
 
-def test_a_waiting_room_before_two_cores_holds_a_job_as_long_as_theory_says() -> None:
-    """M/M/2, first come first served: work / (1 - load²) in the mean."""
+def test_mean_time_with_a_queue_before_two_cores_matches_theory() -> None:
+    """M/M/2, first come first served: the mean is work / (1 - load²)."""
     experiment = QueueExperiment(2 * 0.8 / 10.0, 10.0, cores=2, slots=2)
     experiment.clock.run(400_000.0)
     assert sum(experiment.sojourn_ms) / len(experiment.sojourn_ms) == pytest.approx(
@@ -78,17 +78,17 @@
     )
 
 
-def test_what_a_server_holds_is_what_comes_times_how_long_it_stays() -> None:
-    """Little's law, whatever makes it slow."""
+def test_occupancy_is_arrival_rate_times_time_in_server() -> None:
+    """Little's law holds, also while the server thrashes."""
     experiment = QueueExperiment(0.06, 10.0, thrash=0.02, thrash_at=1.0)
     experiment.clock.run(300_000.0)
     experiment.record_occupancy()
     mean = sum(experiment.sojourn_ms) / len(experiment.sojourn_ms)
     assert experiment.occupancy_ms == pytest.approx(mean * len(experiment.sojourn_ms), rel=0.02)
-    assert mean > 25.5, "25 with nothing to make it slow"
+    assert mean > 25.5, "25 without thrashing"
 
 
-def test_a_server_that_is_crowded_for_long_turns_slow_until_it_has_been_idle() -> None:
+def test_a_server_under_lasting_contention_is_slow_until_it_has_been_idle() -> None:
     clock = Clock(1.0)
     choke = {
         "choke_threshold": 4.0,
@@ -115,7 +115,7 @@
     assert not server.is_choked and server.choked_ms == pytest.approx(5_000.0, abs=50)
 
 
-def test_a_full_waiting_room_turns_away_and_a_call_that_is_called_off_leaves_its_place() -> None:
+def test_a_full_queue_rejects_and_a_cancelled_request_is_not_executed() -> None:
     clock = Clock(1.0)
     server = Server(clock, make_spec(slots=1, queue=1))
     ended: list[float] = []
@@ -131,7 +131,7 @@
     assert ended == [11.0] and server.in_flight == 0
 
 
-def test_a_cold_server_does_more_as_it_warms() -> None:
+def test_the_capacity_of_a_cold_server_grows_as_it_warms_up() -> None:
     clock = Clock(1_000.0)
     server = Server(clock, make_spec(initial_capacity=0.25, warm_up_ms=4_000.0))
     server.start_anew()
@@ -143,22 +143,22 @@
 
 
 def draw_scenario(text: str = "", seed: int = 1) -> DrawnScenario:
-    return draw(parse(SHORT + text), seed)
+    return draw(parse(SHORT_SCENARIO + text), seed)
 
 
-def test_the_same_seed_gives_the_same_day_and_another_one_another() -> None:
+def test_the_same_seed_gives_the_same_play_and_another_seed_a_different_one() -> None:
     figures = [SimulatedFleet(draw_scenario(seed=seed), Balancer).run().utility.figure for seed in (1, 1, 2)]
     assert figures[0] == figures[1] != figures[2]
 
 
-def test_a_part_that_draws_more_does_not_shift_what_others_draw() -> None:
+def test_a_part_that_draws_more_does_not_shift_the_draws_of_others() -> None:
     texts = ("", "[network]\njitter = 0.5")
     names = [[s.spec.name for s in SimulatedFleet(draw_scenario(text), Balancer).tiers[0]] for text in texts]
     assert names[0] == names[1]
 
 
-def test_an_empty_fleet_answers_in_what_the_work_and_the_ways_take() -> None:
-    """Two calls of the client's way, the handshakes, the work at the speed of the servers, and no more."""
+def test_latency_in_an_idle_fleet_is_work_and_network_delays() -> None:
+    """The latency is the client's round trip, handshakes, calls and work, without any queueing."""
     text = """
 [load]
 seconds = 60
@@ -204,7 +204,7 @@
         assert 12 - 0.01 <= requested.latency_ms - requested.work_ms <= 18.01
 
 
-def test_every_balancer_is_told_its_own_number_and_how_many_there_are() -> None:
+def test_every_balancer_is_given_its_index_and_the_balancer_count() -> None:
     told: list[tuple[int, int, int]] = []
 
     def policy(settings: interface.Settings, seed: int) -> Balancer:
@@ -215,25 +215,25 @@
     assert sorted(told) == [(0, 0, 2), (0, 1, 2), (1, 0, 4), (1, 1, 4), (1, 2, 4), (1, 3, 4)]
 
 
-class Careless(SingleAttemptPolicy):
-    """Breaks one rule each, where the subclass says how."""
+class FirstServerPolicy(SingleAttemptPolicy):
+    """Sends all requests to one server; each subclass breaks one rule."""
 
     def select_server(self, cls: interface.RequestClass) -> str | None:
         return self.names[0]
 
 
-class Silent(Careless):
+class NeverResponds(FirstServerPolicy):
     def handle(self, event: interface.Event, now: float) -> list[interface.Action]:
         return [] if isinstance(event, interface.RequestArrived) else super().handle(event, now)
 
 
-class Twice(Careless):
+class SendsTwice(FirstServerPolicy):
     def handle(self, event: interface.Event, now: float) -> list[interface.Action]:
         actions = super().handle(event, now)
         return actions + [a for a in actions if isinstance(a, interface.SendAttempt)]
 
 
-class Refuses(Careless):
+class RejectsAfterSending(FirstServerPolicy):
     def handle(self, event: interface.Event, now: float) -> list[interface.Action]:
         actions = super().handle(event, now)
         return actions + [
@@ -241,8 +241,8 @@
         ]
 
 
-class Forgetful(SingleAttemptPolicy):
-    """Keeps to the list that it found when it started."""
+class IgnoresListUpdates(SingleAttemptPolicy):
+    """Ignores all updates of the endpoint list that it started with."""
 
     def select_server(self, cls: interface.RequestClass) -> str | None:
         return self.random.choice(self.names)
@@ -255,14 +255,14 @@
         )
 
 
-class Eager(SingleAttemptPolicy):
-    """Sends all to whatever started last."""
+class PrefersNewest(SingleAttemptPolicy):
+    """Sends all requests to the server that started last."""
 
     def select_server(self, cls: interface.RequestClass) -> str | None:
         return max(self.names, key=lambda n: self.ready[n].started_at_ms)
 
 
-REPLACED = """
+REPLACEMENT_SCENARIO = """
 [discovery]
 notice_s = 0.5
 add_s = 0.3
@@ -277,29 +277,29 @@
 @pytest.mark.parametrize(
     ("policy", "text", "rule"),
     [
-        (Silent, "", "never answered"),
-        (Twice, "", "sent again what may have run"),
-        (Refuses, "", "refused what may have run"),
-        (Forgetful, REPLACED, "sent to what drains or is gone"),
-        (Eager, REPLACED, "pushed a cold server over"),
+        (NeverResponds, "", "never answered"),
+        (SendsTwice, "", "sent again what may have run"),
+        (RejectsAfterSending, "", "refused what may have run"),
+        (IgnoresListUpdates, REPLACEMENT_SCENARIO, "sent to what drains or is gone"),
+        (PrefersNewest, REPLACEMENT_SCENARIO, "pushed a cold server over"),
     ],
 )
-def test_each_rule_is_seen_to_be_broken(policy: Callable[..., Any], text: str, rule: str) -> None:
+def test_each_violation_of_a_rule_is_detected(policy: Callable[..., Any], text: str, rule: str) -> None:
     seconds = "[load]\nseconds = 9\nof_capacity = 0.9\n[fleet]\nservers = 6\n"
     result = SimulatedFleet(draw(parse(seconds + text), 2), policy).run()
     assert rule in {breach.rule for breach in result.violations}
 
 
 @pytest.mark.parametrize("kind", FAULT_KINDS)
-def test_our_decisions_keep_the_rules_whatever_happens(kind: str) -> None:
+def test_the_policy_keeps_the_rules_under_every_fault(kind: str) -> None:
     size = 0.5 if kind == "errors" else 3.0
     trouble = f'[[trouble]]\nkind = "{kind}"\nat_s = 1\nfor_s = 2\npart = 0.5\nsize = {size}\n'
     result = SimulatedFleet(draw_scenario(trouble), Balancer).run()
     assert result.violations == []
-    assert kind == "burst" or result.log == [(1_000.0, kind)], "all troubles began with the day"
+    assert kind == "burst" or result.log == [(1_000.0, kind)], "every fault begins at the time drawn"
 
 
-def test_a_trouble_of_a_zone_befalls_the_last_one_alone() -> None:
+def test_a_fault_of_a_zone_affects_the_last_zone_alone() -> None:
     fleet = SimulatedFleet(
         draw_scenario(
             '[[trouble]]\nkind = "errors"\nat_s = 1\nfor_s = 1\npart = 1\nsize = 0.5\nzone = true\n'
@@ -308,16 +308,16 @@
     )
     seen: set[str] = set()
 
-    def look() -> None:
+    def record_failing_zones() -> None:
         seen.update(s.spec.zone for s in fleet.servers.values() if s.error_rate == 0.5)
 
-    fleet.clock.after(1_500.0, look)
+    fleet.clock.after(1_500.0, record_failing_zones)
     fleet.run()
     assert seen == {fleet.zones[-1]}
 
 
 @pytest.mark.parametrize("name", BASELINES)
-def test_baselines_play_a_day_and_the_oracle_is_the_best(name: str) -> None:
+def test_baselines_keep_the_rules_and_the_oracle_is_the_best(name: str) -> None:
     from loadbalancer.lab.policies import create_fleet
 
     crowded = "[choke]\nshare = 1\n[[trouble]]\nkind = 'burst'\nat_s = 1\nfor_s = 3\nsize = 2.5\n"
@@ -334,17 +334,17 @@
         ("[load]\nseconds = 'x'", "f.toml: load.seconds: Expected `float | array`, got `str`"),
         ("[[trouble]]\nkind = 'rain'\nat_s = 1", "f.toml: trouble[0].kind: 'rain'; allowed: burst, slow"),
         ("[inner]\ncores = [1, 2]", "f.toml: inner: cores, core_parts and speed must have the same length"),
-        (f"[[classes]]\n{ODD_CLASS}", "f.toml: classes: a: effect 'x'; allowed: safe, unsafe"),
+        (f"[[classes]]\n{INVALID_CLASS}", "f.toml: classes: a: effect 'x'; allowed: safe, unsafe"),
         ("[load", "f.toml: not TOML: "),
     ],
 )
-def test_a_scenario_that_is_wrong_is_told_in_one_line_with_what_is_allowed(text: str, told: str) -> None:
+def test_an_invalid_scenario_is_reported_in_one_line_with_what_is_allowed(text: str, told: str) -> None:
     with pytest.raises(ScenarioError) as caught:
         parse(text, "f.toml")
     assert told in str(caught.value) and "\n" not in str(caught.value)
 
 
-def test_a_drawn_day_holds_a_number_within_each_range() -> None:
+def test_a_drawn_scenario_holds_a_number_within_each_range() -> None:
     drawn = draw(Scenario(), 5).scenario
     assert isinstance(drawn.load.of_capacity, float) and 0.6 <= drawn.load.of_capacity <= 0.7
     assert isinstance(drawn.inner.speed[0], float) and 0.85 <= drawn.inner.speed[0] <= 1.1
