--- a/loadbalancer/simulation/rules.py
+++ b/loadbalancer/simulation/rules.py
@@ -1,4 +1,4 @@
-"""Check the platform's four rules on every request, attempt and response, as its protocol words them."""
+"""Check the platform's four rules on every request, attempt and response, as its protocol states them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 DRAIN_GRACE_MS = 3_000.0  # after the list named a server draining, nothing new may go to it
 OVERLOAD_FACTOR = 2.5  # this multiple of its capacity overloads a server that warms up,
 OVERLOAD_WINDOW_MS = 2_000.0  # if it is sent within this window
-OVERLOAD_FACTOR_TOLERANCE = 1.15  # for chance: nobody knows how long a single request will take
+OVERLOAD_FACTOR_TOLERANCE = 1.15  # a margin for chance: the work of a single request is not known in advance
 MIN_INFORMED_FRACTION = 2 / 3  # of that work must come from balancers that knew of the server's start
 
 
@@ -73,7 +73,7 @@
             del self._response_due_at_ms[balancer.name, request_id]
 
     def record_unanswered(self) -> None:
-        """Record, at the end of the day, the requests that never got a response."""
+        """Record, at the end of the play, the requests that never got a response."""
         for balancer, request_id in self._response_due_at_ms:
             self.record_violation("never answered", balancer, request_id)
 
@@ -93,20 +93,20 @@
         `work_ms` is in ms of a standard core; `is_sender_informed` says whether the sending balancer's list
         names the server's start.
         """
-        warm_up_fraction = server.warmth()
-        build = server.build
+        warm_up_fraction = server.warm_up_fraction()
+        spec = server.spec
         if warm_up_fraction >= 1:
-            self._received_work.pop(build.name, None)
+            self._received_work.pop(spec.name, None)
             return False
-        window = self._received_work.setdefault(build.name, deque())
+        window = self._received_work.setdefault(spec.name, deque())
         window.append(_ReceivedWork(self._clock.now, work_ms, is_sender_informed))
         while window[0].at_ms < self._clock.now - OVERLOAD_WINDOW_MS:
             window.popleft()
         max_work_ms = OVERLOAD_FACTOR * OVERLOAD_FACTOR_TOLERANCE * OVERLOAD_WINDOW_MS
-        max_work_ms = max_work_ms * build.cores * build.speed * warm_up_fraction
+        max_work_ms = max_work_ms * spec.cores * spec.speed * warm_up_fraction
         received_ms = sum(work.work_ms for work in window)
         if received_ms <= max_work_ms:
             return False
         if sum(w.work_ms for w in window if w.is_sender_informed) >= MIN_INFORMED_FRACTION * received_ms:
-            self.record_violation("pushed a cold server over", "all", build.name)
+            self.record_violation("pushed a cold server over", "all", spec.name)
         return True
