--- a/.ci/start_deploy.py
+++ b/.ci/start_deploy.py
@@ -38,7 +38,7 @@
     """Raise DeployError if the deploy file names files that do not exist."""
     missing = [name for name in deploy["policy"] + deploy["node"] if not Path(name).exists()]
     if missing:
-        raise DeployError(f"the deploy file names files that are not there: {missing}")
+        raise DeployError(f"the deploy file names files that do not exist: {missing}")
 
 
 def check_sim(command: str) -> None:
@@ -47,11 +47,11 @@
         shell(command), input=EMPTY_BATCH, text=True, capture_output=True, check=True, timeout=SIM_TIMEOUT_S
     )
     if completed.stdout != EMPTY_BATCH_REPLY:
-        raise DeployError(f"an empty batch was answered by {completed.stdout!r}")
+        raise DeployError(f"an empty batch was answered with {completed.stdout!r}")
 
 
 def free_port() -> int:
-    """Return a port on which nothing listens just now."""
+    """Return a port that is currently free."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
@@ -86,7 +86,7 @@
     until = time.monotonic() + READY_TIMEOUT_S
     while (status := health(port)) != http.HTTPStatus.OK:
         if process.poll() is not None:
-            raise DeployError(f"run ended with {process.returncode}")
+            raise DeployError(f"`run` ended with status {process.returncode}")
         if time.monotonic() >= until:
             raise DeployError(f"/healthz answers {status}")
         time.sleep(HEALTH_POLL_INTERVAL_S)
@@ -104,7 +104,7 @@
             process.send_signal(signal.SIGTERM)
             status = process.wait(timeout=STOP_TIMEOUT_S)
             if status != 0:
-                raise DeployError(f"after SIGTERM run ended with {status}")
+                raise DeployError(f"`run` ended with status {status} after SIGTERM")
         finally:
             process.kill()
 
@@ -120,7 +120,7 @@
     except DeployError as error:
         print(f"start_deploy: {error}", file=sys.stderr)
         return 1
-    print("the deploy file builds, and what it starts answers")
+    print("the deploy file builds, and its commands respond")
     return 0
 
 
--- a/loadbalancer/cli/__init__.py
+++ b/loadbalancer/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command `irondrum`: for people. What the platform starts is `python -m loadbalancer`."""
+"""The operators' command `irondrum`; the platform starts `python -m loadbalancer`."""
 
 from loadbalancer.cli.main import main
 
--- a/loadbalancer/cli/console_client.py
+++ b/loadbalancer/cli/console_client.py
@@ -1,4 +1,4 @@
-"""Calls the consoles of balancers, several at once, and prints what they answered."""
+"""Parallel calls to balancers' consoles, and printing of their responses."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class ConsoleResponse:
-    """What a console answered; status 0 where there was no answer."""
+    """A console's response; status 0 if there was none."""
 
     console: str
     status: int
@@ -35,7 +35,7 @@
 
 
 def call_console(console: str, method: str, path: str, body: str = "") -> ConsoleResponse:
-    """Make one call to one console; UsageError if that is no address."""
+    """Make one call to one console; UsageError if its address is invalid."""
     host, _, port = console.rpartition(":")
     if not host or not port.isdigit():
         raise UsageError(f"--console {console!r}: give HOST:PORT, such as 127.0.0.1:9901")
@@ -57,19 +57,19 @@
 
 
 def fetch_reports(consoles: list[str], path: str) -> tuple[dict[str, Any], list[ConsoleResponse]]:
-    """Return the JSON at a path by console, and the responses of those that gave none."""
+    """Return the JSON at a path by console, and the responses that were not accepted."""
     responses = call_consoles(consoles, "GET", path)
     reports = {response.console: json.loads(response.text) for response in responses if response.is_accepted}
     return reports, [response for response in responses if not response.is_accepted]
 
 
 def print_responses(responses: list[ConsoleResponse]) -> None:
-    """Print each response; exit 1, naming who, if one did not accept the call."""
+    """Print each response; exit 1 and name the consoles that did not accept the call."""
     for response in responses:
         typer.echo(f"{response.console}  {response.text}", err=not response.is_accepted)
     failed = [response.console for response in responses if not response.is_accepted]
     if failed:
         typer.echo(
-            f"irondrum: {len(failed)} of {len(responses)} did not say yes: {', '.join(failed)}", err=True
+            f"irondrum: {len(failed)} of {len(responses)} did not accept: {', '.join(failed)}", err=True
         )
         raise typer.Exit(EXIT_NOT_ACCEPTED)
--- a/loadbalancer/cli/console_tables.py
+++ b/loadbalancer/cli/console_tables.py
@@ -1,4 +1,4 @@
-"""Tables of what several consoles report."""
+"""Tables of several consoles' reports."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from loadbalancer.cli.console_client import fetch_reports
 
 Reports = Mapping[str, dict[str, Any]]
-"""The JSON of consoles, by console."""
+"""JSON reports, by console."""
 
 RATE_HEADINGS = ("served/s", "refused/s", "failed/s", "attempts/s")
 GAUGE_HEADINGS = ("open", "servers", "avoided")
-MIN_INTERVAL_S = 1e-9  # rates are of an interval above 0
+MIN_INTERVAL_S = 1e-9  # avoids a division by zero in rates
 
 
 def watch_tables(consoles: list[str], interval_s: float) -> Iterator[Table]:
-    """Yield a table of all balancers at an interval; rates are since the one before."""
+    """Yield a table of all balancers at an interval, with rates since the last one."""
     before: Reports = {}
     last_at_s = time.monotonic()
     while True:
@@ -32,7 +32,7 @@
 
 
 def stats_table(consoles: list[str], reports: Reports, before: Reports, interval_s: float) -> Table:
-    """Return a row for each balancer: rates a second where there was a report before, and gauges."""
+    """Return a row for each balancer: rates per second if it has an earlier report, and gauges."""
     table = Table("balancer", *RATE_HEADINGS, *GAUGE_HEADINGS)
     for name in consoles:
         stats, last = reports.get(name), before.get(name)
--- a/loadbalancer/cli/demo.py
+++ b/loadbalancer/cli/demo.py
@@ -1,4 +1,4 @@
-"""`irondrum demo` and `irondrum load`: a short drill on the screen, and open load on an address."""
+"""`irondrum demo` and `irondrum load`: a short drill in the terminal, and open-loop load on an address."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
 
 class Demo:
-    """The demo's screen: what balancers report, and what has been done to the fleet."""
+    """The demo's display: what balancers report, and the faults injected so far."""
 
     def __init__(self, console: Console, *, stays_up: bool) -> None:
         self._console = console
@@ -80,16 +80,16 @@
 
     async def play(self, drill: DrillScenario, seed: int, out: Path) -> None:
         """Play the drill with a live table; with `stays_up`, go on until Ctrl-C."""
-        drive = DrillPlayer(
+        player = DrillPlayer(
             drill, seed, out, on_progress=self._progress, on_load_completed=self._wait_for_interrupt
         )
-        playing = asyncio.create_task(drive.run())
+        playing = asyncio.create_task(player.run())
         try:
             with Live(console=self._console, auto_refresh=False) as live:
                 while not playing.done() and self._request_count < drill.load.requests:
                     await asyncio.wait([playing], timeout=REFRESH_INTERVAL_S)
                     if not playing.done() and self._request_count:
-                        live.update(await self._render(drive, drill), refresh=True)
+                        live.update(await self._render(player, drill), refresh=True)
             await playing
         except asyncio.CancelledError:
             playing.cancel()
@@ -100,20 +100,20 @@
     def _progress(self, line: dict[str, Any]) -> None:
         self._request_count = line["asked"]
 
-    async def _render(self, drive: DrillPlayer, drill: DrillScenario) -> Group:
-        names = {spot.console: spot.name for spot in drive.topology.balancers(FIRST_TIER)}
+    async def _render(self, player: DrillPlayer, drill: DrillScenario) -> Group:
+        names = {spot.console: spot.name for spot in player.topology.balancers(FIRST_TIER)}
         reports, _ = await asyncio.to_thread(fetch_reports, list(names), "/admin/stats")
         stats = {names[console]: report for console, report in reports.items()}
         table = stats_table(list(names.values()), stats, self._last_stats, REFRESH_INTERVAL_S)
         self._last_stats = stats
         return Group(
             table,
-            Text(f"{self._request_count} of {drill.load.requests} requests asked"),
-            *self._faults(drive),
+            Text(f"{self._request_count} of {drill.load.requests} requests sent"),
+            *self._faults(player),
         )
 
-    def _faults(self, drive: DrillPlayer) -> list[Text]:
-        faults = [e for e in history.read_history(drive.out) if e["what"] == "fault"]
+    def _faults(self, player: DrillPlayer) -> list[Text]:
+        faults = [e for e in history.read_history(player.out) if e["what"] == "fault"]
         return [
             Text(f"  {e['kind']} {' '.join(e['targets'])} {'' if e['on'] else '(over)'}", style="yellow")
             for e in faults[-MAX_SHOWN_FAULTS:]
@@ -125,7 +125,7 @@
         front = fleet.balancers(FIRST_TIER)[0]
         host, port = fleet.links[f"clients>{front.name}"].address
         self._console.print(
-            "It stays up until Ctrl-C. In another shell:\n"
+            "The fleet stays up until Ctrl-C. In another shell:\n"
             f"  curl -s -H 'X-Request-Id: 1' -H 'X-Class: map' -H 'X-Deadline: 2000m' http://{host}:{port}/map\n"
             f"  curl -s http://{front.console}/admin/stats\n"
             f"  curl -s http://{front.console}/metrics\n"
@@ -138,10 +138,10 @@
 
 
 def demo(
-    keep: Annotated[bool, typer.Option(help="Stay up afterwards, with curl lines that work.")] = False,
-    seed: Annotated[int, typer.Option(help="Chance of the load.")] = 1,
+    keep: Annotated[bool, typer.Option(help="Stay up afterwards, and print curl commands.")] = False,
+    seed: Annotated[int, typer.Option(help="Random seed of the load.")] = 1,
 ) -> None:
-    """Bring up a fleet, slow one server, kill another, and sum up; exit 0 only if nothing broke.
+    """Start a fleet, slow one server, kill another, and print the checks; exit 0 only if nothing broke.
 
     Example: irondrum demo --keep
     """
@@ -151,13 +151,13 @@
         out = Path(folder) / "demo"
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(Demo(console, stays_up=keep).play(drill, seed, out))
-        found = judgement.judge(drill, history.read_history(out))
-    for check in found:
+        results = judgement.judge(drill, history.read_history(out))
+    for check in results:
         mark = "[green]held[/green]" if check.passed else f"[red]broken: {check.first_violation}[/red]"
         console.print(
             f"  {check.name:<14}{check.measured:>8g}  bound {check.bound:<6g} {mark}", highlight=False
         )
-    is_passed = all(check.passed for check in found)
+    is_passed = all(check.passed for check in results)
     console.print(f"{'Nothing broke' if is_passed else 'Something broke'}, {time.monotonic() - began:.0f} s")
     if not is_passed:
         raise typer.Exit(EXIT_CHECK_FAILED)
@@ -168,11 +168,11 @@
     kind: Annotated[list[str], typer.Option("--class", help="NAME[:SHARE[:DEADLINE_MS[:unsafe]]]")],
     rate: Annotated[float, typer.Option(help="Requests a second.")] = 50.0,
     seconds: Annotated[float, typer.Option(help="How long.")] = 10.0,
-    seed: Annotated[int, typer.Option(help="Chance of the arrivals.")] = 1,
-    anywhere: Annotated[bool, typer.Option(help="Load an address that is not loopback.")] = False,
+    seed: Annotated[int, typer.Option(help="Random seed of the arrivals.")] = 1,
+    anywhere: Annotated[bool, typer.Option(help="Allow an address that is not loopback.")] = False,
     as_json: Annotated[bool, typer.Option("--json", help="One line of JSON.")] = False,
 ) -> None:
-    """Send requests at a steady rate, whatever the answers, and print the outcome; latency is from when due.
+    """Send open-loop load at a steady rate, and print the outcome; latency is from the scheduled time.
 
     Example: irondrum load http://127.0.0.1:8080 --class map:3:500 --class unlock:1:4000:unsafe --rate 100
     """
--- a/loadbalancer/cli/drill.py
+++ b/loadbalancer/cli/drill.py
@@ -37,12 +37,12 @@
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(DrillPlayer(drill, seed, out, defect).run())
     (out / "drill.toml").write_bytes(path.read_bytes())
-    found = judgement.judge(drill, history.read_history(out))
+    results = judgement.judge(drill, history.read_history(out))
     verdict = {"seed": seed, "plant": defect} | encode_verdict(
-        path.stem, found, CheckResult.__struct_encode_fields__
+        path.stem, results, CheckResult.__struct_encode_fields__
     )
     (out / "verdict.json").write_text(json.dumps(verdict) + "\n", encoding="utf-8")
-    return found
+    return results
 
 
 @app.command("list")
@@ -58,8 +58,8 @@
 @app.command()
 def run(
     names: Annotated[list[str], typer.Argument(help="Names in drills/, or paths of .toml files.")],
-    seed: Annotated[int, typer.Option(help="Chance of load and faults.")] = 1,
-    out: Annotated[Path | None, typer.Option(help="Folder for all that is written; empty or new.")] = None,
+    seed: Annotated[int, typer.Option(help="Random seed of load and faults.")] = 1,
+    out: Annotated[Path | None, typer.Option(help="Output folder; empty or new.")] = None,
     as_json: Annotated[bool, typer.Option("--json", help="One line of JSON for each drill.")] = False,
     defect: Annotated[str, typer.Option("--plant", help="Start balancers with a known defect.")] = "",
 ) -> None:
@@ -68,28 +68,28 @@
     Example: irondrum drill run calm server-killed --seed 2 --out found/drills
     """
     if defect and defect not in DRILL_DEFECTS:
-        raise UsageError(f"no defect {defect!r}; there are {', '.join(DRILL_DEFECTS)}")
+        raise UsageError(f"no defect {defect!r}; available: {', '.join(DRILL_DEFECTS)}")
     paths = [find_file(DRILL_FOLDER, "drill", name) for name in names]
-    drills = [(path, load_scenario(path)) for path in paths]  # all are sound before the first is played
+    drills = [(path, load_scenario(path)) for path in paths]  # all are validated before the first is played
     is_passed = True
-    with tempfile.TemporaryDirectory() as spare:
+    with tempfile.TemporaryDirectory() as temporary:
         for path, drill in drills:
-            into = (out or Path(spare)) / path.stem
-            found = play(path, drill, seed, into, defect)
-            is_passed = is_passed and all(check.passed for check in found)
+            drill_out = (out or Path(temporary)) / path.stem
+            results = play(path, drill, seed, drill_out, defect)
+            is_passed = is_passed and all(check.passed for check in results)
             if as_json:
-                typer.echo(json.dumps(encode_verdict(path.stem, found, PRINTED_CHECK_FIELDS)))
+                typer.echo(json.dumps(encode_verdict(path.stem, results, PRINTED_CHECK_FIELDS)))
             else:
-                _show(path.stem, found)
+                _show(path.stem, results)
     if not is_passed:
         raise typer.Exit(EXIT_CHECK_FAILED)
 
 
 @app.command()
 def report(
-    folder: Annotated[Path, typer.Argument(help="What --out named, or one drill's folder in it.")],
+    folder: Annotated[Path, typer.Argument(help="The --out folder, or one drill's folder in it.")],
 ) -> None:
-    """Write one HTML page on the drills in a folder, with plots of what each second was like.
+    """Write one HTML page on the drills in a folder, with plots by second.
 
     Example: irondrum drill report found/drills
     """
@@ -101,15 +101,15 @@
         raise UsageError(str(error)) from error
 
 
-def encode_verdict(name: str, found: list[CheckResult], fields: Iterable[str]) -> dict[str, Any]:
+def encode_verdict(name: str, results: list[CheckResult], fields: Iterable[str]) -> dict[str, Any]:
     """Return the verdict of a drill, with these fields of each check."""
-    checks = [{field: record[field] for field in fields} for record in map(msgspec.to_builtins, found)]
-    return {"drill": name, "held": all(check.passed for check in found), "checks": checks}
+    checks = [{field: record[field] for field in fields} for record in map(msgspec.to_builtins, results)]
+    return {"drill": name, "held": all(check.passed for check in results), "checks": checks}
 
 
-def _show(name: str, found: list[CheckResult]) -> None:
+def _show(name: str, results: list[CheckResult]) -> None:
     table = Table("check", "held", "measured", "bound", "first that broke it", title=name)
-    for check in found:
+    for check in results:
         word = "yes" if check.passed else "[red]no[/red]"
         table.add_row(
             check.name,
--- a/loadbalancer/cli/lab.py
+++ b/loadbalancer/cli/lab.py
@@ -59,7 +59,7 @@
 
 @app.command("list")
 def list_scenarios() -> None:
-    """List the scenarios and policies there are: `irondrum lab list`."""
+    """List the available scenarios and policies: `irondrum lab list`."""
     for path in sorted(SCENARIO_FOLDER.glob("*.toml")):
         typer.echo(f"{path.stem:16} {scenarios.load(path).title}")
     typer.echo(f"policies: {', '.join(policies.POLICY_NAMES)}")
@@ -68,10 +68,10 @@
 @app.command()
 def run(
     names: Annotated[list[str], typer.Argument(metavar="SCENARIO...", help="Names, or files in TOML.")],
-    out: Annotated[Path, typer.Option(help="The folder for results; a run goes on behind what it holds.")],
+    out: Annotated[Path, typer.Option(help="Folder for results; plays that it holds are not repeated.")],
     seeds: Annotated[str, typer.Option(help="Such as 1-16 or 1,4,7-9.")] = "1-4",
-    policy: Annotated[str, typer.Option(help="Names, with commas between.")] = policies.OWN_POLICY,
-    jobs: Annotated[int, typer.Option(min=1, help="Days played at once.")] = DEFAULT_JOBS,
+    policy: Annotated[str, typer.Option(help="Comma-separated names.")] = policies.OWN_POLICY,
+    jobs: Annotated[int, typer.Option(min=1, help="Plays run at once.")] = DEFAULT_JOBS,
     rev: Annotated[str, typer.Option(help="Play `ours` as it was at this commit.")] = "",
     changes: Annotated[list[str] | None, typer.Option("--set", help="Such as choke.at=5.")] = None,
     as_json: Annotated[bool, typer.Option("--json", help="The summary as JSON.")] = False,
@@ -83,18 +83,18 @@
         decisions = Path(folder) if rev else None
         if decisions:
             policies.extract_policy(rev, Path.cwd(), decisions)
-        with errors.status(f"{len(jobs_to_run)} days") if errors.is_terminal else nullcontext():
+        with errors.status(f"{len(jobs_to_run)} plays") if errors.is_terminal else nullcontext():
             on_record = _ignore_record if as_json else _print_record
             records = plays.run(jobs_to_run, out, jobs, decisions, on_record)
     _print_summary(records, as_json=as_json)
 
 
 def _plan_jobs(names: list[str], seeds: str, policy: str, rev: str, changes: list[str]) -> list[plays.Job]:
-    """Return a job for each scenario, seed and policy; UsageError or PolicyError if there is no such one."""
+    """Return a job for each scenario, seed and policy; UsageError or PolicyError if one does not exist."""
     wanted = [name.strip() for name in policy.split(",")]
     for name in wanted:
         if name not in policies.POLICY_NAMES:
-            raise policies.PolicyError(f"no policy {name!r}; there are {', '.join(policies.POLICY_NAMES)}")
+            raise policies.PolicyError(f"no policy {name!r}; available: {', '.join(policies.POLICY_NAMES)}")
     at_rev = f"@{rev}" if rev else ""
     return [
         plays.Job(Path(name).stem, seed, which, which + at_rev * (which == policies.OWN_POLICY), scenario)
--- a/loadbalancer/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -1,4 +1,4 @@
-"""The program `loadbalancer` (old name: `irondrum`): commands, each a thin way into a part of the package."""
+"""Command line of `loadbalancer` (old name: `irondrum`); each command wraps a part of the package."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
         bool, typer.Option("--version", callback=_show_version, is_eager=True, help="Print the version.")
     ] = False,
 ) -> None:
-    """A load balancer for services that call services, and the tools round it."""
+    """A load balancer for service-to-service calls, and its tools."""
 
 
 def main() -> None:
--- a/loadbalancer/cli/operations.py
+++ b/loadbalancer/cli/operations.py
@@ -1,4 +1,4 @@
-"""What operators ask of balancers that run: `irondrum health|stats|cordon|uncordon|top|peers|lists`."""
+"""Operator commands for running balancers: `irondrum health|stats|cordon|uncordon|top|peers|lists`."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def stats(console: Consoles) -> None:
-    """Print the figures of balancers as one JSON object, by console.
+    """Print balancers' statistics as one JSON object, by console.
 
     Example: irondrum stats --console 127.0.0.1:9901
     """
@@ -38,7 +38,7 @@
 
 
 def cordon(server: Annotated[str, typer.Argument(help="The server's ID.")], console: Consoles) -> None:
-    """Cordon a server at every balancer named; exit 1, and who it was, if one did not accept it.
+    """Cordon a server at every balancer named; exit 1 and name those that did not accept it.
 
     Example: irondrum cordon s-5be2a07c --console 127.0.0.1:9901 --console 127.0.0.1:9902
     """
@@ -46,7 +46,7 @@
 
 
 def uncordon(server: Annotated[str, typer.Argument(help="The server's ID.")], console: Consoles) -> None:
-    """Return a server to service at every balancer named; exit 1, and who it was, if one did not accept it.
+    """Return a server to service at every balancer named; exit 1 and name those that did not accept it.
 
     Example: irondrum uncordon s-5be2a07c --console 127.0.0.1:9901
     """
@@ -56,9 +56,9 @@
 def top(
     console: Consoles,
     every: Annotated[float, typer.Option(help="Seconds between polls.", min=0.1)] = 1.0,
-    polls: Annotated[int, typer.Option("--looks", help="End after so many; 0 for never.", min=0)] = 0,
+    polls: Annotated[int, typer.Option("--looks", help="Stop after so many; 0 for never.", min=0)] = 0,
 ) -> None:
-    """Watch several balancers: what they serve, reject and fail a second.
+    """Watch how much balancers serve, reject and fail per second.
 
     Example: irondrum top --console 127.0.0.1:9901 --console 127.0.0.1:9902
     """
@@ -79,12 +79,12 @@
     output_console().print(table)
     print_responses(failed)
     if not do_agree:
-        typer.echo("irondrum: they disagree", err=True)
+        typer.echo("irondrum: the balancers' membership views differ", err=True)
         raise typer.Exit(EXIT_NOT_ACCEPTED)
 
 
 def lists(console: Consoles) -> None:
-    """Show where several balancers have their endpoint list from, and its age; exit 1 without an answer.
+    """Show the source and age of balancers' endpoint lists; exit 1 if one does not answer.
 
     Example: irondrum lists --console 127.0.0.1:9901 --console 127.0.0.1:9902
     """
--- a/loadbalancer/cli/output.py
+++ b/loadbalancer/cli/output.py
@@ -1,4 +1,4 @@
-"""Where the commands print: the terminal, or a pipe, in which nothing is cut off."""
+"""Console output of the commands; tables sent to a pipe are not truncated."""
 
 from __future__ import annotations
 
@@ -10,5 +10,5 @@
 
 
 def output_console() -> Console:
-    """Return standard output, as wide as the terminal, or wide enough where there is none."""
+    """Return a console on standard output, of fixed width if that is not a terminal."""
     return Console(width=None if sys.stdout.isatty() else PIPE_WIDTH_COLUMNS)
--- a/loadbalancer/cli/registry.py
+++ b/loadbalancer/cli/registry.py
@@ -1,4 +1,4 @@
-"""The commands `directory …`: serve the registry, and what operators do with it."""
+"""The commands `directory …`: serve the registry, and operate it."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 from loadbalancer.registry.entries import Registration
 from loadbalancer.registry.store import CatalogStore, CatalogStoreError
 
-app = typer.Typer(no_args_is_help=True, help="A list service of your own: who serves, by leases.")
+app = typer.Typer(no_args_is_help=True, help="A registry of servers, with leases.")
 At = Annotated[str, typer.Option("--at", help="HOST:PORT of the service.", envvar="IRONDRUM_DIRECTORY")]
 Tier = Annotated[str, typer.Option(help="The tier.")]
-Why = Annotated[str, typer.Option(help="Kept in the history.")]
+Why = Annotated[str, typer.Option(help="Reason for the history.")]
 Match = Annotated[int | None, typer.Option("--if-match", help="Only if the entry is still at this version.")]
 Server = Annotated[str, typer.Argument(help="The server's name.")]
 
@@ -37,13 +37,13 @@
 
 @app.command()
 def serve(file: Annotated[Path, typer.Argument(help="TOML: listen, database, [rules].")]) -> None:
-    """Serve the list until SIGTERM; what was answered outlasts any end.
+    """Serve the registry until SIGTERM; acknowledged changes survive any exit or crash.
 
     Example: irondrum directory serve docs/directory.toml
     """
     configuration = server.read_configuration(file)
     service = server.open_service(configuration)
-    typer.echo(f"the list is at {configuration.listen}, version {service.catalog.revision}", err=True)
+    typer.echo(f"registry listens on {configuration.listen}, version {service.catalog.revision}", err=True)
     server.serve(configuration, service)
 
 
@@ -54,9 +54,9 @@
     address: Annotated[str, typer.Option(help="Where it serves, HOST:PORT.")],
     zone: Annotated[str, typer.Option()] = "",
     tier: Tier = "first",
-    weight: Annotated[float, typer.Option(help="Its cores, or what it does at once.")] = 1.0,
+    weight: Annotated[float, typer.Option(help="Its cores, or its concurrency.")] = 1.0,
     since_ms: Annotated[float, typer.Option(help="When it started, Unix ms; 0 for long ago.")] = 0.0,
-    lease_s: Annotated[float, typer.Option(help="After which it lapses if nobody renews.")] = 86_400.0,
+    lease_s: Annotated[float, typer.Option(help="Seconds until it lapses if not renewed.")] = 86_400.0,
     why: Why = "",
     if_match: Match = None,
 ) -> None:
@@ -77,7 +77,7 @@
 
 @app.command()
 def drain(name: Server, at: At, why: Why = "", if_match: Match = None) -> None:
-    """Let a server end what it has, and get nothing new.
+    """Let a server finish its requests, and get no new ones.
 
     Example: irondrum directory drain s-1 --at 127.0.0.1:8500 --why "new kernel"
     """
@@ -97,10 +97,10 @@
 def pin(
     name: Server,
     at: At,
-    off: Annotated[bool, typer.Option("--off", help="Let go of it.")] = False,
+    off: Annotated[bool, typer.Option("--off", help="Unpin it.")] = False,
     why: Why = "",
 ) -> None:
-    """Hold a server on the list, whatever becomes of its lease.
+    """Keep a server on the list even if its lease expires.
 
     Example: irondrum directory pin s-1 --at 127.0.0.1:8500
     """
@@ -108,12 +108,12 @@
 
 
 def _print_revision(answer: dict[str, object]) -> None:
-    typer.echo(f"version {answer['index']}" + ("" if answer["changed"] else ", as it was"))
+    typer.echo(f"version {answer['index']}" + ("" if answer["changed"] else ", unchanged"))
 
 
 @app.command("list")
 def list_(at: At, as_json: Annotated[bool, typer.Option("--json")] = False) -> None:
-    """Show all servers with their leases and marks, and what the service doubts.
+    """Show all servers with their leases and marks, and tiers in self-preservation.
 
     Example: irondrum directory list --at 127.0.0.1:8500
     """
@@ -137,7 +137,7 @@
         )
     output_console().print(table)
     for tier, left in state["doubts"].items():
-        typer.echo(f"tier {tier}: many leases ran out at once; nothing lapses for {left / 1_000:.0f} s more")
+        typer.echo(f"tier {tier}: many leases expired at once; no entry lapses for {left / 1_000:.0f} s more")
 
 
 @app.command()
@@ -190,7 +190,7 @@
 
 @app.command("import")
 def import_(at: At, file: Annotated[Path, typer.Argument()], why: Why = "import") -> None:
-    """Register all entries of an export; all are read before the first is told.
+    """Register all entries of an export; all are parsed before the first is sent.
 
     Example: irondrum directory import servers.jsonl --at 127.0.0.1:8500
     """
@@ -209,7 +209,7 @@
 
 @app.command()
 def verify(database: Annotated[Path, typer.Argument(help="The service's file.")]) -> None:
-    """Tell whether a file is sound; exit 1, and what is wrong, if it is not.
+    """Check a database file; exit 1 and print what is wrong if it is not sound.
 
     Example: irondrum directory verify /var/lib/irondrum/list.sqlite
     """
@@ -234,11 +234,11 @@
     zone: Annotated[str, typer.Option()] = "",
     tier: Tier = "first",
     weight: Annotated[float, typer.Option()] = 1.0,
-    lease_s: Annotated[float, typer.Option(help="How long the list trusts us unheard.")] = 10.0,
-    health: Annotated[str, typer.Option(help="Path that answers 200 while it is well.")] = "/healthz",
-    grace_s: Annotated[float, typer.Option(help="Between drain and removal at the end.")] = 5.0,
+    lease_s: Annotated[float, typer.Option(help="Seconds until it lapses if not renewed.")] = 10.0,
+    health: Annotated[str, typer.Option(help="Path that answers 200 while it is healthy.")] = "/healthz",
+    grace_s: Annotated[float, typer.Option(help="Seconds between drain and removal on exit.")] = 5.0,
 ) -> None:
-    """Speak for a server that can't: register it while its health checks pass, drain it on SIGTERM.
+    """Register a server that can't do so itself while its health checks pass; drain it on SIGTERM.
 
     Example: irondrum directory agent s-1 --at 127.0.0.1:8500 --address 127.0.0.1:5001
     """
--- a/loadbalancer/cli/scale.py
+++ b/loadbalancer/cli/scale.py
@@ -1,4 +1,4 @@
-"""`irondrum scale`: the fleet ahead on one machine, measured step by step."""
+"""`irondrum scale`: a fleet of future size on one machine, measured step by step."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @app.command()
 def keep(
-    folder: Annotated[Path, typer.Argument(help="What --out named.")],
+    folder: Annotated[Path, typer.Argument(help="The --out folder of a run.")],
     into: Annotated[Path, typer.Argument(help="Folder, such as benchmarks/figures.")],
 ) -> None:
     """Keep a run's figures, without those of each second, as scale-SIZE-MECHANISM.json.
@@ -40,7 +40,7 @@
 
 @app.command()
 def report(
-    folder: Annotated[Path, typer.Argument(help="What --out named.")],
+    folder: Annotated[Path, typer.Argument(help="The --out folder of a run.")],
     sizes: Annotated[Path | None, typer.Option(help="Folder of kept figures, for plots by size.")] = None,
 ) -> None:
     """Write page.md on a run, with plots by time, and by size where figures are kept.
@@ -55,30 +55,30 @@
 @app.command()
 def run(
     balancers: Annotated[int, typer.Option(help="Upstreams listed, each with its balancer.")],
-    out: Annotated[Path, typer.Option(help="Folder for all that is written; empty or new.")],
+    out: Annotated[Path, typer.Option(help="Output folder; empty or new.")],
     real: Annotated[int, typer.Option(help="Real balancers; half of them are called.")] = 2,
-    hollow: Annotated[int, typer.Option(help="Hollow ones; -1 for all that are not real.")] = -1,
-    hosts: Annotated[int, typer.Option(help="Processes that hold the hollow ones.")] = 2,
-    instances: Annotated[int, typer.Option(help="Of the list service.")] = 2,
-    services: Annotated[int, typer.Option(help="That the upstreams belong to.")] = 1,
-    lists: Annotated[str, typer.Option(help="How lists are asked: whole, or by interest.")] = "whole",
+    hollow: Annotated[int, typer.Option(help="Hollow balancers; -1 for all that are not real.")] = -1,
+    hosts: Annotated[int, typer.Option(help="Processes that run the hollow balancers.")] = 2,
+    instances: Annotated[int, typer.Option(help="Instances of the registry.")] = 2,
+    services: Annotated[int, typer.Option(help="Services that the upstreams belong to.")] = 1,
+    lists: Annotated[str, typer.Option(help="How lists are requested: whole, or by interest.")] = "whole",
     part: Annotated[int, typer.Option(help="By interest: servers of a service held in each zone.")] = 0,
     shared_reading: Annotated[
         bool, typer.Option("--shared-reading", help="A host's hollow ones read the same answer once.")
     ] = False,
-    start_s: Annotated[float, typer.Option(help="Spread their start over so long.")] = 0.0,
-    steps: Annotated[str, typer.Option(help="With commas between; start is the first.")] = ",".join(
+    start_s: Annotated[float, typer.Option(help="Time over which their start is spread.")] = 0.0,
+    steps: Annotated[str, typer.Option(help="Comma-separated; start is the first.")] = ",".join(
         DEFAULT_STEPS
     ),
     quiet_s: Annotated[float, typer.Option(help="Length of the quiet step.")] = 20.0,
-    away_s: Annotated[float, typer.Option(help="How long all instances are away.")] = 30.0,
-    changes: Annotated[int, typer.Option(help="In the step of changes.")] = 60,
-    changes_per_s: Annotated[float, typer.Option(help="15,000 a day are 0.17 a second.")] = 3.0,
-    settle_s: Annotated[float, typer.Option(help="After each step, part of it.")] = 8.0,
+    away_s: Annotated[float, typer.Option(help="How long all instances are down.")] = 30.0,
+    changes: Annotated[int, typer.Option(help="Changes in the step of changes.")] = 60,
+    changes_per_s: Annotated[float, typer.Option(help="Changes per second; 15,000 a day are 0.17.")] = 3.0,
+    settle_s: Annotated[float, typer.Option(help="Settling time after each step, part of it.")] = 8.0,
     extra_wait_s: Annotated[
-        float, typer.Option("--patience-s", help="Past that, for who is stale or not notified.")
+        float, typer.Option("--patience-s", help="Extra wait for those stale or not notified.")
     ] = 0.0,
-    seed: Annotated[int, typer.Option(help="Chance of what is changed.")] = 1,
+    seed: Annotated[int, typer.Option(help="Random seed of what is changed.")] = 1,
     defect: Annotated[str, typer.Option("--plant", help="Start with a known defect.")] = "",
 ) -> None:
     """Play the steps and write figures.json.
--- a/loadbalancer/cli/serve.py
+++ b/loadbalancer/cli/serve.py
@@ -1,4 +1,4 @@
-"""`irondrum serve` and `irondrum check`: run a balancer by a configuration of one's own, and validate it."""
+"""`irondrum serve` and `irondrum check`: run a balancer from a configuration file, and validate one."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def _create_sink(log_format: str) -> Sink:
-    """Return a sink that writes events by structlog, as text or as JSON."""
+    """Return a sink that writes events with structlog, as text or as JSON."""
     renderer: structlog.typing.Processor = (
         structlog.processors.JSONRenderer(default=str)
         if log_format == "json"
@@ -40,9 +40,9 @@
 
 def serve(
     file: Annotated[Path, typer.Argument(help="The configuration, TOML or .json.")],
-    log: Annotated[str, typer.Option(help="Form of the log: text or json.")] = "text",
+    log: Annotated[str, typer.Option(help="Log format: text or json.")] = "text",
 ) -> None:
-    """Start one balancer until SIGTERM; SIGHUP reads the file again.
+    """Run one balancer until SIGTERM; SIGHUP reloads the file.
 
     Example: irondrum serve docs/irondrum.toml --log json
     """
@@ -65,7 +65,7 @@
         typer.echo(json.dumps(configuration.schema(), indent=1))
         return
     if file is None:
-        raise UsageError("check: name a file, or give --schema")
+        raise UsageError("check: give a file or --schema")
     config = configuration.read(file, lambda unknown: None)
     server_count = len(config.initial_list.endpoints)
     typer.echo(f"{file}: can be used; {len(config.settings.classes)} classes, {server_count} servers known")
--- a/loadbalancer/cli/soak.py
+++ b/loadbalancer/cli/soak.py
@@ -1,4 +1,4 @@
-"""`loadbalancer drill soak`: drills made from seeds, of restarts, signals in series and crowds."""
+"""`loadbalancer drill soak`: drills generated from seeds, with restarts, series of signals and crowds."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     *,
     seeds: Annotated[str, typer.Option(help="A seed, or a range such as 1-50.")] = "1",
     jobs: Annotated[int, typer.Option(help="Drills played at once.", min=1, max=MAX_JOBS)] = 1,
-    out: Annotated[Path | None, typer.Option(help="Folder for what fails; new or empty.")] = None,
+    out: Annotated[Path | None, typer.Option(help="Folder for failed drills; new or empty.")] = None,
     defect: Annotated[str, typer.Option("--plant", help="Start balancers with a known defect.")] = "",
     replay: Annotated[Path | None, typer.Option(help="Play the plan in this folder again.")] = None,
     is_shortened: Annotated[
@@ -30,17 +30,17 @@
     ] = False,
     is_plan_only: Annotated[bool, typer.Option("--plan", help="Print the plans, and play nothing.")] = False,
 ) -> None:
-    """Play drills made from seeds: exit 0 if all checks held, 1 if one did not.
+    """Play drills generated from seeds: exit 0 if all checks held, 1 if one did not.
 
     Example: loadbalancer drill soak --seeds 1-50 --jobs 4 --out found/soak
     """
     if defect and defect not in DRILL_DEFECTS:
-        raise UsageError(f"no defect {defect!r}; there are {', '.join(DRILL_DEFECTS)}")
+        raise UsageError(f"no defect {defect!r}; available: {', '.join(DRILL_DEFECTS)}")
     if is_shortened and replay is None:
         raise UsageError("--shorten: needs --replay DIR")
     chosen = _parse_seeds(seeds)
-    with tempfile.TemporaryDirectory() as spare:
-        folder = out or Path(spare)
+    with tempfile.TemporaryDirectory() as temporary:
+        folder = out or Path(temporary)
         if is_plan_only:
             for seed in chosen:
                 _print_plan(seed)
@@ -59,10 +59,10 @@
 
 
 def _parse_seeds(text: str) -> range:
-    found = re.fullmatch(r"(\d{1,9})(?:-(\d{1,9}))?", text)
-    if found is None or int(found[2] or found[1]) < int(found[1]):
+    matched = re.fullmatch(r"(\d{1,9})(?:-(\d{1,9}))?", text)
+    if matched is None or int(matched[2] or matched[1]) < int(matched[1]):
         raise UsageError(f"--seeds {text!r}; allowed: a number, or a range such as 1-50")
-    return range(int(found[1]), int(found[2] or found[1]) + 1)
+    return range(int(matched[1]), int(matched[2] or matched[1]) + 1)
 
 
 def _print_plan(seed: int) -> None:
--- a/loadbalancer/cli/usage_error.py
+++ b/loadbalancer/cli/usage_error.py
@@ -1,4 +1,4 @@
-"""Errors in the arguments of commands, and files that commands know by name."""
+"""Errors in command arguments, and lookup of files by name."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class UsageError(ValueError):
-    """An argument that can't be used; the text is one line that says which and why."""
+    """An invalid argument; the message is one line that says which and why."""
 
 
 def find_file(folder: Path, kind: str, name: str) -> Path:
-    """Return a TOML file by its name in a folder, or by its path; UsageError lists which there are."""
+    """Return a TOML file by its name in a folder, or by its path; UsageError lists those available."""
     path = Path(name) if name.endswith(".toml") else folder / f"{name}.toml"
     if not path.exists():
         known = ", ".join(p.stem for p in sorted(folder.glob("*.toml"))) or f"none in {folder}"
-        raise UsageError(f"no {kind} {name!r}; there are {known}")
+        raise UsageError(f"no {kind} {name!r}; available: {known}")
     return path
--- a/loadbalancer/cli/zone.py
+++ b/loadbalancer/cli/zone.py
@@ -13,8 +13,8 @@
 from loadbalancer.cli.usage_error import UsageError
 from loadbalancer.configuration.units import duration_ms
 
-app = typer.Typer(no_args_is_help=True, help="Leave a zone by hand, and come back to it.")
-Zone = Annotated[str, typer.Argument(help="The zone's name, as on the list.")]
+app = typer.Typer(no_args_is_help=True, help="Evacuate a zone by hand, and return to it.")
+Zone = Annotated[str, typer.Argument(help="The zone's name, as in the list.")]
 Over = Annotated[str, typer.Option("--over", help='How long it takes, such as "60s".')]
 
 
@@ -30,9 +30,9 @@
     zone: Zone,
     console: Consoles,
     over: Over = "0s",
-    force: Annotated[bool, typer.Option("--force", help="Go on though the others lack capacity.")] = False,
+    force: Annotated[bool, typer.Option("--force", help="Go on even if the others lack capacity.")] = False,
 ) -> None:
-    """Have balancers send less and less to a zone, until it gets nothing; exit 1 if one did not accept it.
+    """Have balancers gradually reduce a zone's traffic to nothing; exit 1 if one did not accept it.
 
     Example: irondrum zone leave east --over 60s --console 127.0.0.1:9901 --console 127.0.0.1:9902
     """
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""Every command's name, arguments, options and exit codes, as at d282128: a moved module can't lose one."""
+"""Every command's name, arguments, options and exit codes as at d282128, which a refactoring must keep."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from loadbalancer.cli.main import app
 
 ROOT = Path(__file__).parent.parent
-NOBODY = "127.0.0.1:1"  # a port that nobody listens on
+CLOSED_ADDRESS = "127.0.0.1:1"  # a port on which nothing listens
 TIMEOUT_S = 60.0
 
 
@@ -189,14 +189,14 @@
     ("directory", 2),
     ("health", 2),
     ("health --console x", 2),
-    (f"health --console {NOBODY}", 1),
-    (f"lists --console {NOBODY}", 1),
-    (f"peers --console {NOBODY}", 1),
-    (f"stats --console {NOBODY}", 1),
-    (f"top --console {NOBODY} --looks 1", 0),
+    (f"health --console {CLOSED_ADDRESS}", 1),
+    (f"lists --console {CLOSED_ADDRESS}", 1),
+    (f"peers --console {CLOSED_ADDRESS}", 1),
+    (f"stats --console {CLOSED_ADDRESS}", 1),
+    (f"top --console {CLOSED_ADDRESS} --looks 1", 0),
     ("cordon", 2),
-    (f"cordon s-1 --console {NOBODY}", 1),
-    (f"uncordon s-1 --console {NOBODY}", 1),
+    (f"cordon s-1 --console {CLOSED_ADDRESS}", 1),
+    (f"uncordon s-1 --console {CLOSED_ADDRESS}", 1),
     ("check docs/irondrum.toml", 0),
     ("check nothing.toml", 2),
     ("serve nothing.toml", 2),
@@ -215,17 +215,17 @@
     ("scale keep nothing nothing", 1),
     ("scale report nothing", 2),
     ("directory serve nothing.toml", 2),
-    (f"directory list --at {NOBODY}", 2),
+    (f"directory list --at {CLOSED_ADDRESS}", 2),
     ("directory register s-1 --at x --address 127.0.0.1:1", 2),
     ("directory verify nothing", 2),
-    (f"directory import nothing --at {NOBODY}", 1),
-    (f"directory history --at {NOBODY}", 2),
-    (f"directory export --at {NOBODY}", 2),
-    (f"directory watch --at {NOBODY} --looks 1", 2),
-    (f"directory drain s-1 --at {NOBODY}", 2),
-    (f"zone leave east --console {NOBODY}", 1),
-    (f"zone return east --console {NOBODY} --over x", 2),
-    (f"zone status --console {NOBODY}", 1),
+    (f"directory import nothing --at {CLOSED_ADDRESS}", 1),
+    (f"directory history --at {CLOSED_ADDRESS}", 2),
+    (f"directory export --at {CLOSED_ADDRESS}", 2),
+    (f"directory watch --at {CLOSED_ADDRESS} --looks 1", 2),
+    (f"directory drain s-1 --at {CLOSED_ADDRESS}", 2),
+    (f"zone leave east --console {CLOSED_ADDRESS}", 1),
+    (f"zone return east --console {CLOSED_ADDRESS} --over x", 2),
+    (f"zone status --console {CLOSED_ADDRESS}", 1),
     ("demo --nothing", 2),
 )
 
@@ -256,7 +256,7 @@
 
 
 def describe_commands(command: Any, path: str = "") -> Iterator[tuple[str, list[str]]]:
-    """Yield every command's words and its parameters, arguments in their order and options by name."""
+    """Yield every command's path and its parameters, arguments in their order and options by name."""
     parameters = [describe_parameter(parameter) for parameter in command.params]
     arguments = [line for line in parameters if not line.startswith("-")]
     yield path, arguments + sorted(line for line in parameters if line.startswith("-"))
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""The commands for people, on a balancer that runs as its own process."""
+"""The operator commands, on a balancer that runs as its own process."""
 
 from __future__ import annotations
 
@@ -96,10 +96,10 @@
 
 
 def test_command_to_several_balancers_names_those_that_did_not_accept_it(served: Served) -> None:
-    nobody = f"{HOST}:{find_free_port(HOST)}"
-    done = irondrum("health", "--console", served.console, "--console", nobody)
+    closed = f"{HOST}:{find_free_port(HOST)}"
+    done = irondrum("health", "--console", served.console, "--console", closed)
     assert done.returncode == 1
-    assert done.stderr.splitlines()[-1] == f"irondrum: 1 of 2 did not say yes: {nobody}"
+    assert done.stderr.splitlines()[-1] == f"irondrum: 1 of 2 did not accept: {closed}"
     unknown = irondrum("cordon", "no-such", "--console", served.console)
     assert unknown.returncode == 1 and "nobody has that ID" in unknown.stderr
 
