--- a/.ci/start_deploy.py
+++ b/.ci/start_deploy.py
@@ -104,7 +104,7 @@
             process.send_signal(signal.SIGTERM)
             status = process.wait(timeout=STOP_TIMEOUT_S)
             if status != 0:
-                raise DeployError(f"`run` ended with status {status} after SIGTERM")
+                raise DeployError(f"after SIGTERM `run` ended with status {status}")
         finally:
             process.kill()
 
