--- a/loadbalancer/interface.py
+++ b/loadbalancer/interface.py
@@ -1,8 +1,8 @@
 """Define the boundary of the decision module: settings, endpoints, events, actions and learned state.
 
 A host turns I/O into events, passes them to `loadbalancer.policy.Balancer.handle` and carries out the actions
-that it returns. All times and durations are milliseconds on one clock that never goes backwards. Every type
-is an immutable value.
+that it returns. All times and durations are milliseconds on one clock that never goes backwards; the proxy's
+clock gives Unix time. Every type is an immutable value.
 """
 
 from __future__ import annotations
@@ -16,6 +16,7 @@
 class Idempotency(enum.Enum):
     """Whether a request of a class may run more than once (RFC 9110, section 9.2.2)."""
 
+    # The values are the `effect` of a class in scenarios; RFC 9110 calls only read-only methods "safe".
     IDEMPOTENT = "safe"
     WITH_KEY = "keyed"
     NOT_IDEMPOTENT = "unsafe"
@@ -65,7 +66,10 @@
 
 
 LIST_RETRY_MEAN_BACKOFF_MS = 25.0
-"""Mean backoff after a failed list request, per balancer of a tier, since all retry after an outage."""
+"""Mean first backoff after a failed list request, multiplied by the number of balancers of the tier.
+
+All of them retry after an outage.
+"""
 LIST_RETRY_JITTER = 0.5
 """Fraction by which a backoff is randomly shorter or longer, so that balancers do not retry in step."""
 DEFAULT_LIST_RETRY_WITHIN_MS = 2_750.0
@@ -92,6 +96,7 @@
     deduplication_window_ms: float = 0.0
     priority_weight: float = 1.0
     late_value_fraction: float = 0.0
+    """Fraction of its value that a response keeps after the latency objective; at 0 none is awaited."""
     is_streaming: bool = False
 
     def __post_init__(self) -> None:
@@ -145,6 +150,7 @@
     """0 at the edge; 1 or more for tiers that are called by another tier."""
     zone: str = ""
     polls_endpoint_list: bool = False
+    """Whether `WatchEndpointList` starts the watch; otherwise the host starts it, and updates are pushed."""
     suspect_stale_fraction: float = 1.0
     """A full snapshot that omits more than this fraction of the ready servers is suspected stale."""
     poll_interval_ms: float = 10_000.0
@@ -156,8 +162,10 @@
     slow_start_ms: float = 0.0
     slow_start_initial_fraction: float = 1.0
     slow_start_overload_factor: float = 1.0
+    """Limit on calls per window to a warming server, relative to its warm-up fraction of the peak rate."""
     slow_start_window_ms: float = 1_000.0
     over_quota_weight_factor: float = 1.0
+    """Factor on the priority weight of a request that exceeds its tenant's quota."""
     tick_ms: float = 1.0
     load_report_fields: tuple[str, ...] = ()
 
@@ -194,6 +202,7 @@
     cell: int = 0
     registered_capacity: float = 1.0
     started_at_ms: float = 0.0
+    """On the clock of all times: the proxy passes on the `since_ms` of the list, which is Unix time."""
 
 
 # ---- events -------------------------------------------------------------------------------------
@@ -208,7 +217,7 @@
     is_rolled_back: bool = False
     """Whether the service has gone back to an older revision."""
     suspected_stale: frozenset[str] = frozenset()
-    """Endpoints that a full snapshot omits and that stay until proven dead: see `Balancer.validate`."""
+    """Ready servers that a full snapshot omits, kept until proven dead: see `policy.list_validation`."""
     retry_within_ms: float = DEFAULT_LIST_RETRY_WITHIN_MS
     """For a failed update: time limit for the next list request, so that changes arrive in time."""
 
@@ -289,7 +298,10 @@
     server: str
     is_cordoned: bool
     returned_at_ms: float = 0.0
-    """When it was uncordoned: it counts as started then or later, since it is restarted while cordoned."""
+    """When it was uncordoned, on the clock of all times (Unix time in the proxy).
+
+    A server is restarted while cordoned, so it counts as started then, unless the list names a later start.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -306,7 +318,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeoverChanged:
-    """Another process of this balancer has taken over, or has died: while one has, this one only drains."""
+    """Another process of this balancer has taken over, or has died after it took over.
+
+    From a take-over on this process only drains; after the other one has died, it serves again.
+    """
 
     is_taken_over: bool
 
@@ -420,7 +435,7 @@
     """What one process has learned about one server."""
 
     started_at_ms: float
-    """Unix time at which the server started: evidence about an earlier incarnation is invalid."""
+    """`Endpoint.started_at_ms` of the server: evidence about an earlier incarnation is invalid."""
     served_calls: float
     """Calls served, decayed over time."""
     in_flight_ms: float
@@ -431,12 +446,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OverloadEvidence:
-    """How late recent responses were; both figures are decayed to `updated_at_ms`."""
+    """How late recently ended attempts were, as weighted sums; both are decayed to `updated_at_ms`."""
 
     lateness: float
-    """Sum of the lateness of the responses, each from 0 to 1."""
+    """Sum of weight x lateness, 0 to 1; rejections and failures count as 1."""
     responses: float
-    """Number of the responses."""
+    """Sum of the weights."""
     updated_at_ms: float
 
 
@@ -451,10 +466,10 @@
     uncongested_latencies: Mapping[str, float]
     """By class: latency in milliseconds when no server is congested."""
     peak_rates: Mapping[str, float]
-    """By zone: the peak rate at which a unit of registered capacity served it, in calls per millisecond."""
+    """By zone: highest rate served to this balancer per unit of registered capacity, in calls per ms."""
     overload: OverloadEvidence
     median_capacity: float
     recent_requests: float
     """Requests received, decayed over the slow-start window."""
     recent_requests_at_peak: Mapping[str, float]
-    """By zone: `recent_requests` at its peak rate; empty where an older version did not send it."""
+    """By zone: `recent_requests` at that peak; empty where an older version did not send it."""
--- a/loadbalancer/policy/attempts.py
+++ b/loadbalancer/policy/attempts.py
@@ -42,6 +42,7 @@
     def send_if_possible(self, request: Request, now: float) -> bool:
         """Send the next attempt, and return whether there was time, an attempt left and a server for it."""
         if not request.is_complete:
+            # The deadline counts from the end of the body, so the time spent receiving it does not count.
             request.restart_clock(now)
         timeout_ms = request.useful_until_ms - now
         if timeout_ms <= self._settings.tick_ms or len(request.attempts) >= self._settings.max_attempts:
@@ -49,7 +50,7 @@
         server = self._selector.select(request, now)
         if server is None:
             return False
-        idle_ms = self._reusable_idle_ms(server, request, now)
+        idle_ms = self._check_idle_connections(server, request, now)
         if self._settings.max_attempts > 1:
             timeout_ms = self._hedge_or_shorten(request, timeout_ms, now)
         server.advance_to(now)
@@ -84,13 +85,17 @@
             if attempt.is_in_flight and attempt is not kept:
                 self._actions.append(interface.CancelAttempt(request.id, index))
 
-    def _reusable_idle_ms(self, server: Server, request: Request, now: float) -> float:
-        """Return how long the connections to a server have been idle; close them if they may be dead."""
+    def _check_idle_connections(self, server: Server, request: Request, now: float) -> float:
+        """Close a server's idle connections if they may be dead, or return how long they have been idle.
+
+        Returns 0.0 if they were closed, if the server has calls in flight, or if the idle time is unknown.
+        """
         if server.in_flight:
             return 0.0
         idle_ms = max(now - server.idle_since_ms, 0.0)
         if not idle_ms:
             return 0.0
+        # If an earlier attempt may have run (cost above 0), do not risk a dead connection with a repeat.
         if self.retry_budget.cost(request) or idle_ms >= self._idle_timeouts.limit_ms:
             self._actions.append(interface.CloseIdleConnections(server.endpoint.server))
             return 0.0
@@ -110,7 +115,8 @@
     def _connect_within_ms(self, server: Server, request: Request) -> float:
         """Return the limit on a new connection; infinite where giving up early does not help.
 
-        That is on the last attempt, and at a suspected server, which a late connection would count against.
+        On the last attempt, no other one could follow. At a server that is suspected stale (it has
+        `remaining_strikes`), a late connection would count as a failed one, as if the server were dead.
         """
         is_last = len(request.attempts) + 1 >= self._settings.max_attempts
         if server.remaining_strikes or is_last:
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -99,6 +99,7 @@
                 statuses[zone] = ZoneStatus(self._zones.traffic_fraction(zone, now))
             status = statuses[zone]
             status.ready_servers += 1
+            # `in_flight_ms` sums time in flight with decay, so this is a mean over about EVIDENCE_DECAY_MS.
             status.calls_in_flight += server.in_flight_ms / EVIDENCE_DECAY_MS
             status.call_capacity += self._limits.calls_per_capacity_unit * server.registered_capacity
         return statuses
--- a/loadbalancer/policy/deduplication.py
+++ b/loadbalancer/policy/deduplication.py
@@ -11,7 +11,7 @@
 
 
 def can_retry_anywhere(request: Request) -> bool:
-    """Return whether the next attempt is harmless at any server: none has run, or it is idempotent."""
+    """Return whether any server may get the next attempt: no earlier one ran, or the class is idempotent."""
     return request.request_class.idempotency is Idempotency.IDEMPOTENT or not request.may_have_run()
 
 
--- a/loadbalancer/policy/latency_estimates.py
+++ b/loadbalancer/policy/latency_estimates.py
@@ -19,7 +19,7 @@
 MAX_UNCONGESTED_FRACTION = 0.2
 """Upper bound of the uncongested latency, as a fraction of the class's objective."""
 OVERLOAD_DECAY_MS = 2_000.0
-"""Time constant (1/e) of congestion evidence: one or two objectives, so that shedding ends soon."""
+"""Time constant (1/e) of congestion evidence: 1 to 2 usual latency objectives long, to end shedding soon."""
 
 
 class _ConnectTime(NamedTuple):
@@ -66,7 +66,7 @@
     def silence_weight(self, elapsed_ms: float, request: Request) -> float:
         """Return the weight of a call without a response so far, which decays after its objective.
 
-        In total it weighs as much as one late response.
+        From then on it counts as one fully late response recorded at the objective would.
         """
         over_ms = max(elapsed_ms / request.work_factor - request.request_class.latency_objective_ms, 0.0)
         return self.lateness(elapsed_ms, request) * math.exp(-over_ms / OVERLOAD_DECAY_MS)
@@ -80,9 +80,10 @@
         )
 
     def connect_limit_ms(self, request: Request, zone: str) -> float:
-        """Return the connect timeout: that of RFC 6298, but at least the longest wait of the request.
+        """Return the connect timeout as in RFC 6298: mean plus 4 deviations.
 
-        Infinite while no connect time of the zone is known.
+        It is at least the time that the request may wait for capacity (`max_wait_ms`), and infinite while no
+        connect time of the zone is known.
         """
         mean_ms, deviation_ms = self._connect_times.get(zone, (math.inf, 0.0))
         return max(mean_ms + 4 * deviation_ms, request.max_wait_ms)
--- a/loadbalancer/policy/list_validation.py
+++ b/loadbalancer/policy/list_validation.py
@@ -17,7 +17,8 @@
 ) -> EndpointListUpdate:
     """Return the update to apply in place of a received one.
 
-    Ready servers that a full snapshot omits are kept as suspected stale if they are too many or all of them.
+    Ready servers that a full snapshot omits are kept as suspected stale if they are more than
+    `suspect_stale_fraction` of the ready ones (never at 1.0), and more than one unless the list is empty.
     A rollback to an older revision does not end the draining of a server.
     """
     endpoints = update.endpoints
@@ -35,7 +36,7 @@
         return frozenset()
     listed = {endpoint.server for endpoint in update.endpoints}
     omitted = ready.keys() - listed
-    # A single server is removed at once, unless the list is empty.
+    # A sole omitted server is not suspected while the list names others: `bool(listed)` is 1 or 0.
     if len(omitted) <= max(settings.suspect_stale_fraction * len(ready), bool(listed)):
         return frozenset()
     return frozenset(omitted)
--- a/loadbalancer/policy/outcomes.py
+++ b/loadbalancer/policy/outcomes.py
@@ -11,7 +11,10 @@
 from loadbalancer.policy.server_selection import ServerSelector
 
 OUTCOMES_ON_OPEN_CONNECTION = frozenset({Outcome.SERVED, Outcome.TIMED_OUT, Outcome.RESET})
-"""Outcomes that show whether the connection was alive."""
+"""Outcomes counted as evidence on idle connections: only SERVED shows that one was alive.
+
+ERROR is also a response, but it is not counted.
+"""
 
 
 class OutcomeRecorder:
@@ -62,7 +65,10 @@
         attempt.server.served_calls += request.relative_work
 
     def _record_failed(self, attempt: Attempt, outcome: Outcome, request: Request, now: float) -> None:
-        """Count a failure at its full timeout: a server that fails fast must not look fast."""
+        """Record a failure as evidence of overload, and count its full timeout as time in flight.
+
+        Without the latter, a server that fails fast would look fast.
+        """
         weight = 0.0
         if outcome is Outcome.REJECTED:
             weight = 1.0  # the server itself says that it is overloaded
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -12,7 +12,11 @@
 UPDATE_INTERVAL_MS = 20.0
 """Interval between computations of the admitted fraction, only to save work."""
 PRIOR_RESPONSES = 2.0
-"""Timely responses that are assumed beforehand, so that one late response sheds nothing."""
+"""Number of timely responses that are assumed beforehand, to dampen the mean while there are few.
+
+One fully late response after 3 recent timely ones sheds nothing; without any, it makes the mean 1/3, and only
+the minimum is admitted.
+"""
 MAX_LATENESS_ALL_ADMITTED = 0.17
 """Mean lateness (which is squared) up to which everything is admitted."""
 MIN_LATENESS_LEAST_ADMITTED = 0.34
@@ -22,7 +26,7 @@
 
 
 class OverloadLevel:
-    """The fraction of the offered load that is admitted: less as responses near their objective.
+    """Computes which fraction of the offered load is admitted: less as responses near their objective.
 
     Calls in flight count as well, so it reacts before the first late response. It guards against congestion
     whatever the cause (overload, lost servers, slow ones), and recovers as the evidence decays. It sheds load
@@ -48,10 +52,10 @@
         """Return the fraction that is admitted, from 0.05 to 1."""
         if now - self._computed_at_ms >= UPDATE_INTERVAL_MS:
             self._computed_at_ms = now
-            in_flight = self._lateness_in_flight(open_requests, now)
+            silent_weight = self._silent_weight(open_requests, now)
             decay = math.exp((self._updated_at_ms - now) / OVERLOAD_DECAY_MS)
-            mean_lateness = (self._lateness * decay + in_flight) / (
-                self._responses * decay + in_flight + PRIOR_RESPONSES
+            mean_lateness = (self._lateness * decay + silent_weight) / (
+                self._responses * decay + silent_weight + PRIOR_RESPONSES
             )
             fraction = (MIN_LATENESS_LEAST_ADMITTED - mean_lateness) / (
                 MIN_LATENESS_LEAST_ADMITTED - MAX_LATENESS_ALL_ADMITTED
@@ -59,7 +63,8 @@
             self._admitted_fraction = min(max(fraction, MIN_ADMITTED_FRACTION), 1.0)
         return self._admitted_fraction
 
-    def _lateness_in_flight(self, open_requests: Iterable[Request], now: float) -> float:
+    def _silent_weight(self, open_requests: Iterable[Request], now: float) -> float:
+        """Return the total weight of calls without a response so far; each counts as fully late (1)."""
         awaited = (
             r
             for r in open_requests
--- a/loadbalancer/policy/server_selection.py
+++ b/loadbalancer/policy/server_selection.py
@@ -66,12 +66,13 @@
             servers = deduplicating_servers(request, ready.by_name.values(), self._settings, now)
             return self._choose(request, servers, now)
         for server in self._endpoints.awaiting_first_call.values():
-            # Operators wait for its first call, but a server that is warming up is seldom drawn.
+            # Just uncordoned: operators wait for its first call, but while it warms up it is seldom drawn.
             is_zone_in_use = self._zones.traffic_fraction(server.endpoint.zone, now) >= 1
             if is_zone_in_use and ready.is_in_subset(server) and self._can_accept(request, server, now):
                 return server
         if self._settings.tier and not self._zones.reduced_fractions(now):
-            # Each server has many callers, and each sees only its own calls; few others call its nearby ones.
+            # This balancer does not see the calls of other balancers. Few of them call the servers near it on
+            # the ring, so one of these without its own calls is likely to be idle.
             nearby = [s for s in ready.nearby() if not s.in_flight and self._can_accept(request, s, now)]
             if nearby:
                 return self._choose(request, nearby, now)
@@ -108,9 +109,10 @@
             return False
         if not self._limits.can_accept(request, server):
             return False
-        return not self._slow_start.is_any_warming_up(now) or self._is_within_slow_start(server, now)
+        return not self._slow_start.is_any_warming_up(now) or self._slow_start_permits(server, now)
 
-    def _is_within_slow_start(self, server: Server, now: float) -> bool:
+    def _slow_start_permits(self, server: Server, now: float) -> bool:
+        """Return whether slow start lets a server accept one more call."""
         recent_requests = self._slow_start.recent_requests(now)
         peak_rate = self._capacities.current_rate(server.endpoint.zone, recent_requests)
         slowest_ms = max(self._latencies.smoothed_ms.values())
@@ -120,12 +122,13 @@
         """Return the server for the next attempt out of a short list; None if none is eligible."""
         slow_start = self._slow_start
         if slow_start.is_any_warming_up(now):
-            servers = self._within_slow_start(servers, now)
+            servers = self._permitted_by_slow_start(servers, now)
         if can_retry_anywhere(request):
             evacuated = self._zones.fully_evacuated(self._ready.names_by_zone, now)
             if evacuated:
                 servers = [s for s in servers if s.endpoint.zone not in evacuated]
         if request.attempts:
+            # Avoid servers that this request has tried already, unless it has tried all of them.
             servers = [s for s in servers if all(a.server is not s for a in request.attempts)] or servers
         servers = [s for s in servers if self._limits.can_accept(request, s)]
         if not servers:
@@ -135,14 +138,14 @@
         drawn = draw_by_capacity(servers, capacities, self._settings.zone, reduced_zones, self._rng)
         return least_loaded(drawn, self._rng)
 
-    def _within_slow_start(self, servers: list[Server], now: float) -> list[Server]:
+    def _permitted_by_slow_start(self, servers: list[Server], now: float) -> list[Server]:
         """Return the servers that slow start lets accept one more call."""
         if self.is_taken_over:
             # Both processes share one slow-start budget; the draining one uses it only as a last resort.
             warm = [s for s in servers if self._slow_start.warm_up_fraction(s, now) >= 1]
             if warm:
                 return warm
-        return [s for s in servers if self._is_within_slow_start(s, now)]
+        return [s for s in servers if self._slow_start_permits(s, now)]
 
     def _sample(self, request: Request, now: float) -> Server | None:
         """Return a server from a large subset by sampling; if that finds none, scan a part of it."""
