--- a/loadbalancer/scale/allowances.py
+++ b/loadbalancer/scale/allowances.py
@@ -1,4 +1,4 @@
-"""What a step may cost, by the operators' letter and by what the watches promise, and what is over it."""
+"""Cost limits of a step, by the operators' requirements and the design of watches, and their excesses."""
 
 from __future__ import annotations
 
@@ -7,46 +7,46 @@
 
 import msgspec
 
-CONTROL_ROLES = ("hollow", "real_idle")  # the others' bytes and time are not for control alone
+CONTROL_ROLES = ("hollow", "real_idle")  # the other roles' bytes and time include more than control
 
 
 class Allowances(msgspec.Struct, frozen=True, kw_only=True):
-    """For control. The first four are the letter's (2026-12-02)."""
+    """For control traffic. The first four are the operators' requirements of 2026-12-02."""
 
     cpu: float = 0.021
-    """Of a core, a balancer, over the worst ten seconds."""
+    """Fraction of a core per balancer, over the worst ten seconds."""
     pss_mb: float = 32.0
     bytes_s: float = 7_000.0
-    """A balancer, over the worst ten seconds."""
+    """Per balancer, over the worst ten seconds."""
     in_force_ms: float = 6_000.0
     quiet_calls_s: float = 1.0
-    """A balancer, on average while nothing changes: a watch waits 2.4 s at the least."""
+    """Per balancer, on average while nothing changes: a watch waits at least 2.4 s."""
     bytes_a_call: float = 4_000.0
-    """A hollow balancer, on average while single upstreams change: the entries of a few of them."""
+    """Per hollow balancer, on average while single upstreams change: the entries of a few of them."""
     dials_s: float = 2.0
-    """Connections of a balancer, over the worst ten seconds: backoff begins at half a second and doubles."""
+    """Connects per balancer, over the worst ten seconds: backoff begins at half a second and doubles."""
 
 
 Excess = dict[str, Any]
 
 
 def find_excesses(run: dict[str, Any], allowances: Allowances = Allowances()) -> list[Excess]:  # noqa: B008
-    """Return what is over its allowance in a run's figures: step, role, figure, value, allowed.
+    """Return a run's figures that exceed their allowance: step, role, figure, value, allowed.
 
-    Memory is judged of real processes only: a hollow balancer shares its process with others.
+    Memory is checked for real processes only: a hollow balancer shares its process with others.
     """
     return [
         {"step": step, "role": role, "figure": figure, "value": value, "allowed": allowed}
         for step, figures in run["steps"].items()
-        for role, figure, value, allowed in _judged_figures(step, figures, allowances)
+        for role, figure, value, allowed in _checked_figures(step, figures, allowances)
         if value is not None and value > allowed
     ]
 
 
-def _judged_figures(
+def _checked_figures(
     step: str, figures: dict[str, Any], allowances: Allowances
 ) -> Iterator[tuple[str, str, float | None, float]]:
-    """Yield role, name, value and allowance of each figure that is judged in a step."""
+    """Yield role, name, value and allowance of each checked figure of a step."""
     for role, cost in figures["roles"].items():
         if role not in CONTROL_ROLES:
             continue
--- a/loadbalancer/scale/counted_relays.py
+++ b/loadbalancer/scale/counted_relays.py
@@ -14,7 +14,7 @@
     """Relays, and what passed through them in each second."""
 
     def __init__(self, instances: list[str]) -> None:
-        """Prepare relays to `instances`, the addresses that they listen on themselves."""
+        """Prepare relays to `instances`, the instances' own listen addresses."""
         self._instances = instances
         self.between_instances: dict[tuple[int, int], Relay] = {}
         self._by_balancer: dict[int, list[Relay]] = {}
@@ -27,7 +27,7 @@
             self.between_instances[source, target] = relay
 
     async def add_balancer(self, number: int) -> list[str]:
-        """Start a real balancer's relays to the instances; return where it reaches them."""
+        """Start a real balancer's relays to the instances; return the relays' addresses."""
         relays = [Relay(address) for address in self._instances]
         for relay in relays:
             await relay.start()
@@ -35,7 +35,7 @@
         return [relay.address for relay in relays]
 
     def set_partitioned(self, *, is_partitioned: bool) -> None:
-        """Part the instances from one another, or join them again."""
+        """Partition the instances from one another, or reconnect them."""
         for relay in self.between_instances.values():
             relay.set_cut(is_cut=is_partitioned)
 
--- a/loadbalancer/scale/defective_helper.py
+++ b/loadbalancer/scale/defective_helper.py
@@ -15,7 +15,7 @@
 
 
 def main() -> None:
-    """Seed the defect that the first argument names, and be the helper that the second one names."""
+    """Seed the defect named by the first argument, and run the helper named by the second."""
     defect, role = sys.argv[1:3]
     seed_defect(defect)
     run_helper(HELPERS[role]())
--- a/loadbalancer/scale/figures.py
+++ b/loadbalancer/scale/figures.py
@@ -1,6 +1,6 @@
-"""What a step cost each role, and how soon its changes were in force.
+"""The cost of a step for each role, and how soon its changes were in force.
 
-A row is what was seen of a process in one second; its keys, and those of figures, are those of figures.json.
+A row is what was measured of a process in one second; keys of rows and figures are those of figures.json.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 
 from loadbalancer.scale.supervisor import ScaleProcess, ScaleSupervisor
 
-MAX_RECORDED_MS = 600_000  # of a change: longer than a run
-SPELL_S = 10  # of the letter's worst spell
+MAX_RECORDED_MS = 600_000  # of a change; longer times are recorded as this
+WORST_WINDOW_S = 10  # the operators' requirements limit the worst ten seconds
 COSTS = ("cpu", "bytes", "calls", "dials", "watches")
 Row = dict[str, Any]
-Series = dict[int, dict[str, float]]  # by second: cpu (cores), bytes, calls, of one unit of a role
-ChangeKey = tuple[str, str]  # an upstream's name, and the state that it went into
+Series = dict[int, dict[str, float]]  # of one process or balancer, by second: cpu (cores), bytes, calls
+ChangeKey = tuple[str, str]  # an upstream's name and its new state
 
 
 # ---- by second ------------------------------------------------------------------------------------
 
 
 def balancer_series(process: ScaleProcess, hollow_count: int) -> Series:
-    """Return each second of a balancer: of hollow ones the mean of their host, which has `hollow_count`."""
+    """Return a balancer's values by second; for hollow ones the mean of their host's `hollow_count`."""
     series: Series = defaultdict(dict)
     for row in process.rows:
         values = series[row["second"]]
@@ -41,7 +41,7 @@
 
 
 def instance_series(supervisor: ScaleSupervisor, number: int) -> Series:
-    """Return each second of an instance: what all others counted of their calls at it, and the exchange."""
+    """Return an instance's values by second: calls of all other processes to it, and the exchange."""
     address = supervisor.instances[number]
     series: Series = defaultdict(dict)
     counts: dict[int, Counter[str]] = defaultdict(Counter)
@@ -65,7 +65,7 @@
 
 
 def series_by_role(supervisor: ScaleSupervisor, hollow_counts: dict[str, int]) -> dict[str, list[Series]]:
-    """Return one series for each unit of a role; `hollow_counts` are the hollow balancers of each host."""
+    """Return a series for each process by role; `hollow_counts` are the hollow balancers of each host."""
     roles: dict[str, list[Series]] = defaultdict(list)
     for name, process in supervisor.processes.items():
         if process.kind == "instance":
@@ -81,7 +81,7 @@
 
 
 def role_cost(units: list[Series], begin: int, end: int) -> dict[str, float]:
-    """Return mean, worst second and worst ten of a role's units, between two seconds of Unix time."""
+    """Return mean, worst second and worst ten seconds of a role's units, between two Unix seconds."""
     figures: dict[str, float] = {}
     for key in COSTS:
         spans = [_values(unit, key, begin, end) for unit in units]
@@ -92,9 +92,9 @@
         every = [value for span in spans for value in span]
         figures[f"{name}_mean"] = sum(every) / len(every)
         figures[f"{name}_worst"] = max(every)
-        figures[f"{name}_worst10"] = max(_worst_mean(span, SPELL_S) for span in spans)
+        figures[f"{name}_worst10"] = max(_worst_mean(span, WORST_WINDOW_S) for span in spans)
     if lag_ms := max((value for unit in units for value in _values(unit, "lag_ms", begin, end)), default=0):
-        figures["lag_ms_worst"] = lag_ms  # of a host's loop: what is late by it is no balancer's fault
+        figures["lag_ms_worst"] = lag_ms  # of a host's event loop: a delay up to this is not the balancer's
     if most := max((value for unit in units for value in _values(unit, "most", begin, end)), default=0.0):
         figures["bytes_s_worst_one"] = most  # of any single hollow balancer
     return {key: round(value, 6 if key.startswith("cpu") else 3) for key, value in figures.items()}
@@ -106,18 +106,18 @@
 
 
 def _worst_mean(span: list[float], width: int) -> float:
-    """Return the largest mean of so many seconds in a row."""
+    """Return the largest mean of `width` consecutive seconds."""
     width = min(width, len(span))
     return max(sum(span[at : at + width]) / width for at in range(len(span) - width + 1))
 
 
-def time_in_force(changes: Iterable[Row], reports: list[Row], *, has_part: bool = False) -> dict[str, Any]:
-    """Return how soon changes were in force at the last balancer, in ms, and who missed one or is stale.
+def time_in_force(changes: Iterable[Row], reports: list[Row], *, has_subsets: bool = False) -> dict[str, Any]:
+    """Return how soon changes were in force at the last balancer, in ms, and how many were missed or stale.
 
-    Each change has `name`, `state`, `tier` and `at_ms`, when the call that the registry answered was sent, or
-    when it first knew. `never_told` counts pairs of a change and a balancer that stayed and subscribes to its
-    tier; where balancers have subsets (`has_part`), only the registry knows who should: then it counts the
-    changes that nobody has.
+    Each change has `name`, `state`, `tier` and `at_ms`: when the answered call to the registry was sent, or
+    when the registry first knew. `never_told` counts pairs of a missed change and a balancer that stayed and
+    subscribes to its tier. With subsets (`has_subsets`) only the registry knows which balancers should have
+    a change, so it counts the changes that no balancer has.
     """
     stayed: Counter[str] = Counter()
     counts: Counter[ChangeKey] = Counter()
@@ -132,7 +132,7 @@
     for change in changes:
         key = change["name"], change["state"]
         expected = stayed[change["tier"]]
-        missed_count += max((bool(expected) if has_part else expected) - counts[key], 0)
+        missed_count += max((bool(expected) if has_subsets else expected) - counts[key], 0)
         if key in last_ms:
             times_ms.append(max(last_ms[key] - change["at_ms"], 0.0))
     stale_count = sum(report["stale"] for report in reports)
@@ -142,7 +142,7 @@
 
 
 def summarize_times(times_ms: list[float]) -> dict[str, Any]:
-    """Return median, p99 and maximum of some times in ms, through an HDR histogram; 0 of none."""
+    """Return median, p99 and maximum of times in ms, from an HDR histogram; 0 if there are none."""
     histogram = HdrHistogram(1, MAX_RECORDED_MS, 3)
     for time_ms in times_ms:
         histogram.record_value(min(max(round(time_ms), 1), MAX_RECORDED_MS))
@@ -158,7 +158,7 @@
 
 
 def without_samples(run: Row) -> Row:
-    """Return a run's figures as they are stored beside others: without each second, and the histograms."""
+    """Return a run's figures without the values by second and the histograms, for storage."""
     steps = {}
     for step, figures in run["steps"].items():
         times = {key: value for key, value in figures["in_force_ms"].items() if key != "hdr"}
--- a/loadbalancer/scale/hollow.py
+++ b/loadbalancer/scale/hollow.py
@@ -1,4 +1,4 @@
-"""Hollow balancers, many in a process: the watch on real sockets and the decision module, without calls.
+"""Many hollow balancers in a process: each has the watch on real sockets and the decision module, no calls.
 
 python -m loadbalancer.scale.hollow SPEC.json
 """
@@ -41,16 +41,16 @@
 )
 
 REMOVED_STATE = "gone"
-ChangeKey = tuple[str, str]  # a server, and the state that it went into
-ExpectedLists = dict[str, dict[str, list[Any]]]  # by tier and name: state and start
-MAX_CACHED_LISTS = 16  # that are read once for a whole host
-UNUSED_LISTEN_ADDRESS = "127.0.0.1:1"  # nobody listens there: a hollow balancer takes no calls
+ChangeKey = tuple[str, str]  # a server and its new state
+ExpectedLists = dict[str, dict[str, list[Any]]]  # by tier and name: readiness and start time
+MAX_CACHED_LISTS = 16  # decoded answers shared by the balancers of a host
+UNUSED_LISTEN_ADDRESS = "127.0.0.1:1"  # a hollow balancer accepts no calls
 
 
 class HollowSpecification(
     ProcessSpecification, kw_only=True, frozen=True, rename={"instance_addresses": "ways"}
 ):
-    """What a host of hollow balancers is started with."""
+    """Start parameters of a process that hosts hollow balancers."""
 
     plan: Plan
     numbers: list[int]
@@ -58,15 +58,15 @@
 
 
 @dataclass(slots=True)
-class ChangeSightings:
-    """Of one change: how many balancers of this host have it, and when the last one had, Unix ms."""
+class ChangeArrivals:
+    """How many balancers of this host have applied a change, and when the last one did (Unix ms)."""
 
     count: int = 0
     last_ms: float = 0.0
 
 
 class HollowBalancer:
-    """One balancer: what `net/proxy.py` does with its list, and nothing else."""
+    """One balancer: only the endpoint list handling of `net/proxy.py`."""
 
     def __init__(self, config: Config, host: HollowHost) -> None:
         self._host = host
@@ -77,17 +77,17 @@
         self._is_stopped = False
         self.subscribed_tiers = host.plan.subscribed_tiers(config.settings.balancer_index)
         self.began_ms = host.clock.now
-        self.ready_ms: float | None = None  # when it had its first list
-        self.is_new = True  # started in this step: what it learns is no change
-        self.bytes = 0  # of this second
+        self.ready_ms: float | None = None  # when its first list arrived
+        self.is_new = True  # started in this step: its first list does not count as changes
+        self.bytes = 0  # in this second
 
     def start(self) -> None:
-        """Start as the proxy does: from nothing known, on to the first call for the list."""
+        """Start as the proxy does: with an empty list, then the first call for the list."""
         OWNER.set(self)
         self._apply_list(UpdateKind.CACHED, EndpointList(0, True, ()))
 
     def stop(self) -> None:
-        """Stop as a process does that is killed."""
+        """Stop as a killed process does."""
         self._is_stopped = True
         self._discovery.close()
 
@@ -97,9 +97,9 @@
         return self._discovery.index
 
     def find_difference(self, expected: ExpectedLists) -> str:
-        """Return what it has otherwise than the registry lists it, of what it asks for; empty for nothing.
+        """Return the first difference from the registry's list in the subscribed tiers; empty if none.
 
-        Of a subset only what it has is compared: which subset it is, the registry alone knows.
+        With subsets only the entries held are compared: only the registry knows which are in the subset.
         """
         listed = {
             name: state for tier in self.subscribed_tiers for name, state in expected.get(tier, {}).items()
@@ -121,7 +121,7 @@
         )
 
     def _apply_list(self, kind: UpdateKind, answer: EndpointList) -> bool:
-        """Validate a list and apply it; return whether it is believed."""
+        """Validate a list and apply it; return False if it is suspected stale."""
         endpoints = tuple([e.endpoint for e in answer.endpoints])
         update = self._balancer.validate(interface.EndpointListUpdate(kind, endpoints, answer.is_rewound))
         if update.suspected_stale or answer.is_rewound:
@@ -168,18 +168,18 @@
         self._balancer._host.counts.connects += 1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the instance's address."""
+        """Record the instance's address."""
         host, port = transport.get_extra_info("peername")[:2]
         self._instance = f"{host}:{port}"
         super().connection_made(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Count, and read."""
+        """Count the bytes and pass them on to the parser."""
         self._count(len(data))
         super().data_received(data)
 
     async def call(self, request: bytes) -> UpstreamResponse:
-        """Count, and call."""
+        """Count the call and its bytes, and make it."""
         self._balancer._host.counts.calls[self._instance] += 1
         self._count(len(request))
         return await super().call(request)
@@ -190,7 +190,7 @@
 
 
 class HollowHost:
-    """The hollow balancers of this process, and the changes that they have seen."""
+    """The hollow balancers of this process, and the changes that they have applied."""
 
     def __init__(self, spec: HollowSpecification) -> None:
         self._spec = spec
@@ -198,11 +198,11 @@
         self.counts = TrafficCounts()
         self.plan = spec.plan
         self._hollows: dict[int, HollowBalancer] = {}
-        self._sightings: dict[ChangeKey, ChangeSightings] = {}
+        self._arrivals: dict[ChangeKey, ChangeArrivals] = {}
         self._numbers = frozenset(spec.numbers)
 
     def handle_command(self, command: dict[str, Any]) -> None:
-        """Follow the driver: `start`, `stop`, `begin` a step, `report` on it."""
+        """Handle a command of the driver: `start`, `stop`, `begin` a step, `report` on it."""
         numbers = command.get("numbers")
         match command["do"]:
             case "start":
@@ -213,7 +213,7 @@
                     if hollow := self._hollows.pop(number, None):
                         hollow.stop()
             case "begin":
-                self._sightings.clear()
+                self._arrivals.clear()
                 for hollow in self._hollows.values():
                     hollow.is_new = False
             case "report":
@@ -228,7 +228,7 @@
         contextvars.copy_context().run(hollow.start)
 
     def record_changes(self, before: dict[str, AddressedEndpoint], update: EndpointList) -> None:
-        """Record what in a list that a balancer has applied is a change to what it had."""
+        """Record the changes that an applied list made to the balancer's previous list."""
         now_ms = self.clock.now
         for addressed in update.endpoints:
             endpoint = addressed.endpoint
@@ -245,14 +245,14 @@
         is_removed = endpoint.readiness is Readiness.DEAD
         state = f"{endpoint.readiness.name}/{endpoint.started_at_ms:.0f}"
         key = endpoint.server, REMOVED_STATE if is_removed else state
-        sightings = self._sightings.get(key)
-        if sightings is None:
-            sightings = self._sightings[key] = ChangeSightings()
-        sightings.count += 1
-        sightings.last_ms = now_ms
+        arrivals = self._arrivals.get(key)
+        if arrivals is None:
+            arrivals = self._arrivals[key] = ChangeArrivals()
+        arrivals.count += 1
+        arrivals.last_ms = now_ms
 
     def _report(self, command: dict[str, Any]) -> None:
-        """Write the changes seen in this step, and who is stale, into a file; then reply."""
+        """Write this step's applied changes and the stale balancers to a file; then reply."""
         expected = json.loads(Path(command["truth"]).read_text())
         differences = [hollow.find_difference(expected) for hollow in self._hollows.values()]
         stale = [difference for difference in differences if difference]
@@ -267,14 +267,14 @@
                 for h in self._hollows.values()
                 if h.is_new
             ],
-            "seen": [[*key, seen.count, seen.last_ms] for key, seen in self._sightings.items()],
+            "seen": [[*key, arrived.count, arrived.last_ms] for key, arrived in self._arrivals.items()],
         }
         path = Path(self._spec.folder) / f"{self._spec.name}.report.json"
         path.write_text(json.dumps(report))
         send_message(done=command["id"], report=str(path))
 
     def take_counts(self) -> dict[str, object]:
-        """Return the counts of a second, and begin anew."""
+        """Return the counts of the last second, and reset them."""
         for hollow in self._hollows.values():
             self.counts.max_balancer_bytes = max(self.counts.max_balancer_bytes, hollow.bytes)
             hollow.bytes = 0
@@ -283,13 +283,13 @@
 
 
 class SharedListReader:
-    """Stands in for `json` in `net/discovery/`: an answer that many get is read once. See `Plan`."""
+    """Replaces `json` in `net/discovery/` to decode identical answers once; see `Plan.shared_reading`."""
 
     def __init__(self) -> None:
         self._lists: dict[bytes, EndpointList] = {}
 
     def loads(self, body: bytes) -> EndpointList:
-        """Return the list in an answer; ValueError if it is none."""
+        """Return the list in an answer; ValueError if the answer is not a list."""
         if body not in self._lists:
             while len(self._lists) >= MAX_CACHED_LISTS:
                 del self._lists[next(iter(self._lists))]
@@ -298,20 +298,20 @@
 
 
 def _read_lists_once() -> None:
-    """Have the balancers of this process share what is read."""
+    """Share decoded lists among the balancers of this process."""
     replace_global(call, "json", SharedListReader())
     replace_global(call, "decode_endpoint_list", lambda update: update)
 
 
 def _exit_on_error(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """End the process: a balancer that fails unseen would falsify the figures of all."""
+    """End the process: a balancer that fails unnoticed would falsify all figures."""
     loop.default_exception_handler(context)
     sys.stderr.flush()
     os._exit(1)
 
 
 async def serve() -> None:
-    """Run hollow balancers until the driver closes our input."""
+    """Run hollow balancers until the driver closes standard input."""
     host, loop = HollowHost(read_specification(HollowSpecification)), asyncio.get_running_loop()
     loop.set_exception_handler(_exit_on_error)
     if host.plan.shared_reading:
--- a/loadbalancer/scale/plan.py
+++ b/loadbalancer/scale/plan.py
@@ -1,4 +1,4 @@
-"""What a scale run is made of: sizes, steps, and the configuration of each balancer and each upstream."""
+"""The plan of a scale run: sizes, steps, and the configuration of each balancer and each upstream."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
     "start", "quiet", "changes", "rack", "zone", "rolling", "replaced", "instance-killed", "away", "regions",
 )  # fmt: skip
 DEFAULT_STEPS = ("start", "quiet", "changes", "instance-killed", "away")
-FIRST_SERVICE_FRACTION = 0.1  # of the upstreams that belong to the first service; the others are alike
+FIRST_SERVICE_FRACTION = 0.1  # of the upstreams; the other services are of equal size
 CALLED_SERVICES = 8  # services that a balancer calls
 MECHANISMS = ("whole", "interest")
-RACK_SIZE = 40  # upstreams that go with a rack
-MAX_PROCESSES = 300  # so that a slip does not fill the machine
-MAX_MEMORY_FRACTION = 0.5  # of this machine's: other work runs beside it
+RACK_SIZE = 40  # upstreams that fail with a rack
+MAX_PROCESSES = 300  # so that a mistyped plan does not fill the machine
+MAX_MEMORY_FRACTION = 0.5  # of this machine's memory: other work runs on it too
 MAX_INSTANCES = 8
 CLASSES = [{"name": "plain", "target": 100.0, "deadline": 1_000.0, "effect": "retryable", "worth": 1.0}]
 
 
 class PlanError(ValueError):
-    """A plan that can't be carried out: one line."""
+    """A plan that can't be carried out; the message is one line."""
 
 
 class Plan(
@@ -36,24 +36,24 @@
     """A scale run; times in seconds."""
 
     balancers: int
-    """Upstreams on the list, each with its balancer: the size."""
+    """The size of the run: upstreams on the list, each with its balancer."""
     hollow: int
-    """Hollow balancers that are there; fewer than the size where the machine can't hold all."""
+    """Hollow balancers that run; fewer than the size if the machine can't hold all."""
     real: int = 2
-    """Real balancers; half of them are called, the rest are the fair comparison with hollow ones."""
+    """Real balancers; half get calls; the rest, without calls, are the fair comparison with hollow ones."""
     hosts: int = 2
-    """Processes that hold the hollow ones."""
+    """Processes that run the hollow balancers."""
     instances: int = 2
     services: int = 1
     zones: int = 12
     lists: str = "whole"
     subset_size: int = 0
-    """By interest: servers of each service that are held in each zone at the least; 0 for all."""
+    """With lists by interest: least number of servers held of each service and zone; 0 for all."""
     shared_reading: bool = False
-    """Hollow balancers of a host read an answer that they all get only once: for sizes that one machine
-    can't read for all. Their processor time is then too small: it is to be taken from the real ones."""
+    """Hollow balancers of a host decode an identical answer only once, for sizes at which one machine
+    can't decode it for each. Their processor time is then too low: use that of the real ones."""
     start_s: float = 0.0
-    """All start at once, or spread over so long, where the machine can't take that."""
+    """Time over which all start; 0 for at once, if the machine can take that."""
     steps: tuple[str, ...] = DEFAULT_STEPS
     seed: int = 1
     defect: str = ""
@@ -63,14 +63,14 @@
     changes_per_s: float = 3.0
     away_s: float = 30.0
     settle_s: float = 8.0
-    """After each step, part of it; who is stale then is counted."""
+    """Time to settle at the end of each step, part of it; then stale balancers are counted."""
     convergence_timeout_s: float = 0.0
-    """For so long past that, who is stale or has missed a change is waited for: for machines of any speed."""
+    """Further wait for balancers that are stale or miss a change, so that slow machines pass too."""
     calls_per_s: float = 20.0
-    """At each real balancer that is called."""
+    """At each real balancer that gets calls."""
 
     def check(self) -> None:
-        """Raise PlanError if it can't be carried out."""
+        """Raise PlanError if the plan can't be carried out."""
         if unknown := [step for step in self.steps if step not in STEPS]:
             raise PlanError(f"no step {unknown[0]!r}; there are {', '.join(STEPS)}")
         if self.defect and self.defect not in SCALE_DEFECTS:
@@ -96,11 +96,11 @@
         return [index * available // max(self.hollow, 1) for index in range(self.hollow)]
 
     def real_numbers(self) -> list[int]:
-        """Return the numbers of the real ones."""
+        """Return the numbers of the real balancers."""
         return list(range(self.balancers - self.real, self.balancers))
 
     def is_called(self, number: int) -> bool:
-        """Return whether a real balancer gets calls: half do, some at each of two instances."""
+        """Return whether a real balancer gets calls: half do, divided between two instances."""
         return (self.balancers - 1 - number) % 4 in (1, 2)
 
     def zone(self, number: int) -> str:
@@ -112,22 +112,22 @@
         return list(range(zone, self.balancers, self.zones))[:RACK_SIZE]
 
     def service(self, number: int) -> int:
-        """Return the service of an upstream, by its number: the first one is a large one."""
+        """Return the service of an upstream; the first service is a large one."""
         first = round(self.balancers * FIRST_SERVICE_FRACTION) if self.services > 1 else self.balancers
         return 0 if number < first else 1 + number % (self.services - 1)
 
     def tier(self, number: int) -> str:
-        """Return where an upstream is on the list: in its service, or with all."""
+        """Return the tier that lists an upstream: that of its service, or one for all."""
         return f"v{self.service(number)}" if self.lists == "interest" else "first"
 
     def subscribed_tiers(self, number: int) -> list[str]:
-        """Return the tiers that a balancer asks for."""
+        """Return the tiers that a balancer subscribes to."""
         if self.lists != "interest":
             return ["first"]
         return [f"v{service}" for service in self.called_services(number)]
 
     def mean_list_size(self) -> float:
-        """Return the upstreams on a hollow balancer's list, on average; subsets are not considered."""
+        """Return the mean number of upstreams on a hollow balancer's list, without regard to subsets."""
         sizes = Counter(self.tier(number) for number in range(self.balancers))
         list_sizes = [
             sum(sizes[tier] for tier in self.subscribed_tiers(number)) for number in self.hollow_numbers()
@@ -161,7 +161,7 @@
 
 
 def list_settings(plan: Plan, number: int, instance_addresses: list[str]) -> dict[str, Any]:
-    """Return how one balancer asks for the list: the one place that knows the mechanism (`Plan.lists`)."""
+    """Return a balancer's list settings: the only place that depends on the mechanism (`Plan.lists`)."""
     lists: dict[str, Any] = {"others": instance_addresses[1:]}
     if plan.lists == "interest":
         lists["services"] = plan.subscribed_tiers(number)
@@ -171,7 +171,7 @@
 
 
 def balancer_config(plan: Plan, number: int, instance_addresses: list[str], listen: str) -> dict[str, Any]:
-    """Return a balancer's configuration in the platform's form, for real and hollow ones alike.
+    """Return a balancer's configuration as the platform writes it, the same for real and hollow ones.
 
     `instance_addresses` are those at which this balancer reaches the registry's instances.
     """
--- a/loadbalancer/scale/play.py
+++ b/loadbalancer/scale/play.py
@@ -1,4 +1,4 @@
-"""Plays a scale run: starts all, goes through the steps, measures each, leaves no process behind."""
+"""Plays a scale run: starts all processes, plays and measures each step, and leaves no process behind."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from loadbalancer.scale.steps import START_TIMEOUT_S, Changes, ScaleSteps
 from loadbalancer.scale.supervisor import ScaleSupervisor
 
-LISTED_SERVER_KB = 1.15  # of a listed server in a hollow balancer
-PROCESS_MB = 60.0  # of a host without hollow balancers, and of a real balancer
+LISTED_SERVER_KB = 1.15  # memory of a listed server in a hollow balancer
+PROCESS_MB = 60.0  # memory of a host without hollow balancers, or of a real balancer
 SPARE_DESCRIPTORS = 500
 MAX_RUN_S = 900.0  # for a whole run
-LAST_SECOND_S = 1.1  # until the last second's messages have come
+LAST_SECOND_S = 1.1  # until the last second's messages have arrived
 ROW_POLL_INTERVAL_S = 0.1
 CONVERGENCE_POLL_INTERVAL_S = 0.5
-RECENT_ROWS = 4  # of a process, in which what is waited for is looked for
+RECENT_ROWS = 4  # of a process, searched for an awaited state
 READINESS_BY_STATUS = {"in_service": "READY", "terminating": "DRAINING"}
 
 
 def check_resources(plan: Plan) -> None:
-    """Raise PlanError if this machine should not hold a run: by half of its memory, or by descriptors."""
+    """Raise PlanError if a run needs over half of this machine's memory, or too many descriptors."""
     plan.check()
     all_mb, _ = resource_usage.machine_memory_mb()
     own_mb = (plan.hosts + plan.real + plan.instances * 2) * PROCESS_MB
@@ -43,13 +43,13 @@
             f" --hollow {max(hollow, 0)} at the most"
         )
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    needed = plan.hollow + plan.real + SPARE_DESCRIPTORS  # at an instance, while all others are down
+    needed = plan.hollow + plan.real + SPARE_DESCRIPTORS  # of an instance while all others are down
     if needed > allowed:
         raise PlanError(f"descriptors: an instance may need {needed}, allowed are {allowed}")
 
 
 class ScaleRun:
-    """One run; `on_progress` gets a line now and then."""
+    """One run; `on_progress` receives lines of progress."""
 
     def __init__(self, plan: Plan, out: Path, on_progress: Callable[[str], None] = lambda line: None) -> None:
         """Prepare a run into `out`, an empty or new folder; PlanError if this machine should not hold it."""
@@ -61,7 +61,7 @@
         self._peak_memory_mb = 0.0
 
     async def run(self) -> dict[str, Any]:
-        """Play it, and write `figures.json`; DrillError says why it could not be."""
+        """Play the run and write `figures.json`; DrillError if it can't be completed."""
         self._out.mkdir(parents=True, exist_ok=True)
         if any(self._out.iterdir()):
             raise DrillError(f"{self._out} is not empty")
@@ -74,7 +74,7 @@
                 async with asyncio.timeout(MAX_RUN_S):
                     await self._play()
             except TimeoutError as error:
-                raise DrillError("the run did not come to its end in time") from error
+                raise DrillError("the run did not finish in time") from error
             finally:
                 sampling.cancel()
                 await self._supervisor.finish()
@@ -90,7 +90,7 @@
             await steps.restore()
 
     async def _prepare(self) -> None:
-        """Start all that is there before the balancers, and register all upstreams."""
+        """Start everything but the balancers, and register all upstreams."""
         supervisor, plan = self._supervisor, self._plan
         instances = supervisor.instances
         supervisor.start_helper("edge", "edge", calls_per_s=plan.calls_per_s)
@@ -115,10 +115,10 @@
         await self._wait_for_row("registrar", lambda row: row.get("held", 0) == plan.balancers, "registered")
         self._on_progress(f"registered in {time.monotonic() - began_s:.1f} s")
 
-    async def _wait_for_row(self, name: str, is_so: Callable[[dict[str, Any]], bool], what: str) -> None:
-        """Wait until a process reports something; DrillError if it does not in time."""
+    async def _wait_for_row(self, name: str, condition: Callable[[dict[str, Any]], bool], what: str) -> None:
+        """Wait until a process reports a row that meets a condition; DrillError on a timeout."""
         until = time.monotonic() + START_TIMEOUT_S
-        while not any(is_so(row) for row in self._supervisor.processes[name].rows[-RECENT_ROWS:]):
+        while not any(condition(row) for row in self._supervisor.processes[name].rows[-RECENT_ROWS:]):
             if time.monotonic() > until:
                 raise DrillError(f"{name}: not {what} in {START_TIMEOUT_S:.0f} s")
             self._supervisor.raise_faults()
@@ -127,7 +127,7 @@
     # ---- steps ----------------------------------------------------------------------------------
 
     async def _measure_step(self, step: str, work: Callable[[], Awaitable[Changes]]) -> None:
-        """Play one step: its work, time to settle, then what it cost and who is stale."""
+        """Play one step and let it settle; then measure its cost and find stale balancers."""
         self._supervisor.command_hollow_hosts(do="begin")
         begin, before = int(time.time()), resource_usage.machine_processor_time_s()
         changes = await work()
@@ -145,11 +145,11 @@
         self._on_progress(_progress_line(step, step_figures))
 
     async def _converged_reports(self, changes: Changes) -> list[Any]:
-        """Return the hosts' reports on a step: at once, or as soon as all have all changes, in time."""
+        """Return the hosts' reports on a step once all changes have arrived everywhere, or on the timeout."""
         until = time.monotonic() + self._plan.convergence_timeout_s
         while True:
             reports = await self._collect_reports(await self._write_expected_lists())
-            times = figures.time_in_force(changes, reports, has_part=bool(self._plan.subset_size))
+            times = figures.time_in_force(changes, reports, has_subsets=bool(self._plan.subset_size))
             has_converged = not (times["never_told"] or times["stale_after"])
             if has_converged or time.monotonic() >= until:
                 return reports
@@ -166,7 +166,7 @@
             count = sum(hollow_counts[name] if role == "hollow" else 1 for name in names)
             pss_mb = sum(memory[name] for name in names) / max(count, 1)
             roles[role] = figures.role_cost(units, begin, end) | {"pss_mb": round(pss_mb, 2), "units": count}
-        times = figures.time_in_force(changes, reports, has_part=bool(self._plan.subset_size))
+        times = figures.time_in_force(changes, reports, has_subsets=bool(self._plan.subset_size))
         if step == "start":
             ready_ms = [ms for report in reports for ms in report["ready_ms"]]
             times |= figures.summarize_times([ms for ms in ready_ms if ms is not None])
@@ -176,7 +176,7 @@
     # ---- measuring ------------------------------------------------------------------------------
 
     async def _write_expected_lists(self) -> Path:
-        """Write what the registry lists, in the form that hollow balancers compare with."""
+        """Write the registry's list in the form that hollow balancers compare theirs with."""
         async with self._http.get(f"http://{self._supervisor.instances[-1]}/v1/state") as answer:
             state = await answer.json()
         expected: dict[str, dict[str, list[Any]]] = {}
@@ -194,7 +194,7 @@
         return [json.loads(Path(answer["report"]).read_text()) for answer in answers]
 
     async def _sample_each_second(self) -> None:
-        """Sample all processes at each second's end, and guard the memory."""
+        """Sample all processes at the end of each second; too much memory in use is a fault."""
         supervisor = self._supervisor
         all_mb, _ = resource_usage.machine_memory_mb()
         while True:
@@ -210,7 +210,7 @@
 
     def _on_sampling_ended(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and (error := task.exception()):
-            self._supervisor.faults.append(f"sampling has failed: {error!r}")
+            self._supervisor.faults.append(f"sampling failed: {error!r}")
 
     def _run_figures(self) -> dict[str, Any]:
         plan = self._plan
--- a/loadbalancer/scale/registrar.py
+++ b/loadbalancer/scale/registrar.py
@@ -1,4 +1,4 @@
-"""The registrar of a scale run: speaks for all upstreams, as their agents would, over a few connections.
+"""The registrar of a scale run: registers and renews all upstreams over a few connections, as agents would.
 
 python -m loadbalancer.scale.registrar SPEC.json
 """
@@ -30,24 +30,24 @@
     start_critical_task,
 )
 
-MAX_CONNECTIONS = 12  # to each instance at the most, for leases; one more for changes
+MAX_CONNECTIONS = 12  # to each instance, for leases; one more for changes
 CALL_TIMEOUT_S = 5.0
-RETRY_INTERVAL_S = 1.0  # until a call that failed is repeated, as an agent does
+RETRY_INTERVAL_S = 1.0  # before a failed call is repeated, as agents do
 SCHEDULER_INTERVAL_S = 0.02
-MAX_WRITE_MS = 60_000.0  # for which a change is repeated
+MAX_WRITE_MS = 60_000.0  # for the retries of a change
 WRITE_RETRY_INTERVAL_S = 0.05
-ANSWER_HEAD_BYTES = 160  # what the head of an answer takes, about
+ANSWER_HEAD_BYTES = 160  # approximate size of an answer's head
 
 
 class RegistrarSpecification(
     ProcessSpecification, kw_only=True, frozen=True, rename={"instance_addresses": "ways"}
 ):
-    """What the registrar is started with."""
+    """Start parameters of the registrar."""
 
     plan: Plan
     instance_addresses: list[str]
     address: str
-    """Where all upstreams answer."""
+    """At which all upstreams answer."""
 
 
 @dataclass(slots=True)
@@ -58,11 +58,11 @@
     started_at_ms: float = 0.0
     is_registered: bool = False
     is_silent: bool = True  # its agent is down: it neither registers nor renews
-    instance: int = 0  # that it calls; counts on past the last one
+    instance: int = 0  # that it calls; taken modulo the number of instances
 
     @property
     def path(self) -> str:
-        """Its path at the registry."""
+        """Path of the upstream at the registry."""
         return f"/v1/servers/{upstream_name(self.number)}"
 
 
@@ -96,7 +96,7 @@
 
 
 class Registrar:
-    """All leases, and the writes that the driver asks for."""
+    """All leases, and the changes that the driver requests."""
 
     def __init__(self, spec: RegistrarSpecification) -> None:
         self._spec = spec
@@ -104,20 +104,20 @@
         self._counts = TrafficCounts()
         self._random = random.Random(spec.seed)
         self._upstreams = [UpstreamLease(n, instance=n) for n in range(spec.plan.balancers)]
-        self._due: list[tuple[float, int]] = []  # when, and the upstream's number
+        self._due: list[tuple[float, int]] = []  # due time and number of the upstream
         self._jobs: asyncio.Queue[UpstreamLease] = asyncio.Queue()
         self._tasks: set[asyncio.Task[None]] = set()
         self._max_delay_ms = 0.0
 
     def start(self) -> None:
-        """Start to work."""
+        """Start the workers, the scheduler and the report of each second."""
         loop = asyncio.get_running_loop()
         workers = (self._run_worker() for _ in range(MAX_CONNECTIONS))
         for work in (*workers, self._schedule_due(), report_each_second(self.take_counts)):
             self._tasks.add(start_critical_task(loop, work))
 
     def handle_command(self, command: dict[str, Any]) -> None:
-        """Follow the driver: `register` all, `write` some changes, be `silent` for some, or `speak`."""
+        """Handle a command of the driver: `register` all, `write` changes, `silent` or `speak` for some."""
         loop, now_ms = asyncio.get_running_loop(), self._clock.now
         match command["do"]:
             case "register":
@@ -141,7 +141,7 @@
     # ---- leases ---------------------------------------------------------------------------------
 
     async def _schedule_due(self) -> None:
-        """Queue what is due."""
+        """Queue the upstreams whose next call is due."""
         while True:
             now_ms = self._clock.now
             while self._due and self._due[0][0] <= now_ms:
@@ -151,23 +151,23 @@
             await asyncio.sleep(SCHEDULER_INTERVAL_S)
 
     async def _run_worker(self) -> None:
-        """Register and renew what is queued, for ever."""
+        """Register or renew queued upstreams, forever."""
         connections = InstanceConnections(self._spec.instance_addresses, self._counts)
         while True:
             upstream = await self._jobs.get()
             if upstream.is_silent:
-                upstream.is_registered = False  # it is queued anew when it starts again
+                upstream.is_registered = False  # queued again when it restarts
                 continue
             wait_ms = self._spec.plan.lease_s * 1_000 * RENEWAL_RATIO
             is_first = not upstream.is_registered
             if not await self._register_or_renew(connections, upstream):
                 wait_ms = RETRY_INTERVAL_S * 1_000 * (0.5 + self._random.random())
             elif is_first:
-                wait_ms *= self._random.random()  # agents of a fleet are not in step
+                wait_ms *= self._random.random()  # agents of a fleet do not renew in step
             heapq.heappush(self._due, (self._clock.now + wait_ms, upstream.number))
 
     async def _register_or_renew(self, connections: InstanceConnections, upstream: UpstreamLease) -> bool:
-        """Register or renew once; return whether that was done."""
+        """Register or renew once; return whether the registry accepted it."""
         try:
             if upstream.is_registered:
                 body = {"since_ms": upstream.started_at_ms}
@@ -192,7 +192,7 @@
     # ---- changes --------------------------------------------------------------------------------
 
     async def _write_all(self, command: dict[str, Any]) -> None:
-        """Make changes, so many a second: each as [number, what]; reply when each was answered, and how."""
+        """Make changes, each [number, what], at the given rate; reply with when and how each was answered."""
         connections = InstanceConnections(self._spec.instance_addresses, self._counts)
         written = []
         began_ms = self._clock.now
@@ -205,7 +205,7 @@
     async def _write(
         self, connections: InstanceConnections, upstream: UpstreamLease, what: str
     ) -> dict[str, Any]:
-        """Make one change: `start`, `drain` or `remove`; return what came of it."""
+        """Make one change: `start`, `drain` or `remove`; return its outcome."""
         until_ms = self._clock.now + MAX_WRITE_MS
         if what == "start":
             upstream.started_at_ms = round(self._clock.now)
@@ -226,7 +226,7 @@
     async def _write_until(
         self, connections: InstanceConnections, upstream: UpstreamLease, what: str, until_ms: float
     ) -> tuple[int, float]:
-        """Repeat a change at one instance after another until one accepts it; return status and time sent."""
+        """Repeat a change at successive instances until one accepts it; return status and time sent."""
         drain_path = f"{upstream.path}/drain"
         calls = {
             "start": ("PUT", upstream.path, self._registration(upstream)),
@@ -241,21 +241,21 @@
             except (OSError, ValueError, TimeoutError):
                 status = 0
             if status == 404 and what == "remove" and sent_ms > first_sent_ms:
-                return 200, first_sent_ms  # the call before went through, and its answer was lost
+                return 200, first_sent_ms  # an earlier call succeeded, and its answer was lost
             if status == 200 or sent_ms > until_ms:
                 return status, sent_ms
             upstream.instance += 1
             await asyncio.sleep(WRITE_RETRY_INTERVAL_S)
 
     def take_counts(self) -> dict[str, object]:
-        """Return the counts of a second, and begin anew."""
+        """Return the counts of the last second, and reset them."""
         delay_ms, self._max_delay_ms = self._max_delay_ms, 0.0
         registered_count = sum(upstream.is_registered for upstream in self._upstreams)
         return self._counts.take() | {"held": registered_count, "late_ms": round(delay_ms)}
 
 
 async def serve() -> None:
-    """Register and renew until the driver closes our input."""
+    """Register and renew until the driver closes standard input."""
     registrar = Registrar(read_specification(RegistrarSpecification))
     registrar.start()
     send_message(ready=True)
--- a/loadbalancer/scale/relay.py
+++ b/loadbalancer/scale/relay.py
@@ -8,7 +8,7 @@
 
 from loadbalancer.net.address import parse_address
 
-MAX_BUFFERED_BYTES = 1 << 20  # that wait for a slow end before the other is read no more
+MAX_BUFFERED_BYTES = 1 << 20  # to a slow side before reading from the other side pauses
 LISTEN_BACKLOG = 1_024
 REQUEST_PREFIXES = (b"GET /", b"POST /", b"PUT /", b"DELETE /")
 
@@ -24,7 +24,7 @@
         self._early_data: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Connect a caller on; what it has sent meanwhile follows."""
+        """Connect a caller to the target, or join the target's side to its caller."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(MAX_BUFFERED_BYTES)
         if self._other is None:
@@ -33,7 +33,7 @@
             self._other.on_peer_connected(self)
 
     def on_peer_connected(self, other: _RelayEndpoint) -> None:
-        """Send the other side, which is there now, what came before it was."""
+        """Send the data that arrived before the other side was connected."""
         self._other = other
         for data in self._early_data:
             other.send(data)
@@ -42,7 +42,7 @@
             other.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Count, and forward."""
+        """Count the data and forward it."""
         self._relay.bytes += len(data)
         if self._is_caller:
             self._relay.calls += data.startswith(REQUEST_PREFIXES)
@@ -57,17 +57,17 @@
             self.transport.write(data)
 
     def pause_writing(self) -> None:
-        """Stop reading the other side while this one accepts nothing."""
+        """Stop reading from the other side while this one is slow to write."""
         if self._other is not None and self._other.transport is not None:
             self._other.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """Read the other side again."""
+        """Resume reading from the other side."""
         if self._other is not None and self._other.transport is not None:
             self._other.transport.resume_reading()
 
     def eof_received(self) -> None:
-        """Let the transport close: one side has ended, and so has the other when all is written."""
+        """Let the transport close after an EOF; the other side closes when all is written."""
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Close the other side."""
@@ -82,7 +82,7 @@
 
 
 class Relay:
-    """Listens on a port of the loopback and forwards to `target`; a cut one breaks its connections."""
+    """Listens on a loopback port and forwards to `target`; while cut, it aborts its connections."""
 
     def __init__(self, target: str) -> None:
         self.target = target
@@ -102,7 +102,7 @@
         self.address = "{}:{}".format(*self._server.sockets[0].getsockname())
 
     def on_connected(self, caller: _RelayEndpoint) -> None:
-        """Connect a caller to the target, or break the connection while the relay is cut."""
+        """Connect a caller to the target, or abort its connection while the relay is cut."""
         self._endpoints.add(caller)
         if self._is_cut:
             caller.abort()
@@ -119,11 +119,11 @@
             caller.abort()
 
     def on_disconnected(self, endpoint: _RelayEndpoint) -> None:
-        """Forget a side that is closed."""
+        """Remove a closed side."""
         self._endpoints.discard(endpoint)
 
     def set_cut(self, *, is_cut: bool) -> None:
-        """Let nothing pass from now on, or let it pass again."""
+        """Abort all present and new connections, or forward again."""
         self._is_cut = is_cut
         for endpoint in list(self._endpoints) if is_cut else ():
             endpoint.abort()
@@ -136,7 +136,7 @@
         return counts
 
     def close(self) -> None:
-        """Stop listening, and break all connections."""
+        """Stop listening, and abort all connections."""
         self._server.close()
         for endpoint in list(self._endpoints):
             endpoint.abort()
--- a/loadbalancer/scale/report.py
+++ b/loadbalancer/scale/report.py
@@ -1,4 +1,4 @@
-"""The page on a scale run: each step's cost and what is over its allowance, plots by time and by size."""
+"""The page on a scale run: the cost of each step, exceeded allowances, and plots by time and by size."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 
 def read_figures(folder: Path) -> Row:
-    """Read a run's figures; PlanError if the folder holds none."""
+    """Read a run's figures; PlanError if the folder has none."""
     try:
         run: Row = json.loads((folder / "figures.json").read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
-        raise PlanError(f"{folder} holds no run that came to its end: {error}") from error
+        raise PlanError(f"{folder} holds no completed run: {error}") from error
     return run
 
 
@@ -104,7 +104,7 @@
 
 
 def compare(run: Row) -> Iterable[str]:
-    """Compare control of a hollow balancer with that of a real one without calls, as lines of a table."""
+    """Compare the control cost of a hollow and of a real balancer without calls, as lines of a table."""
     yield "| step | figure | hollow | real | hollow to real | within 20% |"
     yield "| --- | --- | --- | --- | --- | --- |"
     quiet = run["steps"].get("quiet", {}).get("roles", {})
@@ -151,7 +151,7 @@
         points = [(int(second) - first, values[key]) for second, values in unit.items() if key in values]
         points = sorted((second, value) for second, value in points if second >= 0)
         gaps = [(second + 1, math.nan) for (second, _), (later, _) in pairwise(points) if later > second + 1]
-        points = sorted([*points, *gaps])  # nothing is drawn where a process was down
+        points = sorted([*points, *gaps])  # leaves a gap where a process was down
         label = f"{title} {number}" if len(units) > 1 else title
         axes.plot(
             [second for second, _ in points], [value for _, value in points], linewidth=0.9, label=label
@@ -159,7 +159,7 @@
 
 
 def draw_sizes(stored: list[Row]) -> Figure:
-    """Draw by size and mechanism what an instance and a real balancer cost, and when changes are in force."""
+    """Draw costs of instances and real balancers, and times of changes, by size and mechanism."""
     figure = Figure(figsize=(WIDTH, HEIGHT), layout="constrained")
     times, cpu, traffic, memory = figure.subplots(2, 2).flatten()
     for mechanism, style in (("whole", "o-"), ("interest", "s--")):
--- a/loadbalancer/scale/resource_usage.py
+++ b/loadbalancer/scale/resource_usage.py
@@ -1,4 +1,4 @@
-"""What the system says of processes and of this machine: processor time and memory, from /proc."""
+"""Processor time and memory of processes and of this machine, from /proc."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def pss_mb(pid: int) -> float | None:
-    """Return a process's proportional set size, in which shared pages count in parts; None if it is gone."""
+    """Return the proportional set size of a process (shared pages count in part); None if it is gone."""
     try:
         for line in Path(f"/proc/{pid}/smaps_rollup").read_text().splitlines():
             if line.startswith("Pss:"):
@@ -30,20 +30,20 @@
 
 
 def memory_by_name(pids: dict[str, int]) -> dict[str, float]:
-    """Return the PSS of each process that is there, in MB."""
+    """Return the PSS of each process that exists, in MB."""
     found = {name: pss_mb(pid) for name, pid in pids.items()}
     return {name: mb for name, mb in found.items() if mb is not None}
 
 
 def machine_memory_mb() -> tuple[float, float]:
-    """Return all memory of this machine, and what is available now, in MB."""
+    """Return the total and the available memory of this machine, in MB."""
     lines = Path("/proc/meminfo").read_text().splitlines()
     values = dict(line.split(":") for line in lines)
     return int(values["MemTotal"].split()[0]) / 1_024, int(values["MemAvailable"].split()[0]) / 1_024
 
 
 def resident_mb(pid: int) -> float:
-    """Return a process's resident set, shared pages in whole; 0 if it is gone. Cheap: to be read often."""
+    """Return a process's resident set, shared pages included; 0 if it is gone. Cheap enough to poll."""
     try:
         return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_MB
     except OSError:
@@ -51,7 +51,7 @@
 
 
 def machine_processor_time_s() -> dict[str, float]:
-    """Return this machine's processor time since its start: busy, and stolen by its host."""
+    """Return this machine's processor time since boot: busy, and stolen by the hypervisor."""
     user, nice, system, _, _, irq, soft, stolen = (
         int(part) * TICK_S for part in Path("/proc/stat").read_text().split("\n")[0].split()[1:9]
     )
--- a/loadbalancer/scale/second_counts.py
+++ b/loadbalancer/scale/second_counts.py
@@ -1,4 +1,4 @@
-"""What the helper processes share: counts of each second, reported as it ends, and the loop they run on."""
+"""Shared by the helper processes: counts reported at the end of each second, and the event loop."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         self.max_balancer_bytes = 0
 
     def take(self) -> dict[str, object]:
-        """Return the counts as a message to the driver, and begin anew."""
+        """Return the counts as a message to the driver, and reset them."""
         counts = {
             "calls": dict(self.calls), "bytes": dict(self.bytes), "dials": self.connects,
             "most": self.max_balancer_bytes,
@@ -36,7 +36,7 @@
 
 
 async def report_each_second(take_counts: Callable[[], dict[str, object]]) -> None:
-    """Send the driver the counts of each second of Unix time at its end, for ever."""
+    """Send the driver the counts of each second of Unix time at its end, forever."""
     while True:
         now_s = time.time()
         second = int(now_s)
@@ -46,13 +46,13 @@
 
 
 def start_critical_task(loop: asyncio.AbstractEventLoop, work: Awaitable[None]) -> asyncio.Task[None]:
-    """Start a task whose failure ends the process: a helper that limps on would falsify figures."""
+    """Start a task whose failure ends the process: a helper that runs on without it would falsify figures."""
     task = asyncio.ensure_future(work, loop=loop)
     task.add_done_callback(lambda t: loop.stop() if not t.cancelled() and t.exception() else None)
     return task
 
 
 def run_helper(work: Coroutine[Any, Any, None]) -> None:
-    """Run a helper process until its work is over, on the loop that real balancers run on."""
+    """Run a helper process until its work ends, on the same event loop as real balancers."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(work)
--- a/loadbalancer/scale/steps.py
+++ b/loadbalancer/scale/steps.py
@@ -1,4 +1,4 @@
-"""The steps of a scale run: what is done to the fleet in each, and which changes came of it."""
+"""The steps of a scale run: what each does to the fleet, and which changes result."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 
 START_TIMEOUT_S = 120.0  # until all hollow balancers have their first list
 POLL_INTERVAL_S = 0.25
-EXPIRY_MARGIN_S = 2.0  # past a lease, until the registry has seen that it expired
-ROLLING_RESTART_S = 60.0  # for a restart of all
-SERVICE_REPLACEMENT_S = 15.0  # for all of a service
+EXPIRY_MARGIN_S = 2.0  # past a lease, until the registry has noticed that it expired
+ROLLING_RESTART_S = 60.0  # for a restart of all upstreams
+SERVICE_REPLACEMENT_S = 15.0  # for all upstreams of a service
 MAX_BATCHES = 30  # of a restart
-WRITE_HEADROOM = 1.5  # by which a batch's writes are faster than the restart as a whole
+WRITE_HEADROOM = 1.5  # factor by which a batch's writes are faster than the whole restart
 RESTORE_RATE_PER_S = 50.0
 MAX_HISTORY_ROWS = 10_000
-RECENT_ROWS = 4  # of a host, in which its last report is
+RECENT_ROWS = 4  # of a host, searched for its latest report
 Changes = list[dict[str, Any]]
-"""Name, state and tier of the upstream, and `at_ms`, when it could be known."""
+"""Name, state and tier of the upstream, and `at_ms`, when the change could first be known."""
 
 
 class ScaleSteps:
-    """Each step returns its changes."""
+    """The steps by name; each returns its changes."""
 
     def __init__(self, plan: Plan, supervisor: ScaleSupervisor, http: aiohttp.ClientSession) -> None:
         self._plan = plan
         self._supervisor = supervisor
         self._http = http
         self._random = random.Random(plan.seed)
-        self._withdrawn: list[int] = []  # upstreams that are drained or removed, to be restored
+        self._withdrawn: list[int] = []  # drained or removed upstreams, to be restored
         self.by_name: dict[str, Callable[[], Awaitable[Changes]]] = {
             "start": self._start, "quiet": self._quiet, "changes": self._changes, "rack": self._rack,
             "zone": self._zone, "rolling": self._rolling, "replaced": self._replaced,
@@ -88,16 +88,16 @@
     # ---- upstreams ------------------------------------------------------------------------------
 
     async def _changes(self) -> Changes:
-        """Make drains, new starts and removals, each of another upstream."""
+        """Drain, restart and remove upstreams, each a different one."""
         numbers = self._random.sample(range(self._plan.balancers), self._plan.changes)
         return await self.write(numbers, ["drain", "start", "remove"], self._plan.changes_per_s)
 
     async def _rack(self) -> Changes:
-        """Let the upstreams and balancers of a rack fall silent, their leases expire, and start them anew."""
+        """Silence the upstreams and balancers of a rack, let their leases expire, and restart them."""
         return await self._silence_and_restart(self._plan.rack(0))
 
     async def _zone(self) -> Changes:
-        """Do the same to a zone, of which the registry removes half at the most (`floor_part`)."""
+        """Do the same to a zone, of which the registry removes at most half (`floor_part`)."""
         return await self._silence_and_restart(list(range(1, self._plan.balancers, self._plan.zones)))
 
     async def _silence_and_restart(self, numbers: list[int]) -> Changes:
@@ -113,7 +113,7 @@
         return expiries + await self.write(numbers, ["start"], RESTORE_RATE_PER_S)
 
     async def _expired_leases(self, since_ms: float) -> Changes:
-        """Return what the registry itself has removed, by the first account of any instance."""
+        """Return the removals by the registry itself, at the earliest time that any instance recorded."""
         removed_at_ms: dict[str, float] = {}
         for address in self._supervisor.instances:
             url = f"http://{address}/v1/history?most={MAX_HISTORY_ROWS}"
@@ -128,17 +128,17 @@
         ]
 
     async def _rolling(self) -> Changes:
-        """Start all upstreams and their balancers anew, in batches."""
+        """Restart all upstreams and their balancers in batches."""
         return await self._restart(list(range(self._plan.balancers)), [], ROLLING_RESTART_S)
 
     async def _replaced(self) -> Changes:
-        """Replace the first service, a tenth of all, and all its callers with it."""
+        """Restart the first service, a tenth of all upstreams, and all balancers that call it."""
         callers = [n for n in self._plan.hollow_numbers() if 0 in self._plan.called_services(n)]
         numbers = [n for n in range(self._plan.balancers) if self._plan.service(n) == 0]
         return await self._restart(numbers, callers, SERVICE_REPLACEMENT_S)
 
     async def _restart(self, numbers: list[int], callers: list[int], duration_s: float) -> Changes:
-        """Start upstreams anew in batches, each with its balancer, and with them some callers."""
+        """Restart upstreams in batches, each with its balancer, and the given callers with them."""
         batches = min(MAX_BATCHES, len(numbers))
         changes: Changes = []
         began_s = time.monotonic()
@@ -155,9 +155,9 @@
     # ---- the registry ---------------------------------------------------------------------------
 
     async def _instance_killed(self) -> Changes:
-        """Kill the first instance, make changes meanwhile, and start it again."""
+        """Kill the first instance, make changes while it is down, and restart it."""
         if self._plan.instances < 2:
-            raise DrillError("instance-killed: there is one instance only")
+            raise DrillError("instance-killed: needs at least two instances")
         self._supervisor.kill("list0")
         changes = await self._write_some(["start", "drain"], duration_s=self._plan.settle_s)
         self._supervisor.start_instance(0)
@@ -165,7 +165,7 @@
         return changes
 
     async def _away(self) -> Changes:
-        """Kill all instances, start them after a while, and make changes at once."""
+        """Kill all instances, restart them after `away_s`, and make changes at once."""
         numbers = range(self._plan.instances)
         for number in numbers:
             self._supervisor.kill(f"list{number}")
@@ -176,7 +176,7 @@
         return await self._write_some(["start", "drain"], duration_s=self._plan.settle_s / 2)
 
     async def _regions(self) -> Changes:
-        """Part the instances from one another while changes go on; those count from the partition's end."""
+        """Make changes while the instances are partitioned; their times count from the partition's end."""
         self._supervisor.relays.set_partitioned(is_partitioned=True)
         changes = await self._write_some(["start", "drain"], duration_s=self._plan.away_s / 2)
         self._supervisor.relays.set_partitioned(is_partitioned=False)
@@ -186,7 +186,7 @@
     # ---- writes ---------------------------------------------------------------------------------
 
     async def _write_some(self, kinds: list[str], duration_s: float) -> Changes:
-        """Make a few changes, spread over a time."""
+        """Make a quarter of the plan's changes, at least two, spread over a duration."""
         count = max(self._plan.changes // 4, 2)
         numbers = self._random.sample(range(self._plan.balancers), count)
         return await self.write(numbers, kinds, count / duration_s)
@@ -198,14 +198,14 @@
         command = {"do": "write", "writes": writes, "per_s": rate_per_s}
         results = (await self._supervisor.request("registrar", command))["written"]
         if failures := [result for result in results if result["status"] != 200]:
-            raise DrillError(f"{len(failures)} changes were not taken, the first is {failures[0]}")
+            raise DrillError(f"{len(failures)} changes were not accepted, the first is {failures[0]}")
         return [
             result | {"at_ms": result["sent_ms"], "tier": self._plan.tier(upstream_number(result["name"]))}
             for result in results
         ]
 
     async def restore(self) -> None:
-        """Register again what a step has drained or removed."""
+        """Register again the upstreams that a step drained or removed."""
         numbers, self._withdrawn = sorted(set(self._withdrawn)), []
         if numbers:
             await self.write(numbers, ["start"], RESTORE_RATE_PER_S)
--- a/loadbalancer/scale/supervisor.py
+++ b/loadbalancer/scale/supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor of a scale run's processes: starts them, commands and samples them, and ends them."""
+"""The supervisor of a scale run's processes: starts, commands, samples and stops them."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 from loadbalancer.scale.plan import Plan, balancer_config
 
 HOST = "127.0.0.1"
-COMMAND_TIMEOUT_S = 180.0  # for what the driver has asked of a helper process
+COMMAND_TIMEOUT_S = 180.0  # for a helper process to carry out a command
 DEFECTIVE_HELPER = "loadbalancer.scale.defective_helper"
-INSTANCE_TIMEOUT_S = 2.0  # for one poll of an instance that starts
+INSTANCE_TIMEOUT_S = 2.0  # for one poll of a starting instance
 MODULES = {
     "hollow": (hollow.__name__, hollow.HollowSpecification),
     "registrar": (registrar.__name__, registrar.RegistrarSpecification),
@@ -42,12 +42,12 @@
 
 @dataclass
 class ScaleProcess:
-    """A process, its role, and what was seen of it, second by second."""
+    """A process, its role, and what was measured of it in each second."""
 
     kind: str
     process: Process
     rows: list[dict[str, Any]] = field(default_factory=list)
-    """Each has `second`, and `cpu` (cores) or what the process reported of that second."""
+    """Each has `second`, and `cpu` (cores) or what the process reported for that second."""
     cpu_s: float = 0.0
     sampled_at_s: float = 0.0
 
@@ -75,7 +75,7 @@
     def _start(
         self, name: str, kind: str, argv: list[str], *, has_messages: bool = False, **environment: str
     ) -> None:
-        """Start a process; one of the same name that ran before it hands on its rows."""
+        """Start a process; it keeps the rows of an earlier process of the same name."""
         process = self.launch(
             name,
             argv,
@@ -86,7 +86,7 @@
         self.processes[name] = ScaleProcess(kind, process, before.rows if before else [])
 
     def start_helper(self, name: str, kind: str, **fields: Any) -> None:
-        """Start a hollow host, the registrar or the upstream stub; `fields` are of its specification."""
+        """Start a hollow host, the registrar or the upstream stub; `fields` go into its specification."""
         module, specification_type = MODULES[kind]
         offset_ms, seed = unix_offset_ms(), self._plan.seed
         specification = specification_type(
@@ -99,14 +99,14 @@
         self._start(name, kind, argv, has_messages=True)
 
     async def start_instances(self) -> None:
-        """Start the registry, and wait until its instances answer."""
+        """Start the registry and wait until its instances answer."""
         await self.relays.start()
         for number in range(self._plan.instances):
             self.start_instance(number)
         await self.wait_for_instances(range(self._plan.instances))
 
     def start_instance(self, number: int) -> None:
-        """Start one; it may have run before, and has its database."""
+        """Start an instance; if it ran before, it keeps its database."""
         path, addresses = self.out / f"list{number}.toml", self.instances
         relays = self.relays.between_instances
         write_registry_config(
@@ -122,7 +122,7 @@
         self._start(f"list{number}", "instance", registry_command(path, self._plan.defect))
 
     async def wait_for_instances(self, numbers: Iterable[int]) -> float:
-        """Wait until all these instances answer for the list; return Unix ms of the first that does."""
+        """Wait until all these instances serve the list; return when the first did, in Unix ms."""
         answered_at_ms = await asyncio.gather(*(self._wait_for_instance(number) for number in numbers))
         return min(answered_at_ms)
 
@@ -169,7 +169,7 @@
             self._changed.notify_all()
 
     def on_exit(self, process: Process) -> None:
-        """Note the end of a process that was not told to, and wake all that wait."""
+        """Record an unexpected exit as a fault, and wake all waiters."""
         if not process.is_exit_expected:
             self.faults.append(f"{process.name} ended with status {process.exit_status}")
         self._track(self._notify_waiters())
@@ -184,17 +184,17 @@
         task.add_done_callback(self._tasks.discard)
 
     def raise_faults(self) -> None:
-        """Raise DrillError if a process has ended by itself, or the machine can't hold the run."""
+        """Raise DrillError if a process ended unexpectedly or the machine can't hold the run."""
         if self.faults:
             raise DrillError(f"{self.faults[0]}; see its log in {self.out}")
 
     async def wait_until(
-        self, is_so: Callable[[], bool], what: str, timeout_s: float = COMMAND_TIMEOUT_S
+        self, condition: Callable[[], bool], what: str, timeout_s: float = COMMAND_TIMEOUT_S
     ) -> None:
-        """Wait for messages of helper processes; DrillError if they do not come, or there is a fault."""
+        """Wait until a condition on helper messages holds; DrillError on a timeout or a fault."""
         try:
             async with asyncio.timeout(timeout_s), self._changed:
-                await self._changed.wait_for(lambda: bool(self.faults) or is_so())
+                await self._changed.wait_for(lambda: bool(self.faults) or condition())
         except TimeoutError as error:
             raise DrillError(f"{what}: not in {timeout_s:.0f} s") from error
         self.raise_faults()
@@ -206,7 +206,7 @@
         )
 
     async def request(self, name: str, command: Message) -> Message:
-        """Send a helper process a command, and wait for its reply."""
+        """Send a helper process a command and wait for its reply."""
         self._last_request_number += 1
         key = f"{name}/{self._last_request_number}"
         self.processes[name].process.send_command(command | {"id": self._last_request_number})
@@ -225,7 +225,7 @@
     # ---- sampling and ending --------------------------------------------------------------------
 
     def sample_usage(self, second: int) -> None:
-        """Add each process's processor time, and what passed through the relays of real balancers."""
+        """Add a row of each process's processor time, and of what passed through its relays."""
         for each in self.processes.values():
             now_s = time.monotonic()
             cpu_s = resource_usage.processor_time_s(each.process.pid)
@@ -246,13 +246,13 @@
         self.processes[name].process.signal(signal.SIGKILL)
 
     async def finish(self) -> None:
-        """End all."""
+        """Stop all processes and relays."""
         await self.finish_all(each.process for each in self.processes.values())
         self.relays.close()
 
 
 async def _is_answering(http: aiohttp.ClientSession, instance: str) -> bool:
-    """Return whether an instance answers for the list."""
+    """Return whether an instance serves the list."""
     timeout = aiohttp.ClientTimeout(total=INSTANCE_TIMEOUT_S)
     try:
         async with http.get(f"http://{instance}/v1/servers?tier=none", timeout=timeout) as answer:
--- a/loadbalancer/scale/upstream_stub.py
+++ b/loadbalancer/scale/upstream_stub.py
@@ -1,4 +1,4 @@
-"""All upstreams in one socket, which answers anything, and the light load on the real balancers.
+"""All upstreams behind one socket that answers any request, and the light load on the real balancers.
 
 python -m loadbalancer.scale.upstream_stub SPEC.json
 """
@@ -26,10 +26,10 @@
 
 
 class UpstreamStubSpecification(ProcessSpecification, kw_only=True, frozen=True):
-    """What the stub is started with."""
+    """Start parameters of the stub."""
 
     calls_per_s: float
-    """At each real balancer that is called."""
+    """At each real balancer that gets calls."""
 
 
 class UpstreamConnection(asyncio.Protocol):
@@ -47,7 +47,7 @@
 
 
 class BalancerLoad:
-    """Calls at the real balancers, so many a second at each."""
+    """Calls to real balancers at a fixed rate each."""
 
     def __init__(self, spec: UpstreamStubSpecification) -> None:
         self._spec = spec
@@ -57,7 +57,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def handle_command(self, command: dict[str, Any]) -> None:
-        """Call a balancer from now on."""
+        """Start calling a balancer."""
         task = start_critical_task(asyncio.get_running_loop(), self._call_repeatedly(command["call"]))
         self._tasks.add(task)
 
@@ -77,7 +77,7 @@
                     self._failed_count += 1
 
     def take_counts(self) -> dict[str, object]:
-        """Return the counts of a second, and begin anew."""
+        """Return the counts of the last second, and reset them."""
         counts: dict[str, object] = {"served": self._served_count, "failed": self._failed_count}
         self._served_count = 0
         self._failed_count = 0
@@ -85,7 +85,7 @@
 
 
 async def serve() -> None:
-    """Answer, and call, until the driver closes our input."""
+    """Answer and make calls until the driver closes standard input."""
     spec, loop = read_specification(UpstreamStubSpecification), asyncio.get_running_loop()
     load = BalancerLoad(spec)
     server = await loop.create_server(UpstreamConnection, "127.0.0.1", 0, backlog=LISTEN_BACKLOG)
