--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""A small scale run: all changes reach all, within counts and bytes, and no process is left behind."""
+"""A small scale run: all changes reach all balancers, within limits, and no process is left behind."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
 SIZE, REAL = 60, 2
 TIMEOUT_S = 120
 ENTRY_BYTES = 250  # of an upstream on the list, at the most
-# Time is not judged here: the machine may be busy. Bytes and counts are.
-COUNTED = Allowances(cpu=1.0, in_force_ms=60_000.0)
+# Times are not checked here, as the machine may be busy; bytes and counts are.
+COUNT_ALLOWANCES = Allowances(cpu=1.0, in_force_ms=60_000.0)
 
 
 def command(*args: str) -> list[str]:
     return [sys.executable, "-c", "from loadbalancer.cli import main; main()", "scale", "run", *args]
 
 
-def small(out: Path, *args: str) -> list[str]:
+def small_run_command(out: Path, *args: str) -> list[str]:
     return command(
         "--balancers", str(SIZE), "--real", str(REAL), "--hosts", "1", "--out", str(out), "--quiet-s", "3",
         "--away-s", "3", "--changes", "12", "--settle-s", "2.5", "--patience-s", "60", *args,
@@ -48,13 +48,15 @@
 
 
 def play(out: Path, *args: str) -> dict[str, Any]:
-    subprocess.run(small(out, *args), cwd=ROOT, check=True, timeout=TIMEOUT_S, stdout=subprocess.DEVNULL)
+    subprocess.run(
+        small_run_command(out, *args), cwd=ROOT, check=True, timeout=TIMEOUT_S, stdout=subprocess.DEVNULL
+    )
     figures: dict[str, Any] = json.loads((out / "figures.json").read_text(encoding="utf-8"))
     return figures
 
 
-def processes_of(folder: Path) -> list[str]:
-    """Return the processes whose command names a folder."""
+def processes_naming(folder: Path) -> list[str]:
+    """Return the other processes whose command line contains a folder's path."""
     found = []
     for path in Path("/proc").glob("[0-9]*/cmdline"):
         try:
@@ -65,7 +67,7 @@
     return [pid for pid in found if int(pid) != os.getpid()]
 
 
-LEAN = ("--real", "0", "--hosts", "1", "--instances", "1")
+MINIMAL_RUN = ("--real", "0", "--hosts", "1", "--instances", "1")
 SEEDED_DEFECTS = {
     "polls": ("start,quiet", ("quiet", "calls_s_mean")),
     "quadratic-fan-out": ("start,changes", ("changes", "bytes_a_call")),
@@ -75,11 +77,11 @@
 
 @pytest.fixture(scope="module")
 def runs(tmp_path_factory: pytest.TempPathFactory) -> Iterator[dict[str, Future[dict[str, Any]]]]:
-    """Play a run with each defect, and one without: all at once, for they mostly wait."""
+    """Play a run with each defect and one without, all at once, as they mostly wait."""
     folder = tmp_path_factory.mktemp("scale")
     with ThreadPoolExecutor() as pool:
         yield {"": pool.submit(play, folder / "run")} | {
-            defect: pool.submit(play, folder / defect, "--plant", defect, "--steps", steps, *LEAN)
+            defect: pool.submit(play, folder / defect, "--plant", defect, "--steps", steps, *MINIMAL_RUN)
             for defect, (steps, _) in SEEDED_DEFECTS.items()
         }
 
@@ -99,14 +101,14 @@
 
 
 def test_nothing_is_over_its_allowance_in_counts_and_bytes(figures: dict[str, Any]) -> None:
-    assert find_excesses(figures, COUNTED) == []
+    assert find_excesses(figures, COUNT_ALLOWANCES) == []
 
 
 def test_quiet_step_costs_at_most_a_call_a_second(figures: dict[str, Any]) -> None:
     quiet = figures["steps"]["quiet"]
     hollow = quiet["roles"]["hollow"]
     assert 0 < hollow["calls_s_mean"] <= 1.0
-    # Each may look once at another instance's list meanwhile.
+    # Each may fetch another instance's list once meanwhile.
     assert hollow["bytes_s_mean"] * (quiet["end"] - quiet["begin"]) <= 1.5 * SIZE * ENTRY_BYTES
 
 
@@ -125,8 +127,11 @@
 
 
 @pytest.mark.parametrize("defect", SEEDED_DEFECTS)
-def test_planted_defect_goes_over_an_allowance(runs: dict[str, Future[dict[str, Any]]], defect: str) -> None:
-    found = {(one["step"], one["figure"]) for one in find_excesses(runs[defect].result(), COUNTED)}
+def test_seeded_defect_exceeds_an_allowance(runs: dict[str, Future[dict[str, Any]]], defect: str) -> None:
+    found = {
+        (excess["step"], excess["figure"])
+        for excess in find_excesses(runs[defect].result(), COUNT_ALLOWANCES)
+    }
     assert SEEDED_DEFECTS[defect][1] in found
 
 
@@ -150,16 +155,16 @@
 
 def test_no_process_outlives_a_driver_that_is_killed(tmp_path: Path) -> None:
     out = tmp_path / "run"
-    driver = subprocess.Popen(small(out), cwd=ROOT, stdout=subprocess.DEVNULL)
+    driver = subprocess.Popen(small_run_command(out), cwd=ROOT, stdout=subprocess.DEVNULL)
     until = time.monotonic() + TIMEOUT_S
     while not (out / "hollow0.log").exists() and time.monotonic() < until:
         assert driver.poll() is None
         time.sleep(0.05)
     driver.send_signal(signal.SIGKILL)
     driver.wait()
-    while processes_of(out) and time.monotonic() < until:
+    while processes_naming(out) and time.monotonic() < until:
         time.sleep(0.05)
-    assert processes_of(out) == []
+    assert processes_naming(out) == []
 
 
 class Echo(asyncio.Protocol):
--- a/tests/test_scale_registrar.py
+++ b/tests/test_scale_registrar.py
@@ -1,4 +1,4 @@
-"""The registrar of a scale run: an upstream that falls silent and starts anew is renewed again."""
+"""The registrar of a scale run: an upstream that falls silent and restarts is renewed again."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FakeConnections:
-    """Stands in for connections: each call is answered with 200, and can be waited for."""
+    """Replaces connections: each call is answered with 200 and can be awaited."""
 
     def __init__(self) -> None:
         self._calls: asyncio.Queue[str] = asyncio.Queue()
@@ -29,10 +29,10 @@
 
 
 @pytest.mark.parametrize("ends", ["silent", "remove"])
-def test_upstream_that_was_silent_and_starts_anew_is_renewed_again(
+def test_upstream_that_was_silent_and_restarts_is_renewed_again(
     ends: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its renewal came due while it was silent and was dropped: it registered, and expired a lease later."""
+    """A renewal due while it was silent was dropped: it registered again and expired a lease later."""
 
     async def scenario() -> None:
         connections = FakeConnections()
@@ -56,7 +56,7 @@
         else:
             subject.handle_command({"do": "write", "id": 1, "writes": [[0, "remove"]], "per_s": 100.0})
             await connections.wait_for("DELETE s0")
-        while not subject._due:  # the renewal that is under way has its answer, and the next one is due
+        while not subject._due:  # the renewal in flight is answered and the next one scheduled
             await asyncio.sleep(0.001)
         while subject._due or not subject._jobs.empty():  # its renewal has been dropped
             await asyncio.sleep(0.001)
@@ -65,7 +65,7 @@
         for _ in range(3):
             await connections.wait_for("POST renew")
 
-    async def within() -> None:
+    async def scenario_within_timeout() -> None:
         await asyncio.wait_for(scenario(), 5.0)
 
-    asyncio.run(within())
+    asyncio.run(scenario_within_timeout())
