--- a/loadbalancer/scale/figures.py
+++ b/loadbalancer/scale/figures.py
@@ -89,9 +89,9 @@
         if not spans:
             continue
         name = key if key == "cpu" else f"{key}_s"
-        every = [value for span in spans for value in span]
-        figures[f"{name}_mean"] = sum(every) / len(every)
-        figures[f"{name}_worst"] = max(every)
+        all_values = [value for span in spans for value in span]
+        figures[f"{name}_mean"] = sum(all_values) / len(all_values)
+        figures[f"{name}_worst"] = max(all_values)
         figures[f"{name}_worst10"] = max(_worst_mean(span, WORST_WINDOW_S) for span in spans)
     if lag_ms := max((value for unit in units for value in _values(unit, "lag_ms", begin, end)), default=0):
         figures["lag_ms_worst"] = lag_ms  # of a host's event loop: a delay up to this is not the balancer's
--- a/loadbalancer/scale/plan.py
+++ b/loadbalancer/scale/plan.py
@@ -80,7 +80,7 @@
         if self.lists == "interest" and self.shared_reading:
             raise PlanError("shared_reading: by interest no two balancers get the same answer")
         if not self.steps or self.steps[0] != "start":
-            raise PlanError("steps: the first is start")
+            raise PlanError("steps: the first must be start")
         if not 0 <= self.hollow <= self.balancers - self.real:
             raise PlanError(f"hollow: {self.hollow}; allowed: 0 to {self.balancers - self.real}")
         if not 1 <= self.instances <= MAX_INSTANCES:
@@ -88,7 +88,7 @@
         if self.hosts + self.instances + self.real + 2 > MAX_PROCESSES:
             raise PlanError(f"more than {MAX_PROCESSES} processes")
         if self.changes * 2 > self.balancers:
-            raise PlanError(f"changes: {self.changes}; allowed: half of the upstreams at the most")
+            raise PlanError(f"changes: {self.changes}; allowed: at most half of the upstreams")
 
     def hollow_numbers(self) -> list[int]:
         """Return the numbers of the hollow balancers, spread over the tier."""
--- a/loadbalancer/scale/play.py
+++ b/loadbalancer/scale/play.py
@@ -39,13 +39,13 @@
     if own_mb + lists_mb > MAX_MEMORY_FRACTION * all_mb:
         hollow = int((MAX_MEMORY_FRACTION * all_mb - own_mb) * 1_024 / LISTED_SERVER_KB / list_size)
         raise PlanError(
-            f"memory: {own_mb + lists_mb:,.0f} MB, allowed are {MAX_MEMORY_FRACTION:.0%} of {all_mb:,.0f}; "
-            f" --hollow {max(hollow, 0)} at the most"
+            f"memory: {own_mb + lists_mb:,.0f} MB, allowed: {MAX_MEMORY_FRACTION:.0%} of {all_mb:,.0f}; "
+            f"use --hollow {max(hollow, 0)} at most"
         )
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = plan.hollow + plan.real + SPARE_DESCRIPTORS  # of an instance while all others are down
     if needed > allowed:
-        raise PlanError(f"descriptors: an instance may need {needed}, allowed are {allowed}")
+        raise PlanError(f"descriptors: an instance may need {needed}; allowed: {allowed}")
 
 
 class ScaleRun:
@@ -102,9 +102,9 @@
         )
         numbers = plan.hollow_numbers()
         for host in range(plan.hosts):
-            own = numbers[host :: plan.hosts]
+            host_numbers = numbers[host :: plan.hosts]
             supervisor.start_helper(
-                f"hollow{host}", "hollow", plan=plan, numbers=own, instance_addresses=instances
+                f"hollow{host}", "hollow", plan=plan, numbers=host_numbers, instance_addresses=instances
             )
         for number in plan.real_numbers():
             await supervisor.prepare_real(number)
@@ -205,7 +205,7 @@
             self._peak_memory_mb = max(self._peak_memory_mb, used_mb)
             if used_mb > MAX_MEMORY_FRACTION * all_mb:
                 supervisor.faults.append(
-                    f"memory: {used_mb:,.0f} MB in use, over {MAX_MEMORY_FRACTION:.0%} of all"
+                    f"memory: {used_mb:,.0f} MB in use, over {MAX_MEMORY_FRACTION:.0%} of the machine's"
                 )
 
     def _on_sampling_ended(self, task: asyncio.Task[None]) -> None:
--- a/loadbalancer/scale/report.py
+++ b/loadbalancer/scale/report.py
@@ -119,8 +119,8 @@
                 hollow_value -= quiet["hollow"][key]
                 real_value -= quiet["real_idle"][key]
             ratio = hollow_value / real_value if real_value else 0.0
-            is_alike = "yes" if abs(ratio - 1) <= MAX_DIFFERENCE else "no"
-            yield f"| {step} | {name} | {hollow_value:.4g} | {real_value:.4g} | {ratio:.2f} | {is_alike} |"
+            is_similar = "yes" if abs(ratio - 1) <= MAX_DIFFERENCE else "no"
+            yield f"| {step} | {name} | {hollow_value:.4g} | {real_value:.4g} | {ratio:.2f} | {is_similar} |"
 
 
 def draw_time(run: Row) -> Figure:
--- a/loadbalancer/scale/steps.py
+++ b/loadbalancer/scale/steps.py
@@ -143,11 +143,13 @@
         changes: Changes = []
         began_s = time.monotonic()
         for batch in range(batches):
-            own = numbers[batch::batches]
-            hollow = sorted({*own, *callers[batch::batches]})
-            self._supervisor.command_hollow_hosts(do="stop", numbers=hollow)
-            changes += await self.write(own, ["start"], len(own) / duration_s * batches * WRITE_HEADROOM)
-            self._supervisor.command_hollow_hosts(do="start", numbers=hollow)
+            batch_numbers = numbers[batch::batches]
+            restarted = sorted({*batch_numbers, *callers[batch::batches]})
+            self._supervisor.command_hollow_hosts(do="stop", numbers=restarted)
+            changes += await self.write(
+                batch_numbers, ["start"], len(batch_numbers) / duration_s * batches * WRITE_HEADROOM
+            )
+            self._supervisor.command_hollow_hosts(do="start", numbers=restarted)
             due_s = began_s + (batch + 1) * duration_s / batches
             await asyncio.sleep(max(due_s - time.monotonic(), 0.0))
         return changes
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -31,7 +31,7 @@
 ROOT = Path(__file__).parent.parent
 SIZE, REAL = 60, 2
 TIMEOUT_S = 120
-ENTRY_BYTES = 250  # of an upstream on the list, at the most
+ENTRY_BYTES = 250  # at most, of an upstream on the list
 # Times are not checked here, as the machine may be busy; bytes and counts are.
 COUNT_ALLOWANCES = Allowances(cpu=1.0, in_force_ms=60_000.0)
 
@@ -210,7 +210,7 @@
 @pytest.mark.parametrize(
     ("changes", "message"),
     [
-        ({"steps": ("quiet",)}, "the first is start"),
+        ({"steps": ("quiet",)}, "the first must be start"),
         ({"steps": ("start", "party")}, "no step 'party'"),
         ({"hollow": 99}, "hollow: 99"),
         ({"defect": "none"}, "no defect 'none'"),
